--- a/fennelwind/cli/council.py
+++ b/fennelwind/cli/council.py
@@ -26,7 +26,7 @@
     from fennelwind.keeper.folder import Folder  # the council's rooms are loaded where they are needed
     from fennelwind.keeper.rescue import found_alone, look
     from fennelwind.loop.realdisk import RealDisk
-    from fennelwind.store.store import META, Limits
+    from fennelwind.raft_storage.store import META, Limits
 
     try:
         place = config.load(file).council
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -100,9 +100,9 @@
 
     def _keeper(self, seed: int) -> "Keeper":
         """Return the controller's part in the council; only here is anything of it loaded."""
-        from fennelwind.council.interface import Timing
         from fennelwind.keeper.place import Place
         from fennelwind.keeper.whole import Keeper
+        from fennelwind.raft.messages import Timing
 
         c = self.settings.council
         place = Place(
--- a/fennelwind/contracts/machine.py
+++ b/fennelwind/contracts/machine.py
@@ -37,7 +37,7 @@
 )
 from fennelwind.contracts.rules import FIRST, NEWEST, NUMBER, Finding, Form, Level, Read, Reads, judge, worst
 from fennelwind.contracts.types import COLUMNS_MOST, Schema, SchemaError, fold, numbered, table_name
-from fennelwind.council.machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 
 TABLES_MOST = 20_000  # tables known
 SUBSCRIPTIONS_MOST = 50_000  # forms of all subscribers together
--- a/fennelwind/fleet/councilwork.py
+++ b/fennelwind/fleet/councilwork.py
@@ -15,7 +15,6 @@
 from random import Random
 from typing import Any
 
-from fennelwind.council.interface import Timing
 from fennelwind.fleet.lines import say
 from fennelwind.fleet.registers import Registers
 from fennelwind.fleet.rigdisk import Faults, RigDisk
@@ -25,6 +24,7 @@
 from fennelwind.keeper.whole import Keeper
 from fennelwind.loop import RealLoop, Stream, parse_address
 from fennelwind.loop.real import TELL_WHERE
+from fennelwind.raft.messages import Timing
 
 KEYS = ("a", "b", "c")  # registers that all clients use: few, so that they meet
 PAUSE_MS = 10.0  # ms between two asks of a client, at most
--- a/fennelwind/fleet/registers.py
+++ b/fennelwind/fleet/registers.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fennelwind.council.machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 
 KEYS_MOST = 1000  # registers; a rig uses a handful
 
--- a/fennelwind/fleet/wholework.py
+++ b/fennelwind/fleet/wholework.py
@@ -13,12 +13,12 @@
 from dataclasses import replace
 from typing import Any
 
-from fennelwind.council.record import LEVEL
 from fennelwind.fleet.lines import say
 from fennelwind.fleet.registers import Registers
 from fennelwind.fleet.rigdisk import Faults, RigDisk
 from fennelwind.keeper import whole
 from fennelwind.loop import Address, RealLoop, Stream, parse_address
+from fennelwind.raft.replicated_state import LEVEL
 from fennelwind.shards.carrier import Timing
 
 PROGRAM = "fennelwind.cli.main"  # which is started here, as `processes` starts its own by a command
--- a/fennelwind/keeper/asker.py
+++ b/fennelwind/keeper/asker.py
@@ -11,8 +11,6 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelwind.council import council_pb2
-from fennelwind.council.record import KEPT_MOST
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.errors import (
     AskerFull,
@@ -29,6 +27,8 @@
 from fennelwind.keeper.place import PROTOCOL, wrong_hello
 from fennelwind.keeper.waits import Waits
 from fennelwind.loop import Address, Loop, Once, Stream, Task
+from fennelwind.raft import council_pb2
+from fennelwind.raft.replicated_state import KEPT_MOST
 
 Result = council_pb2.Result
 DIAL_MS = 500.0  # ms to connect and hear a member's name; a member that runs needs few
--- a/fennelwind/keeper/door.py
+++ b/fennelwind/keeper/door.py
@@ -9,14 +9,14 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import Life
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.errors import CouncilError, FrameRefused
 from fennelwind.keeper.frames import FrameReader, Outbox, framed
 from fennelwind.keeper.peers import PULSE_MS
 from fennelwind.keeper.place import NAME_MOST, wrong_hello
 from fennelwind.loop import Listener, Loop, Stream, StreamReset, Task
+from fennelwind.raft import council_pb2
+from fennelwind.raft.messages import Life
 
 HELLO_MS = 2000.0  # ms in which a stranger has to say who it is
 STRANGERS_MOST = 128  # connections without a hello; one more is broken at once
--- a/fennelwind/keeper/folder.py
+++ b/fennelwind/keeper/folder.py
@@ -2,10 +2,10 @@
 
 from collections.abc import Callable
 
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import Durable, Write
 from fennelwind.loop.disk import Disk, DiskError
-from fennelwind.store.store import Limits, Store
+from fennelwind.raft import council_pb2
+from fennelwind.raft.messages import Durable, Write
+from fennelwind.raft_storage.store import Limits, Store
 
 LIFE = 16  # bytes of a life: no two folders ever draw the same
 
--- a/fennelwind/keeper/machines.py
+++ b/fennelwind/keeper/machines.py
@@ -4,11 +4,11 @@
 
 from fennelwind.clearance.roll import RollMachine
 from fennelwind.contracts.machine import ContractMachine
-from fennelwind.council.machine import Machine
 from fennelwind.keeper.asking import asked
 from fennelwind.keeper.state import whole_state
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.raft.state_machine import Machine
 from fennelwind.shards.machine import ShardMachine
 
 LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", RollMachine.name
--- a/fennelwind/keeper/member.py
+++ b/fennelwind/keeper/member.py
@@ -14,8 +14,20 @@
 from fennelwind.clearance import clearance_pb2
 from fennelwind.clearance.roll import RollMachine
 from fennelwind.clearance.words import WISHES_MOST, Words
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import (
+from fennelwind.errors import FennelwindError
+from fennelwind.keeper import keeper_pb2 as pb
+from fennelwind.keeper.bell import Bell
+from fennelwind.keeper.door import Caller, Door
+from fennelwind.keeper.errors import AddressTaken, CouncilError, RecordTooNew
+from fennelwind.keeper.peers import Peer, Peers
+from fennelwind.keeper.place import PROTOCOL, Place
+from fennelwind.keeper.state import State, whole_state
+from fennelwind.keeper.waits import Waits
+from fennelwind.loop import Address, Loop, Once, Task, parse_address
+from fennelwind.loop.disk import DiskFull
+from fennelwind.raft import council_pb2
+from fennelwind.raft.log import Log
+from fennelwind.raft.messages import (
     Action,
     Answer,
     Apply,
@@ -39,21 +51,9 @@
     WriteFailed,
     Written,
 )
-from fennelwind.council.log import Log
-from fennelwind.council.machine import Machine
-from fennelwind.council.pieces import head_of
-from fennelwind.council.record import ITSELF, Record
-from fennelwind.errors import FennelwindError
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.door import Caller, Door
-from fennelwind.keeper.errors import AddressTaken, CouncilError, RecordTooNew
-from fennelwind.keeper.peers import Peer, Peers
-from fennelwind.keeper.place import PROTOCOL, Place
-from fennelwind.keeper.state import State, whole_state
-from fennelwind.keeper.waits import Waits
-from fennelwind.loop import Address, Loop, Once, Task, parse_address
-from fennelwind.loop.disk import DiskFull
+from fennelwind.raft.replicated_state import ITSELF, Record
+from fennelwind.raft.snapshot_chunks import head_of
+from fennelwind.raft.state_machine import Machine
 
 EVENTS_MOST = 8192  # messages that wait for the core; more are lost, as on any network
 STEP_MOST = 256  # events of one step; some 20 ms at the worst
--- a/fennelwind/keeper/moves.py
+++ b/fennelwind/keeper/moves.py
@@ -12,7 +12,6 @@
 
 from fennelwind.clearance import clearance_pb2 as clear
 from fennelwind.clearance.words import WISHES_MOST
-from fennelwind.council.record import Record
 from fennelwind.engines.links import RemoteError
 from fennelwind.keeper import gate_pb2
 from fennelwind.keeper.asker import Asker
@@ -24,6 +23,7 @@
 from fennelwind.keeper.tasks import Held, Tasks
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
+from fennelwind.raft.replicated_state import Record
 from fennelwind.shards import carrier as api
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards import steps
--- a/fennelwind/keeper/peers.py
+++ b/fennelwind/keeper/peers.py
@@ -9,8 +9,6 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import Life
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.bell import Bell
 from fennelwind.keeper.errors import CouncilError, FleetMismatch, FrameRefused, NameMismatch
@@ -18,6 +16,8 @@
 from fennelwind.keeper.place import wrong_hello
 from fennelwind.keeper.waits import Waits
 from fennelwind.loop import Address, Loop, Stream, Task
+from fennelwind.raft import council_pb2
+from fennelwind.raft.messages import Life
 
 DIAL_MS = 1000.0  # ms to connect and to hear the other's name
 PULSE_MS = 1000.0  # ms between two words of a reader
--- a/fennelwind/keeper/place.py
+++ b/fennelwind/keeper/place.py
@@ -3,10 +3,10 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fennelwind.council.interface import Timing
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.errors import CouncilError, FleetMismatch, ProtocolMismatch
 from fennelwind.loop import Address
+from fennelwind.raft.messages import Timing
 
 PROTOCOL = 1  # of the frames; raised where an older controller could not read them
 NAME_MOST = 64  # letters of a name
--- a/fennelwind/keeper/rescue.py
+++ b/fennelwind/keeper/rescue.py
@@ -7,10 +7,10 @@
 
 from dataclasses import dataclass
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Durable, Write
-from fennelwind.council.log import Log
 from fennelwind.keeper.folder import Folder
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.log import Log
+from fennelwind.raft.messages import Durable, Write
 
 JUMP = 100_000  # entries left out; a member that is further behind takes a snapshot and is no fit heir
 
--- a/fennelwind/keeper/state.py
+++ b/fennelwind/keeper/state.py
@@ -9,14 +9,14 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import Applied, Apply, Event, Restore, Snapshot, TakeSnapshot
-from fennelwind.council.machine import Machine
-from fennelwind.council.record import Record
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.bell import Bell
 from fennelwind.keeper.frames import FRAME_MOST
 from fennelwind.loop import Loop
+from fennelwind.raft import council_pb2
+from fennelwind.raft.messages import Applied, Apply, Event, Restore, Snapshot, TakeSnapshot
+from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.state_machine import Machine
 
 AT_ONCE = 8  # entries that are applied in the turn that agreed on them: a command's answer waits for it
 SLICE = 64  # entries applied in one turn of the loop; some 2 ms
--- a/fennelwind/keeper/whole.py
+++ b/fennelwind/keeper/whole.py
@@ -3,11 +3,6 @@
 from collections.abc import Callable, Iterable
 
 from fennelwind.clearance.book import Book
-from fennelwind.council.core import Core
-from fennelwind.council.council_pb2 import Member as Stated
-from fennelwind.council.interface import Durable
-from fennelwind.council.machine import Machine
-from fennelwind.council.record import LEVEL, Record
 from fennelwind.engines.links import EngineLinks
 from fennelwind.keeper.asker import Asker
 from fennelwind.keeper.changes import Changes
@@ -25,10 +20,15 @@
 from fennelwind.keeper.tasks import Tasks
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
+from fennelwind.raft.council_pb2 import Member as Stated
+from fennelwind.raft.member import Core
+from fennelwind.raft.messages import Durable
+from fennelwind.raft.replicated_state import LEVEL, Record
+from fennelwind.raft.state_machine import Machine
+from fennelwind.raft_storage.store import Limits
 from fennelwind.shards.heat import Named
 from fennelwind.shards.shards_pb2 import Shard
 from fennelwind.shards.state import Bounds, Home
-from fennelwind.store.store import Limits
 
 ENGINES_MS = 100.0  # ms between looks at whether any engine is known here
 LEAVE_PART = 0.5  # of the time to hand over: leases first, then the lead
--- a/fennelwind/lab/contract_rows.py
+++ b/fennelwind/lab/contract_rows.py
@@ -22,7 +22,7 @@
 from fennelwind.contracts.messages import reads_message, schema_message
 from fennelwind.contracts.rules import NUMBER, RULES, Read, Reads
 from fennelwind.contracts.types import Column, Schema, Type, parse_type
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
 
--- a/fennelwind/lab/contracts.py
+++ b/fennelwind/lab/contracts.py
@@ -16,8 +16,8 @@
 from fennelwind.contracts.rules import NUMBER
 from fennelwind.contracts.said import parse_reads
 from fennelwind.contracts.types import parse_schema
-from fennelwind.council.machine import At
 from fennelwind.lab import contract_rows
+from fennelwind.raft.state_machine import At
 
 SUBSCRIBERS, TABLES, COLUMNS = 10_000, 1000, 40  # columns of a table
 READ_TABLES, READ_COLUMNS = 3, 8  # of a subscriber, in the mean; columns of each table
--- a/fennelwind/lab/store.py
+++ b/fennelwind/lab/store.py
@@ -11,11 +11,11 @@
 import time
 from collections.abc import Callable
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Write
 from fennelwind.loop import RealLoop
 from fennelwind.loop.realdisk import RealDisk
-from fennelwind.store.store import Limits, Store
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Write
+from fennelwind.raft_storage.store import Limits, Store
 
 BODY = 100  # bytes of a command; about a renewal of a lease
 SIZES = (1, 10, 100, 1000)  # entries in one write
--- a/fennelwind/leases/machine.py
+++ b/fennelwind/leases/machine.py
@@ -12,8 +12,8 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.council.machine import At, Facts, UnreadableCommand
 from fennelwind.leases import leases_pb2 as pb
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 
 ASKS_MOST = 512  # asks of one command; a controller wants some fifty tasks
 TASKS_MOST = 4096  # tasks; a thousand tables and the fleet's own, four times over
--- a/fennelwind/council/joining.py
+++ b/fennelwind/raft/bootstrap.py
@@ -1,7 +1,7 @@
 """A member without a record asks to be let in; the first by name founds one if nobody has any. No I/O."""
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Life
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Life
 
 FRESH_TIMEOUTS = 4  # election time-outs for which a word counts; it is asked for anew with each one
 
--- a/fennelwind/council/votes.py
+++ b/fennelwind/raft/election.py
@@ -4,11 +4,11 @@
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Life
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Life
 
 if TYPE_CHECKING:
-    from fennelwind.council.core import Core
+    from fennelwind.raft.member import Core
 
 
 @dataclass(slots=True)
--- a/fennelwind/council/leading.py
+++ b/fennelwind/raft/leader.py
@@ -7,14 +7,14 @@
 from collections import deque
 from typing import TYPE_CHECKING
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Answer, Change, Life, Propose
-from fennelwind.council.progress import PIECES, PROBE, STREAM, Progress
-from fennelwind.council.reads import Reads
-from fennelwind.council.record import COMMAND_MOST
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Answer, Change, Life, Propose
+from fennelwind.raft.progress import PIECES, PROBE, STREAM, Progress
+from fennelwind.raft.read_index import Reads
+from fennelwind.raft.replicated_state import COMMAND_MOST
 
 if TYPE_CHECKING:
-    from fennelwind.council.core import Core
+    from fennelwind.raft.member import Core
 
 NEAR = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
 VOTERS_MOST = 7  # more only make each commit wait for more disks
--- a/fennelwind/council/log.py
+++ b/fennelwind/raft/log.py
@@ -4,8 +4,8 @@
 from collections.abc import Iterable, Sequence
 from typing import NamedTuple
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Life
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Life
 
 
 class Config(NamedTuple):
--- a/fennelwind/council/core.py
+++ b/fennelwind/raft/member.py
@@ -9,16 +9,16 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council import interface as api
-from fennelwind.council import votes
-from fennelwind.council.interface import Action, Durable, Event, Life, Timing
-from fennelwind.council.joining import Joining
-from fennelwind.council.leading import Leading
-from fennelwind.council.log import Log
-from fennelwind.council.snapshots import Snapshots
-from fennelwind.council.votes import Ballot
-from fennelwind.council.writes import Writes
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft import election
+from fennelwind.raft import messages as api
+from fennelwind.raft.bootstrap import Joining
+from fennelwind.raft.election import Ballot
+from fennelwind.raft.leader import Leading
+from fennelwind.raft.log import Log
+from fennelwind.raft.messages import Action, Durable, Event, Life, Timing
+from fennelwind.raft.pending_writes import Writes
+from fennelwind.raft.snapshots import Snapshots
 
 APPLY_MOST = 1024  # entries in one `Apply`, so that the carrier can look up between two
 STUCK_TIMEOUTS = 10  # election time-outs for which a leader's disk may stand while others agree without it
@@ -150,7 +150,7 @@
             else:
                 self.draw()
                 if self._may_lead() and not self._shy() and self.writes.hard_done:
-                    votes.ask_before(self)
+                    election.ask_before(self)
         if self._wants_in():
             joining = self.joining
             if joining.next_at is None or now >= joining.next_at:
@@ -361,7 +361,7 @@
 
     def _won(self, ballot: Ballot) -> None:
         if ballot.before:
-            votes.ask(self)
+            election.ask(self)
             return
         self.ballot, self.leader = None, self.me
         self.leading = Leading(self, self.now)
@@ -377,9 +377,9 @@
             return
         match body:
             case "vote":
-                votes.asked(self, sender, term, message.vote)
+                election.asked(self, sender, term, message.vote)
             case "vote_answer":
-                votes.answered(self, sender, term, message.vote_answer)
+                election.answered(self, sender, term, message.vote_answer)
             case "append" | "piece":
                 if self._leads(sender, term, body == "append"):
                     if body == "append":
@@ -408,7 +408,7 @@
                     and self.snapshots.installing is None
                     and not self._shy()
                 ):
-                    votes.ask(self, handed_over=True)
+                    election.ask(self, handed_over=True)
             case "join":
                 self._join(sender, message.join)
             case "join_answer":
--- a/fennelwind/council/interface.py
+++ b/fennelwind/raft/messages.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
-from fennelwind.council import council_pb2 as pb
+from fennelwind.raft import council_pb2 as pb
 
 
 class Life(NamedTuple):
--- a/fennelwind/council/writes.py
+++ b/fennelwind/raft/pending_writes.py
@@ -5,8 +5,8 @@
 
 from collections import deque
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Send, Write
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Send, Write
 
 
 class Writes:
--- a/fennelwind/council/progress.py
+++ b/fennelwind/raft/progress.py
@@ -3,7 +3,7 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from fennelwind.council import council_pb2 as pb
+from fennelwind.raft import council_pb2 as pb
 
 FIRST_MOST, LEAST_MOST = 64 * 1024, 16 * 1024  # bytes of one message: until a way is known, and at the least
 
--- a/fennelwind/council/reads.py
+++ b/fennelwind/raft/read_index.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from fennelwind.council.interface import Readable
+from fennelwind.raft.messages import Readable
 
 
 class Reads:
--- a/fennelwind/council/record.py
+++ b/fennelwind/raft/replicated_state.py
@@ -10,8 +10,8 @@
 
 from collections.abc import Iterable
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.machine import At, Machine, UnreadableCommand
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.state_machine import At, Machine, UnreadableCommand
 
 CLIENTS_MOST = 4096  # clients remembered; the one that was quiet for longest goes first
 KEPT_MOST = 64  # answers kept for one client; it may have as many commands under way
--- a/fennelwind/council/pieces.py
+++ b/fennelwind/raft/snapshot_chunks.py
@@ -2,7 +2,7 @@
 
 import crc32c
 
-from fennelwind.council import council_pb2 as pb
+from fennelwind.raft import council_pb2 as pb
 
 SNAPSHOT_MOST = 512 * 1024 * 1024  # bytes; a member holds it in memory
 
--- a/fennelwind/council/snapshots.py
+++ b/fennelwind/raft/snapshots.py
@@ -2,13 +2,13 @@
 
 from typing import TYPE_CHECKING
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Durable, Restore, Snapshot, TakeSnapshot, Write
-from fennelwind.council.log import Log
-from fennelwind.council.pieces import SNAPSHOT_MOST, Incoming, head_of
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.log import Log
+from fennelwind.raft.messages import Durable, Restore, Snapshot, TakeSnapshot, Write
+from fennelwind.raft.snapshot_chunks import SNAPSHOT_MOST, Incoming, head_of
 
 if TYPE_CHECKING:
-    from fennelwind.council.core import Core
+    from fennelwind.raft.member import Core
 
 ENTRIES_TIMES = 4  # times the kept entries: so many behind the last snapshot make one due, however small
 KEPT_PART = 4  # the kept entries have at most this part of the log's bytes, or a snapshot would free nothing
--- a/fennelwind/store/shape.py
+++ b/fennelwind/raft_storage/log_index.py
@@ -2,9 +2,9 @@
 
 from collections.abc import Callable, Iterable
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.store import store_pb2 as kept
-from fennelwind.store.errors import WriteRefused
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft_storage import store_pb2 as kept
+from fennelwind.raft_storage.errors import WriteRefused
 
 GENERATIONS = 2  # snapshots kept: if the newer can't be read, the log behind the older still says all
 
--- a/fennelwind/store/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -30,13 +30,13 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Durable, Life, Write
-from fennelwind.council.pieces import SNAPSHOT_MOST
 from fennelwind.loop.disk import READ_MOST, Disk, DiskError, DiskFull, NameMissing
-from fennelwind.store import records
-from fennelwind.store import store_pb2 as kept
-from fennelwind.store.errors import (
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Durable, Life, Write
+from fennelwind.raft.snapshot_chunks import SNAPSHOT_MOST
+from fennelwind.raft_storage import record_format
+from fennelwind.raft_storage import store_pb2 as kept
+from fennelwind.raft_storage.errors import (
     LogDamaged,
     MetaDamaged,
     MetaMissing,
@@ -51,7 +51,7 @@
     WriteRefused,
     WriteTooLarge,
 )
-from fennelwind.store.shape import GENERATIONS, Replay, Shape
+from fennelwind.raft_storage.log_index import GENERATIONS, Replay, Shape
 
 FORMAT = 1  # of all files; a folder with a higher one is refused
 META, RESERVE, NEW = "meta", "reserve", ".new"
@@ -205,12 +205,12 @@
 
     def _put_meta(self) -> None:
         meta = kept.Meta(format=FORMAT, fleet=self.fleet, name=self.name, life=self.life)
-        self._put(META, [records.pack(records.META, 0, meta.SerializeToString())])
+        self._put(META, [record_format.pack(record_format.META, 0, meta.SerializeToString())])
 
     def _check_meta(self) -> None:
-        data = self._whole(META, records.AROUND + records.RECORD_MOST, MetaDamaged)
-        record = records.read(data, 0)
-        if record is None or record.kind != records.META or record.end != len(data):
+        data = self._whole(META, record_format.AROUND + record_format.RECORD_MOST, MetaDamaged)
+        record = record_format.read(data, 0)
+        if record is None or record.kind != record_format.META or record.end != len(data):
             raise MetaDamaged(f"{META} can't be read", file=META)
         meta = _parsed(kept.Meta, record.payload, MetaDamaged, META)
         if meta.format > FORMAT:
@@ -241,7 +241,8 @@
         replay, snapshot, head = self._replay(segments, again, generations, number, sure + 1)
         head.whole = len(again)
         body = b"".join(
-            records.parts(sure + 1 + place, group.SerializeToString()) for place, group in enumerate(again)
+            record_format.parts(sure + 1 + place, group.SerializeToString())
+            for place, group in enumerate(again)
         )
         self.shape, self.group = replay.shape, reached
         self._begin(head, body)
@@ -269,7 +270,7 @@
             if (
                 len(last.groups) < last.head.whole
                 or last.rest is not None
-                and not records.torn(last.data, last.rest, after)
+                and not record_format.torn(last.data, last.rest, after)
             ):
                 offset = last.rest or len(last.data)
                 raise LogDamaged(
@@ -298,8 +299,8 @@
     def _read_segment(self, number: int) -> _Segment:
         name = _log(number)
         data = self._whole(name, self.limits.segment + 2 * self.limits.group, LogDamaged)
-        record = records.read(data, 0)
-        if record is None or record.kind != records.HEAD:
+        record = record_format.read(data, 0)
+        if record is None or record.kind != record_format.HEAD:
             raise LogDamaged(f"{name} has no beginning", file=name, offset=0)
         head = _parsed(kept.Head, record.payload, LogDamaged, name)
         if head.format > FORMAT:
@@ -311,12 +312,15 @@
         groups: list[kept.Group] = []
         at = begin = record.end
         payloads: list[bytes] = []
-        while (record := records.read(data, at)) is not None:
-            if record.kind not in (records.PART, records.LAST) or record.number != head.group + len(groups):
+        while (record := record_format.read(data, at)) is not None:
+            if record.kind not in (
+                record_format.PART,
+                record_format.LAST,
+            ) or record.number != head.group + len(groups):
                 raise LogDamaged(f"{name} has what does not belong there at {at}", file=name, offset=at)
             payloads.append(record.payload)
             at = record.end
-            if record.kind == records.LAST:
+            if record.kind == record_format.LAST:
                 groups.append(_parsed(kept.Group, b"".join(payloads), LogDamaged, name))
                 payloads, begin = [], at
         return _Segment(head, groups, data, at if begin < len(data) else None)
@@ -373,14 +377,14 @@
             data = self._whole(_snapshot(head), 2 * self.limits.snapshot, SnapshotDamaged)
         except (NameMissing, SnapshotDamaged):
             return None
-        record = records.read(data, 0)
-        if record is None or record.kind != records.SNAPSHOT:
+        record = record_format.read(data, 0)
+        if record is None or record.kind != record_format.SNAPSHOT:
             return None
         start = kept.SnapshotStart.FromString(record.payload)
         told, pieces = pb.SnapshotHead.FromString(start.head), []
         while record is not None and record.end < len(data):
-            record = records.read(data, record.end)
-            if record is None or record.kind != records.PIECE or record.number != len(pieces) + 1:
+            record = record_format.read(data, record.end)
+            if record is None or record.kind != record_format.PIECE or record.number != len(pieces) + 1:
                 return None
             pieces.append(record.payload)
         snapshot = b"".join(pieces)
@@ -394,12 +398,12 @@
         for one in _numbers(self.disk.names(), MARKS)[-2:]:
             size = self.disk.size(_marks(one))
             data = self.disk.read(_marks(one), max(0, size - MARKS_READ))
-            at = data.find(records.MAGIC)
+            at = data.find(record_format.MAGIC)
             while at >= 0:
-                record = records.read(data, at)
-                if record is not None and record.kind == records.MARK:
+                record = record_format.read(data, at)
+                if record is not None and record.kind == record_format.MARK:
                     found = max(found, record.number)
-                at = data.find(records.MAGIC, at + 1)
+                at = data.find(record_format.MAGIC, at + 1)
         return found
 
     def _whole(self, name: str, most: int, kind: type[StoreError]) -> bytes:
@@ -432,7 +436,7 @@
                 self._put(_snapshot(write.head), _pieces(write.head, write.snapshot))
                 self.shape.trim()
                 group.first_segment = self._first(self.shape)
-        data = records.parts(self.group + 1, group.SerializeToString())
+        data = record_format.parts(self.group + 1, group.SerializeToString())
         self.disk.append(_log(self.segment), data)
         self.disk.sync(_log(self.segment))
         self.group += 1
@@ -457,7 +461,7 @@
 
     def _begin(self, head: kept.Head, body: bytes = b"", may_take: bool = True) -> None:
         """Begin a segment, with records that are written again."""
-        data = records.pack(records.HEAD, head.segment, head.SerializeToString()) + body
+        data = record_format.pack(record_format.HEAD, head.segment, head.SerializeToString()) + body
         self._put(_log(head.segment), [data], may_take)
         self.segments[head.segment] = head.last_index
         self.segment, self.size = head.segment, len(data)
@@ -495,7 +499,7 @@
     def _mark(self) -> None:
         """Note that the last group is acknowledged; a mark that fails costs nothing but its use."""
         try:
-            self.disk.append(_marks(self.segment), records.pack(records.MARK, self.group, b""))
+            self.disk.append(_marks(self.segment), record_format.pack(record_format.MARK, self.group, b""))
         except DiskError:
             self.unmarked += 1
 
@@ -567,9 +571,9 @@
 
 def _pieces(head: pb.SnapshotHead, snapshot: bytes) -> Iterator[bytes]:
     start = kept.SnapshotStart(head=head.SerializeToString(), size=len(snapshot))
-    yield records.pack(records.SNAPSHOT, 0, start.SerializeToString())
-    for number, at in enumerate(range(0, len(snapshot), records.RECORD_MOST), 1):
-        yield records.pack(records.PIECE, number, snapshot[at : at + records.RECORD_MOST])
+    yield record_format.pack(record_format.SNAPSHOT, 0, start.SerializeToString())
+    for number, at in enumerate(range(0, len(snapshot), record_format.RECORD_MOST), 1):
+        yield record_format.pack(record_format.PIECE, number, snapshot[at : at + record_format.RECORD_MOST])
 
 
 def _grouped(writes: Iterable[Write]) -> kept.Group:
--- a/fennelwind/shards/machine.py
+++ b/fennelwind/shards/machine.py
@@ -16,7 +16,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.council.machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 from fennelwind.shards import heat
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state import LIVES, Copy, Home, Move, Shard, World
--- a/tests/clearance_play.py
+++ b/tests/clearance_play.py
@@ -14,7 +14,7 @@
 from fennelwind.clearance.book import Book, table_of
 from fennelwind.clearance.roll import RollMachine
 from fennelwind.clearance.words import Words
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 from fennelwind.shards.routing import Routing
 
 FORGET_MS, RENEW_MS, DAY_MS = 20_000, 5_000.0, 150_000.0
--- a/tests/contracts_model.py
+++ b/tests/contracts_model.py
@@ -11,7 +11,7 @@
 from fennelwind.contracts.rules import NUMBER, RULES, Form, Level, Read, judge, worst
 from fennelwind.contracts.said import parse_reads, reads_text
 from fennelwind.contracts.types import parse_schema, table_name
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 
 SCHEMAS = (
     "a int, b string",
--- a/tests/contracts_search.py
+++ b/tests/contracts_search.py
@@ -13,7 +13,7 @@
 from fennelwind.contracts.messages import schema_message
 from fennelwind.contracts.rules import NUMBER
 from fennelwind.contracts.types import parse_schema
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as moves
 from fennelwind.shards.machine import UNDER_WAY, ShardMachine
 
--- a/tests/contracts_world.py
+++ b/tests/contracts_world.py
@@ -9,7 +9,7 @@
 from fennelwind.contracts.messages import schema_message
 from fennelwind.contracts.rules import NUMBER
 from fennelwind.contracts.types import parse_schema
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 
 OLD, NEW = parse_schema("a int, b string"), parse_schema("a int, b string, c int")
 ANCIENT = parse_schema("a int")  # of an engine that missed the change before
--- a/tests/council_chaos.py
+++ b/tests/council_chaos.py
@@ -13,13 +13,13 @@
 from council_world import Council
 
 from fennelwind.audit.histories import Linearizable, Operation, check
-from fennelwind.council.interface import Timing
 from fennelwind.fleet.councilrig import Seen, overlaps
 from fennelwind.fleet.registers import Registers
 from fennelwind.keeper.errors import CommandRefused, CouncilLost, OutcomeUnknown
 from fennelwind.leases.errors import OlderFence
 from fennelwind.leases.guard import Fenced
 from fennelwind.loop.simdisk import Costs
+from fennelwind.raft.messages import Timing
 
 PLAY_MS = 20_000.0  # of virtual time with faults
 WITHIN_MS = 2000.0  # of one ask
--- a/tests/council_cluster.py
+++ b/tests/council_cluster.py
@@ -13,10 +13,10 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council import interface as api
-from fennelwind.council.core import Core
-from fennelwind.council.interface import Durable, Life, Timing
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft import messages as api
+from fennelwind.raft.member import Core
+from fennelwind.raft.messages import Durable, Life, Timing
 
 TIGHT = Timing(
     heartbeat_ms=50,
--- a/tests/council_defects.py
+++ b/tests/council_defects.py
@@ -16,13 +16,13 @@
 from council_cluster import Cluster
 from planted import Line, broken, planted, row
 
-from fennelwind.council import snapshots, votes
-from fennelwind.council.core import Core
-from fennelwind.council.leading import Leading
-from fennelwind.council.log import Log
-from fennelwind.council.pieces import Incoming
-from fennelwind.council.votes import Ballot
-from fennelwind.council.writes import Writes
+from fennelwind.raft import election, snapshots
+from fennelwind.raft.election import Ballot
+from fennelwind.raft.leader import Leading
+from fennelwind.raft.log import Log
+from fennelwind.raft.member import Core
+from fennelwind.raft.pending_writes import Writes
+from fennelwind.raft.snapshot_chunks import Incoming
 
 PART = 0.2  # of a day, for what is found soon
 
@@ -95,7 +95,7 @@
         [patch.object(Log, "config_at", lambda self, index: self.config)], (1, PART)
     ),
     "vote for a shorter log": Defect(
-        [patch.object(votes, "lacks_nothing", lambda vote, term, index: True)], (1, PART)
+        [patch.object(election, "lacks_nothing", lambda vote, term, index: True)], (1, PART)
     ),
     "half is enough": Defect([Line(Ballot.won, "> len(voters)", ">= len(voters)")], (1, PART)),
     # It takes the leader's word for its own entries without having compared them.
--- a/tests/council_search.py
+++ b/tests/council_search.py
@@ -17,11 +17,11 @@
 
 from google.protobuf.message import Message
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council import interface as api
-from fennelwind.council.core import Core
-from fennelwind.council.interface import Durable, Life, Timing
-from fennelwind.council.log import Config
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft import messages as api
+from fennelwind.raft.log import Config
+from fennelwind.raft.member import Core
+from fennelwind.raft.messages import Durable, Life, Timing
 
 NAMES = ("a", "b", "c")
 LIVES = tuple(Life(name, name.encode()) for name in NAMES)
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -2,13 +2,13 @@
 
 from random import Random
 
-from fennelwind.council.interface import Timing
 from fennelwind.errors import FennelwindError
 from fennelwind.keeper.place import Place
 from fennelwind.keeper.whole import Keeper
 from fennelwind.loop import Address
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.loop.world import FOREVER, Path, World
+from fennelwind.raft.messages import Timing
 
 OPEN = Path(delay_ms=0.5, jitter=0.5)
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -31,10 +31,6 @@
 from fennelwind.contracts.rules import NUMBER
 from fennelwind.contracts.said import parse_reads
 from fennelwind.contracts.types import parse_schema
-from fennelwind.council import council_pb2
-from fennelwind.council.interface import Write
-from fennelwind.council.pieces import head_of
-from fennelwind.council.record import Record
 from fennelwind.errors import FennelwindError
 from fennelwind.keeper.folder import Folder
 from fennelwind.keeper.machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
@@ -43,9 +39,13 @@
 from fennelwind.loop.sim import Pipe
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.loop.world import FarPipe
+from fennelwind.raft import council_pb2
+from fennelwind.raft.messages import Write
+from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.snapshot_chunks import head_of
+from fennelwind.raft_storage import record_format
+from fennelwind.raft_storage.store import Limits
 from fennelwind.shards import shards_pb2
-from fennelwind.store import records
-from fennelwind.store.store import Limits
 from fennelwind.thrift import hiveserver2 as hs2
 
 METRICS = Address("127.0.0.1", 9900)
@@ -387,7 +387,7 @@
     """Return where the last record begins: a write that was torn was never marked as being on the disk."""
     begin, end = 0, 0
     while end < len(data):
-        begin, end = end, records.read(data, end).end
+        begin, end = end, record_format.read(data, end).end
     return begin
 
 
--- a/tests/keeper_defects.py
+++ b/tests/keeper_defects.py
@@ -12,7 +12,6 @@
 from council_chaos import FAULTS, Chaos
 from planted import Line, broken, planted, row
 
-from fennelwind.council.record import Record
 from fennelwind.keeper.asker import Asker
 from fennelwind.keeper.folder import Folder
 from fennelwind.keeper.member import Member
@@ -20,6 +19,7 @@
 from fennelwind.keeper.tasks import Acting
 from fennelwind.leases.guard import Fenced, Guard
 from fennelwind.loop.simdisk import SimDisk
+from fennelwind.raft.replicated_state import Record
 
 
 class Defect(NamedTuple):
--- a/tests/lease_council.py
+++ b/tests/lease_council.py
@@ -13,12 +13,12 @@
 from council_cluster import Cluster, Node
 from lease_play import Controller, Play, main
 
-from fennelwind.council import council_pb2 as council
-from fennelwind.council import interface as api
-from fennelwind.council.interface import Timing
-from fennelwind.council.record import Record
 from fennelwind.leases import holder as h
 from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.raft import council_pb2 as council
+from fennelwind.raft import messages as api
+from fennelwind.raft.messages import Timing
+from fennelwind.raft.replicated_state import Record
 
 CLIENTS = 60  # opened ahead: lives of controllers in one play
 
--- a/tests/lease_fleet.py
+++ b/tests/lease_fleet.py
@@ -13,11 +13,11 @@
 from collections import Counter
 from random import Random
 
-from fennelwind.council import council_pb2 as council
-from fennelwind.council.record import Record
 from fennelwind.leases import holder as h
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.raft import council_pb2 as council
+from fennelwind.raft.replicated_state import Record
 
 ACT_MS, EVERY_MS = 20.0, 50.0  # ms: of an act, and from one to the next
 CLOCK_MS = 1000.0  # ms; as the council's timing has it
--- a/tests/lease_play.py
+++ b/tests/lease_play.py
@@ -16,12 +16,12 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.council import council_pb2 as council
-from fennelwind.council.record import Record
 from fennelwind.leases import holder as h
 from fennelwind.leases.errors import LeaseError
 from fennelwind.leases.guard import DRIFT, Fenced
 from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.raft import council_pb2 as council
+from fennelwind.raft.replicated_state import Record
 
 TERM_MS, PAUSE_MS, ACT_MS = 2000, 150.0, 400.0  # ms: of the played tasks
 PLAYED_MS, CALM_MS = 25_000.0, 16_000.0  # ms with faults, and without them after it
--- a/tests/lease_search.py
+++ b/tests/lease_search.py
@@ -19,13 +19,13 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-from fennelwind.council.machine import At
 from fennelwind.leases import holder as h
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.leases.guard import DRIFT
 from fennelwind.leases.holder import Holder
 from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.raft.state_machine import At
 
 TERM_MS, PAUSE_MS, ACT_MS = 300, 0.0, 60.0  # ms; the shortest term is two ticks of the fast record
 TICKS = {"a": 100.0, "b": 125.0, "record": 150.0}  # ms on each clock of 125 ms of true time; drift as stated
--- a/tests/move_play.py
+++ b/tests/move_play.py
@@ -11,7 +11,7 @@
 from dataclasses import replace
 from functools import partial
 
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.carrier import (
     Carrier,
--- a/tests/storedefects.py
+++ b/tests/storedefects.py
@@ -11,8 +11,8 @@
 
 from fennelwind.loop.disk import DiskError, SyncFailed
 from fennelwind.loop.simdisk import SimDisk
-from fennelwind.store import records
-from fennelwind.store.store import LOG, NEW, Store
+from fennelwind.raft_storage import record_format
+from fennelwind.raft_storage.store import LOG, NEW, Store
 
 PLAYS_MOST = 3000  # that a defect may take to be found
 
@@ -102,8 +102,11 @@
         if not (self.full and not more[0]):
             data = self.disk.read(f"{LOG}{self.segment:010d}", 0, 1 << 20)
             at, number = 0, self.group
-            while (record := records.read(data, at)) is not None:
-                at, number = record.end, max(number, record.number if record.kind == records.LAST else 0)
+            while (record := record_format.read(data, at)) is not None:
+                at, number = (
+                    record.end,
+                    max(number, record.number if record.kind == record_format.LAST else 0),
+                )
             self.group = max(self.group, min(number, self.group + 1))
         return reopen(self, *more)
 
@@ -126,8 +129,10 @@
     return patch.object(Store, "_write", written)
 
 
-NO_CHECKSUMS = [patch.object(records, "crc32c", lambda data: 0)]
-ALL_TORN = [patch.object(records, "torn", lambda data, at, number: True)]  # damage at the end is a torn tail
+NO_CHECKSUMS = [patch.object(record_format, "crc32c", lambda data: 0)]
+ALL_TORN = [
+    patch.object(record_format, "torn", lambda data, at, number: True)
+]  # damage at the end is a torn tail
 DEFECTS = {
     "a write is acknowledged without a sync": [
         Line(Store._write, "self.disk.sync(_log(self.segment))", "pass")
@@ -174,16 +179,17 @@
     "a mark is written before the sync": [
         Line(
             Store._write,
-            "data = records.parts(",
+            "data = record_format.parts(",
             "self.group += 1\n    self._mark()\n    with suppress(DiskError):\n"
-            "        self.disk.sync(_marks(self.segment))\n    self.group -= 1\n    data = records.parts(",
+            "        self.disk.sync(_marks(self.segment))\n    self.group -= 1\n"
+            "    data = record_format.parts(",
         )
     ],
     "meta is not written anew": [
         Line(Store.open.__func__, "store._check_meta()\n        store._put_meta()", "store._check_meta()")
     ],
     "a full disk is not told": [Line(Store.write, "self.full = True\n        raise", "self.full = True")],
-    "no torn tail is cut": [patch.object(records, "torn", lambda data, at, number: False)],
+    "no torn tail is cut": [patch.object(record_format, "torn", lambda data, at, number: False)],
 }
 
 
--- a/tests/storemodel.py
+++ b/tests/storemodel.py
@@ -2,12 +2,12 @@
 
 from random import Random
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Write
 from fennelwind.loop.disk import DiskError
 from fennelwind.loop.simdisk import LOSSES, Platter, PowerCut, SimDisk
-from fennelwind.store.errors import NoRoom, StoreError
-from fennelwind.store.store import Limits, Store
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Write
+from fennelwind.raft_storage.errors import NoRoom, StoreError
+from fennelwind.raft_storage.store import Limits, Store
 
 SMALL = Limits(segment=400, group=1 << 16, snapshot=1 << 16, reserve=2000, again=300, low=1500)
 TINY = Limits(segment=300, group=1 << 16, snapshot=1 << 16, reserve=0, again=0, low=0)
--- a/tests/sums.py
+++ b/tests/sums.py
@@ -1,6 +1,6 @@
 """A machine for the record that is easy to see through."""
 
-from fennelwind.council.machine import UnreadableCommand
+from fennelwind.raft.state_machine import UnreadableCommand
 
 
 class Sum:
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -4,7 +4,7 @@
 from clearance_defects import found
 from clearance_play import Play
 
-from fennelwind.council.machine import At
+from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.machine import ShardMachine
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -43,8 +43,8 @@
     parse_schema,
     parse_type,
 )
-from fennelwind.council.machine import At, UnreadableCommand
 from fennelwind.lab import contract_rows
+from fennelwind.raft.state_machine import At, UnreadableCommand
 from fennelwind.shards.machine import ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 
--- a/tests/test_council.py
+++ b/tests/test_council.py
@@ -7,11 +7,11 @@
 from council_cluster import TIGHT, Cluster, Image, play
 from council_search import STARTS, Search, run
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council import interface as api
-from fennelwind.council.core import Core
-from fennelwind.council.interface import Durable, Life, Timing
-from fennelwind.council.record import COMMAND_MOST
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft import messages as api
+from fennelwind.raft.member import Core
+from fennelwind.raft.messages import Durable, Life, Timing
+from fennelwind.raft.replicated_state import COMMAND_MOST
 
 A, B, C, OLD = Life("a", b"a"), Life("b", b"b"), Life("c", b"c"), Life("b", b"old")
 
@@ -283,7 +283,7 @@
 
 
 def test_a_state_too_large_for_a_snapshot_is_not_asked_for_at_each_step(monkeypatch):
-    monkeypatch.setattr("fennelwind.council.snapshots.SNAPSHOT_MOST", 4)
+    monkeypatch.setattr("fennelwind.raft.snapshots.SNAPSHOT_MOST", 4)
     one = One(timing=Timing(log_most=1000, kept_entries=10)).lead().agree()
     one.propose(1, 800)
     one.propose(2, 400)
--- a/tests/test_council_program.py
+++ b/tests/test_council_program.py
@@ -15,15 +15,15 @@
 
 from fennelwind import config
 from fennelwind.cli.main import main
-from fennelwind.council import council_pb2 as cpb
-from fennelwind.council.interface import Write
 from fennelwind.keeper import asker as asker_module
 from fennelwind.keeper.asker import Asker
 from fennelwind.keeper.errors import CouncilLost
 from fennelwind.keeper.folder import Folder
 from fennelwind.loop import RealLoop, SimLoop
 from fennelwind.loop.realdisk import RealDisk
-from fennelwind.store.store import Limits
+from fennelwind.raft import council_pb2 as cpb
+from fennelwind.raft.messages import Write
+from fennelwind.raft_storage.store import Limits
 
 ROOT = Path(__file__).parent.parent
 COUNCIL = """
--- a/tests/test_council_world.py
+++ b/tests/test_council_world.py
@@ -14,7 +14,7 @@
 from fennelwind.keeper.rescue import found_alone, look
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.observe.metrics import Collector
-from fennelwind.store.store import Limits
+from fennelwind.raft_storage.store import Limits
 
 
 def test_a_members_figures_are_told_to_scrapers():
--- a/tests/test_disks.py
+++ b/tests/test_disks.py
@@ -383,13 +383,13 @@
 
 KEEPER = """
 import sys
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Write
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Write
 from fennelwind.loop import RealLoop
 from fennelwind.loop.disk import DiskError
 from fennelwind.loop.realdisk import RealDisk
-from fennelwind.store.errors import StoreError
-from fennelwind.store.store import Limits, Store
+from fennelwind.raft_storage.errors import StoreError
+from fennelwind.raft_storage.store import Limits, Store
 loop = RealLoop()
 limits = Limits(segment=20_000, reserve=50_000, low=50_000)
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -13,7 +13,7 @@
     "loop/scheduler.py": {"ChannelClosed", "ChannelFull"},
     "audit/histories.py": {"UnknownOperation"},
     "loop/realdisk.py": {"_Late"},
-    "council/machine.py": {"UnreadableCommand"},
+    "raft/state_machine.py": {"UnreadableCommand"},
     "thrift/codec.py": {"ThriftError"},
     "core/sessions.py": {"SessionError"},
     "fronts/hs2/service.py": {"BadRequestError", "UnknownHandleError"},
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -6,21 +6,6 @@
 import pytest
 from sums import Sum
 
-from fennelwind.council import council_pb2 as cpb
-from fennelwind.council.interface import (
-    Answer,
-    Applied,
-    Apply,
-    Became,
-    Durable,
-    Life,
-    Propose,
-    Read,
-    Readable,
-    Timing,
-)
-from fennelwind.council.log import Log
-from fennelwind.council.record import Record
 from fennelwind.keeper import keeper_pb2 as pb
 from fennelwind.keeper.asker import Asker
 from fennelwind.keeper.door import STRANGERS_MOST, Door
@@ -37,6 +22,21 @@
 from fennelwind.keeper.member import Member
 from fennelwind.keeper.place import PROTOCOL, Place
 from fennelwind.loop import Address, SimLoop, StreamReset
+from fennelwind.raft import council_pb2 as cpb
+from fennelwind.raft.log import Log
+from fennelwind.raft.messages import (
+    Answer,
+    Applied,
+    Apply,
+    Became,
+    Durable,
+    Life,
+    Propose,
+    Read,
+    Readable,
+    Timing,
+)
+from fennelwind.raft.replicated_state import Record
 
 Result = cpb.Result
 HERE = {name: Address("127.0.0.1", 7000 + n) for n, name in enumerate("abc")}
--- a/tests/test_record.py
+++ b/tests/test_record.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 from sums import Sum
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council import record as record_module
-from fennelwind.council.record import COMMAND_MOST, Record
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft import replicated_state as record_module
+from fennelwind.raft.replicated_state import COMMAND_MOST, Record
 
 
 class Lapsing(Sum):
--- a/tests/test_shard_moves.py
+++ b/tests/test_shard_moves.py
@@ -19,9 +19,9 @@
 from move_play import plan as simple_plan
 from planted import planted
 
-from fennelwind.council import council_pb2
-from fennelwind.council.machine import At, UnreadableCommand
-from fennelwind.council.record import Record
+from fennelwind.raft import council_pb2
+from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.state_machine import At, UnreadableCommand
 from fennelwind.shards import heat, steps
 from fennelwind.shards import machine as machine_module
 from fennelwind.shards import shards_pb2 as pb
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -26,14 +26,14 @@
     random_play,
 )
 
-from fennelwind.council import council_pb2 as pb
-from fennelwind.council.interface import Write
 from fennelwind.loop import DeadlineExceeded, SimLoop
 from fennelwind.loop.disk import FolderTaken
 from fennelwind.loop.simdisk import Platter, SimDisk
-from fennelwind.store import records
-from fennelwind.store import store_pb2 as kept
-from fennelwind.store.errors import (
+from fennelwind.raft import council_pb2 as pb
+from fennelwind.raft.messages import Write
+from fennelwind.raft_storage import record_format
+from fennelwind.raft_storage import store_pb2 as kept
+from fennelwind.raft_storage.errors import (
     LogDamaged,
     MetaDamaged,
     MetaMissing,
@@ -47,7 +47,7 @@
     WriteRefused,
     WriteTooLarge,
 )
-from fennelwind.store.store import Limits, Store
+from fennelwind.raft_storage.store import Limits, Store
 
 WRITES = 10  # of the small play in which each call meets each fault
 
@@ -201,7 +201,7 @@
     meta = kept.Meta(format=2, fleet="fleet", name="a", life=LIFE)
     disk = SimDisk(None, built().platter)
     disk.remove("meta")
-    disk.append("meta", records.pack(records.META, 0, meta.SerializeToString()))
+    disk.append("meta", record_format.pack(record_format.META, 0, meta.SerializeToString()))
     with pytest.raises(NewerFormat):
         Store.open(disk, "fleet", "a", LIFE, SMALL)
 
