--- a/fennelwind/cli/council.py
+++ b/fennelwind/cli/council.py
@@ -23,8 +23,10 @@
 
     What only the lost members had agreed on is lost. Read docs/operators/council.md first.
     """
-    from fennelwind.keeper.folder import Folder  # the council's rooms are loaded where they are needed
-    from fennelwind.keeper.rescue import found_alone, look
+    from fennelwind.cluster.disaster_recovery import found_alone, look
+    from fennelwind.cluster.member_folder import (
+        Folder,  # the council's rooms are loaded where they are needed
+    )
     from fennelwind.loop.realdisk import RealDisk
     from fennelwind.raft_storage.store import META, Limits
 
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -19,7 +19,7 @@
 from fennelwind.observe.metrics import MetricsFront
 
 if TYPE_CHECKING:
-    from fennelwind.keeper.whole import Keeper
+    from fennelwind.cluster.runtime import Keeper
 
 
 class Program:
@@ -100,8 +100,8 @@
 
     def _keeper(self, seed: int) -> "Keeper":
         """Return the controller's part in the council; only here is anything of it loaded."""
-        from fennelwind.keeper.place import Place
-        from fennelwind.keeper.whole import Keeper
+        from fennelwind.cluster.identity import Place
+        from fennelwind.cluster.runtime import Keeper
         from fennelwind.raft.messages import Timing
 
         c = self.settings.council
--- a/fennelwind/keeper/heat.py
+++ b/fennelwind/cluster/access_load.py
@@ -7,9 +7,9 @@
 from collections import Counter
 from random import Random
 
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.machines import SHARDS
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.state_machines import SHARDS
 from fennelwind.loop import Loop, Task
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.heat import Named
--- a/fennelwind/keeper/state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -9,9 +9,9 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.frames import FRAME_MOST
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.framing import FRAME_MOST
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import Loop
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Applied, Apply, Event, Restore, Snapshot, TakeSnapshot
--- a/fennelwind/keeper/rescue.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -7,7 +7,7 @@
 
 from dataclasses import dataclass
 
-from fennelwind.keeper.folder import Folder
+from fennelwind.cluster.member_folder import Folder
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import Durable, Write
--- a/fennelwind/keeper/frames.py
+++ b/fennelwind/cluster/framing.py
@@ -5,9 +5,9 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.errors import FrameRefused
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.errors import FrameRefused
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import Loop, Stream
 from fennelwind.loop.streams import PushStream
 
--- a/fennelwind/keeper/place.py
+++ b/fennelwind/cluster/identity.py
@@ -3,8 +3,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.errors import CouncilError, FleetMismatch, ProtocolMismatch
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.errors import CouncilError, FleetMismatch, ProtocolMismatch
 from fennelwind.loop import Address
 from fennelwind.raft.messages import Timing
 
--- a/fennelwind/keeper/tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -9,11 +9,11 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.state_machines import LEASES
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.machines import LEASES
 from fennelwind.leases import holder as api
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.errors import TaskNotHeld
--- a/fennelwind/keeper/peers.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.errors import CouncilError, FleetMismatch, FrameRefused, NameMismatch
-from fennelwind.keeper.frames import FrameReader, Outbox, framed
-from fennelwind.keeper.place import wrong_hello
-from fennelwind.keeper.waits import Waits
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.backoff import Waits
+from fennelwind.cluster.errors import CouncilError, FleetMismatch, FrameRefused, NameMismatch
+from fennelwind.cluster.framing import FrameReader, Outbox, framed
+from fennelwind.cluster.identity import wrong_hello
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import Address, Loop, Stream, Task
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Life
--- a/fennelwind/keeper/clearances.py
+++ b/fennelwind/cluster/quiescence.py
@@ -10,12 +10,12 @@
 from fennelwind.clearance import clearance_pb2 as pb
 from fennelwind.clearance.book import Book, Pair
 from fennelwind.clearance.roll import FORGET_MS
-from fennelwind.keeper import keeper_pb2
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.copies import Places
-from fennelwind.keeper.errors import CommandRefused, CouncilError
-from fennelwind.keeper.machines import ROLL
+from fennelwind.cluster import keeper_pb2
+from fennelwind.cluster.errors import CommandRefused, CouncilError
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.replica_locations import Places
+from fennelwind.cluster.state_machines import ROLL
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import DeadlineExceeded, Loop, Task
 
 RENEW_MS = FORGET_MS / 4.0  # ms between renewals: three may be lost, on a clock that is a fifth slow
--- a/fennelwind/keeper/asker.py
+++ b/fennelwind/cluster/raft_client.py
@@ -11,8 +11,9 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.errors import (
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.backoff import Waits
+from fennelwind.cluster.errors import (
     AskerFull,
     CommandRefused,
     CouncilError,
@@ -23,9 +24,8 @@
     NoLeader,
     OutcomeUnknown,
 )
-from fennelwind.keeper.frames import FrameReader, Outbox, framed
-from fennelwind.keeper.place import PROTOCOL, wrong_hello
-from fennelwind.keeper.waits import Waits
+from fennelwind.cluster.framing import FrameReader, Outbox, framed
+from fennelwind.cluster.identity import PROTOCOL, wrong_hello
 from fennelwind.loop import Address, Loop, Once, Stream, Task
 from fennelwind.raft import council_pb2
 from fennelwind.raft.replicated_state import KEPT_MOST
--- a/fennelwind/keeper/member.py
+++ b/fennelwind/cluster/raft_host.py
@@ -14,15 +14,15 @@
 from fennelwind.clearance import clearance_pb2
 from fennelwind.clearance.roll import RollMachine
 from fennelwind.clearance.words import WISHES_MOST, Words
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.applied_state import State, whole_state
+from fennelwind.cluster.backoff import Waits
+from fennelwind.cluster.errors import AddressTaken, CouncilError, RecordTooNew
+from fennelwind.cluster.identity import PROTOCOL, Place
+from fennelwind.cluster.peer_connections import Peer, Peers
+from fennelwind.cluster.server import Caller, Door
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.door import Caller, Door
-from fennelwind.keeper.errors import AddressTaken, CouncilError, RecordTooNew
-from fennelwind.keeper.peers import Peer, Peers
-from fennelwind.keeper.place import PROTOCOL, Place
-from fennelwind.keeper.state import State, whole_state
-from fennelwind.keeper.waits import Waits
 from fennelwind.loop import Address, Loop, Once, Task, parse_address
 from fennelwind.loop.disk import DiskFull
 from fennelwind.raft import council_pb2
--- a/fennelwind/keeper/copies.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -10,9 +10,9 @@
 from collections.abc import Callable
 from contextlib import suppress
 
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.machines import SHARDS
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.state_machines import SHARDS
 from fennelwind.loop import DeadlineExceeded, Loop, Once, Task
 from fennelwind.shards import shards_pb2 as pb
 
--- a/fennelwind/keeper/hands.py
+++ b/fennelwind/cluster/running_work.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 from typing import Generic, TypeVar
 
-from fennelwind.keeper.bell import Bell
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import DeadlineExceeded, Loop, Task
 
--- a/fennelwind/keeper/whole.py
+++ b/fennelwind/cluster/runtime.py
@@ -3,21 +3,21 @@
 from collections.abc import Callable, Iterable
 
 from fennelwind.clearance.book import Book
+from fennelwind.cluster.access_load import Heat
+from fennelwind.cluster.engine_statements import Statements
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.identity import Place
+from fennelwind.cluster.leased_tasks import Tasks
+from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.raft_host import Member
+from fennelwind.cluster.replica_locations import Copies
+from fennelwind.cluster.schema_gate import Gate
+from fennelwind.cluster.schema_rollout import Changes
+from fennelwind.cluster.shard_migration import Moves
+from fennelwind.cluster.state_machines import answer, machines
 from fennelwind.engines.links import EngineLinks
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.changes import Changes
-from fennelwind.keeper.clearances import Clearances
-from fennelwind.keeper.copies import Copies
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.folder import Folder
-from fennelwind.keeper.gate import Gate
-from fennelwind.keeper.heat import Heat
-from fennelwind.keeper.machines import answer, machines
-from fennelwind.keeper.member import Member
-from fennelwind.keeper.moves import Moves
-from fennelwind.keeper.place import Place
-from fennelwind.keeper.statements import Statements
-from fennelwind.keeper.tasks import Tasks
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
 from fennelwind.raft.council_pb2 import Member as Stated
--- a/fennelwind/keeper/gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -11,17 +11,17 @@
 from dataclasses import dataclass
 from random import Random
 
+from fennelwind.cluster import gate_pb2
+from fennelwind.cluster.backoff import Waits
+from fennelwind.cluster.errors import CouncilError, OutcomeUnknown
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.state_machines import CONTRACTS
+from fennelwind.cluster.wakeup import Bell
 from fennelwind.contracts import contracts_pb2 as pb
 from fennelwind.contracts.machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
 from fennelwind.contracts.rules import NUMBER, RULES
 from fennelwind.contracts.said import Publication, Subscription, publication, subscription
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper import gate_pb2
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.bell import Bell
-from fennelwind.keeper.errors import CouncilError, OutcomeUnknown
-from fennelwind.keeper.machines import CONTRACTS
-from fennelwind.keeper.waits import Waits
 from fennelwind.loop import Loop, Once
 
 TOLD_MS = 500.0  # ms that a subscriber's OpenSession waits for the record's word; then it goes on without
--- a/fennelwind/keeper/changes.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -15,20 +15,20 @@
 from math import inf
 
 from fennelwind.clearance import clearance_pb2 as clear
+from fennelwind.cluster import gate_pb2
+from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.leased_tasks import Held, Tasks
+from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.running_work import Hands
+from fennelwind.cluster.state_machines import CONTRACTS
 from fennelwind.contracts import carrying
 from fennelwind.contracts import contracts_pb2 as pb
 from fennelwind.contracts.machine import Underway, read_change
 from fennelwind.contracts.messages import read_schema
 from fennelwind.contracts.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper import gate_pb2
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.clearances import Clearances
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.hands import Hands
-from fennelwind.keeper.machines import CONTRACTS
-from fennelwind.keeper.statements import FENCED, LOST, OK, Statement, Statements
-from fennelwind.keeper.tasks import Held, Tasks
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Loop, Task
 
--- a/fennelwind/keeper/door.py
+++ b/fennelwind/cluster/server.py
@@ -9,11 +9,11 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.errors import CouncilError, FrameRefused
-from fennelwind.keeper.frames import FrameReader, Outbox, framed
-from fennelwind.keeper.peers import PULSE_MS
-from fennelwind.keeper.place import NAME_MOST, wrong_hello
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.errors import CouncilError, FrameRefused
+from fennelwind.cluster.framing import FrameReader, Outbox, framed
+from fennelwind.cluster.identity import NAME_MOST, wrong_hello
+from fennelwind.cluster.peer_connections import PULSE_MS
 from fennelwind.loop import Listener, Loop, Stream, StreamReset, Task
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Life
--- a/fennelwind/keeper/moves.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -12,15 +12,15 @@
 
 from fennelwind.clearance import clearance_pb2 as clear
 from fennelwind.clearance.words import WISHES_MOST
+from fennelwind.cluster import gate_pb2
+from fennelwind.cluster.engine_statements import FAILED, LOST, OK, Statement, Statements
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.leased_tasks import Held, Tasks
+from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.running_work import Hands
+from fennelwind.cluster.state_machines import CONTRACTS, SHARDS
 from fennelwind.engines.links import RemoteError
-from fennelwind.keeper import gate_pb2
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.clearances import Clearances
-from fennelwind.keeper.errors import CouncilError
-from fennelwind.keeper.hands import Hands
-from fennelwind.keeper.machines import CONTRACTS, SHARDS
-from fennelwind.keeper.statements import FAILED, LOST, OK, Statement, Statements
-from fennelwind.keeper.tasks import Held, Tasks
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
 from fennelwind.raft.replicated_state import Record
--- a/fennelwind/keeper/machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -3,9 +3,9 @@
 from google.protobuf.message import DecodeError
 
 from fennelwind.clearance.roll import RollMachine
+from fennelwind.cluster.applied_state import whole_state
+from fennelwind.cluster.schema_queries import asked
 from fennelwind.contracts.machine import ContractMachine
-from fennelwind.keeper.asking import asked
-from fennelwind.keeper.state import whole_state
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.machine import LeaseMachine, Life
 from fennelwind.raft.state_machine import Machine
--- a/fennelwind/fleet/councilbench.py
+++ b/fennelwind/fleet/councilbench.py
@@ -19,9 +19,9 @@
 from statistics import median
 from typing import Any
 
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.raft_client import Asker
 from fennelwind.fleet.councilrig import TIMING, CouncilRig
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.errors import CouncilError
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.loop import Address, RealLoop, parse_address
 from fennelwind.loop.realdisk import RealDisk
--- a/fennelwind/fleet/councilwork.py
+++ b/fennelwind/fleet/councilwork.py
@@ -15,13 +15,13 @@
 from random import Random
 from typing import Any
 
+from fennelwind.cluster.errors import CommandRefused, CouncilError, CouncilLost, OutcomeUnknown
+from fennelwind.cluster.identity import Place
+from fennelwind.cluster.leased_tasks import Held
+from fennelwind.cluster.runtime import Keeper
 from fennelwind.fleet.lines import say
 from fennelwind.fleet.registers import Registers
 from fennelwind.fleet.rigdisk import Faults, RigDisk
-from fennelwind.keeper.errors import CommandRefused, CouncilError, CouncilLost, OutcomeUnknown
-from fennelwind.keeper.place import Place
-from fennelwind.keeper.tasks import Held
-from fennelwind.keeper.whole import Keeper
 from fennelwind.loop import RealLoop, Stream, parse_address
 from fennelwind.loop.real import TELL_WHERE
 from fennelwind.raft.messages import Timing
--- a/fennelwind/fleet/wholeplays.py
+++ b/fennelwind/fleet/wholeplays.py
@@ -11,11 +11,11 @@
 from pathlib import Path
 from typing import Any
 
+from fennelwind.cluster.errors import CouncilError
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.fleet.processes import RigFailed
 from fennelwind.fleet.wholeday import Fault, figures, storm
 from fennelwind.fleet.wholerig import DISK, KIND, TIMING, WholeRig
-from fennelwind.keeper.errors import CouncilError
 from fennelwind.shards.shards_pb2 import Command, Declare, Shard
 
 STORM_MS, PER_S = 45_000.0, 15.0  # a storm's length, and queries a second
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/fleet/wholerig.py
@@ -16,14 +16,14 @@
 from google.protobuf import text_format
 
 from fennelwind.audit import Recorder
+from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.raft_client import Asker
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.contracts.machine import ContractMachine
 from fennelwind.engines.links import Link, RemoteError
 from fennelwind.fleet.councilrig import LOOK_MS, CouncilRig
 from fennelwind.fleet.relay import Row
 from fennelwind.fleet.wholeday import End, Query, traffic, verdict
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.errors import CouncilError
 from fennelwind.leases.machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.shards.machine import ShardMachine
@@ -46,14 +46,14 @@
 AGAIN_MS = 100.0  # ms until a client asks another controller
 TRIES_MOST = 50  # controllers that a client asks for one query
 QUICK = {  # constants of a short play: the same order among them as the product's have
-    "fennelwind.keeper.moves:TERM_MS": 6000,
-    "fennelwind.keeper.moves:LOOK_MS": 1500.0,
-    "fennelwind.keeper.moves:NEWS_MS": 300.0,
-    "fennelwind.keeper.moves:LIST_SOON_MS": 500.0,
-    "fennelwind.keeper.changes:TERM_MS": 6000,
-    "fennelwind.keeper.changes:STATEMENT_MS": 1500.0,
-    "fennelwind.keeper.changes:STOP_MS": 1000.0,
-    "fennelwind.keeper.member:LEVEL_MS": 300.0,
+    "fennelwind.cluster.shard_migration:TERM_MS": 6000,
+    "fennelwind.cluster.shard_migration:LOOK_MS": 1500.0,
+    "fennelwind.cluster.shard_migration:NEWS_MS": 300.0,
+    "fennelwind.cluster.shard_migration:LIST_SOON_MS": 500.0,
+    "fennelwind.cluster.schema_rollout:TERM_MS": 6000,
+    "fennelwind.cluster.schema_rollout:STATEMENT_MS": 1500.0,
+    "fennelwind.cluster.schema_rollout:STOP_MS": 1000.0,
+    "fennelwind.cluster.raft_host:LEVEL_MS": 300.0,
     "fennelwind.shards.machine:ShardMachine.rest_ms": 4000,
 }
 TIMING = {
--- a/fennelwind/fleet/wholework.py
+++ b/fennelwind/fleet/wholework.py
@@ -13,10 +13,10 @@
 from dataclasses import replace
 from typing import Any
 
+from fennelwind.cluster import runtime
 from fennelwind.fleet.lines import say
 from fennelwind.fleet.registers import Registers
 from fennelwind.fleet.rigdisk import Faults, RigDisk
-from fennelwind.keeper import whole
 from fennelwind.loop import Address, RealLoop, Stream, parse_address
 from fennelwind.raft.replicated_state import LEVEL
 from fennelwind.shards.carrier import Timing
@@ -53,7 +53,7 @@
         def connect(self, address: Address, source: str = "") -> Stream:
             return super().connect(ways.get(str(address), address), source or spec["host"])
 
-    class RigKeeper(whole.Keeper):
+    class RigKeeper(runtime.Keeper):
         """A keeper of the version that the rig wants, on its disk."""
 
         def __init__(self, loop: Any, place: Any, seed: int, said: Any) -> None:
@@ -66,7 +66,7 @@
             super().serve_shards(*args, **more)
             self.moves.timing = replace(Timing(), **spec.get("timing", {}))
 
-    importlib.import_module(PROGRAM).RealLoop, whole.Keeper = RigLoop, RigKeeper
+    importlib.import_module(PROGRAM).RealLoop, runtime.Keeper = RigLoop, RigKeeper
     for name, value in spec.get("constants", {}).items():
         module, _, path = name.partition(":")
         *owners, last = path.split(".")
--- a/fennelwind/lab/heat.py
+++ b/fennelwind/lab/heat.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from fennelwind.keeper.heat import TELL_MS
+from fennelwind.cluster.access_load import TELL_MS
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import evenness
 from fennelwind.shards import shards_pb2 as pb
--- a/tests/clearance_measure.py
+++ b/tests/clearance_measure.py
@@ -12,8 +12,8 @@
 
 from fennelwind.clearance.book import Book
 from fennelwind.clearance.roll import RollMachine
-from fennelwind.keeper import clearances
-from fennelwind.keeper.clearances import Clearances
+from fennelwind.cluster import quiescence
+from fennelwind.cluster.quiescence import Clearances
 from fennelwind.shards.routing import SLOTS_MOST, Routing
 
 
@@ -122,7 +122,7 @@
 if __name__ == "__main__":
     what, *rest = sys.argv[1:]
     if what in ("drops", "changes"):
-        RollMachine.forget_ms, clearances.RENEW_MS = 40_000, 10_000.0
+        RollMachine.forget_ms, quiescence.RENEW_MS = 40_000, 10_000.0
         plain = Fleet.text
         Fleet.text = staticmethod(lambda *args: plain(*args).replace('"(?i)load"', '"(?i)load|alter"'))
         for on in (True, False):
--- a/tests/council_chaos.py
+++ b/tests/council_chaos.py
@@ -13,9 +13,9 @@
 from council_world import Council
 
 from fennelwind.audit.histories import Linearizable, Operation, check
+from fennelwind.cluster.errors import CommandRefused, CouncilLost, OutcomeUnknown
 from fennelwind.fleet.councilrig import Seen, overlaps
 from fennelwind.fleet.registers import Registers
-from fennelwind.keeper.errors import CommandRefused, CouncilLost, OutcomeUnknown
 from fennelwind.leases.errors import OlderFence
 from fennelwind.leases.guard import Fenced
 from fennelwind.loop.simdisk import Costs
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
+from fennelwind.cluster.identity import Place
+from fennelwind.cluster.runtime import Keeper
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper.place import Place
-from fennelwind.keeper.whole import Keeper
 from fennelwind.loop import Address
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.loop.world import FOREVER, Path, World
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -25,6 +25,8 @@
 
 from fennelwind.clearance import clearance_pb2
 from fennelwind.cli.main import main as command_line
+from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.state_machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
 from fennelwind.config import settings_pb2
 from fennelwind.contracts import contracts_pb2
 from fennelwind.contracts.messages import reads_message, schema_message
@@ -32,8 +34,6 @@
 from fennelwind.contracts.said import parse_reads
 from fennelwind.contracts.types import parse_schema
 from fennelwind.errors import FennelwindError
-from fennelwind.keeper.folder import Folder
-from fennelwind.keeper.machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
 from fennelwind.leases import leases_pb2
 from fennelwind.loop import Address, SimLoop
 from fennelwind.loop.sim import Pipe
--- a/tests/keeper_defects.py
+++ b/tests/keeper_defects.py
@@ -12,11 +12,11 @@
 from council_chaos import FAULTS, Chaos
 from planted import Line, broken, planted, row
 
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.folder import Folder
-from fennelwind.keeper.member import Member
-from fennelwind.keeper.state import State
-from fennelwind.keeper.tasks import Acting
+from fennelwind.cluster.applied_state import State
+from fennelwind.cluster.leased_tasks import Acting
+from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.raft_host import Member
 from fennelwind.leases.guard import Fenced, Guard
 from fennelwind.loop.simdisk import SimDisk
 from fennelwind.raft.replicated_state import Record
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -19,11 +19,11 @@
 from fleet import SETTINGS, execute
 
 from fennelwind.clearance.roll import RollMachine
+from fennelwind.cluster.raft_client import Asker
 from fennelwind.engines.links import Link, RemoteError
 from fennelwind.errors import FennelwindError
 from fennelwind.fleet.councilrig import Ways
 from fennelwind.fleet.relay import Relay, Row
-from fennelwind.keeper.asker import Asker
 from fennelwind.leases.machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
 from fennelwind.loop.world import Path as Way
@@ -41,7 +41,7 @@
 # The same program with shorter terms: two minutes on the roll become four seconds, a minute's rest twenty.
 MAIN = """
 from fennelwind.clearance.roll import RollMachine
-from fennelwind.keeper import clearances, moves
+from fennelwind.cluster import clearances, moves
 from fennelwind.shards.machine import ShardMachine
 RollMachine.forget_ms, clearances.RENEW_MS, clearances.AGAIN_MS = 4_000, 700.0, 500.0
 ShardMachine.rest_ms, moves.LIST_SOON_MS = 20_000, 500.0
--- a/tests/test_clearance_program.py
+++ b/tests/test_clearance_program.py
@@ -9,7 +9,7 @@
 from fennelwind import interface as api
 from fennelwind.clearance.roll import RollMachine
 from fennelwind.cli.program import Program
-from fennelwind.keeper import clearances
+from fennelwind.cluster import quiescence
 from fennelwind.thrift import hiveserver2 as hs2
 
 NAMES = moves.NAMES
@@ -85,7 +85,7 @@
 def with_clearances(monkeypatch):
     monkeypatch.setattr(moves, "MOVES", MOVES)
     monkeypatch.setattr(RollMachine, "forget_ms", 40_000)  # else two minutes pass ahead of each test
-    monkeypatch.setattr(clearances, "RENEW_MS", 10_000.0)
+    monkeypatch.setattr(quiescence, "RENEW_MS", 10_000.0)
 
 
 def test_copies_go_as_soon_as_all_have_said_so_and_not_while_one_has_a_query_there_or_is_silent():
--- a/tests/test_council_program.py
+++ b/tests/test_council_program.py
@@ -15,10 +15,10 @@
 
 from fennelwind import config
 from fennelwind.cli.main import main
-from fennelwind.keeper import asker as asker_module
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.errors import CouncilLost
-from fennelwind.keeper.folder import Folder
+from fennelwind.cluster import raft_client as asker_module
+from fennelwind.cluster.errors import CouncilLost
+from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.raft_client import Asker
 from fennelwind.loop import RealLoop, SimLoop
 from fennelwind.loop.realdisk import RealDisk
 from fennelwind.raft import council_pb2 as cpb
@@ -131,7 +131,7 @@
     assert loaded() == []
     path.write_text(GOOD + FOLLOWER, encoding="utf-8")
     serve(path)
-    assert "fennelwind.keeper.whole" in loaded()  # the test can fail
+    assert "fennelwind.cluster.runtime" in loaded()  # the test can fail
 
 
 def test_three_programs_found_a_record_and_hand_over_at_sigterm(tmp_path):
--- a/tests/test_council_world.py
+++ b/tests/test_council_world.py
@@ -7,11 +7,11 @@
 from council_world import Council
 from sums import Sum
 
+from fennelwind.cluster import disaster_recovery
+from fennelwind.cluster.disaster_recovery import found_alone, look
+from fennelwind.cluster.errors import CommandRefused, CouncilError
+from fennelwind.cluster.member_folder import Folder
 from fennelwind.fleet.registers import Registers
-from fennelwind.keeper import rescue
-from fennelwind.keeper.errors import CommandRefused, CouncilError
-from fennelwind.keeper.folder import Folder
-from fennelwind.keeper.rescue import found_alone, look
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.observe.metrics import Collector
 from fennelwind.raft_storage.store import Limits
@@ -117,7 +117,7 @@
 
 
 def test_three_of_five_lost_for_good_and_the_way_back(monkeypatch):
-    monkeypatch.setattr(rescue, "JUMP", 2000)  # the whole jump takes 5 s to play
+    monkeypatch.setattr(disaster_recovery, "JUMP", 2000)  # the whole jump takes 5 s to play
     fences = []
 
     def main(council):
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from fennelwind.keeper.tasks import Held
+from fennelwind.cluster.leased_tasks import Held
 from fennelwind.leases.guard import Guard
 from fennelwind.loop import DeadlineExceeded, StreamReset
 
--- a/tests/test_keeper.py
+++ b/tests/test_keeper.py
@@ -6,10 +6,8 @@
 import pytest
 from sums import Sum
 
-from fennelwind.keeper import keeper_pb2 as pb
-from fennelwind.keeper.asker import Asker
-from fennelwind.keeper.door import STRANGERS_MOST, Door
-from fennelwind.keeper.errors import (
+from fennelwind.cluster import keeper_pb2 as pb
+from fennelwind.cluster.errors import (
     CommandRefused,
     CouncilLost,
     FleetMismatch,
@@ -18,9 +16,11 @@
     NoLeader,
     OutcomeUnknown,
 )
-from fennelwind.keeper.frames import FRAME_MOST, LENGTH, FrameReader, Outbox, framed
-from fennelwind.keeper.member import Member
-from fennelwind.keeper.place import PROTOCOL, Place
+from fennelwind.cluster.framing import FRAME_MOST, LENGTH, FrameReader, Outbox, framed
+from fennelwind.cluster.identity import PROTOCOL, Place
+from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.raft_host import Member
+from fennelwind.cluster.server import STRANGERS_MOST, Door
 from fennelwind.loop import Address, SimLoop, StreamReset
 from fennelwind.raft import council_pb2 as cpb
 from fennelwind.raft.log import Log
@@ -237,7 +237,7 @@
 
 
 def test_watches_of_askers_that_have_gone_take_nobodys_place(monkeypatch):
-    monkeypatch.setattr("fennelwind.keeper.state.WATCHERS_MOST", 3)
+    monkeypatch.setattr("fennelwind.cluster.applied_state.WATCHERS_MOST", 3)
 
     def main(loop):
         host = member(loop)
--- a/tests/test_moves_whole.py
+++ b/tests/test_moves_whole.py
@@ -6,10 +6,10 @@
 from council_world import Council
 from move_play import QuickMachine
 
+from fennelwind.cluster.access_load import Heat
+from fennelwind.cluster.engine_statements import Statements
+from fennelwind.cluster.shard_migration import SHARDS, Moves
 from fennelwind.config import settings_pb2
-from fennelwind.keeper.heat import Heat
-from fennelwind.keeper.moves import SHARDS, Moves
-from fennelwind.keeper.statements import Statements
 from fennelwind.loop import Address
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.carrier import Timing
@@ -220,5 +220,5 @@
         scene.council.until(lambda: told(NAMES[2]))
         assert told(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
 
-    with mock.patch("fennelwind.keeper.heat.TELL_MS", 2_000.0):
+    with mock.patch("fennelwind.cluster.access_load.TELL_MS", 2_000.0):
         scene.play(call)
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -4,8 +4,8 @@
 never be: a query lost, one sent to a copy that is not there, a copy too few, a rule broken.
 """
 
+from fennelwind.cluster.errors import CommandRefused
 from fennelwind.fleet.wholerig import DISK, WholeRig
-from fennelwind.keeper.errors import CommandRefused
 from fennelwind.raft.replicated_state import LEVEL
 
 OLD = "id bigint, total decimal(10,2)"
