--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -127,7 +127,7 @@
         module = self.settings.module
         if not self.settings.file.HasField("moves"):
             return module, None
-        from fennelwind.clearance.book import Book
+        from fennelwind.quiescence.in_flight import Book
         from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
 
         return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, Book())
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -14,11 +14,11 @@
 from fennelwind.cluster.state_machines import LEASES
 from fennelwind.cluster.wakeup import Bell
 from fennelwind.errors import FennelwindError
-from fennelwind.leases import holder as api
+from fennelwind.leases import lease_client as api
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.errors import TaskNotHeld
-from fennelwind.leases.guard import Act, Guard, told
-from fennelwind.leases.machine import Life
+from fennelwind.leases.fencing import Act, Guard, told
+from fennelwind.leases.state_machine import Life
 from fennelwind.loop import Loop, Once, Task
 
 ASK_MS = 4000.0  # ms for which one command is asked; the holder itself asks anew when it wants to
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -7,9 +7,6 @@
 from collections import Counter
 from collections.abc import Iterable
 
-from fennelwind.clearance import clearance_pb2 as pb
-from fennelwind.clearance.book import Book, Pair
-from fennelwind.clearance.roll import FORGET_MS
 from fennelwind.cluster import keeper_pb2
 from fennelwind.cluster.errors import CommandRefused, CouncilError
 from fennelwind.cluster.raft_client import Asker
@@ -17,6 +14,9 @@
 from fennelwind.cluster.state_machines import ROLL
 from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import DeadlineExceeded, Loop, Task
+from fennelwind.quiescence import clearance_pb2 as pb
+from fennelwind.quiescence.in_flight import Book, Pair
+from fennelwind.quiescence.registered_controllers import FORGET_MS
 
 RENEW_MS = FORGET_MS / 4.0  # ms between renewals: three may be lost, on a clock that is a fifth slow
 AGAIN_MS = 5000.0  # ms until a sign-on that failed is tried again; a roll begins to count after FORGET_MS
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -11,9 +11,6 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.clearance import clearance_pb2
-from fennelwind.clearance.roll import RollMachine
-from fennelwind.clearance.words import WISHES_MOST, Words
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.applied_state import State, whole_state
 from fennelwind.cluster.backoff import Waits
@@ -25,6 +22,9 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, Loop, Once, Task, parse_address
 from fennelwind.loop.disk import DiskFull
+from fennelwind.quiescence import clearance_pb2
+from fennelwind.quiescence.acknowledgements import WISHES_MOST, Words
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft import council_pb2
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import (
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -2,7 +2,6 @@
 
 from collections.abc import Callable, Iterable
 
-from fennelwind.clearance.book import Book
 from fennelwind.cluster.access_load import Heat
 from fennelwind.cluster.engine_statements import Statements
 from fennelwind.cluster.errors import CouncilError
@@ -20,6 +19,7 @@
 from fennelwind.engines.links import EngineLinks
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
+from fennelwind.quiescence.in_flight import Book
 from fennelwind.raft.council_pb2 import Member as Stated
 from fennelwind.raft.member import Core
 from fennelwind.raft.messages import Durable
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -14,7 +14,6 @@
 from functools import partial
 from math import inf
 
-from fennelwind.clearance import clearance_pb2 as clear
 from fennelwind.cluster import gate_pb2
 from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
@@ -31,6 +30,7 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Loop, Task
+from fennelwind.quiescence import clearance_pb2 as clear
 
 TASK = "table:"  # and the table's name: the lease under which its changes are carried out
 TERM_MS = 60_000  # ms of that lease; some 26 s of it are left at the least while renewals go well
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -10,8 +10,6 @@
 from dataclasses import replace
 from functools import partial
 
-from fennelwind.clearance import clearance_pb2 as clear
-from fennelwind.clearance.words import WISHES_MOST
 from fennelwind.cluster import gate_pb2
 from fennelwind.cluster.engine_statements import FAILED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
@@ -23,6 +21,8 @@
 from fennelwind.engines.links import RemoteError
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
+from fennelwind.quiescence import clearance_pb2 as clear
+from fennelwind.quiescence.acknowledgements import WISHES_MOST
 from fennelwind.raft.replicated_state import Record
 from fennelwind.shards import carrier as api
 from fennelwind.shards import shards_pb2 as pb
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -2,12 +2,12 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.clearance.roll import RollMachine
 from fennelwind.cluster.applied_state import whole_state
 from fennelwind.cluster.schema_queries import asked
 from fennelwind.contracts.machine import ContractMachine
 from fennelwind.leases import leases_pb2
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft.state_machine import Machine
 from fennelwind.shards.machine import ShardMachine
 
--- a/fennelwind/fleet/councilrig.py
+++ b/fennelwind/fleet/councilrig.py
@@ -15,7 +15,7 @@
 from fennelwind.fleet.processes import LOCK_HOST, PORT_FIRST, PORT_LAST, Part, RigFailed
 from fennelwind.fleet.relay import Relay, Row
 from fennelwind.leases.errors import OlderFence
-from fennelwind.leases.guard import Fenced
+from fennelwind.leases.fencing import Fenced
 from fennelwind.loop import Address, RealLoop, Stream, StreamReset
 from fennelwind.loop.world import Path as Way
 
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/fleet/wholerig.py
@@ -24,7 +24,7 @@
 from fennelwind.fleet.councilrig import LOOK_MS, CouncilRig
 from fennelwind.fleet.relay import Row
 from fennelwind.fleet.wholeday import End, Query, traffic, verdict
-from fennelwind.leases.machine import LeaseMachine
+from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.shards.machine import ShardMachine
 from fennelwind.standin.client import Ask, Client
--- a/fennelwind/leases/holder.py
+++ b/fennelwind/leases/lease_client.py
@@ -13,8 +13,8 @@
 
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.errors import LeaseRefused
-from fennelwind.leases.guard import DRIFT, PAUSE_MS, Guard, usable_ms
-from fennelwind.leases.machine import ASKS_MOST, HEARD_MS, Life
+from fennelwind.leases.fencing import DRIFT, PAUSE_MS, Guard, usable_ms
+from fennelwind.leases.state_machine import ASKS_MOST, HEARD_MS, Life
 
 TERM_MS = 10_000  # ms; a task is taken over within some 10 s, and a holder renews every 3.3 s
 RENEW_PART = 3.0  # a lease is renewed when this part of its term is over: two more tries fit in
--- a/fennelwind/clearance/words.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fennelwind.clearance import clearance_pb2 as pb
-from fennelwind.clearance.roll import RollMachine
+from fennelwind.quiescence import clearance_pb2 as pb
+from fennelwind.quiescence.registered_controllers import RollMachine
 
 OPEN_MOST = 256  # pairs in one word; who has more open says nothing until it has fewer
 WISHES_MOST = 1024  # in one question
--- a/fennelwind/clearance/book.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Hashable, Iterable
 from typing import Any
 
-from fennelwind.clearance import clearance_pb2 as pb
-from fennelwind.clearance.words import OPEN_MOST
+from fennelwind.quiescence import clearance_pb2 as pb
+from fennelwind.quiescence.acknowledgements import OPEN_MOST
 
 AGAIN_MS = 2000.0  # ms until the same is said again while anything is asked for: words are lost with a leader
 PACE_MS = 200.0  # ms between two words, whatever changes; a drop is earlier by a minute, not by this
--- a/fennelwind/clearance/roll.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -12,7 +12,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.clearance import clearance_pb2 as pb
+from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 
 FORGET_MS = 120_000  # ms of silence; as long as a copy that leaves may be waited for in all (60 s twice)
--- a/tests/clearance_defects.py
+++ b/tests/clearance_defects.py
@@ -9,9 +9,9 @@
 from clearance_play import Play
 from planted import Line, broken, planted, row
 
-from fennelwind.clearance.book import Book
-from fennelwind.clearance.roll import RollMachine
-from fennelwind.clearance.words import Words
+from fennelwind.quiescence.acknowledgements import Words
+from fennelwind.quiescence.in_flight import Book
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards.routing import Routing
 
 STATE_OF = Words._state_of
--- a/tests/clearance_measure.py
+++ b/tests/clearance_measure.py
@@ -10,10 +10,10 @@
 from test_clearance_program import OLD, WIDER, Scene, publish
 from test_shard_routing import ENGINES, SETTINGS
 
-from fennelwind.clearance.book import Book
-from fennelwind.clearance.roll import RollMachine
 from fennelwind.cluster import quiescence
 from fennelwind.cluster.quiescence import Clearances
+from fennelwind.quiescence.in_flight import Book
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards.routing import SLOTS_MOST, Routing
 
 
--- a/tests/clearance_play.py
+++ b/tests/clearance_play.py
@@ -10,10 +10,10 @@
 
 from test_shard_routing import SETTINGS
 
-from fennelwind.clearance import clearance_pb2 as pb
-from fennelwind.clearance.book import Book, table_of
-from fennelwind.clearance.roll import RollMachine
-from fennelwind.clearance.words import Words
+from fennelwind.quiescence import clearance_pb2 as pb
+from fennelwind.quiescence.acknowledgements import Words
+from fennelwind.quiescence.in_flight import Book, table_of
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft.state_machine import At
 from fennelwind.shards.routing import Routing
 
--- a/tests/council_chaos.py
+++ b/tests/council_chaos.py
@@ -17,7 +17,7 @@
 from fennelwind.fleet.councilrig import Seen, overlaps
 from fennelwind.fleet.registers import Registers
 from fennelwind.leases.errors import OlderFence
-from fennelwind.leases.guard import Fenced
+from fennelwind.leases.fencing import Fenced
 from fennelwind.loop.simdisk import Costs
 from fennelwind.raft.messages import Timing
 
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -23,7 +23,6 @@
 from nodes import CHANNEL, Client, Executor, instance, name, nodes_event, start
 from prometheus_client.parser import text_string_to_metric_families
 
-from fennelwind.clearance import clearance_pb2
 from fennelwind.cli.main import main as command_line
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.state_machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
@@ -39,6 +38,7 @@
 from fennelwind.loop.sim import Pipe
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.loop.world import FarPipe
+from fennelwind.quiescence import clearance_pb2
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Write
 from fennelwind.raft.replicated_state import Record
--- a/tests/keeper_defects.py
+++ b/tests/keeper_defects.py
@@ -17,7 +17,7 @@
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.raft_host import Member
-from fennelwind.leases.guard import Fenced, Guard
+from fennelwind.leases.fencing import Fenced, Guard
 from fennelwind.loop.simdisk import SimDisk
 from fennelwind.raft.replicated_state import Record
 
--- a/tests/lease_council.py
+++ b/tests/lease_council.py
@@ -13,8 +13,8 @@
 from council_cluster import Cluster, Node
 from lease_play import Controller, Play, main
 
-from fennelwind.leases import holder as h
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases import lease_client as h
+from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft import messages as api
 from fennelwind.raft.messages import Timing
--- a/tests/lease_fleet.py
+++ b/tests/lease_fleet.py
@@ -13,9 +13,9 @@
 from collections import Counter
 from random import Random
 
-from fennelwind.leases import holder as h
+from fennelwind.leases import lease_client as h
 from fennelwind.leases.errors import TaskNotHeld
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import Record
 
--- a/tests/lease_play.py
+++ b/tests/lease_play.py
@@ -16,10 +16,10 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.leases import holder as h
+from fennelwind.leases import lease_client as h
 from fennelwind.leases.errors import LeaseError
-from fennelwind.leases.guard import DRIFT, Fenced
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases.fencing import DRIFT, Fenced
+from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import Record
 
--- a/tests/lease_search.py
+++ b/tests/lease_search.py
@@ -19,12 +19,12 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-from fennelwind.leases import holder as h
+from fennelwind.leases import lease_client as h
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.errors import TaskNotHeld
-from fennelwind.leases.guard import DRIFT
-from fennelwind.leases.holder import Holder
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases.fencing import DRIFT
+from fennelwind.leases.lease_client import Holder
+from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft.state_machine import At
 
 TERM_MS, PAUSE_MS, ACT_MS = 300, 0.0, 60.0  # ms; the shortest term is two ticks of the fast record
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -18,15 +18,15 @@
 import pytest
 from fleet import SETTINGS, execute
 
-from fennelwind.clearance.roll import RollMachine
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.engines.links import Link, RemoteError
 from fennelwind.errors import FennelwindError
 from fennelwind.fleet.councilrig import Ways
 from fennelwind.fleet.relay import Relay, Row
-from fennelwind.leases.machine import LeaseMachine
+from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
 from fennelwind.loop.world import Path as Way
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.machine import ShardMachine
 from fennelwind.standin.engine import Engine
@@ -40,7 +40,7 @@
 WAIT_MS = 600_000.0  # ms; what is waited for takes a few seconds, or the record's rest
 # The same program with shorter terms: two minutes on the roll become four seconds, a minute's rest twenty.
 MAIN = """
-from fennelwind.clearance.roll import RollMachine
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.cluster import clearances, moves
 from fennelwind.shards.machine import ShardMachine
 RollMachine.forget_ms, clearances.RENEW_MS, clearances.AGAIN_MS = 4_000, 700.0, 500.0
--- a/tests/test_clearance_program.py
+++ b/tests/test_clearance_program.py
@@ -7,9 +7,9 @@
 
 from fennelwind import config
 from fennelwind import interface as api
-from fennelwind.clearance.roll import RollMachine
 from fennelwind.cli.program import Program
 from fennelwind.cluster import quiescence
+from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.thrift import hiveserver2 as hs2
 
 NAMES = moves.NAMES
--- a/tests/test_held.py
+++ b/tests/test_held.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fennelwind.cluster.leased_tasks import Held
-from fennelwind.leases.guard import Guard
+from fennelwind.leases.fencing import Guard
 from fennelwind.loop import DeadlineExceeded, StreamReset
 
 
--- a/tests/test_lease_defects.py
+++ b/tests/test_lease_defects.py
@@ -12,9 +12,9 @@
 from planted import Line, broken, by_model, planted, row
 from test_leases import DRIFT_IGNORED, Leases
 
-from fennelwind.leases.guard import Fenced
-from fennelwind.leases.holder import Holder
-from fennelwind.leases.machine import LeaseMachine
+from fennelwind.leases.fencing import Fenced
+from fennelwind.leases.lease_client import Holder
+from fennelwind.leases.state_machine import LeaseMachine
 
 SEEDS_MOST = 40  # played for one defect in the tests
 NEAR = {  # where the tests begin to play, as most seeds don't meet the defect; the table counts from 1
--- a/tests/test_leases.py
+++ b/tests/test_leases.py
@@ -9,12 +9,12 @@
 from lease_search import MENUS, search
 from planted import Line, planted
 
-from fennelwind.leases import guard as g
-from fennelwind.leases import holder as h
+from fennelwind.leases import fencing as g
+from fennelwind.leases import lease_client as h
 from fennelwind.leases import leases_pb2 as pb
-from fennelwind.leases import machine as m
+from fennelwind.leases import state_machine as m
 from fennelwind.leases.errors import ActTooLong, FencesFull, OlderFence, TaskNotHeld
-from fennelwind.leases.machine import LeaseMachine, Life
+from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft.state_machine import At, UnreadableCommand
 
 A, B, C = (Life(name, b"1") for name in "abc")
