--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -133,8 +133,8 @@
         return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, Book())
 
     def _serve_shards(self, keeper: "Keeper") -> None:
+        from fennelwind.shards.model import Bounds, Home
         from fennelwind.shards.shards_pb2 import Shard
-        from fennelwind.shards.state import Bounds, Home
 
         told, kinds = self.settings.file.moves, self.settings.file.kinds
         parts = 2 ** len(self.driver.router.slots)
--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -12,7 +12,7 @@
 from fennelwind.cluster.state_machines import SHARDS
 from fennelwind.loop import Loop, Task
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.heat import Named
+from fennelwind.shards.access_load import Named
 
 TELL_MS = 600_000.0  # ms from one batch to the next, a third of the half-life
 ASK_MS = 20_000.0  # ms for one command: nobody waits for it
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -26,9 +26,9 @@
 from fennelwind.raft.replicated_state import LEVEL, Record
 from fennelwind.raft.state_machine import Machine
 from fennelwind.raft_storage.store import Limits
-from fennelwind.shards.heat import Named
+from fennelwind.shards.access_load import Named
+from fennelwind.shards.model import Bounds, Home
 from fennelwind.shards.shards_pb2 import Shard
-from fennelwind.shards.state import Bounds, Home
 
 ENGINES_MS = 100.0  # ms between looks at whether any engine is known here
 LEAVE_PART = 0.5  # of the time to hand over: leases first, then the lead
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -24,12 +24,12 @@
 from fennelwind.quiescence import clearance_pb2 as clear
 from fennelwind.quiescence.acknowledgements import WISHES_MOST
 from fennelwind.raft.replicated_state import Record
-from fennelwind.shards import carrier as api
+from fennelwind.shards import migration as api
+from fennelwind.shards import migration_statements
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards import steps
-from fennelwind.shards.machine import LEASE, PLAN_MOST, ShardMachine
+from fennelwind.shards.model import Bounds, Home, Planned, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Bounds, Home, Planned, World
+from fennelwind.shards.state_machine import LEASE, PLAN_MOST, ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
@@ -74,7 +74,7 @@
                 statement=statement,
                 confOverlay=overlay,
                 runAsync=True,
-                queryTimeout=int(overlay[steps.TIMEOUT]),
+                queryTimeout=int(overlay[migration_statements.TIMEOUT]),
             ),
         ).operationHandle
 
@@ -426,23 +426,25 @@
 
     def _mark(self, engine: str) -> str:
         """Return the mark on an engine's disk; one without gets one. "": it can't be read."""
-        how, rows, state = self._asked(engine, steps.mark_read())
+        how, rows, state = self._asked(engine, migration_statements.mark_read())
         if how == OK and rows:
             return rows[0][0]
         if how != OK and state != NO_TABLE:
             return ""
         mark = self.loop.token(MARK_BYTES).hex()
-        for text in steps.mark_write(mark):
+        for text in migration_statements.mark_write(mark):
             if self._asked(engine, text)[0] != OK:
                 return ""
         return mark
 
     def _held(self, engine: str) -> frozenset[str] | None:
         """Return the declared shards whose partitions an engine lists; None: it can't be asked now."""
-        tables = sorted({(s.table, not steps.partition(s.name)) for s in self.machine.shards.values()})
+        tables = sorted(
+            {(s.table, not migration_statements.partition(s.name)) for s in self.machine.shards.values()}
+        )
         held: set[str] = set()
         for table, whole in tables:
-            how, rows, state = self._asked(engine, steps.listing(table, whole))
+            how, rows, state = self._asked(engine, migration_statements.listing(table, whole))
             if how != OK and state != NO_TABLE:
                 return None
             held |= {f"{table}/" if whole else f"{table}/{row[0]}" for row in rows}
@@ -451,5 +453,7 @@
     def _asked(self, engine: str, text: str) -> tuple[str, list[tuple[str, ...]], str]:
         statement: Statement = self.moves.statements.to(engine)
         with self.held.act(LOOK_MS):
-            how, rows = statement.run(text, steps.overlay(self.held.fence, LOOK_MS), LOOK_MS, rows=True)
+            how, rows = statement.run(
+                text, migration_statements.overlay(self.held.fence, LOOK_MS), LOOK_MS, rows=True
+            )
         return how, rows, statement.state
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -9,7 +9,7 @@
 from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft.state_machine import Machine
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 
 LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", RollMachine.name
 
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/fleet/wholerig.py
@@ -26,7 +26,7 @@
 from fennelwind.fleet.wholeday import End, Query, traffic, verdict
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.standin.client import Ask, Client
 from fennelwind.standin.discovery import Discovery, Listed
 from fennelwind.standin.engine import Engine
@@ -54,7 +54,7 @@
     "fennelwind.cluster.schema_rollout:STATEMENT_MS": 1500.0,
     "fennelwind.cluster.schema_rollout:STOP_MS": 1000.0,
     "fennelwind.cluster.raft_host:LEVEL_MS": 300.0,
-    "fennelwind.shards.machine:ShardMachine.rest_ms": 4000,
+    "fennelwind.shards.state_machine:ShardMachine.rest_ms": 4000,
 }
 TIMING = {
     "drop_ms": 2000.0,
--- a/fennelwind/fleet/wholework.py
+++ b/fennelwind/fleet/wholework.py
@@ -19,7 +19,7 @@
 from fennelwind.fleet.rigdisk import Faults, RigDisk
 from fennelwind.loop import Address, RealLoop, Stream, parse_address
 from fennelwind.raft.replicated_state import LEVEL
-from fennelwind.shards.carrier import Timing
+from fennelwind.shards.migration import Timing
 
 PROGRAM = "fennelwind.cli.main"  # which is started here, as `processes` starts its own by a command
 
--- a/fennelwind/lab/heat.py
+++ b/fennelwind/lab/heat.py
@@ -16,13 +16,13 @@
 
 from fennelwind.cluster.access_load import TELL_MS
 from fennelwind.raft.state_machine import At
-from fennelwind.shards import evenness
+from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.check import finished
-from fennelwind.shards.heat import Named
-from fennelwind.shards.machine import COUNTED_SINCE, ShardMachine
+from fennelwind.shards.access_load import Named
+from fennelwind.shards.model import Bounds, Copy, Home, Shard, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Bounds, Copy, Home, Shard, World
+from fennelwind.shards.plan_checker import finished
+from fennelwind.shards.state_machine import COUNTED_SINCE, ShardMachine
 
 MINUTE_MS = 60_000
 SIZE, ENGINES, CONTROLLERS, SHARDS = 1 << 30, 48, 6, 480
@@ -108,10 +108,10 @@
 
 
 def measure(
-    seed: int, queries: float, hours: int, chance: float = evenness.CHANCE
+    seed: int, queries: float, hours: int, chance: float = balance.CHANCE
 ) -> tuple[float, float, int]:
     """Return moves an hour by chance, unevenness 2 h after an engine's shards doubled, and moves by that."""
-    with mock.patch.object(evenness, "CHANCE", chance):
+    with mock.patch.object(balance, "CHANCE", chance):
         one = Play(seed, queries)
         one.run(120)  # the record knows enough
         calm = one.run(60 * hours) / hours
@@ -129,7 +129,7 @@
     parser.add_argument("--hours", type=int, default=12, help="of heat that does not change")
     asked = parser.parse_args()
     for queries in (1_000.0, 3_000.0, 15_000.0, 60_000.0):
-        for chance in (evenness.CHANCE, 0.0):
+        for chance in (balance.CHANCE, 0.0):
             rows = [
                 measure(seed, queries, asked.hours, chance)
                 for seed in range(asked.first, asked.first + asked.count)
--- a/fennelwind/lab/shard_cases.py
+++ b/fennelwind/lab/shard_cases.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import replace
 
-from fennelwind.shards.state import Copy, Home, Move, Planned, Shard, World
+from fennelwind.shards.model import Copy, Home, Move, Planned, Shard, World
 
 GB = 1 << 30  # bytes
 ZONES = ("east", "north", "west")
--- a/fennelwind/lab/shard_defects.py
+++ b/fennelwind/lab/shard_defects.py
@@ -4,11 +4,11 @@
 from dataclasses import replace
 
 from fennelwind.lab.shard_cases import small
-from fennelwind.shards.check import check
-from fennelwind.shards.needs import View
-from fennelwind.shards.order import Sequence
+from fennelwind.shards.constraints import View
+from fennelwind.shards.model import Copy, Planned, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Copy, Planned, World
+from fennelwind.shards.plan_checker import check
+from fennelwind.shards.transfer_order import Sequence
 
 Planner = Callable[[World], Planned]
 
--- a/fennelwind/lab/shards.py
+++ b/fennelwind/lab/shards.py
@@ -16,9 +16,9 @@
 from fennelwind.lab.shard_defects import DEFECTS
 from fennelwind.lab.shard_defects import found as found_defect
 from fennelwind.shards import exact
-from fennelwind.shards.check import check, finished
+from fennelwind.shards.model import Bounds, Move, Planned, Shard, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Bounds, Move, Planned, Shard, World
+from fennelwind.shards.plan_checker import check, finished
 
 NEEDS_ONLY = Bounds(disk_tolerance=1e9, heat_tolerance=1e9)  # no move for evenness: bytes that needs take
 CHANGES = 4  # that happen to a world while its plans are carried out
--- a/fennelwind/shards/evenness.py
+++ b/fennelwind/shards/balance.py
@@ -2,10 +2,10 @@
 
 import math
 
-from fennelwind.shards.board import Board
-from fennelwind.shards.needs import heats, mean, span_wanted, takes, wanted
-from fennelwind.shards.order import Sequence, Transfer
-from fennelwind.shards.state import Bounds, Move, Shard
+from fennelwind.shards.constraints import heats, mean, span_wanted, takes, wanted
+from fennelwind.shards.model import Bounds, Move, Shard
+from fennelwind.shards.target_placement import Board
+from fennelwind.shards.transfer_order import Sequence, Transfer
 
 MOVES_MOST = 64  # that one plan makes for evenness alone; the next one goes on
 STILL = 0.5  # part of a tolerance below which a planned move for evenness is no longer worth it
--- a/fennelwind/shards/needs.py
+++ b/fennelwind/shards/constraints.py
@@ -14,7 +14,7 @@
 from collections.abc import Set as AbstractSet
 from dataclasses import dataclass, field
 
-from fennelwind.shards.state import Copy, Home, Move, Shard, World
+from fennelwind.shards.model import Copy, Home, Move, Shard, World
 
 ENDED = ("done", "undone")  # steps of a move that is over
 HELD = ("reserved", "copying", "checked")  # steps with space taken and a copy that is not good yet
--- a/fennelwind/shards/exact.py
+++ b/fennelwind/shards/exact.py
@@ -17,8 +17,8 @@
 
 import highspy
 
-from fennelwind.shards.check import finished
-from fennelwind.shards.state import Planned, Shard, World
+from fennelwind.shards.model import Planned, Shard, World
+from fennelwind.shards.plan_checker import finished
 
 STATES_MOST = 200_000  # that `ordered` looks at, some 20 s
 
--- a/fennelwind/shards/ways.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -11,9 +11,9 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from fennelwind.shards.board import Board
-from fennelwind.shards.needs import span_wanted, takes, wanted
-from fennelwind.shards.order import Sequence, Transfer
+from fennelwind.shards.constraints import span_wanted, takes, wanted
+from fennelwind.shards.target_placement import Board
+from fennelwind.shards.transfer_order import Sequence, Transfer
 
 SEEN = 10  # states that are seen for each that is extended, at most
 State = tuple[tuple[int, int], ...]  # by shard: engines with a good copy and with a doubtful one, as bits
--- a/fennelwind/shards/carrier.py
+++ b/fennelwind/shards/migration.py
@@ -18,10 +18,10 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from fennelwind.shards import pace, steps
+from fennelwind.shards import migration_statements, transfer_throttle
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.machine import HOUR_MS, MOVES_MOST, PLAN_MOST, ShardMachine
-from fennelwind.shards.state import Bounds, Home, Move, Planned, Shard, World
+from fennelwind.shards.model import Bounds, Home, Move, Planned, Shard, World
+from fennelwind.shards.state_machine import HOUR_MS, MOVES_MOST, PLAN_MOST, ShardMachine
 
 Step, Answer = pb.Step, pb.Answer
 NEW = 2**62  # numbers of moves in a plan from here on, apart from the record's
@@ -329,7 +329,9 @@
         self._asked[self._token] = _Asked(
             owner, kind, self._now + within + self.timing.slack_ms, (shard, engine), self._index
         )
-        self._out.append(Run(self._token, engine, statement, steps.overlay(self.fence, within), within))
+        self._out.append(
+            Run(self._token, engine, statement, migration_statements.overlay(self.fence, within), within)
+        )
 
     def _proposed(self, event: Proposed) -> None:
         asked = self._asked.pop(event.token, None)
@@ -396,7 +398,7 @@
         if not self._is_known(move.target):
             return self._again(work)
         if self._begins is None:
-            self._begins = pace.begin(
+            self._begins = transfer_throttle.begin(
                 self.machine, self.bounds, self._spent(), self._copies_asked(), self._may_take
             )
         if move.number in self._begins:
@@ -451,9 +453,9 @@
         if not move.attempt and move.source in good:
             first = good.index(move.source)
         size, asked = self.machine.shards[move.shard].size, self._copies_asked()
-        source = pace.source(self.machine, self.bounds, move, good[first:] + good[:first], asked)
-        paid = not move.attempt or pace.affords(  # the first was paid for when it was reserved
-            self.bounds, self._spent() + pace.soon(self.machine, asked), size
+        source = transfer_throttle.source(self.machine, self.bounds, move, good[first:] + good[:first], asked)
+        paid = not move.attempt or transfer_throttle.affords(  # the first was paid for when it was reserved
+            self.bounds, self._spent() + transfer_throttle.soon(self.machine, asked), size
         )
         if not source or not paid:
             work.tries, work.wait_until = self.timing.tries, self._now + self.timing.again_ms
@@ -479,16 +481,37 @@
         if work.tries >= self.timing.tries:
             return self._begin_copy(move, work)
         shard, t = self.machine.shards[move.shard], self.timing
-        path = steps.folder(self.staging, move.number, self.fence, move.attempt)
+        path = migration_statements.folder(self.staging, move.number, self.fence, move.attempt)
         within = self._copy_ms(shard.name)
         if work.phase == "clear":
-            self._run(move.number, "clear", shard.name, move.target, steps.drop(shard.name), t.drop_ms)
+            self._run(
+                move.number,
+                "clear",
+                shard.name,
+                move.target,
+                migration_statements.drop(shard.name),
+                t.drop_ms,
+            )
         elif work.phase == "export":
-            self._run(move.number, "export", shard.name, move.source, steps.export(shard.name, path), within)
+            self._run(
+                move.number,
+                "export",
+                shard.name,
+                move.source,
+                migration_statements.export(shard.name, path),
+                within,
+            )
         elif not self._drops_ended(shard.name, move.target):
             return
         elif work.phase == "import":
-            self._run(move.number, "import", shard.name, move.target, steps.load(shard.name, path), within)
+            self._run(
+                move.number,
+                "import",
+                shard.name,
+                move.target,
+                migration_statements.load(shard.name, path),
+                within,
+            )
         else:
             self._verify(move, work, shard)
 
@@ -523,7 +546,7 @@
             if agreed:
                 return self._take(move, Step.CHECK, attempt=move.attempt, rows=known[0], checksum=known[1])
             return self._begin_copy(move, work)
-        statement = steps.check(shard.name)
+        statement = migration_statements.check(shard.name)
         if work.target is None:
             self._run(move.number, "target", shard.name, move.target, statement, self.timing.check_ms)
         if work.source is None and not work.source_lost:
@@ -558,7 +581,14 @@
             return self._take(move, Step.DONE)
         if work.tries >= self.timing.tries:
             return self._take(move, Step.KEEP, failed=True)
-        self._run(move.number, "drop", move.shard, move.drops, steps.drop(move.shard), self.timing.drop_ms)
+        self._run(
+            move.number,
+            "drop",
+            move.shard,
+            move.drops,
+            migration_statements.drop(move.shard),
+            self.timing.drop_ms,
+        )
 
     def _at_undoing(self, move: Move, work: _Work) -> None:
         there = move.target in self.machine.copies.get(move.shard, {})  # on whatever disk it has by now
@@ -568,7 +598,14 @@
             return self._take(move, Step.UNDONE, failed=True)  # it may be back when the record hears of this
         if not self._loads_ended(move):
             return
-        self._run(move.number, "drop", move.shard, move.target, steps.drop(move.shard), self.timing.drop_ms)
+        self._run(
+            move.number,
+            "drop",
+            move.shard,
+            move.target,
+            migration_statements.drop(move.shard),
+            self.timing.drop_ms,
+        )
 
     # Answers of engines.
 
@@ -674,7 +711,7 @@
             if busy or any(a.owner == pair for a in self._asked.values()):
                 continue
             running += 1
-            self._run(pair, "doubt", shard, engine, steps.check(shard), self.timing.check_ms)
+            self._run(pair, "doubt", shard, engine, migration_statements.check(shard), self.timing.check_ms)
 
     def _doubt_ended(self, asked: _Asked, event: Ended) -> None:
         shard, engine = asked.pair
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -10,13 +10,13 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fennelwind.shards.board import Board
-from fennelwind.shards.evenness import even, still
-from fennelwind.shards.needs import View, read, span_wanted, takes, wanted
-from fennelwind.shards.order import Sequence, Transfer, arrange
+from fennelwind.shards.balance import even, still
+from fennelwind.shards.constraints import View, read, span_wanted, takes, wanted
+from fennelwind.shards.exhaustive_search import Way, Ways
+from fennelwind.shards.model import Bounds, Planned, Shard, Short, World
 from fennelwind.shards.search import STRICT, choices, neighbours, spread
-from fennelwind.shards.state import Bounds, Planned, Shard, Short, World
-from fennelwind.shards.ways import Way, Ways
+from fennelwind.shards.target_placement import Board
+from fennelwind.shards.transfer_order import Sequence, Transfer, arrange
 
 SMALL_SHARDS, SMALL_ENGINES = 14, 8  # up to which all places are searched at once
 NODES = 10000  # choices that a search of a small world extends, about 0.3 s
--- a/fennelwind/shards/check.py
+++ b/fennelwind/shards/plan_checker.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from fennelwind.shards.state import Bounds, Copy, Home, Move, Planned, World
+from fennelwind.shards.model import Bounds, Copy, Home, Move, Planned, World
 
 OVER = ("done", "undone")  # steps after which a move takes part in nothing
 EVENTS_MOST = 12  # of one shard, of which all sets are tried; a plan with more is reported as too long
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -14,7 +14,7 @@
 from typing import Protocol
 
 from fennelwind import interface as api
-from fennelwind.shards.heat import Named
+from fennelwind.shards.access_load import Named
 
 SLOTS_MOST = 6  # kinds are split by every set of slots, 64 ways then; a look at a class's kinds stays short
 
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -10,9 +10,9 @@
 from collections.abc import Iterator
 from itertools import combinations
 
-from fennelwind.shards.board import Board, Outcome, Places
-from fennelwind.shards.needs import span_wanted, wanted
-from fennelwind.shards.state import Shard
+from fennelwind.shards.constraints import span_wanted, wanted
+from fennelwind.shards.model import Shard
+from fennelwind.shards.target_placement import Board, Outcome, Places
 
 STRICT = 1 << 60  # bytes that outweigh all others: nothing is left unmet to save any
 Option = tuple[int, int, Places, Outcome]  # unmet, bytes, where, how
--- a/fennelwind/shards/machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -17,9 +17,9 @@
 from google.protobuf.message import DecodeError
 
 from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
-from fennelwind.shards import heat
+from fennelwind.shards import access_load
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.state import LIVES, Copy, Home, Move, Shard, World
+from fennelwind.shards.model import LIVES, Copy, Home, Move, Shard, World
 
 LEASE = "moves"  # the task whose holder writes here
 SHARDS_MOST = 65_536  # shards; three times what two hundred engines are planned for
@@ -128,12 +128,12 @@
         Too few are chance, and what was declared is better.
         """
         found = {
-            shard: heat.faded(count, self._faded_part - part)
+            shard: access_load.faded(count, self._faded_part - part)
             for shard, (count, part) in self._faded.items()
             if shard in self.shards
         }
-        enough = sum(found.values()) >= heat.ENOUGH
-        return {shard: count / heat.UNIT for shard, count in found.items()} if enough else {}
+        enough = sum(found.values()) >= access_load.ENOUGH
+        return {shard: count / access_load.UNIT for shard, count in found.items()} if enough else {}
 
     def move_of(self, shard: str) -> Move | None:
         """Return the move of a shard that has not ended."""
@@ -392,15 +392,15 @@
 
     def _counted(self, asked: pb.Counted, at: At) -> pb.Answer:
         """Take what a controller counted; the clock is the record's, so all fades alike whoever tells it."""
-        if len(asked.queries) > heat.TOLD_MOST:
+        if len(asked.queries) > access_load.TOLD_MOST:
             return Answer(refusal=Answer.TOO_MANY)
-        if any(told.count > heat.COUNT_MOST for told in asked.queries):
+        if any(told.count > access_load.COUNT_MOST for told in asked.queries):
             return Answer(refusal=Answer.BAD)
-        self._faded_part, self._faded_entry = at.clock_ms // heat.PART_MS, at.index
+        self._faded_part, self._faded_entry = at.clock_ms // access_load.PART_MS, at.index
         for told in asked.queries:
             if told.shard in self.shards:
                 count, part = self._faded.get(told.shard, (0, self._faded_part))
-                count = heat.faded(count, self._faded_part - part) + told.count
+                count = access_load.faded(count, self._faded_part - part) + told.count
                 self._faded[told.shard] = min(count, SIZE_MOST), self._faded_part
         return Answer()
 
--- a/fennelwind/shards/board.py
+++ b/fennelwind/shards/target_placement.py
@@ -5,9 +5,9 @@
 from functools import cached_property
 from itertools import islice
 
-from fennelwind.shards.needs import View, heats, mean, span_wanted, takes, wanted
-from fennelwind.shards.order import Transfer
-from fennelwind.shards.state import Bounds, Shard
+from fennelwind.shards.constraints import View, heats, mean, span_wanted, takes, wanted
+from fennelwind.shards.model import Bounds, Shard
+from fennelwind.shards.transfer_order import Transfer
 
 Places = frozenset  # of engines with a good copy in the end
 RANKED_ANEW = 32  # shards after which engines are ranked anew by how far they stand out
--- a/fennelwind/shards/order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -9,8 +9,8 @@
 from collections.abc import Iterable
 from dataclasses import dataclass, field, replace
 
-from fennelwind.shards.needs import READING, View, span_wanted, takes
-from fennelwind.shards.state import Move
+from fennelwind.shards.constraints import READING, View, span_wanted, takes
+from fennelwind.shards.model import Move
 
 Pair = tuple[str, str]  # shard, engine
 THREADED = 12  # transfers up to which all orders are looked for: at most 4096 sets of them
--- a/fennelwind/shards/pace.py
+++ b/fennelwind/shards/transfer_throttle.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import Protocol
 
-from fennelwind.shards.state import Bounds, Home, Move, Shard
+from fennelwind.shards.model import Bounds, Home, Move, Shard
 
 STREAMING = ("reserved", "copying")  # steps that take a stream at the source and at the target
 Asked = Mapping[int, str]  # moves whose copy was asked to begin, or to begin anew, and from which engine
--- a/tests/contracts_search.py
+++ b/tests/contracts_search.py
@@ -15,7 +15,7 @@
 from fennelwind.contracts.types import parse_schema
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as moves
-from fennelwind.shards.machine import UNDER_WAY, ShardMachine
+from fennelwind.shards.state_machine import UNDER_WAY, ShardMachine
 
 REST_MS = 10_000  # ms of a rest after a switch: another time than the gate's, so that either ends first
 TABLE, LEASE, MOVER = "t", "table:t", 1
--- a/tests/move_defects.py
+++ b/tests/move_defects.py
@@ -7,9 +7,9 @@
 from move_play import ONE_FAULT, Broken, Play, QuickMachine, play, play_careless, play_one_fault
 from planted import Line, broken, by_model, planted, row
 
-from fennelwind.shards import machine
-from fennelwind.shards.carrier import Carrier
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards import state_machine
+from fennelwind.shards.migration import Carrier
+from fennelwind.shards.state_machine import ShardMachine
 
 QUICK_SEEDS = 10
 ACTIONS = 17  # of a play of one fault; the last ones have nothing left to break
@@ -42,7 +42,9 @@
             " if engine in held and held[engine].state != 'coming')",
         )
     ],
-    "spills beyond the headroom not counted": [patch.object(machine, "effective", lambda home: home.disk)],
+    "spills beyond the headroom not counted": [
+        patch.object(state_machine, "effective", lambda home: home.disk)
+    ],
     "fence not checked by the record": [
         patch.object(ShardMachine, "_fenced", lambda self, fence, facts: True)
     ],
--- a/tests/move_play.py
+++ b/tests/move_play.py
@@ -13,7 +13,7 @@
 
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.carrier import (
+from fennelwind.shards.migration import (
     Carrier,
     Ended,
     Heard,
@@ -29,9 +29,9 @@
     Timing,
     Wake,
 )
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.model import Bounds, Home, Move, Planned, World
 from fennelwind.shards.plan import plan as planned
-from fennelwind.shards.state import Bounds, Home, Move, Planned, World
+from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.standin.shelves import Content, Refused, Shelf
 
 SIZE, DISK, HEADROOM = 100, 1000, 200  # bytes, as good as any
--- a/tests/test_clearance.py
+++ b/tests/test_clearance.py
@@ -6,7 +6,7 @@
 
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 
 DAYS = 4  # of some 0.4 s each; `clearance_defects.py` and results/clearance.md have more
 
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -28,7 +28,7 @@
 from fennelwind.loop.world import Path as Way
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.standin.engine import Engine
 from fennelwind.standin.model import Machine
 from fennelwind.standin.shelves import Content, Shelf
@@ -42,7 +42,7 @@
 MAIN = """
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.cluster import clearances, moves
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 RollMachine.forget_ms, clearances.RENEW_MS, clearances.AGAIN_MS = 4_000, 700.0, 500.0
 ShardMachine.rest_ms, moves.LIST_SOON_MS = 20_000, 500.0
 from fennelwind.cli.main import main
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -45,7 +45,7 @@
 )
 from fennelwind.lab import contract_rows
 from fennelwind.raft.state_machine import At, UnreadableCommand
-from fennelwind.shards.machine import ShardMachine
+from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 
 
--- a/tests/test_moves_whole.py
+++ b/tests/test_moves_whole.py
@@ -12,9 +12,9 @@
 from fennelwind.config import settings_pb2
 from fennelwind.loop import Address
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.carrier import Timing
-from fennelwind.shards.heat import UNIT, Named
-from fennelwind.shards.state import Home
+from fennelwind.shards.access_load import UNIT, Named
+from fennelwind.shards.migration import Timing
+from fennelwind.shards.model import Home
 from fennelwind.standin.engine import Engine
 from fennelwind.standin.model import Machine
 from fennelwind.standin.shelves import Content, Shelf
--- a/tests/test_shard_moves.py
+++ b/tests/test_shard_moves.py
@@ -22,13 +22,24 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.replicated_state import Record
 from fennelwind.raft.state_machine import At, UnreadableCommand
-from fennelwind.shards import heat, steps
-from fennelwind.shards import machine as machine_module
+from fennelwind.shards import access_load, migration_statements
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.carrier import Carrier, Ended, Heard, Over, Propose, Proposed, Run, Seen, Stop, Wake
-from fennelwind.shards.machine import ASIDE_FIRST_MS, ASIDE_MOST_MS, REST_MS, ShardMachine
+from fennelwind.shards import state_machine as machine_module
+from fennelwind.shards.migration import (
+    Carrier,
+    Ended,
+    Heard,
+    Over,
+    Propose,
+    Proposed,
+    Run,
+    Seen,
+    Stop,
+    Wake,
+)
+from fennelwind.shards.model import Bounds
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Bounds
+from fennelwind.shards.state_machine import ASIDE_FIRST_MS, ASIDE_MOST_MS, REST_MS, ShardMachine
 from fennelwind.standin.shelves import Shelf
 
 Answer, Step = pb.Answer, pb.Step
@@ -739,10 +750,10 @@
     meant = f"{table}/" + "/".join(f"{c}={v}" for c, v in pairs)
     shelf = Shelf(1, {})
     for statement in (
-        steps.export(shard, path),
-        steps.load(shard, path),
-        steps.drop(shard),
-        steps.check(shard),
+        migration_statements.export(shard, path),
+        migration_statements.load(shard, path),
+        migration_statements.drop(shard),
+        migration_statements.check(shard),
     ):
         task = shelf.read(statement)
         assert task.shard == meant and task.path in ("", path), statement
@@ -853,32 +864,34 @@
     assert machine.revision == revision and machine.state_at == desk.index
     other = ShardMachine()
     other.restore(machine.snapshot())
-    later = At(desk.index + 1, 1_800_000 + 17 * heat.PART_MS + 5)
+    later = At(desk.index + 1, 1_800_000 + 17 * access_load.PART_MS + 5)
     for one in (machine, other):
         one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), desk)
     assert machine.snapshot() == other.snapshot() and machine.heats()
-    assert all(abs(heat.faded(10**9, n) - 10**9 * 0.5 ** (n / heat.PARTS)) < 10**5 for n in range(200))
+    assert all(
+        abs(access_load.faded(10**9, n) - 10**9 * 0.5 ** (n / access_load.PARTS)) < 10**5 for n in range(200)
+    )
     two_versions = mock.patch.object(Desk, "fact", lambda self, kind, key: int(kind == "level"))
     with two_versions, pytest.raises(UnreadableCommand, match="of no kind"):
         machine.apply(later, pb.Command(counted=counted()).SerializeToString(), desk)
-    many = counted(*[(f"t/d={n}", 1) for n in range(heat.TOLD_MOST + 1)])
+    many = counted(*[(f"t/d={n}", 1) for n in range(access_load.TOLD_MOST + 1)])
     answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), desk)
     assert Answer.FromString(answer).refusal == Answer.TOO_MANY
-    late = At(later.index + 1, later.clock_ms + 3 * heat.HALF_LIFE_MS)
+    late = At(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
     machine.apply(late, pb.Command(counted=counted()).SerializeToString(), desk)
     assert not machine.heats() and machine.world().heated().shards["t/d=2"].heat == 9.0  # too few to go by
 
 
 def test_a_controller_tells_what_was_named_most_and_keeps_the_rest_faded():
-    named = heat.Named()
-    for n in range(heat.NAMED_MOST + 1):
+    named = access_load.Named()
+    for n in range(access_load.NAMED_MOST + 1):
         named.count([f"t/d={n}", "t/d=0"])
-    batch = named.batch(heat.HALF_LIFE_MS)
-    assert named.uncounted == 1 and batch[0] == ("t/d=0", (heat.NAMED_MOST + 2) * 500)
-    assert len(batch) == heat.TOLD_MOST and batch[1] == ("t/d=1", 500)
+    batch = named.batch(access_load.HALF_LIFE_MS)
+    assert named.uncounted == 1 and batch[0] == ("t/d=0", (access_load.NAMED_MOST + 2) * 500)
+    assert len(batch) == access_load.TOLD_MOST and batch[1] == ("t/d=1", 500)
     named.told(batch)
-    assert len(named.counts) == heat.NAMED_MOST - heat.TOLD_MOST
-    assert named.batch(7 * heat.HALF_LIFE_MS) == []
+    assert len(named.counts) == access_load.NAMED_MOST - access_load.TOLD_MOST
+    assert named.batch(7 * access_load.HALF_LIFE_MS) == []
 
 
 # Plays.
@@ -904,7 +917,10 @@
     [
         None,
         mock.patch.object(Carrier, "_copies_asked", lambda self: {}),
-        mock.patch("fennelwind.shards.pace.source", lambda known, bounds, move, engines, asked: engines[0]),
+        mock.patch(
+            "fennelwind.shards.transfer_throttle.source",
+            lambda known, bounds, move, engines, asked: engines[0],
+        ),
     ],
     ids=["none", "what was asked is not counted", "a new source's streams are not counted"],
 )
--- a/tests/test_shard_plan.py
+++ b/tests/test_shard_plan.py
@@ -16,11 +16,11 @@
 from fennelwind.lab.shard_defects import DEFECTS, found
 from fennelwind.lab.shards import NEEDS_ONLY, measure_small, play
 from fennelwind.shards import exact
-from fennelwind.shards.check import check, finished
-from fennelwind.shards.pace import begin
+from fennelwind.shards.model import Bounds, Copy, Home, Move, Planned, Shard, World
 from fennelwind.shards.plan import __file__ as plan_file
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state import Bounds, Copy, Home, Move, Planned, Shard, World
+from fennelwind.shards.plan_checker import check, finished
+from fennelwind.shards.transfer_throttle import begin
 
 SHARDS = Path(plan_file).parent
 STATES = {"?": "doubtful", "+": "coming", "-": "leaving"}
@@ -299,7 +299,7 @@
         """Return how many of 40 draws of the same rates, or of two shards' others, cause moves."""
         rates = dict.fromkeys(names, 5.0) | {"t/0": rate, "t/24": rate}
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("fennelwind.shards.evenness.CHANCE", deviations)
+            patch.setattr("fennelwind.shards.balance.CHANCE", deviations)
             return sum(
                 bool(
                     clean(
@@ -404,7 +404,7 @@
 
 def test_the_checker_shares_nothing_with_the_planner_and_the_solver_stays_with_the_yardstick():
     ours = {name for name in imported("check.py") if name.startswith("fennelwind")}
-    assert ours == {"fennelwind.shards.state"}
+    assert ours == {"fennelwind.shards.model"}
     files = {path.name for path in SHARDS.glob("*.py")}
     assert "highspy" in imported("exact.py")
     for name in sorted(files - {"exact.py"}):
