--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -17,12 +17,17 @@
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.state_machines import CONTRACTS
 from fennelwind.cluster.wakeup import Bell
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
-from fennelwind.contracts.rules import NUMBER, RULES
-from fennelwind.contracts.said import Publication, Subscription, publication, subscription
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Loop, Once
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.rules import NUMBER, RULES
+from fennelwind.schema_compatibility.session_options import (
+    Publication,
+    Subscription,
+    publication,
+    subscription,
+)
+from fennelwind.schema_compatibility.state_machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
 
 TOLD_MS = 500.0  # ms that a subscriber's OpenSession waits for the record's word; then it goes on without
 ASK_MS = 4000.0  # ms for one command
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -1,8 +1,8 @@
 """What the machine of contracts is asked by controllers, beside its commands."""
 
 from fennelwind.cluster import gate_pb2
-from fennelwind.contracts.machine import ContractMachine, change_message
-from fennelwind.contracts.messages import schema_message
+from fennelwind.schema_compatibility.messages import schema_message
+from fennelwind.schema_compatibility.state_machine import ContractMachine, change_message
 
 NAMED_MOST = 10_000  # engines that are told as quiet or behind; with long addresses a quarter of a frame
 
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -22,15 +22,15 @@
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS
-from fennelwind.contracts import carrying
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import Underway, read_change
-from fennelwind.contracts.messages import read_schema
-from fennelwind.contracts.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 from fennelwind.errors import FennelwindError
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility import rollout
+from fennelwind.schema_compatibility.messages import read_schema
+from fennelwind.schema_compatibility.state_machine import Underway, read_change
+from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
 TASK = "table:"  # and the table's name: the lease under which its changes are carried out
 TERM_MS = 60_000  # ms of that lease; some 26 s of it are left at the least while renewals go well
@@ -45,7 +45,7 @@
 HEAR_MS = 500.0  # ms between two questions whether an engine is cleared
 NO_TABLE = "42S02"  # SQLSTATE of a look at a table that is not there
 
-Carrier = carrying.Carrier
+Carrier = rollout.Carrier
 Kept = dict[str, frozenset[str]]  # by table: engines to which no new query of it is to go
 # Takes the entry that a view is of, what is kept away, the pairs that are asked for, whether these are all.
 Quieted = Callable[[int, Kept, list[tuple[str, str]], bool], None]
@@ -181,14 +181,14 @@
         self._quiet_since = dict.fromkeys(change.quiet, seen)
         self._drains: dict[str, int] = {}  # by engine: the token of what it is to be cleared for
         self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
-        patience = carrying.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
+        patience = rollout.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
         self.carrier = Carrier(change, old, held.fence, patience)
-        self.hands: Hands[carrying.Event] = Hands(self.loop, held.name)
+        self.hands: Hands[rollout.Event] = Hands(self.loop, held.name)
         self._running: dict[str, Statement] = {}  # the last statement for each engine
         # One that the last holder noted as gone may be back: then it is told of as returned.
         self._there = {name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY}
 
-    def run(self) -> carrying.Over:
+    def run(self) -> rollout.Over:
         """Carry it out to its end here. Raises `TaskNotHeld` where too little of the lease is left."""
         try:
             while True:
@@ -208,42 +208,42 @@
         for engine in sorted(self.change.engines):
             if engine in self._there and engine not in known:
                 self._there.discard(engine)
-                self.hands.post(carrying.Left(engine))
+                self.hands.post(rollout.Left(engine))
             elif engine not in self._there and engine in known:
                 self._there.add(engine)
-                self.hands.post(carrying.Returned(engine))
+                self.hands.post(rollout.Returned(engine))
 
-    def _carry(self, action: carrying.Action) -> None:
+    def _carry(self, action: rollout.Action) -> None:
         match action:
-            case carrying.Tell():
+            case rollout.Tell():
                 self.hands.spawn(self._tell, action)
-            case carrying.Quiet(token, engine) if self.changes.clearances is None:
-                self.hands.post(carrying.Drained(token, engine))  # the engine's own lock keeps them apart
-            case carrying.Quiet(token, engine):
+            case rollout.Quiet(token, engine) if self.changes.clearances is None:
+                self.hands.post(rollout.Drained(token, engine))  # the engine's own lock keeps them apart
+            case rollout.Quiet(token, engine):
                 self._drains[engine] = token
                 self.hands.spawn(self._drain, token, engine)
-            case carrying.Run():
+            case rollout.Run():
                 self.hands.spawn(self._statement, action)
-            case carrying.Stop():
+            case rollout.Stop():
                 self.hands.spawn(self._stop, action)
-            case carrying.Look():
+            case rollout.Look():
                 self.hands.spawn(self._look, action)
 
-    def _tell(self, action: carrying.Tell) -> None:
+    def _tell(self, action: rollout.Tell) -> None:
         try:
             raw, index = self.changes.asker.propose_at(
                 CONTRACTS, action.command.SerializeToString(deterministic=True), ASK_MS
             )
         except CouncilError as exc:
             self.changes.counts[exc.code] += 1
-            self.hands.post(carrying.Recorded(action.token, None))
+            self.hands.post(rollout.Recorded(action.token, None))
         else:
             answer, mark = pb.ContractAnswer.FromString(raw), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
                 self._quiet_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
                 self._quiet_since.setdefault(mark.engine, index)
-            self.hands.post(carrying.Recorded(action.token, answer))
+            self.hands.post(rollout.Recorded(action.token, answer))
 
     def _drain(self, token: int, engine: str) -> None:
         """Wait until no controller has a query of the table on an engine, for as long as it is asked for."""
@@ -260,11 +260,11 @@
             late = silent_since is not None and now - silent_since >= SILENT_MS
             if late or state in (clear.Heard.CLEARED, clear.Heard.BLIND):
                 self.changes.counts["engines cleared" if not late else "engines not cleared"] += 1
-                self.hands.post(carrying.Drained(token, engine))
+                self.hands.post(rollout.Drained(token, engine))
                 return
             self.loop.sleep(HEAR_MS)
 
-    def _statement(self, action: carrying.Run) -> None:
+    def _statement(self, action: rollout.Run) -> None:
         with self.held.act(STATEMENT_MS) as act:
             statement = self._running[action.engine] = self.changes.statements.to(action.engine)
             how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_MS)
@@ -274,29 +274,29 @@
                 "statement " + how,
                 {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]},
             )
-        self.hands.post(carrying.Ran(action.token, action.engine, how))
+        self.hands.post(rollout.Ran(action.token, action.engine, how))
 
-    def _stop(self, action: carrying.Stop) -> None:
+    def _stop(self, action: rollout.Stop) -> None:
         statement = self._running[action.engine]
         while not statement.stop(STOP_MS):
             self.loop.sleep(AGAIN_MS)  # until the carrier's own time is up
-        self.hands.post(carrying.Stopped(action.token, action.engine))
+        self.hands.post(rollout.Stopped(action.token, action.engine))
 
-    def _look(self, action: carrying.Look) -> None:
+    def _look(self, action: rollout.Look) -> None:
         parts = ".".join(quoted(part) for part in self.change.table.split("."))
         with self.held.act(STATEMENT_MS):
             statement = self.changes.statements.to(action.engine)
             how, rows = statement.run(f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_MS, rows=True)
         if how == OK:
             try:
-                self.hands.post(carrying.Looked(action.token, action.engine, shape(rows)))
+                self.hands.post(rollout.Looked(action.token, action.engine, shape(rows)))
                 return
             except (SchemaTextError, SchemaError) as exc:
                 statement.text = f"a description that can't be read: {exc}"
         elif statement.state == NO_TABLE:
-            self.hands.post(carrying.Looked(action.token, action.engine, None))
+            self.hands.post(rollout.Looked(action.token, action.engine, None))
             return
         self.changes.said(
             "look " + how, {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]}
         )
-        self.hands.post(carrying.LookFailed(action.token, action.engine, how == FENCED))
+        self.hands.post(rollout.LookFailed(action.token, action.engine, how == FENCED))
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -4,11 +4,11 @@
 
 from fennelwind.cluster.applied_state import whole_state
 from fennelwind.cluster.schema_queries import asked
-from fennelwind.contracts.machine import ContractMachine
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft.state_machine import Machine
+from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
 
 LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", RollMachine.name
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/fleet/wholerig.py
@@ -19,13 +19,13 @@
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.contracts.machine import ContractMachine
 from fennelwind.engines.links import Link, RemoteError
 from fennelwind.fleet.councilrig import LOOK_MS, CouncilRig
 from fennelwind.fleet.relay import Row
 from fennelwind.fleet.wholeday import End, Query, traffic, verdict
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
+from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.standin.client import Ask, Client
 from fennelwind.standin.discovery import Discovery, Listed
--- a/fennelwind/lab/contract_rows.py
+++ b/fennelwind/lab/contract_rows.py
@@ -17,12 +17,12 @@
 from typing import Any
 
 from fennelwind.client.types import NAMES, read_page, type_name
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import ContractMachine
-from fennelwind.contracts.messages import reads_message, schema_message
-from fennelwind.contracts.rules import NUMBER, RULES, Read, Reads
-from fennelwind.contracts.types import Column, Schema, Type, parse_type
 from fennelwind.raft.state_machine import At
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.messages import reads_message, schema_message
+from fennelwind.schema_compatibility.rules import NUMBER, RULES, Read, Reads
+from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.types import Column, Schema, Type, parse_type
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
 
--- a/fennelwind/lab/contracts.py
+++ b/fennelwind/lab/contracts.py
@@ -10,14 +10,14 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import ContractMachine
-from fennelwind.contracts.messages import reads_message, schema_message
-from fennelwind.contracts.rules import NUMBER
-from fennelwind.contracts.said import parse_reads
-from fennelwind.contracts.types import parse_schema
 from fennelwind.lab import contract_rows
 from fennelwind.raft.state_machine import At
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.messages import reads_message, schema_message
+from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.session_options import parse_reads
+from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.types import parse_schema
 
 SUBSCRIBERS, TABLES, COLUMNS = 10_000, 1000, 40  # columns of a table
 READ_TABLES, READ_COLUMNS = 3, 8  # of a subscriber, in the mean; columns of each table
--- a/fennelwind/lab/descriptors.py
+++ b/fennelwind/lab/descriptors.py
@@ -13,8 +13,8 @@
 
 from google.protobuf.descriptor_pb2 import FileDescriptorProto, FileDescriptorSet
 
-from fennelwind.contracts.descriptors import Found, compare
 from fennelwind.errors import FennelwindError
+from fennelwind.schema_compatibility.message_compatibility import Found, compare
 
 PROGRAM = Path(__file__).parent.parent
 KEPT = PROGRAM.parent / "tests" / "data" / "descriptors"
--- a/fennelwind/contracts/checker.py
+++ b/fennelwind/schema_compatibility/checker.py
@@ -6,7 +6,7 @@
 
 from typing import NamedTuple
 
-from fennelwind.contracts.rules import (
+from fennelwind.schema_compatibility.rules import (
     Finding,
     Form,
     Level,
@@ -17,7 +17,7 @@
     takes_whole_rows,
     worst,
 )
-from fennelwind.contracts.types import Schema
+from fennelwind.schema_compatibility.types import Schema
 
 FormKey = tuple[Reads, int]  # what is read, and the version of the protocol
 
--- a/fennelwind/contracts/messages.py
+++ b/fennelwind/schema_compatibility/messages.py
@@ -3,10 +3,19 @@
 from collections.abc import Iterable
 from functools import lru_cache
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.checker import Verdict
-from fennelwind.contracts.rules import Finding, Read, Reads
-from fennelwind.contracts.types import Column, Schema, SchemaError, Type, check, check_type, fold, table_name
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.checker import Verdict
+from fennelwind.schema_compatibility.rules import Finding, Read, Reads
+from fennelwind.schema_compatibility.types import (
+    Column,
+    Schema,
+    SchemaError,
+    Type,
+    check,
+    check_type,
+    fold,
+    table_name,
+)
 
 READS_MOST = 64  # tables of one subscription
 NAMED_MOST = 1000  # subscribers named in one answer, of some 30 letters each; the rest are counted
--- a/fennelwind/contracts/carrying.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -15,10 +15,10 @@
 from dataclasses import dataclass
 from math import inf
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import Underway
-from fennelwind.contracts.rules import NUMBER
-from fennelwind.contracts.types import Schema
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.state_machine import Underway
+from fennelwind.schema_compatibility.types import Schema
 
 FENCE = "fennelwind.fence"  # setting in the overlay of a task's statements: TASK:NUMBER
 Change = pb.Change
--- a/fennelwind/contracts/rules.py
+++ b/fennelwind/schema_compatibility/rules.py
@@ -13,7 +13,7 @@
 from functools import lru_cache
 from typing import NamedTuple
 
-from fennelwind.contracts.types import Column, Schema, Type
+from fennelwind.schema_compatibility.types import Column, Schema, Type
 
 NUMBER = 1  # of this set of rules
 FIRST, NEWEST = 1, 11  # HIVE_CLI_SERVICE_PROTOCOL_V1 and V11
--- a/fennelwind/contracts/said.py
+++ b/fennelwind/schema_compatibility/session_options.py
@@ -22,10 +22,11 @@
 from functools import lru_cache
 from typing import Any
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.messages import READS_MOST, reads_message, schema_message
-from fennelwind.contracts.rules import FIRST, NEWEST, NUMBER, Read, Reads
-from fennelwind.contracts.types import (
+from fennelwind.errors import FennelwindError
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.messages import READS_MOST, reads_message, schema_message
+from fennelwind.schema_compatibility.rules import FIRST, NEWEST, NUMBER, Read, Reads
+from fennelwind.schema_compatibility.types import (
     READS_GRAMMAR,
     SchemaError,
     SchemaTextError,
@@ -35,7 +36,6 @@
     quoted,
     table_name,
 )
-from fennelwind.errors import FennelwindError
 
 SUBSCRIBER, PUBLISHER, BACK = "fennelwind.subscriber", "fennelwind.publisher", "fennelwind.back"
 TERM, AT_ONCE = "fennelwind.subscriber.term_s", "fennelwind.at_once"
--- a/fennelwind/contracts/machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -21,9 +21,10 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.checker import Subscriptions, check
-from fennelwind.contracts.messages import (
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.checker import Subscriptions, check
+from fennelwind.schema_compatibility.messages import (
     READS_MOST,
     all_reads_message,
     found_messages,
@@ -35,9 +36,26 @@
     shared,
     verdict_message,
 )
-from fennelwind.contracts.rules import FIRST, NEWEST, NUMBER, Finding, Form, Level, Read, Reads, judge, worst
-from fennelwind.contracts.types import COLUMNS_MOST, Schema, SchemaError, fold, numbered, table_name
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.schema_compatibility.rules import (
+    FIRST,
+    NEWEST,
+    NUMBER,
+    Finding,
+    Form,
+    Level,
+    Read,
+    Reads,
+    judge,
+    worst,
+)
+from fennelwind.schema_compatibility.types import (
+    COLUMNS_MOST,
+    Schema,
+    SchemaError,
+    fold,
+    numbered,
+    table_name,
+)
 
 TABLES_MOST = 20_000  # tables known
 SUBSCRIPTIONS_MOST = 50_000  # forms of all subscribers together
--- a/tests/contracts_defects.py
+++ b/tests/contracts_defects.py
@@ -13,11 +13,11 @@
 from contracts_world import World
 from planted import Line, broken, by_model, planted, row
 
-from fennelwind.contracts import checker, machine, messages, rules, said
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.carrying import Carrier
-from fennelwind.contracts.machine import ContractMachine
 from fennelwind.lab import contract_rows
+from fennelwind.schema_compatibility import checker, messages, rules, session_options, state_machine
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.rollout import Carrier
+from fennelwind.schema_compatibility.state_machine import ContractMachine
 
 CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client hands out as text all the same
 
@@ -126,7 +126,7 @@
         "cases",
         [
             Line(
-                said.parse_reads,
+                session_options.parse_reads,
                 "columns, how = parsed(READS_GRAMMAR, text)",
                 "columns, how = parsed(READS_GRAMMAR, text)\n"
                 "    for c in columns:\n"
@@ -187,7 +187,7 @@
     Defect(
         "the fence is not in the snapshot",
         "model",
-        [Line(machine.change_message, "fence=change.fence", "fence=0")],
+        [Line(state_machine.change_message, "fence=change.fence", "fence=0")],
         "test_another_member_goes_on_where_the_first_one_stopped",
     ),
     Defect(
@@ -295,7 +295,9 @@
                 "if part.state == Change.GONE_AWAY and state == Change.ASKED:\n"
                 "        state = Change.WAITING\n    self._phase(",
             ),
-            patch.object(machine, "_FORWARD", machine._FORWARD | {(pb.Change.GONE_AWAY, pb.Change.WAITING)}),
+            patch.object(
+                state_machine, "_FORWARD", state_machine._FORWARD | {(pb.Change.GONE_AWAY, pb.Change.WAITING)}
+            ),
         ],
         "test_an_engine_that_returns_half_way_is_not_taken_for_untouched",
     ),
@@ -329,7 +331,7 @@
 
 
 def _forget() -> None:
-    for cached in (rules.type_rules, rules.carried, messages.read_all_reads, said.parse_reads):
+    for cached in (rules.type_rules, rules.carried, messages.read_all_reads, session_options.parse_reads):
         getattr(cached, "cache_clear", int)()
 
 
--- a/tests/contracts_model.py
+++ b/tests/contracts_model.py
@@ -5,13 +5,13 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, initialize, invariant, multiple, rule
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts import machine as under_test
-from fennelwind.contracts.messages import reads_message, schema_message
-from fennelwind.contracts.rules import NUMBER, RULES, Form, Level, Read, judge, worst
-from fennelwind.contracts.said import parse_reads, reads_text
-from fennelwind.contracts.types import parse_schema, table_name
 from fennelwind.raft.state_machine import At
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility import state_machine as under_test
+from fennelwind.schema_compatibility.messages import reads_message, schema_message
+from fennelwind.schema_compatibility.rules import NUMBER, RULES, Form, Level, Read, judge, worst
+from fennelwind.schema_compatibility.session_options import parse_reads, reads_text
+from fennelwind.schema_compatibility.types import parse_schema, table_name
 
 SCHEMAS = (
     "a int, b string",
--- a/tests/contracts_search.py
+++ b/tests/contracts_search.py
@@ -8,12 +8,12 @@
 import time
 from typing import NamedTuple
 
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import ContractMachine
-from fennelwind.contracts.messages import schema_message
-from fennelwind.contracts.rules import NUMBER
-from fennelwind.contracts.types import parse_schema
 from fennelwind.raft.state_machine import At
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility.messages import schema_message
+from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.types import parse_schema
 from fennelwind.shards import shards_pb2 as moves
 from fennelwind.shards.state_machine import UNDER_WAY, ShardMachine
 
--- a/tests/contracts_world.py
+++ b/tests/contracts_world.py
@@ -2,14 +2,14 @@
 
 from random import Random
 
-from fennelwind.contracts import carrying as go
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.carrying import Carrier, Patience, shape
-from fennelwind.contracts.machine import ContractMachine, read_change
-from fennelwind.contracts.messages import schema_message
-from fennelwind.contracts.rules import NUMBER
-from fennelwind.contracts.types import parse_schema
 from fennelwind.raft.state_machine import At
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility import rollout as go
+from fennelwind.schema_compatibility.messages import schema_message
+from fennelwind.schema_compatibility.rollout import Carrier, Patience, shape
+from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.state_machine import ContractMachine, read_change
+from fennelwind.schema_compatibility.types import parse_schema
 
 OLD, NEW = parse_schema("a int, b string"), parse_schema("a int, b string, c int")
 ANCIENT = parse_schema("a int")  # of an engine that missed the change before
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -27,11 +27,6 @@
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.state_machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
 from fennelwind.config import settings_pb2
-from fennelwind.contracts import contracts_pb2
-from fennelwind.contracts.messages import reads_message, schema_message
-from fennelwind.contracts.rules import NUMBER
-from fennelwind.contracts.said import parse_reads
-from fennelwind.contracts.types import parse_schema
 from fennelwind.errors import FennelwindError
 from fennelwind.leases import leases_pb2
 from fennelwind.loop import Address, SimLoop
@@ -45,6 +40,11 @@
 from fennelwind.raft.snapshot_chunks import head_of
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage.store import Limits
+from fennelwind.schema_compatibility import contracts_pb2
+from fennelwind.schema_compatibility.messages import reads_message, schema_message
+from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.session_options import parse_reads
+from fennelwind.schema_compatibility.types import parse_schema
 from fennelwind.shards import shards_pb2
 from fennelwind.thrift import hiveserver2 as hs2
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -15,9 +15,26 @@
 from test_descriptors import fill
 
 from fennelwind.client.cursor import Cursor
-from fennelwind.contracts import carrying as go
-from fennelwind.contracts import contracts_pb2 as pb
-from fennelwind.contracts.machine import (
+from fennelwind.lab import contract_rows
+from fennelwind.raft.state_machine import At, UnreadableCommand
+from fennelwind.schema_compatibility import contracts_pb2 as pb
+from fennelwind.schema_compatibility import rollout as go
+from fennelwind.schema_compatibility.messages import (
+    read_reads,
+    read_schema,
+    reads_message,
+    schema_message,
+    type_message,
+)
+from fennelwind.schema_compatibility.rules import NUMBER, RULES, Level, Read, Reads, type_rules
+from fennelwind.schema_compatibility.session_options import (
+    SaidError,
+    parse_reads,
+    publication,
+    reads_text,
+    subscription,
+)
+from fennelwind.schema_compatibility.state_machine import (
     BEGIN_MS,
     FINISHED,
     REST_MS,
@@ -25,16 +42,7 @@
     WANTED_MS,
     ContractMachine,
 )
-from fennelwind.contracts.messages import (
-    read_reads,
-    read_schema,
-    reads_message,
-    schema_message,
-    type_message,
-)
-from fennelwind.contracts.rules import NUMBER, RULES, Level, Read, Reads, type_rules
-from fennelwind.contracts.said import SaidError, parse_reads, publication, reads_text, subscription
-from fennelwind.contracts.types import (
+from fennelwind.schema_compatibility.types import (
     Column,
     Schema,
     SchemaError,
@@ -43,8 +51,6 @@
     parse_schema,
     parse_type,
 )
-from fennelwind.lab import contract_rows
-from fennelwind.raft.state_machine import At, UnreadableCommand
 from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 
