--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -7,14 +7,14 @@
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.config.tls import TlsError, server_context
 from fennelwind.config.users import UsersError, load_users
-from fennelwind.core.driver import Driver, Observer
-from fennelwind.core.types import Router
+from fennelwind.dispatch.driver import Driver, Observer
+from fennelwind.dispatch.types import Router
 from fennelwind.engines.discovery import DiscoveryLink
 from fennelwind.engines.links import EngineLinks
 from fennelwind.fronts.hs2 import Front
 from fennelwind.fronts.hs2.http import HttpFront
 from fennelwind.fronts.hs2.service import Service
-from fennelwind.limits.margin import AnswerMargin
+from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, Loop
 from fennelwind.observe.metrics import MetricsFront
 
--- a/fennelwind/core/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -11,8 +11,8 @@
 from typing import Any, Protocol
 
 from fennelwind import interface as api
-from fennelwind.core.ledger import Entry, Ledger, Try
-from fennelwind.core.types import (
+from fennelwind.dispatch.ledger import Entry, Ledger, Try
+from fennelwind.dispatch.types import (
     DONE,
     FAILED,
     LEFT,
@@ -26,12 +26,12 @@
     Router,
     Submission,
 )
-from fennelwind.limits.budget import AttemptBudget
-from fennelwind.limits.margin import AnswerMargin
+from fennelwind.limits.answer_margin import AnswerMargin
+from fennelwind.limits.retry_budget import AttemptBudget
+from fennelwind.load_balancing.load_advisor import Advisor
 from fennelwind.loop import Cancelled, Loop, Task
-from fennelwind.recovery.repeats import Repeats, Request, goes_on, request_name
+from fennelwind.recovery.request_coalescing import Repeats, Request, goes_on, request_name
 from fennelwind.rules import Gateway
-from fennelwind.spread.advisor import Advisor
 
 NO_TABLE = "42S02"  # SQLSTATE of a table or partition that is not there, as Hive tells it
 UNSURE = ("reset", "timeout", "cancelled")  # ends of attempts whose statement may go on at its engine
--- a/fennelwind/core/ledger.py
+++ b/fennelwind/dispatch/ledger.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fennelwind.core.types import FAILED, LEFT, REFUSED, SERVED, Answer, Submission
+from fennelwind.dispatch.types import FAILED, LEFT, REFUSED, SERVED, Answer, Submission
 
 
 @dataclass(slots=True, eq=False)
--- a/fennelwind/engines/links.py
+++ b/fennelwind/engines/links.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.core.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
+from fennelwind.dispatch.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
 from fennelwind.engines.rowstream import RowStream, may_flow
 from fennelwind.engines.verdicts import ANSWER, FAULT, TURNED_AWAY, choose_link, verdict
 from fennelwind.errors import FennelwindError
--- a/fennelwind/fleet/virtual.py
+++ b/fennelwind/fleet/virtual.py
@@ -10,8 +10,8 @@
 
 from fennelwind import interface as api
 from fennelwind.audit.sightings import Process, Sighting, Usage
-from fennelwind.core.ledger import Entry
-from fennelwind.core.types import AttemptEnd
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.types import AttemptEnd
 from fennelwind.fleet.addresses import Addresses
 from fennelwind.fleet.links import Links
 from fennelwind.fleet.plan import CHANNEL, FOREVER, Plan, Step, clients_of
--- a/fennelwind/fronts/hs2/door.py
+++ b/fennelwind/fronts/hs2/door.py
@@ -12,7 +12,7 @@
 from argon2.exceptions import InvalidHashError, VerificationError
 
 from fennelwind.config.users import User
-from fennelwind.limits.logins import Logins
+from fennelwind.limits.login_throttle import Logins
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 
 CHECKS_MOST = 64  # checks that may be under way or in line; further logins are turned away
--- a/fennelwind/fronts/hs2/http.py
+++ b/fennelwind/fronts/hs2/http.py
@@ -10,7 +10,7 @@
 
 import h11
 
-from fennelwind.core.ledger import Entry
+from fennelwind.dispatch.ledger import Entry
 from fennelwind.fronts.hs2.server import Front
 from fennelwind.fronts.hs2.service import NOT_BOUND
 from fennelwind.loop import Cancelled, DeadlineExceeded, Stream, StreamReset, Task
--- a/fennelwind/fronts/hs2/rows.py
+++ b/fennelwind/fronts/hs2/rows.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from fennelwind.core.types import Result
+from fennelwind.dispatch.types import Result
 from fennelwind.engines.rowstream import StreamLostError
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Structure
--- a/fennelwind/fronts/hs2/service.py
+++ b/fennelwind/fronts/hs2/service.py
@@ -20,10 +20,10 @@
 
 from fennelwind import __version__
 from fennelwind.config import Controller
-from fennelwind.core.driver import Driver
-from fennelwind.core.ledger import Entry
-from fennelwind.core.sessions import SessionError, SessionState
-from fennelwind.core.types import FAILED, LEFT, REFUSED, SERVED, Answer, Result, Submission
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.sessions import SessionError, SessionState
+from fennelwind.dispatch.types import FAILED, LEFT, REFUSED, SERVED, Answer, Result, Submission
 from fennelwind.engines.rowstream import StreamLostError
 from fennelwind.errors import FennelwindError
 from fennelwind.fronts.hs2.door import Door
--- a/fennelwind/lab/spread.py
+++ b/fennelwind/lab/spread.py
@@ -6,8 +6,8 @@
 from random import Random
 
 from fennelwind import interface as api
+from fennelwind.load_balancing.load_advisor import Advisor
 from fennelwind.rules import Gateway
-from fennelwind.spread.advisor import Advisor
 
 CONTROLLERS, QUERIES, ROUNDS = 200, 3000, 3
 TOOK_MS, IDLE_MS = 150.0, 15_000.0  # from send to answer; how long idle connections are kept
--- a/fennelwind/spread/advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -9,8 +9,8 @@
 from random import Random
 
 from fennelwind import interface as api
-from fennelwind.spread import subset
-from fennelwind.spread.estimate import SHARES, Estimate
+from fennelwind.load_balancing import subsetting
+from fennelwind.load_balancing.load_estimate import SHARES, Estimate
 
 LITTLE = 16  # controllers; with fewer, own queries tell enough of the load, and each may lean to everyone
 RATE_MS = 5000.0  # ms over which own traffic is counted; a burst must not change the subset by itself
@@ -58,7 +58,9 @@
     def picture(self, now: float) -> api.Picture:
         """Return the executors to lean to and their loads, as they are taken to be now."""
         near, far = self.order = self.order or self._ranked()
-        names = subset.choose(near, far, subset.size(self._rate(now), self.idle_ms * AGAIN_PART / 1000.0))
+        names = subsetting.choose(
+            near, far, subsetting.size(self._rate(now), self.idle_ms * AGAIN_PART / 1000.0)
+        )
         loads = {name: self._seen(name, now) for name in names}
         if self.trial in self.entries and self.entries[self.trial].state == "ready":
             loads = {self.trial: 0.0} | {name: load for name, load in loads.items() if name != self.trial}
@@ -93,7 +95,7 @@
 
     def _ranked(self) -> tuple[list[str], list[str]]:
         def place(entry: api.EngineEntry) -> float:
-            return subset.rank(self.set.me, entry.engine, self._cores(entry))
+            return subsetting.rank(self.set.me, entry.engine, self._cores(entry))
 
         ready = sorted((e for e in self.entries.values() if e.state == "ready"), key=place)
         return (
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -15,7 +15,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from fennelwind.core.types import AttemptEnd, Order, Result
+from fennelwind.dispatch.types import AttemptEnd, Order, Result
 from fennelwind.loop.scheduler import Cancelled, DeadlineExceeded, Waiter
 from fennelwind.loop.streams import ConnectFailed, LocalConnectFailure, StreamReset
 from fennelwind.node.http1 import Malformed, Response
--- a/fennelwind/node/executors.py
+++ b/fennelwind/node/executors.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 
-from fennelwind.core.types import AttemptEnd, Order
+from fennelwind.dispatch.types import AttemptEnd, Order
 from fennelwind.loop.scheduler import DeadlineExceeded, Loop, Waiter
 from fennelwind.loop.streams import Address, ConnectFailed, Stream, StreamReset
 from fennelwind.node.attempt import Attempt, request
--- a/fennelwind/node/front.py
+++ b/fennelwind/node/front.py
@@ -10,10 +10,10 @@
 
 from collections import Counter, deque
 
-from fennelwind.core.driver import Driver
-from fennelwind.core.ledger import Entry
-from fennelwind.core.types import LEFT, REFUSED, SERVED, Submission
-from fennelwind.limits.places import Places
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.types import LEFT, REFUSED, SERVED, Submission
+from fennelwind.limits.connection_slots import Places
 from fennelwind.loop.scheduler import DeadlineExceeded, Loop
 from fennelwind.loop.streams import Listener, PushStream, StreamReset
 from fennelwind.node import msgrpc
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -8,11 +8,12 @@
 import traceback
 from collections.abc import Callable
 
-from fennelwind.core.driver import Driver
-from fennelwind.core.ledger import Entry
-from fennelwind.core.types import SERVED, AttemptEnd
-from fennelwind.limits.lines import RateLimit
-from fennelwind.limits.margin import AnswerMargin
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.types import SERVED, AttemptEnd
+from fennelwind.limits.answer_margin import AnswerMargin
+from fennelwind.limits.log_rate_limit import RateLimit
+from fennelwind.load_balancing.load_advisor import Advisor, acts
 from fennelwind.loop.real import HANGUP, INTERRUPT, TERMINATE, RealLoop
 from fennelwind.loop.retrying import retried
 from fennelwind.loop.scheduler import Loop, Once
@@ -23,7 +24,6 @@
 from fennelwind.node.reload import Reloader, read_text
 from fennelwind.node.shutdown import ShutdownSchedule
 from fennelwind.node.view import compare, drift
-from fennelwind.spread.advisor import Advisor, acts
 
 MARGIN_LEAST_MS, MARGIN_MOST_MS = 15.0, 200.0  # bounds of the measured time of answers on their way
 CLIENTS_PART, EXECUTORS_PART = 0.55, 0.36  # of the descriptors: clients', and links to executors
--- a/fennelwind/observe/logs.py
+++ b/fennelwind/observe/logs.py
@@ -7,9 +7,9 @@
 
 import structlog
 
-from fennelwind.core.ledger import Entry
-from fennelwind.core.types import SERVED, AttemptEnd
-from fennelwind.limits.lines import RateLimit
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.types import SERVED, AttemptEnd
+from fennelwind.limits.log_rate_limit import RateLimit
 from fennelwind.loop.outlet import Outlet
 
 TEXT_MOST = 300  # letters of a reason in a log
--- a/tests/simday.py
+++ b/tests/simday.py
@@ -7,7 +7,7 @@
 from fennelwind.audit.rules import served_share
 from fennelwind.cli.demo import DATA
 from fennelwind.cli.program import Program
-from fennelwind.core.driver import Silent
+from fennelwind.dispatch.driver import Silent
 from fennelwind.loop import SimLoop
 from fennelwind.standin import script_pb2 as sc
 from fennelwind.standin.day import Day
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -12,8 +12,8 @@
 
 from fennelwind.cli.main import main
 from fennelwind.cli.output import table
-from fennelwind.core.ledger import Ledger
-from fennelwind.core.types import REFUSED, SERVED, Answer, AttemptEnd, Submission
+from fennelwind.dispatch.ledger import Ledger
+from fennelwind.dispatch.types import REFUSED, SERVED, Answer, AttemptEnd, Submission
 from fennelwind.lab import timers
 from fennelwind.observe import LogObserver, configure
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -15,10 +15,10 @@
 from fleet import Fleet, execute, fetch, ids, outcome, status
 
 from fennelwind import interface as api
-from fennelwind.core.driver import Driver, Silent
-from fennelwind.core.types import AttemptEnd, Order, Result, Submission
+from fennelwind.dispatch.driver import Driver, Silent
+from fennelwind.dispatch.types import AttemptEnd, Order, Result, Submission
 from fennelwind.engines.links import RemoteError
-from fennelwind.limits.margin import AnswerMargin
+from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, SimLoop, StreamReset
 from fennelwind.thrift import hints, messages
 from fennelwind.thrift import hiveserver2 as hs2
--- a/tests/test_council_program.py
+++ b/tests/test_council_program.py
@@ -103,7 +103,7 @@
 
     def found():
         modules = (tmp_path / "modules").read_text("utf-8").split()
-        assert "fennelwind.core.driver" in modules
+        assert "fennelwind.dispatch.driver" in modules
         return sorted(filter(COUNCILS.search, modules))
 
     return found
--- a/tests/test_crossings_front.py
+++ b/tests/test_crossings_front.py
@@ -20,7 +20,7 @@
 from test_node import run, settled
 from test_node_run import ROOT, WAIT_S, command, listening, serve_channel
 
-from fennelwind.limits import places
+from fennelwind.limits import connection_slots
 from fennelwind.loop import Address, RealLoop, StreamReset
 from fennelwind.loop.real import READ
 from fennelwind.node import front as front_module
@@ -196,7 +196,7 @@
         if why == "room":
             assert not node.front._make_room()
         else:
-            monkeypatch.setattr(places, f"{why.upper()}_MS", -1.0)
+            monkeypatch.setattr(connection_slots, f"{why.upper()}_MS", -1.0)
             overdue = list(node.front.places.overdue(loop.now()))
             assert overdue == [(connection, why)]
             node.front.close_overdue()
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -8,7 +8,7 @@
 from fleet import Fleet
 
 from fennelwind import interface as api
-from fennelwind.core.types import Order, Submission
+from fennelwind.dispatch.types import Order, Submission
 from fennelwind.engines.discovery import DiscoveryError, DiscoveryLink, Lives, read_list
 from fennelwind.loop import Address, SimLoop
 from fennelwind.standin.discovery import Discovery, Listed
@@ -283,19 +283,19 @@
         "rules.py",
         "state.py",
         "interface.py",
-        "core/ledger.py",
-        "core/types.py",
+        "dispatch/ledger.py",
+        "dispatch/types.py",
         "thrift/transport.py",
-        "core/sessions.py",
-        "limits/margin.py",
+        "dispatch/sessions.py",
+        "limits/answer_margin.py",
         "limits/admission.py",
-        "recovery/repeats.py",
+        "recovery/request_coalescing.py",
         "engines/verdicts.py",
-        "limits/logins.py",
+        "limits/login_throttle.py",
         "client/retry.py",
-        "limits/lines.py",
-        "limits/places.py",
-        "limits/budget.py",
+        "limits/log_rate_limit.py",
+        "limits/connection_slots.py",
+        "limits/retry_budget.py",
         "node/msgrpc.py",
         "node/http1.py",
         "node/statement.py",
@@ -305,9 +305,9 @@
         "fleet/links.py",
         "fleet/wholeday.py",
         "fleet/yardsticks.py",
-        "spread/estimate.py",
-        "spread/subset.py",
-        "spread/advisor.py",
+        "load_balancing/load_estimate.py",
+        "load_balancing/subsetting.py",
+        "load_balancing/load_advisor.py",
         *(
             str(p.relative_to(ROOT))
             for room in ("council", "leases", "clearance", "shards", "contracts")
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -15,7 +15,7 @@
     "loop/realdisk.py": {"_Late"},
     "raft/state_machine.py": {"UnreadableCommand"},
     "thrift/codec.py": {"ThriftError"},
-    "core/sessions.py": {"SessionError"},
+    "dispatch/sessions.py": {"SessionError"},
     "fronts/hs2/service.py": {"BadRequestError", "UnknownHandleError"},
     "fronts/hs2/http.py": {"_Refused"},
     "client/errors.py": {"Warning", "Error"},
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -12,8 +12,8 @@
 from fennelwind.config.users import UsersError, load_users
 from fennelwind.engines.links import Link, RemoteError
 from fennelwind.fronts.hs2 import door
-from fennelwind.limits import logins
-from fennelwind.limits.logins import Logins
+from fennelwind.limits import login_throttle
+from fennelwind.limits.login_throttle import Logins
 from fennelwind.loop import RealLoop, StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
@@ -334,16 +334,16 @@
     known = Logins()
     for count in range(12):
         known.failed(f"user {count}", "desk", 0.0)
-    assert known.delay_ms("new", "desk", 0.0) == logins.MOST_MS  # one who tries many names
-    assert known.delay_ms("user 1", "elsewhere", 0.0) == logins.FIRST_MS
+    assert known.delay_ms("new", "desk", 0.0) == login_throttle.MOST_MS  # one who tries many names
+    assert known.delay_ms("user 1", "elsewhere", 0.0) == login_throttle.FIRST_MS
     assert known.delay_ms("new", "elsewhere", 0.0) == 0.0
-    assert known.delay_ms("new", "desk", logins.FORGIVEN_MS) == 0.0
+    assert known.delay_ms("new", "desk", login_throttle.FORGIVEN_MS) == 0.0
     known.passed("user 1", "desk", b"p", 0.0)
     assert known.delay_ms("user 1", "desk", 0.0) == 0.0
-    assert known.known(b"p", 10.0) and not known.known(b"p", logins.REMEMBERED_MS)
+    assert known.known(b"p", 10.0) and not known.known(b"p", login_throttle.REMEMBERED_MS)
     known.forget()
     assert not known.known(b"p", 10.0)
-    monkeypatch.setattr(logins, "ENTRIES_MOST", 10)
+    monkeypatch.setattr(login_throttle, "ENTRIES_MOST", 10)
     for i in range(50):
         known.failed(f"u{i}", f"a{i}", 0.0)
         known.passed("x", "y", b"%d" % i, 0.0)
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from fennelwind.core.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
+from fennelwind.dispatch.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
 from fennelwind.engines import verdicts
 from fennelwind.limits.admission import Admission, Bounds, Share
-from fennelwind.limits.margin import AnswerMargin
-from fennelwind.recovery import repeats
-from fennelwind.recovery.repeats import Repeats, request_name
+from fennelwind.limits.answer_margin import AnswerMargin
+from fennelwind.recovery import request_coalescing
+from fennelwind.recovery.request_coalescing import Repeats, request_name
 from fennelwind.thrift import hints
 
 # The margin of answers.
@@ -256,7 +256,7 @@
     ],
 )
 def test_who_has_more_time_goes_on_where_the_class_allows(refused, failed, safe, due, then):
-    assert repeats.goes_on(refused, failed, safe, 10.0, due) is then
+    assert request_coalescing.goes_on(refused, failed, safe, 10.0, due) is then
 
 
 def test_requests_of_other_users_tenants_classes_and_statements_never_meet():
@@ -295,8 +295,8 @@
 
 
 def test_requests_and_those_who_wait_for_one_are_bounded(monkeypatch):
-    monkeypatch.setattr(repeats, "MOST", 2)
-    monkeypatch.setattr(repeats, "JOINED_MOST", 3)
+    monkeypatch.setattr(request_coalescing, "MOST", 2)
+    monkeypatch.setattr(request_coalescing, "JOINED_MOST", 3)
     known = Repeats()
     one = known.begin(b"1", 1, "a")
     known.begin(b"2", 2, "a")
--- a/tests/test_places.py
+++ b/tests/test_places.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwind.limits.places import IDLE_MS, MUTE_MS, SILENT_MS, Places
+from fennelwind.limits.connection_slots import IDLE_MS, MUTE_MS, SILENT_MS, Places
 
 
 def test_the_mute_go_first_then_the_longest_idle_and_who_just_came_last():
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -14,7 +14,7 @@
 from fennelwind.audit.sightings import Asked, Broken, Process
 from fennelwind.cli.main import main as cli
 from fennelwind.config.text import SettingsError
-from fennelwind.core.driver import Driver
+from fennelwind.dispatch.driver import Driver
 from fennelwind.fleet import day_pb2 as pb
 from fennelwind.fleet import dayfile
 from fennelwind.fleet.facts import facts_of
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -17,8 +17,8 @@
 from fennelwind.fleet.plan import make_plan
 from fennelwind.fleet.processes import Processes
 from fennelwind.fleet.virtual import Virtual
-from fennelwind.spread import advisor, estimate, subset
-from fennelwind.spread.advisor import Advisor, acts
+from fennelwind.load_balancing import load_advisor, load_estimate, subsetting
+from fennelwind.load_balancing.load_advisor import Advisor, acts
 
 FLEET = settings(gateways=40, report_fields=("cpu", "x1"), kind_cores=(8, 16))
 
@@ -43,8 +43,8 @@
 
 
 def test_the_busiest_resource_is_the_load():
-    assert estimate.load_of({"cpu": 0.2, "x1": 0.9}, 8) == 0.9
-    assert estimate.load_of({"cpu": 0.5, "waiting": 4.0}, 8) == 1.0
+    assert load_estimate.load_of({"cpu": 0.2, "x1": 0.9}, 8) == 0.9
+    assert load_estimate.load_of({"cpu": 0.5, "waiting": 4.0}, 8) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -52,14 +52,14 @@
     [{}, {"x0": 0.3}, {"active": 3.0}, {"cpu": math.nan}, {"cpu": math.inf}, {"cpu": -0.1}, {"waiting": 2.0}],
 )
 def test_a_report_that_tells_no_share_changes_nothing(report):
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     known.news("a", 0, report, 8, 0.0)
-    assert known.load("a", 0, 8, 1.0) == (estimate.UNKNOWN, estimate.SPREAD)
+    assert known.load("a", 0, 8, 1.0) == (load_estimate.UNKNOWN, load_estimate.SPREAD)
     assert math.isinf(known.age("a", 1.0))
 
 
 def test_news_fades_towards_its_zone_and_own_queries_since_count():
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     for engine in "bcdefgh":
         known.news(engine, 0, {"cpu": 0.8}, 8, 0.0)
     known.news("a", 0, {"cpu": 0.1}, 8, 0.0)
@@ -76,7 +76,7 @@
 
 
 def test_a_field_that_is_stuck_is_left_alone_until_it_moves():
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     for n in range(8):
         known.news("b", 0, {"cpu": 0.8 + n / 100}, 8, 0.0)
     for n in range(5):
@@ -88,14 +88,14 @@
 
 
 def test_many_answers_within_one_report_are_not_taken_for_a_stuck_field():
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     for n in range(30):
         known.news("a", 0, {"cpu": 0.3}, 8, 30.0 * n)
     assert known.load("a", 0, 8, 900.0)[0] == pytest.approx(0.3)
 
 
 def test_a_zone_without_news_is_taken_for_as_busy_as_the_busiest():
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     known.news("a", 0, {"cpu": 0.9}, 8, 0.0)
     known.news("b", 1, {"cpu": 0.2}, 8, 0.0)
     assert known.load("c", 2, 8, 0.0)[0] == 0.9
@@ -108,11 +108,11 @@
     )
 )
 def test_whatever_is_reported_a_load_is_a_bounded_figure(news):
-    known = estimate.Estimate()
+    known = load_estimate.Estimate()
     for engine, value, now in news:
         known.news(engine, 0, {"cpu": value, "x1": value, "waiting": value}, 8, now)
         load, doubt = known.load("a", 0, 8, now)
-        assert 0.0 <= load <= estimate.TOLD_MOST and 0.0 <= doubt < 3.0
+        assert 0.0 <= load <= load_estimate.TOLD_MOST and 0.0 <= doubt < 3.0
 
 
 # Subsets.
@@ -121,7 +121,7 @@
 def leaning(controllers, engines, many=8):
     chosen = {}
     for me in range(controllers):
-        chosen[me] = sorted(engines, key=lambda name: subset.rank(me, name, engines[name]))[:many]
+        chosen[me] = sorted(engines, key=lambda name: subsetting.rank(me, name, engines[name]))[:many]
     return chosen
 
 
@@ -151,14 +151,14 @@
 
 
 def test_a_busy_controller_leans_to_more():
-    assert subset.size(0.0, 5.0) == subset.LEAST
-    assert subset.size(10.0, 5.0) == 50
+    assert subsetting.size(0.0, 5.0) == subsetting.LEAST
+    assert subsetting.size(10.0, 5.0) == 50
     quiet, busy = advised(), advised()
     for n in range(100):
         busy.take(api.Arrival(n, 1, 1e6), 50.0 * n)
-    assert len(quiet.picture(5000.0).loads) == subset.LEAST + 3
+    assert len(quiet.picture(5000.0).loads) == subsetting.LEAST + 3
     assert len(busy.picture(5000.0).loads) == 30  # all there are
-    assert len(busy.picture(65_000.0).loads) == subset.LEAST + 3  # and gives them up again
+    assert len(busy.picture(65_000.0).loads) == subsetting.LEAST + 3  # and gives them up again
 
 
 # The advisor.
@@ -166,7 +166,7 @@
 
 def test_it_acts_only_where_own_counts_tell_too_little_and_shares_are_told():
     assert acts(FLEET)
-    assert not acts(settings(gateways=advisor.LITTLE - 1, report_fields=("cpu",)))
+    assert not acts(settings(gateways=load_advisor.LITTLE - 1, report_fields=("cpu",)))
     assert not acts(settings(gateways=200, report_fields=("active", "x0")))
 
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -4,7 +4,7 @@
 from fleet import execute, fetch, ids, outcome
 from test_controller import ledger, play
 
-from fennelwind.core.types import Result
+from fennelwind.dispatch.types import Result
 from fennelwind.engines import rowstream
 from fennelwind.engines.links import RemoteError
 from fennelwind.fronts.hs2.rows import Reader
