--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -21,7 +21,7 @@
 from fennelwind.node.http1 import Malformed, Response
 
 if TYPE_CHECKING:
-    from fennelwind.node.executors import Executors, Host, Use
+    from fennelwind.node.executor_pool import Executors, Host, Use
 
 NEWS_MS = 250.0  # ms after which an executor answers that a query goes on, as the protocol states
 SILENCE_MS = 100.0  # ms beyond that without an answer; then a connection is given up as cut or stalled
--- a/fennelwind/node/channel.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -16,10 +16,10 @@
 from fennelwind import interface as api
 from fennelwind.loop.scheduler import Loop, Waiter
 from fennelwind.loop.streams import Address, parse_address
-from fennelwind.node.executors import Executors
+from fennelwind.node.executor_pool import Executors
 from fennelwind.node.http1 import Malformed, ServerEvent
-from fennelwind.node.starts import StartTimes
-from fennelwind.node.watch import Watch
+from fennelwind.node.start_times import StartTimes
+from fennelwind.node.watch_connection import Watch
 
 WATCHES_MOST = 3  # at a time; one that is slow has so many times the time of a silent one to answer
 PAUSE_MS, PAUSE_MOST_MS = 25.0, 400.0  # ms between tries that fail, doubled up to the most
--- a/fennelwind/node/front.py
+++ b/fennelwind/node/frontend.py
@@ -18,7 +18,7 @@
 from fennelwind.loop.streams import Listener, PushStream, StreamReset
 from fennelwind.node import msgrpc
 from fennelwind.node.config import NodeConfig
-from fennelwind.node.requests import Unusable, read_request
+from fennelwind.node.request_validation import Unusable, read_request
 
 SWEEP_MS = 250.0  # ms between two looks at all connections
 OPEN_MOST = 32  # open requests on a connection, as the protocol states
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -17,13 +17,13 @@
 from fennelwind.loop.real import HANGUP, INTERRUPT, TERMINATE, RealLoop
 from fennelwind.loop.retrying import retried
 from fennelwind.loop.scheduler import Loop, Once
-from fennelwind.node.channel import Channel
 from fennelwind.node.config import ConfigError, NodeConfig, read_config
-from fennelwind.node.executors import Executors
-from fennelwind.node.front import Front
+from fennelwind.node.endpoint_view import compare, drift
+from fennelwind.node.endpoint_watch import Channel
+from fennelwind.node.executor_pool import Executors
+from fennelwind.node.frontend import Front
 from fennelwind.node.reload import Reloader, read_text
 from fennelwind.node.shutdown import ShutdownSchedule
-from fennelwind.node.view import compare, drift
 
 MARGIN_LEAST_MS, MARGIN_MOST_MS = 15.0, 200.0  # bounds of the measured time of answers on their way
 CLIENTS_PART, EXECUTORS_PART = 0.55, 0.36  # of the descriptors: clients', and links to executors
--- a/fennelwind/node/requests.py
+++ b/fennelwind/node/request_validation.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from fennelwind import interface as api
-from fennelwind.node.statement import table_group
+from fennelwind.node.table_group import table_group
 
 ID = re.compile(r"[0-9a-f]{16}")
 MILLISECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
--- a/tests/test_crossings_front.py
+++ b/tests/test_crossings_front.py
@@ -23,7 +23,7 @@
 from fennelwind.limits import connection_slots
 from fennelwind.loop import Address, RealLoop, StreamReset
 from fennelwind.loop.real import READ
-from fennelwind.node import front as front_module
+from fennelwind.node import frontend as front_module
 from fennelwind.node import lifecycle, shutdown
 from fennelwind.node.config import read_config
 from fennelwind.node.lifecycle import Node
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -24,12 +24,12 @@
 from fennelwind import interface as api
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset
 from fennelwind.loop.streams import READ_MOST
-from fennelwind.node import channel as channel_module
-from fennelwind.node.channel import AGAIN_MOST, Channel
+from fennelwind.node import endpoint_watch as channel_module
 from fennelwind.node.config import ConfigError, read_config
-from fennelwind.node.executors import Executors
+from fennelwind.node.endpoint_watch import AGAIN_MOST, Channel
+from fennelwind.node.executor_pool import Executors
 from fennelwind.node.http1 import ServerEvent
-from fennelwind.node.watch import CONNECT_MS, SILENCE_MS
+from fennelwind.node.watch_connection import CONNECT_MS, SILENCE_MS
 
 ELSEWHERE, THIRD = Address("127.0.0.7", 9092), Address("127.0.0.6", 9092)
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
--- a/tests/test_crossings_sampled.py
+++ b/tests/test_crossings_sampled.py
@@ -6,7 +6,7 @@
 import pytest
 from crossings_play import Play, play
 
-from fennelwind.node import attempt, channel, executors, front, lifecycle
+from fennelwind.node import attempt, endpoint_watch, executor_pool, frontend, lifecycle
 
 SEEDS = range(40)  # days in CI; `python tests/crossings_play.py 0 1000` plays more
 DAYS_MOST = 40  # in which a planted defect has to be found
@@ -45,11 +45,11 @@
     return type("Lax", (Lax,), {"ceilings": ceilings or {}, "classes_told": classes})
 
 
-def late_answer(self, number, entry, answer=front.Connection.answer):
+def late_answer(self, number, entry, answer=frontend.Connection.answer):
     self.front.loop.after(120.0, lambda: answer(self, number, entry))
 
 
-def second_answer(self, number, entry, answer=front.Connection.answer):
+def second_answer(self, number, entry, answer=frontend.Connection.answer):
     answer(self, number, entry)
     answer(self, number, entry)
 
@@ -59,7 +59,7 @@
         waiter.wake(True)
 
 
-def unrested(self, host, connection, response, put=executors.Executors.put):
+def unrested(self, host, connection, response, put=executor_pool.Executors.put):
     put(self, host, connection, response)
     connection.idle_since = 0.0
 
@@ -71,24 +71,28 @@
     "a refusal of what may have run": ("refusal", lax(Effect="repeatable"), nullcontext()),
     "a keyed query leaves its group": ("group", lax(Group="all"), nullcontext()),
     "a keyed query is sent again after its window": ("window", lax(MemorySpanMs=4000.0), nullcontext()),
-    "a drain is not heard": ("drain", Play, patch.dict(channel.STATES, terminating="ready")),
+    "a drain is not heard": ("drain", Play, patch.dict(endpoint_watch.STATES, terminating="ready")),
     "what is called off is not ended": (
         "two out",
         Play,
-        patch.object(executors.Executors, "end", woken_at_once),
+        patch.object(executor_pool.Executors, "end", woken_at_once),
     ),
-    "connections do not rest": ("foreign rows", Play, patch.object(executors.Executors, "put", unrested)),
+    "connections do not rest": ("foreign rows", Play, patch.object(executor_pool.Executors, "put", unrested)),
     "more connections than there is room for": (
         "connections",
         Play,
         patch.object(lifecycle, "EXECUTORS_PART", 0.9),
     ),
-    "a second final answer": ("second answer", Play, patch.object(front.Connection, "answer", second_answer)),
-    "answers go late": ("late", Play, patch.object(front.Connection, "answer", late_answer)),
+    "a second final answer": (
+        "second answer",
+        Play,
+        patch.object(frontend.Connection, "answer", second_answer),
+    ),
+    "answers go late": ("late", Play, patch.object(frontend.Connection, "answer", late_answer)),
     "a client's forget is not heard": (
         "client gone",
         Play,
-        patch.object(front.Connection, "_notice", lambda *_: None),
+        patch.object(frontend.Connection, "_notice", lambda *_: None),
     ),
     "the program ends at once": ("lost", Play, patch.object(lifecycle.Node, "leave", lambda _: None)),
     "nobody asks whether the client is there before the first byte": (
@@ -109,7 +113,7 @@
     "ids of open requests are kept": (
         "left over",
         Play,
-        patch.object(front.Connection, "_let_go", lambda self, _: self._rest()),
+        patch.object(frontend.Connection, "_let_go", lambda self, _: self._rest()),
     ),
 }
 
--- a/tests/test_node.py
+++ b/tests/test_node.py
@@ -21,7 +21,7 @@
 )
 
 from fennelwind.loop import Address, DeadlineExceeded, SimLoop, StreamReset
-from fennelwind.node.view import compare, drift
+from fennelwind.node.endpoint_view import compare, drift
 
 
 def run(seed, main, *args):
--- a/tests/test_node_parsers.py
+++ b/tests/test_node_parsers.py
@@ -7,7 +7,7 @@
 
 from fennelwind.node import http1, msgrpc
 from fennelwind.node.config import ConfigError, flatten, read_config
-from fennelwind.node.statement import table_group
+from fennelwind.node.table_group import table_group
 
 ANSWERS = [
     b"HTTP/1.1 200 OK\r\nX-Batches: 2\r\nX-Load: cpu:1\r\nContent-Length: 6\r\n\r\na\tb\tc\n",
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -24,7 +24,7 @@
 from fennelwind.fleet.stats import difference
 from fennelwind.fleet.virtual import Virtual
 from fennelwind.node import attempt
-from fennelwind.node.front import Connection
+from fennelwind.node.frontend import Connection
 from fennelwind.rules import Gateway
 
 ROOT = Path(__file__).parent.parent
