--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -9,11 +9,11 @@
 from fennelwind.config.users import UsersError, load_users
 from fennelwind.dispatch.driver import Driver, Observer
 from fennelwind.dispatch.types import Router
+from fennelwind.engines.connection_pool import EngineLinks
 from fennelwind.engines.discovery import DiscoveryLink
-from fennelwind.engines.links import EngineLinks
-from fennelwind.fronts.hs2 import Front
-from fennelwind.fronts.hs2.http import HttpFront
-from fennelwind.fronts.hs2.service import Service
+from fennelwind.frontends.hiveserver2 import Front
+from fennelwind.frontends.hiveserver2.http import HttpFront
+from fennelwind.frontends.hiveserver2.service import Service
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, Loop
 from fennelwind.observe.metrics import MetricsFront
--- a/fennelwind/cli/query.py
+++ b/fennelwind/cli/query.py
@@ -5,7 +5,7 @@
 
 import click
 
-from fennelwind.engines.links import Link, RemoteError
+from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.loop import DeadlineExceeded, RealLoop, parse_address
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from fennelwind.config import settings_pb2 as settings
-from fennelwind.engines.links import TRANSPORTS, Link, RemoteError
+from fennelwind.engines.connection_pool import TRANSPORTS, Link, RemoteError
 from fennelwind.loop import DeadlineExceeded, Loop, parse_address
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -16,7 +16,7 @@
 from fennelwind.cluster.schema_rollout import Changes
 from fennelwind.cluster.shard_migration import Moves
 from fennelwind.cluster.state_machines import answer, machines
-from fennelwind.engines.links import EngineLinks
+from fennelwind.engines.connection_pool import EngineLinks
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
 from fennelwind.quiescence.in_flight import Book
--- a/fennelwind/engines/links.py
+++ b/fennelwind/engines/connection_pool.py
@@ -23,8 +23,8 @@
 
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.dispatch.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
-from fennelwind.engines.rowstream import RowStream, may_flow
-from fennelwind.engines.verdicts import ANSWER, FAULT, TURNED_AWAY, choose_link, verdict
+from fennelwind.engines.row_stream import RowStream, may_flow
+from fennelwind.engines.statement_status import ANSWER, FAULT, TURNED_AWAY, choose_link, verdict
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import (
     Address,
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/fleet/wholerig.py
@@ -19,7 +19,7 @@
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.engines.links import Link, RemoteError
+from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.fleet.councilrig import LOOK_MS, CouncilRig
 from fennelwind.fleet.relay import Row
 from fennelwind.fleet.wholeday import End, Query, traffic, verdict
--- a/fennelwind/fronts/hs2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -11,8 +11,8 @@
 import h11
 
 from fennelwind.dispatch.ledger import Entry
-from fennelwind.fronts.hs2.server import Front
-from fennelwind.fronts.hs2.service import NOT_BOUND
+from fennelwind.frontends.hiveserver2.server import Front
+from fennelwind.frontends.hiveserver2.service import NOT_BOUND
 from fennelwind.loop import Cancelled, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.thrift import messages
 from fennelwind.thrift.codec import Malformed, ThriftError
--- a/fennelwind/fronts/hs2/rows.py
+++ b/fennelwind/frontends/hiveserver2/rows.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from fennelwind.dispatch.types import Result
-from fennelwind.engines.rowstream import StreamLostError
+from fennelwind.engines.row_stream import StreamLostError
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Structure
 from fennelwind.thrift.hiveserver2 import row_count
--- a/fennelwind/fronts/hs2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -8,7 +8,7 @@
 from contextlib import suppress
 from typing import Any
 
-from fennelwind.fronts.hs2.service import Pending, Service
+from fennelwind.frontends.hiveserver2.service import Pending, Service
 from fennelwind.loop import (
     Cancelled,
     Channel,
--- a/fennelwind/fronts/hs2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -24,10 +24,10 @@
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.sessions import SessionError, SessionState
 from fennelwind.dispatch.types import FAILED, LEFT, REFUSED, SERVED, Answer, Result, Submission
-from fennelwind.engines.rowstream import StreamLostError
+from fennelwind.engines.row_stream import StreamLostError
 from fennelwind.errors import FennelwindError
-from fennelwind.fronts.hs2.door import Door
-from fennelwind.fronts.hs2.rows import Reader, by_rows, text_page
+from fennelwind.frontends.hiveserver2.authentication import Door
+from fennelwind.frontends.hiveserver2.rows import Reader, by_rows, text_page
 from fennelwind.limits.admission import Admission, Bounds
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 from fennelwind.thrift import hints
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,7 +7,7 @@
 
 from fennelwind import config
 from fennelwind.cli.program import Program
-from fennelwind.engines.links import Link, RemoteError
+from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.loop import Address, StreamReset
 from fennelwind.standin.engine import Engine
 from fennelwind.standin.model import Machine
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -7,7 +7,7 @@
 from simday import SimDay
 
 from fennelwind import interface as api
-from fennelwind.fronts.hs2 import service
+from fennelwind.frontends.hiveserver2 import service
 from fennelwind.state import Lines
 from fennelwind.thrift import hiveserver2 as hs2
 
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -19,7 +19,7 @@
 from fleet import SETTINGS, execute
 
 from fennelwind.cluster.raft_client import Asker
-from fennelwind.engines.links import Link, RemoteError
+from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.errors import FennelwindError
 from fennelwind.fleet.councilrig import Ways
 from fennelwind.fleet.relay import Relay, Row
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -17,7 +17,7 @@
 from fennelwind import interface as api
 from fennelwind.dispatch.driver import Driver, Silent
 from fennelwind.dispatch.types import AttemptEnd, Order, Result, Submission
-from fennelwind.engines.links import RemoteError
+from fennelwind.engines.connection_pool import RemoteError
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, SimLoop, StreamReset
 from fennelwind.thrift import hints, messages
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -290,7 +290,7 @@
         "limits/answer_margin.py",
         "limits/admission.py",
         "recovery/request_coalescing.py",
-        "engines/verdicts.py",
+        "engines/statement_status.py",
         "limits/login_throttle.py",
         "client/retry.py",
         "limits/log_rate_limit.py",
--- a/tests/test_fences.py
+++ b/tests/test_fences.py
@@ -3,7 +3,7 @@
 import pytest
 from fleet import Fleet, execute, outcome, status
 
-from fennelwind.engines.links import Link
+from fennelwind.engines.connection_pool import Link
 from fennelwind.loop import SimLoop
 from fennelwind.thrift import hiveserver2 as hs2
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -9,7 +9,7 @@
 from fennelwind.cli.program import Program
 from fennelwind.cluster import schema_gate as gate_module
 from fennelwind.cluster.schema_rollout import shape
-from fennelwind.engines.links import Link, RemoteError
+from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -10,8 +10,8 @@
 from test_controller import IMPYLA, empty, ledger, play
 
 from fennelwind.config.users import UsersError, load_users
-from fennelwind.engines.links import Link, RemoteError
-from fennelwind.fronts.hs2 import door
+from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.frontends.hiveserver2 import authentication
 from fennelwind.limits import login_throttle
 from fennelwind.limits.login_throttle import Logins
 from fennelwind.loop import RealLoop, StreamReset
@@ -288,11 +288,11 @@
             cookie + "0",
         ):
             assert there.bearer(wrong) is None
-        assert there.bearer(door.Door(fleet.loop, there.users).cookie("ann")) is None
-        fleet.loop.sleep(door.COOKIE_MS)
+        assert there.bearer(authentication.Door(fleet.loop, there.users).cookie("ann")) is None
+        fleet.loop.sleep(authentication.COOKIE_MS)
         assert there.bearer(cookie) is None
 
-    play(main, limit=10 * door.COOKIE_MS, **users)
+    play(main, limit=10 * authentication.COOKIE_MS, **users)
 
 
 def test_users_are_read_anew_and_a_file_at_fault_changes_nothing(users):
--- a/tests/test_limits.py
+++ b/tests/test_limits.py
@@ -5,7 +5,7 @@
 import pytest
 
 from fennelwind.dispatch.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
-from fennelwind.engines import verdicts
+from fennelwind.engines import statement_status
 from fennelwind.limits.admission import Admission, Bounds, Share
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.recovery import request_coalescing
@@ -202,26 +202,26 @@
 @pytest.mark.parametrize(
     ("state", "said", "meaning"),
     [
-        ("42000", [], verdicts.ANSWER),
-        ("42S02", None, verdicts.ANSWER),
-        ("22012", [], verdicts.ANSWER),
-        ("23505", [], verdicts.ANSWER),
-        ("3F000", [], verdicts.ANSWER),
-        ("08S01", [], verdicts.FAULT),
-        ("HY000", [], verdicts.FAULT),
-        ("53000", [], verdicts.FAULT),
-        ("40001", [], verdicts.FAULT),
-        ("XX000", [], verdicts.FAULT),
-        (None, None, verdicts.FAULT),
-        ("", [], verdicts.FAULT),
-        ("42", [], verdicts.FAULT),
-        ("42S02extra", [], verdicts.FAULT),
-        ("42000", [hints.write(hints.NOT_RUN)], verdicts.TURNED_AWAY),
-        (None, [hints.write(hints.NOT_RUN)], verdicts.TURNED_AWAY),
+        ("42000", [], statement_status.ANSWER),
+        ("42S02", None, statement_status.ANSWER),
+        ("22012", [], statement_status.ANSWER),
+        ("23505", [], statement_status.ANSWER),
+        ("3F000", [], statement_status.ANSWER),
+        ("08S01", [], statement_status.FAULT),
+        ("HY000", [], statement_status.FAULT),
+        ("53000", [], statement_status.FAULT),
+        ("40001", [], statement_status.FAULT),
+        ("XX000", [], statement_status.FAULT),
+        (None, None, statement_status.FAULT),
+        ("", [], statement_status.FAULT),
+        ("42", [], statement_status.FAULT),
+        ("42S02extra", [], statement_status.FAULT),
+        ("42000", [hints.write(hints.NOT_RUN)], statement_status.TURNED_AWAY),
+        (None, [hints.write(hints.NOT_RUN)], statement_status.TURNED_AWAY),
     ],
 )
 def test_an_engines_error_is_an_answer_a_turning_away_or_a_fault(state, said, meaning):
-    assert verdicts.verdict(state, said) == meaning
+    assert statement_status.verdict(state, said) == meaning
 
 
 @pytest.mark.parametrize(
@@ -238,7 +238,7 @@
     ],
 )
 def test_links_are_chosen_by_where_they_stand(idle, wanted, chosen):
-    assert verdicts.choose_link(idle, wanted) == chosen
+    assert statement_status.choose_link(idle, wanted) == chosen
 
 
 # Repeats of requests.
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -6,8 +6,8 @@
 from fleet import execute, fetch, outcome, status
 from test_controller import ledger, play
 
-from fennelwind.engines.links import RemoteError
-from fennelwind.fronts.hs2 import rows
+from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.frontends.hiveserver2 import rows
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
 
--- a/tests/test_streams.py
+++ b/tests/test_streams.py
@@ -5,9 +5,9 @@
 from test_controller import ledger, play
 
 from fennelwind.dispatch.types import Result
-from fennelwind.engines import rowstream
-from fennelwind.engines.links import RemoteError
-from fennelwind.fronts.hs2.rows import Reader
+from fennelwind.engines import row_stream
+from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.frontends.hiveserver2.rows import Reader
 from fennelwind.loop import StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Lazy, Malformed, decode, encode
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("fault", ["crash", "cut", "hang"])
 def test_a_stream_ends_in_a_clear_failure_when_its_engine_does_and_runs_nowhere_else(fault, monkeypatch):
-    monkeypatch.setattr(rowstream, "PAGE_MS", 300.0)
+    monkeypatch.setattr(row_stream, "PAGE_MS", 300.0)
 
     def main(fleet):
         client = fleet.client()
@@ -94,7 +94,7 @@
 
 @pytest.mark.parametrize("how", ["close", "session", "drop", "idle"])
 def test_a_client_that_reads_no_further_frees_the_link_and_the_engines_operation(how, monkeypatch):
-    monkeypatch.setattr(rowstream, "IDLE_MS", 2000.0)
+    monkeypatch.setattr(row_stream, "IDLE_MS", 2000.0)
 
     def main(fleet):
         client = fleet.client()
@@ -138,14 +138,14 @@
 
 
 def test_an_engine_lost_as_its_answer_begins_to_flow_costs_an_attempt_and_not_the_answer(monkeypatch):
-    sent = rowstream.RowStream._ask
+    sent = row_stream.RowStream._ask
 
     def lost_once(stream):
-        monkeypatch.setattr(rowstream.RowStream, "_ask", sent)
+        monkeypatch.setattr(row_stream.RowStream, "_ask", sent)
         raise StreamReset("planted")
 
     def main(fleet):
-        monkeypatch.setattr(rowstream.RowStream, "_ask", lost_once)
+        monkeypatch.setattr(row_stream.RowStream, "_ask", lost_once)
         client = fleet.client()
         assert ids(fetch(client, execute(client, "select 1", rows=ROWS)))[:2] == [0, 1]
         assert [a[3] for a in fleet.seen.attempts] == ["reset", "ok"]
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -10,7 +10,7 @@
 
 from fennelwind import client, config
 from fennelwind.config.tls import client_context, server_context
-from fennelwind.engines.links import Link
+from fennelwind.engines.connection_pool import Link
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset, TlsStream
 from fennelwind.thrift.codec import Malformed
 
