--- a/fennelwind/audit/fleet.py
+++ b/fennelwind/audit/fleet.py
@@ -9,8 +9,7 @@
 from collections.abc import Callable, Iterable
 from dataclasses import dataclass, field
 
-from fennelwind.audit.rules import KNOWING, RULES, Verdict
-from fennelwind.audit.sightings import (
+from fennelwind.audit.observations import (
     NOT_RUN,
     OK,
     REFUSED,
@@ -27,6 +26,7 @@
     Process,
     Sighting,
 )
+from fennelwind.audit.rules import KNOWING, RULES, Verdict
 
 SLACK_MS = 50.0  # ms by which the platform extends every limit on sockets
 WAY_MS = 25.0  # ms more for the relays and turns between a controller and who saw it
--- a/fennelwind/fleet/councilrig.py
+++ b/fennelwind/fleet/councilrig.py
@@ -17,7 +17,7 @@
 from fennelwind.leases.errors import OlderFence
 from fennelwind.leases.fencing import Fenced
 from fennelwind.loop import Address, RealLoop, Stream, StreamReset
-from fennelwind.loop.world import Path as Way
+from fennelwind.loop.sim_network import Path as Way
 
 MEMBER, TO_MEMBER, RESOURCE = 21, 103, 22  # second octets of hosts
 LOOK_MS = 20.0  # ms between two looks at what has happened
--- a/fennelwind/fleet/figures.py
+++ b/fennelwind/fleet/figures.py
@@ -11,7 +11,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fennelwind.audit.fleet import Story
-from fennelwind.audit.sightings import NOT_RUN, OK, SERVED, Lived, Sighting, Unreached
+from fennelwind.audit.observations import NOT_RUN, OK, SERVED, Lived, Sighting, Unreached
 from fennelwind.fleet.plan import Plan
 
 GRID_MS = 20.0  # ms between two looks at what runs where; short against every query that counts
--- a/fennelwind/fleet/links.py
+++ b/fennelwind/fleet/links.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from fennelwind.fleet import day_pb2 as pb
-from fennelwind.loop.world import FOREVER, Path
+from fennelwind.loop.sim_network import FOREVER, Path
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/fleet/play.py
+++ b/fennelwind/fleet/play.py
@@ -9,8 +9,8 @@
 
 from fennelwind import interface as api
 from fennelwind.audit.fleet import audit, put_together
+from fennelwind.audit.observations import Sighting, Usage
 from fennelwind.audit.rules import SHOWN
-from fennelwind.audit.sightings import Sighting, Usage
 from fennelwind.fleet.facts import facts_of
 from fennelwind.fleet.figures import figures
 from fennelwind.fleet.plan import Plan
--- a/fennelwind/fleet/processes.py
+++ b/fennelwind/fleet/processes.py
@@ -23,7 +23,7 @@
 
 import msgpack
 
-from fennelwind.audit.sightings import Process, Sighting, Usage, read
+from fennelwind.audit.observations import Process, Sighting, Usage, read
 from fennelwind.errors import FennelwindError
 from fennelwind.fleet.addresses import PORTS, Addresses
 from fennelwind.fleet.plan import FOREVER, Plan, Step
--- a/fennelwind/fleet/relay.py
+++ b/fennelwind/fleet/relay.py
@@ -23,7 +23,7 @@
     StreamReset,
     Task,
 )
-from fennelwind.loop.world import FOREVER, Path
+from fennelwind.loop.sim_network import FOREVER, Path
 
 AHEAD_MOST = 64  # pieces of a stream on their way through a relay
 DIRECT_MS = 0.8  # ms; a shorter delay is that of the relay itself
--- a/fennelwind/fleet/stage.py
+++ b/fennelwind/fleet/stage.py
@@ -7,7 +7,7 @@
 from random import Random
 from typing import Any
 
-from fennelwind.audit.sightings import Sighting
+from fennelwind.audit.observations import Sighting
 from fennelwind.fleet import day_pb2 as pb
 from fennelwind.fleet.plan import FOREVER, RELOADED_MS, TENANT, ExecutorFault, Life, Plan
 from fennelwind.fleet.settings import wish_of
--- a/fennelwind/fleet/virtual.py
+++ b/fennelwind/fleet/virtual.py
@@ -9,7 +9,7 @@
 from typing import Any, Protocol
 
 from fennelwind import interface as api
-from fennelwind.audit.sightings import Process, Sighting, Usage
+from fennelwind.audit.observations import Process, Sighting, Usage
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.types import AttemptEnd
 from fennelwind.fleet.addresses import Addresses
@@ -18,7 +18,7 @@
 from fennelwind.fleet.settings import Book, config_text
 from fennelwind.fleet.stage import ChannelStage, ClientStage, ExecutorStage
 from fennelwind.loop import Address, Stream
-from fennelwind.loop.world import Host, Path, World
+from fennelwind.loop.sim_network import Host, Path, World
 from fennelwind.node.config import read_config
 from fennelwind.node.lifecycle import Node
 
--- a/fennelwind/fleet/worker.py
+++ b/fennelwind/fleet/worker.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from fennelwind.audit.sightings import Sighting, Usage, write
+from fennelwind.audit.observations import Sighting, Usage, write
 from fennelwind.fleet import dayfile
 from fennelwind.fleet.addresses import Addresses
 from fennelwind.fleet.lines import say
--- a/fennelwind/loop/real.py
+++ b/fennelwind/loop/real.py
@@ -14,7 +14,6 @@
 from functools import lru_cache
 from typing import TYPE_CHECKING, Any
 
-from fennelwind.loop.retrying import SHORTAGES
 from fennelwind.loop.scheduler import Loop, Waiter
 from fennelwind.loop.streams import (
     DATAGRAM_MOST,
@@ -24,11 +23,12 @@
     LocalConnectFailure,
     StreamReset,
 )
+from fennelwind.loop.syscall_retry import SHORTAGES
 
 if TYPE_CHECKING:
     from concurrent.futures import Future, ThreadPoolExecutor
 
-    from fennelwind.loop.names import Names
+    from fennelwind.loop.resolver import Names
 
 READ, WRITE = select.POLLIN | select.POLLRDHUP, select.POLLOUT
 LOOK_MOST_MS = 100.0  # ms that one look may wait: how well a halt of the process is noticed
@@ -162,7 +162,7 @@
     def _found(self, name: str) -> str:
         """Return the address of a host's name. Raises `ConnectFailed`."""
         if self._names is None:
-            from fennelwind.loop.names import Names  # most programs' addresses are in digits
+            from fennelwind.loop.resolver import Names  # most programs' addresses are in digits
 
             try:
                 self.open_wake()
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -15,8 +15,8 @@
 from fennelwind.limits.log_rate_limit import RateLimit
 from fennelwind.load_balancing.load_advisor import Advisor, acts
 from fennelwind.loop.real import HANGUP, INTERRUPT, TERMINATE, RealLoop
-from fennelwind.loop.retrying import retried
 from fennelwind.loop.scheduler import Loop, Once
+from fennelwind.loop.syscall_retry import retried
 from fennelwind.node.config import ConfigError, NodeConfig, read_config
 from fennelwind.node.endpoint_view import compare, drift
 from fennelwind.node.endpoint_watch import Channel
--- a/fennelwind/node/reload.py
+++ b/fennelwind/node/reload.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
-from fennelwind.loop.retrying import retried
 from fennelwind.loop.scheduler import Loop
+from fennelwind.loop.syscall_retry import retried
 
 RETRY_PAUSES_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # ms; all that a new file tells counts as told after 4 s
 
--- a/fennelwind/observe/logs.py
+++ b/fennelwind/observe/logs.py
@@ -10,7 +10,7 @@
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.types import SERVED, AttemptEnd
 from fennelwind.limits.log_rate_limit import RateLimit
-from fennelwind.loop.outlet import Outlet
+from fennelwind.loop.nonblocking_writer import Outlet
 
 TEXT_MOST = 300  # letters of a reason in a log
 
--- a/fennelwind/standin/platform/channel.py
+++ b/fennelwind/standin/platform/channel.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from fennelwind.audit.sightings import Odd, Sighting
+from fennelwind.audit.observations import Odd, Sighting
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset
 from fennelwind.standin.platform.http import BadCall, CallReader
 
--- a/fennelwind/standin/platform/clients.py
+++ b/fennelwind/standin/platform/clients.py
@@ -11,7 +11,7 @@
 
 import msgpack
 
-from fennelwind.audit.sightings import (
+from fennelwind.audit.observations import (
     FAILED,
     REFUSED,
     SERVED,
--- a/fennelwind/standin/platform/executor.py
+++ b/fennelwind/standin/platform/executor.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelwind.audit.sightings import (
+from fennelwind.audit.observations import (
     DELETED,
     ERROR,
     EXPIRED,
--- a/tests/council_chaos.py
+++ b/tests/council_chaos.py
@@ -12,7 +12,7 @@
 
 from council_world import Council
 
-from fennelwind.audit.histories import Linearizable, Operation, check
+from fennelwind.audit.linearizability import Linearizable, Operation, check
 from fennelwind.cluster.errors import CommandRefused, CouncilLost, OutcomeUnknown
 from fennelwind.fleet.councilrig import Seen, overlaps
 from fennelwind.fleet.registers import Registers
--- a/tests/council_world.py
+++ b/tests/council_world.py
@@ -6,8 +6,8 @@
 from fennelwind.cluster.runtime import Keeper
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address
+from fennelwind.loop.sim_network import FOREVER, Path, World
 from fennelwind.loop.simdisk import Platter, SimDisk
-from fennelwind.loop.world import FOREVER, Path, World
 from fennelwind.raft.messages import Timing
 
 OPEN = Path(delay_ms=0.5, jitter=0.5)
--- a/tests/golden.py
+++ b/tests/golden.py
@@ -31,8 +31,8 @@
 from fennelwind.leases import leases_pb2
 from fennelwind.loop import Address, SimLoop
 from fennelwind.loop.sim import Pipe
+from fennelwind.loop.sim_network import FarPipe
 from fennelwind.loop.simdisk import Platter, SimDisk
-from fennelwind.loop.world import FarPipe
 from fennelwind.quiescence import clearance_pb2
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Write
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -25,7 +25,7 @@
 from fennelwind.fleet.relay import Relay, Row
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
-from fennelwind.loop.world import Path as Way
+from fennelwind.loop.sim_network import Path as Way
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state_machine import ShardMachine
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -11,7 +11,7 @@
 # What never reaches an operator: it ends where it is caught, or speaks to a client in its protocol's words.
 INNER = {
     "loop/scheduler.py": {"ChannelClosed", "ChannelFull"},
-    "audit/histories.py": {"UnknownOperation"},
+    "audit/linearizability.py": {"UnknownOperation"},
     "loop/realdisk.py": {"_Late"},
     "raft/state_machine.py": {"UnreadableCommand"},
     "thrift/codec.py": {"ThriftError"},
--- a/tests/test_histories.py
+++ b/tests/test_histories.py
@@ -7,7 +7,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelwind.audit.histories import (
+from fennelwind.audit.linearizability import (
     Broken,
     Linearizable,
     Operation,
--- a/tests/test_loop.py
+++ b/tests/test_loop.py
@@ -468,7 +468,7 @@
         loop.connect(there).close()
         with pytest.raises(DeadlineExceeded), loop.deadline(20.0):  # its first time, while others go on
             loop.connect(Address("elsewhere.example", 1))
-        monkeypatch.setattr("fennelwind.loop.names.FRESH_MS", 0.0)
+        monkeypatch.setattr("fennelwind.loop.resolver.FRESH_MS", 0.0)
         loop.connect(there).close()  # asked for anew, but nobody waits for that
         os.write(let_go, b"!!")
         listener.close()
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -11,7 +11,7 @@
 from click.testing import CliRunner
 
 from fennelwind.audit.fleet import audit, excuses, put_together
-from fennelwind.audit.sightings import Asked, Broken, Process
+from fennelwind.audit.observations import Asked, Broken, Process
 from fennelwind.cli.main import main as cli
 from fennelwind.config.text import SettingsError
 from fennelwind.dispatch.driver import Driver
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -4,7 +4,7 @@
 from nodes import serve_echo
 
 from fennelwind.loop import Address, ConnectFailed, DeadlineExceeded, RealLoop, SimLoop, StreamReset
-from fennelwind.loop.world import FOREVER, Path, World
+from fennelwind.loop.sim_network import FOREVER, Path, World
 
 A, B = Address("10.0.0.1", 1), Address("10.0.0.2", 1)
 
