--- a/fennelwind/lab/contracts.py
+++ b/fennelwind/benchmarks/contracts.py
@@ -1,7 +1,7 @@
 """What a check of a schema change costs, and how right its verdicts are.
 
-python -m fennelwind.lab.contracts checks        10,000 subscribers, 1,000 tables
-python -m fennelwind.lab.contracts rows PLAYS    verdicts against rows that are written and read
+python -m fennelwind.benchmarks.contracts checks        10,000 subscribers, 1,000 tables
+python -m fennelwind.benchmarks.contracts rows PLAYS    verdicts against rows that are written and read
 """
 
 import statistics
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.lab import contract_rows
+from fennelwind.benchmarks import contract_rows
 from fennelwind.raft.state_machine import At
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
--- a/fennelwind/lab/descriptors.py
+++ b/fennelwind/benchmarks/descriptors.py
@@ -1,7 +1,7 @@
 """Keeps the descriptors of a version's messages, and holds those of today against all that are kept.
 
-    python -m fennelwind.lab.descriptors check
-    python -m fennelwind.lab.descriptors keep VERSION [PACKAGE ...]
+    python -m fennelwind.benchmarks.descriptors check
+    python -m fennelwind.benchmarks.descriptors keep VERSION [PACKAGE ...]
 
 A version is kept when it is released: from then on an older controller may be in a fleet with newer ones.
 """
--- a/fennelwind/lab/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -1,6 +1,6 @@
 """How many moves heat that queries were counted by causes: by chance alone, and when shards get hot.
 
-    python -m fennelwind.lab.heat [--first SEED] [--count PLAYS]
+    python -m fennelwind.benchmarks.heat [--first SEED] [--count PLAYS]
 
 Virtual time, one seed a play: controllers count queries (Poisson), tell the record as they do in the program,
 and a plan is made every minute, whose moves are over by the next one. Rates stay as they are for hours, then
@@ -123,7 +123,7 @@
 
 def main() -> None:
     """Print the table that docs/results/shards.md holds."""
-    parser = argparse.ArgumentParser(prog="python -m fennelwind.lab.heat")
+    parser = argparse.ArgumentParser(prog="python -m fennelwind.benchmarks.heat")
     parser.add_argument("--first", type=int, default=0, help="first seed")
     parser.add_argument("--count", type=int, default=5, help="plays")
     parser.add_argument("--hours", type=int, default=12, help="of heat that does not change")
--- a/fennelwind/lab/path.py
+++ b/fennelwind/benchmarks/path.py
@@ -19,8 +19,8 @@
 
 from hdrh.histogram import HdrHistogram
 
+from fennelwind.emulators.client import Ask, Client
 from fennelwind.loop import Address, Loop, RealLoop, Stream, StreamReset, parse_address
-from fennelwind.standin.client import Ask, Client
 
 ENGINES, LOADERS = 2, 2  # processes of each
 LONGEST_US = 60_000_000  # microseconds; the longest that a histogram tells
--- a/fennelwind/lab/shard_defects.py
+++ b/fennelwind/benchmarks/shard_defects.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from dataclasses import replace
 
-from fennelwind.lab.shard_cases import small
+from fennelwind.benchmarks.shard_cases import small
 from fennelwind.shards.constraints import View
 from fennelwind.shards.model import Copy, Planned, World
 from fennelwind.shards.plan import plan
--- a/fennelwind/lab/shards.py
+++ b/fennelwind/benchmarks/shards.py
@@ -1,6 +1,6 @@
 """Plans of shard moves against the optimum, lower bounds and two plain yardsticks, over worlds by a seed.
 
-`python -m fennelwind.lab.shards small|large|loops|defects [--first N] [--count N]`
+`python -m fennelwind.benchmarks.shards small|large|loops|defects [--first N] [--count N]`
 """
 
 import argparse
@@ -12,10 +12,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from fennelwind.lab.shard_cases import adopt, change, large, may_step, small, step
-from fennelwind.lab.shard_defects import DEFECTS
-from fennelwind.lab.shard_defects import found as found_defect
-from fennelwind.shards import exact
+from fennelwind.benchmarks import exact
+from fennelwind.benchmarks.shard_cases import adopt, change, large, may_step, small, step
+from fennelwind.benchmarks.shard_defects import DEFECTS
+from fennelwind.benchmarks.shard_defects import found as found_defect
 from fennelwind.shards.model import Bounds, Move, Planned, Shard, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import check, finished
@@ -235,7 +235,7 @@
 
 def main() -> None:
     """Print the tables that docs/results/shards.md holds."""
-    parser = argparse.ArgumentParser(prog="python -m fennelwind.lab.shards")
+    parser = argparse.ArgumentParser(prog="python -m fennelwind.benchmarks.shards")
     parser.add_argument("what", choices=("small", "large", "loops", "defects"))
     parser.add_argument("--first", type=int, default=100_000, help="first seed")
     parser.add_argument("--count", type=int, default=500, help="worlds")
--- a/fennelwind/lab/store.py
+++ b/fennelwind/benchmarks/store.py
@@ -1,6 +1,6 @@
 """The record on disk on a real folder, beside the bare calls of the system in the same run.
 
-`python -m fennelwind.lab.store [FOLDER]`. The bare yardstick appends the same bytes to a file of its own and
+`python -m fennelwind.benchmarks.store [FOLDER]`. The bare yardstick appends the same bytes to a file of its own and
 syncs them, in the same turns, so that whatever else the disk does meets both.
 """
 
--- a/fennelwind/cli/bench.py
+++ b/fennelwind/cli/bench.py
@@ -5,12 +5,12 @@
 
 import click
 
+from fennelwind.benchmarks import codec as codec_bench
+from fennelwind.benchmarks import path as path_bench
+from fennelwind.benchmarks import platform as platform_bench
+from fennelwind.benchmarks import spread as spread_bench
+from fennelwind.benchmarks import timers as timers_bench
 from fennelwind.cli.output import table
-from fennelwind.lab import codec as codec_bench
-from fennelwind.lab import path as path_bench
-from fennelwind.lab import platform as platform_bench
-from fennelwind.lab import spread as spread_bench
-from fennelwind.lab import timers as timers_bench
 from fennelwind.loop import RealLoop, parse_address
 
 
--- a/fennelwind/cli/demo.py
+++ b/fennelwind/cli/demo.py
@@ -16,8 +16,8 @@
 from fennelwind.audit.rules import SHOWN, Verdict, served_share
 from fennelwind.cli.output import table
 from fennelwind.config import settings_pb2 as pb
+from fennelwind.emulators.day import Day, load_script
 from fennelwind.loop import Once, RealLoop, parse_address
-from fennelwind.standin.day import Day, load_script
 
 DATA = Path(__file__).parent / "data"  # the example that comes with the program
 START_S = 20.0  # s that the controller may take to listen
--- a/fennelwind/cli/fleet.py
+++ b/fennelwind/cli/fleet.py
@@ -10,7 +10,7 @@
 
 from fennelwind.cli.output import table
 from fennelwind.config.text import SettingsError
-from fennelwind.fleet import dayfile
+from fennelwind.testbed import dayfile
 
 # What counts (numpy and others) is imported by the commands that need it: `serve` has no use for it.
 
@@ -126,7 +126,7 @@
 
 
 def _finish(result: Any, out: Path | None) -> None:
-    from fennelwind.fleet.play import save
+    from fennelwind.testbed.play import save
 
     show(result)
     if out is not None:
@@ -174,7 +174,7 @@
 @sized
 def sim_command(day: str, seed: int | None, policy: str, out: Path | None, **changes: Any) -> None:
     """Play DAY (a file, or one of `fleet days`) in virtual time. Exits with 1 if a rule broke."""
-    from fennelwind.fleet.play import deciders, sim
+    from fennelwind.testbed.play import deciders, sim
 
     try:
         deciders(policy)
@@ -191,8 +191,8 @@
 @sized
 def run(day: str, seed: int | None, out: Path | None, logs: Path | None, **changes: Any) -> None:
     """Play DAY with real processes on loopback. Exits with 1 if a rule broke."""
-    from fennelwind.fleet.play import judge
-    from fennelwind.fleet.processes import Processes, RigFailed, scratch
+    from fennelwind.testbed.play import judge
+    from fennelwind.testbed.processes import Processes, RigFailed, scratch
 
     plan = _plan(day, seed, changes)
     rig = Processes(plan, logs or scratch(), said=lambda text: click.echo(text, err=True))
@@ -204,7 +204,7 @@
 
 
 def _plan(day: str, seed: int | None, changes: dict[str, Any]) -> Any:
-    from fennelwind.fleet.plan import make_plan
+    from fennelwind.testbed.plan import make_plan
 
     return make_plan(_day(day, **changes), seed)
 
@@ -219,8 +219,8 @@
 )
 def report(folder: Path, to: Path | None) -> None:
     """Make a page with tables and charts of the results kept in FOLDER."""
-    from fennelwind.fleet.play import load_all
-    from fennelwind.fleet.report import write_report
+    from fennelwind.testbed.play import load_all
+    from fennelwind.testbed.report import write_report
 
     try:
         results = load_all(folder)
@@ -261,8 +261,8 @@
     A variant is a policy of `fleet sim`, commit:REV, or overlay:FILE; @TEXT behind it draws other random
     numbers. A difference is told apart when its 95% interval (bootstrap-t over seeds) leaves zero out.
     """
-    from fennelwind.fleet.compare import METRICS, CompareFailed, broken, compare, read_variant, rows
-    from fennelwind.fleet.play import save
+    from fennelwind.testbed.compare import METRICS, CompareFailed, broken, compare, read_variant, rows
+    from fennelwind.testbed.play import save
 
     try:
         first, _, last = seeds.partition("-")
@@ -319,7 +319,7 @@
 @fleet.command()
 def capacity() -> None:
     """Measure what a relay of the rig costs, and up to what rate a day on sockets counts."""
-    from fennelwind.fleet.capacity import IDLE_ROWS, measure
+    from fennelwind.testbed.capacity import IDLE_ROWS, measure
 
     cost = measure()
     click.echo(
--- a/fennelwind/cli/main.py
+++ b/fennelwind/cli/main.py
@@ -18,8 +18,8 @@
 from fennelwind.cli.query import query
 from fennelwind.cli.standin import standin
 from fennelwind.loop import Once, RealLoop, parse_address
-from fennelwind.observe import LogObserver, configure
-from fennelwind.observe.sampler import Sampler
+from fennelwind.observability import LogObserver, configure
+from fennelwind.observability.sampler import Sampler
 
 
 class AddressType(click.ParamType):
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -16,7 +16,7 @@
 from fennelwind.frontends.hiveserver2.service import Service
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, Loop
-from fennelwind.observe.metrics import MetricsFront
+from fennelwind.observability.metrics import MetricsFront
 
 if TYPE_CHECKING:
     from fennelwind.cluster.runtime import Keeper
--- a/fennelwind/cli/standin.py
+++ b/fennelwind/cli/standin.py
@@ -5,10 +5,10 @@
 
 import click
 
+from fennelwind.emulators.discovery import Discovery, Listed
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
 from fennelwind.loop import Once, RealLoop, parse_address
-from fennelwind.standin.discovery import Discovery, Listed
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
 
 
 @click.group()
--- a/fennelwind/standin/day.py
+++ b/fennelwind/emulators/day.py
@@ -9,12 +9,12 @@
 from google.protobuf import text_format
 
 from fennelwind.config import settings_pb2 as pb
+from fennelwind.emulators import script_pb2 as sc
+from fennelwind.emulators.client import Ask, Client
+from fennelwind.emulators.discovery import Discovery, Listed
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Task
-from fennelwind.standin import script_pb2 as sc
-from fennelwind.standin.client import Ask, Client
-from fennelwind.standin.discovery import Discovery, Listed
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
 from fennelwind.thrift.codec import Malformed
 from fennelwind.thrift.transport import BUFFERED, FRAMED, SASL
 
--- a/fennelwind/standin/engine.py
+++ b/fennelwind/emulators/engine.py
@@ -14,11 +14,11 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from fennelwind.emulators.model import Job, Machine, Model
+from fennelwind.emulators.runner import Runner
+from fennelwind.emulators.schemas import COLUMNS, NO_TABLE, Schemas
+from fennelwind.emulators.shelves import Refused, Shelf, Task
 from fennelwind.loop import Address, DeadlineExceeded, Listener, Loop, Once, Stream, StreamReset
-from fennelwind.standin.model import Job, Machine, Model
-from fennelwind.standin.runner import Runner
-from fennelwind.standin.schemas import COLUMNS, NO_TABLE, Schemas
-from fennelwind.standin.shelves import Refused, Shelf, Task
 from fennelwind.thrift import hints, messages
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
--- a/fennelwind/standin/platform/channel.py
+++ b/fennelwind/emulators/platform/channel.py
@@ -5,8 +5,8 @@
 from typing import Any
 
 from fennelwind.audit.observations import Odd, Sighting
+from fennelwind.emulators.platform.http import BadCall, CallReader
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset
-from fennelwind.standin.platform.http import BadCall, CallReader
 
 COMMENT_MS = 1000.0  # ms between two comments, as the protocol states
 ASKED_MS = 2000.0  # ms that a connection may take to ask
--- a/fennelwind/standin/platform/executor.py
+++ b/fennelwind/emulators/platform/executor.py
@@ -23,10 +23,10 @@
     Odd,
     Sighting,
 )
+from fennelwind.emulators.model import Job, Machine, Model
+from fennelwind.emulators.platform.http import BadCall, Call, CallReader, answer
+from fennelwind.emulators.runner import Runner
 from fennelwind.loop import Address, Loop, Once, Stream, StreamReset
-from fennelwind.standin.model import Job, Machine, Model
-from fennelwind.standin.platform.http import BadCall, Call, CallReader, answer
-from fennelwind.standin.runner import Runner
 
 NEWS_MS = 250.0  # ms after which a query that goes on is told so, as the protocol states
 UNASKED_MS = 2000.0  # ms without being asked for after which a query is given up, as the protocol states
--- a/fennelwind/standin/runner.py
+++ b/fennelwind/emulators/runner.py
@@ -2,8 +2,8 @@
 
 from collections.abc import Callable
 
+from fennelwind.emulators.model import Job, Model
 from fennelwind.loop import Loop
-from fennelwind.standin.model import Job, Model
 
 
 class Runner:
--- a/fennelwind/observe/__init__.py
+++ b/fennelwind/observability/__init__.py
@@ -1,5 +1,5 @@
 """What operators see: structured logs."""
 
-from fennelwind.observe.logs import LogObserver, configure
+from fennelwind.observability.logs import LogObserver, configure
 
 __all__ = ["LogObserver", "configure"]
--- a/fennelwind/fleet/capacity.py
+++ b/fennelwind/testbed/capacity.py
@@ -7,9 +7,9 @@
 import statistics
 from dataclasses import dataclass
 
-from fennelwind.fleet.links import Distances, Links
-from fennelwind.fleet.relay import Relay, Row
 from fennelwind.loop import Address, RealLoop, Stream, StreamReset
+from fennelwind.testbed.links import Distances, Links
+from fennelwind.testbed.relay import Relay, Row
 
 HERE = Address("127.0.0.1", 0)
 MESSAGES, BYTES, ROUNDS = 3000, 300, 5  # a round's messages there and back; about a call's size
--- a/fennelwind/fleet/compare.py
+++ b/fennelwind/testbed/compare.py
@@ -20,9 +20,9 @@
 from typing import Any
 
 from fennelwind.errors import FennelwindError
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.play import Result, deciders
-from fennelwind.fleet.stats import Difference, difference
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.play import Result, deciders
+from fennelwind.testbed.stats import Difference, difference
 
 PACKAGE = Path(__file__).parent.parent
 # What another revision brings along: what decides and what carries decisions out. The rig stays this one's.
@@ -117,7 +117,7 @@
     spec = {"day": day, "seed": seed, "policy": variant.policy, "salt": variant.salt}
     try:
         made = subprocess.run(
-            [sys.executable, "-m", "fennelwind.fleet.one"],
+            [sys.executable, "-m", "fennelwind.testbed.one"],
             input=json.dumps(spec).encode(),
             cwd=root,
             env=os.environ | {"PYTHONPATH": str(root)},
--- a/fennelwind/fleet/councilbench.py
+++ b/fennelwind/testbed/councilbench.py
@@ -1,4 +1,4 @@
-"""What the council costs on this machine: `python -m fennelwind.fleet.councilbench PART` prints a table.
+"""What the council costs on this machine: `python -m fennelwind.testbed.councilbench PART` prints a table.
 
 Parts: `commits` (time and rate, 3 and 5 members, with and without sync, beside one sync, as many at once as
 there are members, one message there and back, and a command's hops, bare), `leaders`
@@ -21,10 +21,10 @@
 
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.raft_client import Asker
-from fennelwind.fleet.councilrig import TIMING, CouncilRig
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.loop import Address, RealLoop, parse_address
 from fennelwind.loop.realdisk import RealDisk
+from fennelwind.testbed.councilrig import TIMING, CouncilRig
 
 SINGLE = 400  # commands, one after the other
 BARE = 400  # syncs, and messages there and back
@@ -119,7 +119,7 @@
         ahead = ""
         for kept in (folder, ""):
             child = subprocess.Popen(
-                [sys.executable, "-m", "fennelwind.fleet.councilbench", "hop", ahead, kept],
+                [sys.executable, "-m", "fennelwind.testbed.councilbench", "hop", ahead, kept],
                 stdout=subprocess.PIPE,
                 text=True,
             )
--- a/fennelwind/fleet/councilrig.py
+++ b/fennelwind/testbed/councilrig.py
@@ -12,12 +12,12 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from fennelwind.fleet.processes import LOCK_HOST, PORT_FIRST, PORT_LAST, Part, RigFailed
-from fennelwind.fleet.relay import Relay, Row
 from fennelwind.leases.errors import OlderFence
 from fennelwind.leases.fencing import Fenced
 from fennelwind.loop import Address, RealLoop, Stream, StreamReset
 from fennelwind.loop.sim_network import Path as Way
+from fennelwind.testbed.processes import LOCK_HOST, PORT_FIRST, PORT_LAST, Part, RigFailed
+from fennelwind.testbed.relay import Relay, Row
 
 MEMBER, TO_MEMBER, RESOURCE = 21, 103, 22  # second octets of hosts
 LOOK_MS = 20.0  # ms between two looks at what has happened
@@ -134,7 +134,7 @@
 class CouncilRig:
     """So many members and followers; `play` runs a test's script with all of them up."""
 
-    WORK = "fennelwind.fleet.councilwork"  # what its processes run
+    WORK = "fennelwind.testbed.councilwork"  # what its processes run
 
     def __init__(
         self,
--- a/fennelwind/fleet/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -19,12 +19,12 @@
 from fennelwind.cluster.identity import Place
 from fennelwind.cluster.leased_tasks import Held
 from fennelwind.cluster.runtime import Keeper
-from fennelwind.fleet.lines import say
-from fennelwind.fleet.registers import Registers
-from fennelwind.fleet.rigdisk import Faults, RigDisk
 from fennelwind.loop import RealLoop, Stream, parse_address
 from fennelwind.loop.real import TELL_WHERE
 from fennelwind.raft.messages import Timing
+from fennelwind.testbed.lines import say
+from fennelwind.testbed.registers import Registers
+from fennelwind.testbed.rigdisk import Faults, RigDisk
 
 KEYS = ("a", "b", "c")  # registers that all clients use: few, so that they meet
 PAUSE_MS = 10.0  # ms between two asks of a client, at most
--- a/fennelwind/fleet/dayfile.py
+++ b/fennelwind/testbed/dayfile.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from fennelwind.config.text import FieldPath, Places, Problem, SettingsError, parse
-from fennelwind.fleet import day_pb2 as pb
+from fennelwind.testbed import day_pb2 as pb
 
 CONTROLLERS_MOST = EXECUTORS_MOST = 250  # each has a host of its own in 127.0.0.0/8, by one octet
 ZONES_MOST = 16
@@ -63,7 +63,7 @@
 
 def bundled() -> list[str]:
     """Return the names of the days that come with the program."""
-    folder = resources.files("fennelwind.fleet") / "days"
+    folder = resources.files("fennelwind.testbed") / "days"
     return sorted(
         entry.name.removesuffix(".txtpb") for entry in folder.iterdir() if entry.name.endswith(".txtpb")
     )
@@ -72,7 +72,7 @@
 def load(name: str) -> Day:
     """Read a day by its file's path or its bundled name. Raises `SettingsError` and `OSError`."""
     if name in bundled():
-        text = (resources.files("fennelwind.fleet") / "days" / f"{name}.txtpb").read_text(encoding="utf-8")
+        text = (resources.files("fennelwind.testbed") / "days" / f"{name}.txtpb").read_text(encoding="utf-8")
         return read(text, name)
     raw = Path(name).read_bytes()
     try:
--- a/fennelwind/fleet/facts.py
+++ b/fennelwind/testbed/facts.py
@@ -1,9 +1,9 @@
 """What a plan says of a day, as the audit takes it: who could not know, or be reached. No I/O."""
 
 from fennelwind.audit.fleet import HEARS_MS, ClassFacts, Facts, Place, Window
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet.links import LinkFault
-from fennelwind.fleet.plan import CHANNEL, RELOADED_MS, Plan, clients_of
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed.links import LinkFault
+from fennelwind.testbed.plan import CHANNEL, RELOADED_MS, Plan, clients_of
 
 EFFECTS = {pb.QueryClass.SAFE: "safe", pb.QueryClass.KEYED: "keyed", pb.QueryClass.UNSAFE: "unsafe"}
 HEALS_MS = 1000.0  # ms after a link's fault in which what it held still arrives
--- a/fennelwind/fleet/figures.py
+++ b/fennelwind/testbed/figures.py
@@ -12,7 +12,7 @@
 
 from fennelwind.audit.fleet import Story
 from fennelwind.audit.observations import NOT_RUN, OK, SERVED, Lived, Sighting, Unreached
-from fennelwind.fleet.plan import Plan
+from fennelwind.testbed.plan import Plan
 
 GRID_MS = 20.0  # ms between two looks at what runs where; short against every query that counts
 WINDOW_MS = 1000.0  # ms over which work on executors is compared
--- a/fennelwind/fleet/links.py
+++ b/fennelwind/testbed/links.py
@@ -3,8 +3,8 @@
 from bisect import bisect_right
 from dataclasses import dataclass
 
-from fennelwind.fleet import day_pb2 as pb
 from fennelwind.loop.sim_network import FOREVER, Path
+from fennelwind.testbed import day_pb2 as pb
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/fleet/one.py
+++ b/fennelwind/testbed/one.py
@@ -4,9 +4,9 @@
 import json
 import sys
 
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.plan import make_plan
-from fennelwind.fleet.play import sim
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.plan import make_plan
+from fennelwind.testbed.play import sim
 
 
 def main() -> int:
--- a/fennelwind/fleet/plan.py
+++ b/fennelwind/testbed/plan.py
@@ -12,9 +12,9 @@
 from random import Random
 from typing import Any
 
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet.dayfile import LINKS, Day
-from fennelwind.fleet.links import Distances, LinkFault, Links
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed.dayfile import LINKS, Day
+from fennelwind.testbed.links import Distances, LinkFault, Links
 
 FOREVER = float("inf")
 CHANNEL = "channel"
--- a/fennelwind/fleet/play.py
+++ b/fennelwind/testbed/play.py
@@ -11,11 +11,11 @@
 from fennelwind.audit.fleet import audit, put_together
 from fennelwind.audit.observations import Sighting, Usage
 from fennelwind.audit.rules import SHOWN
-from fennelwind.fleet.facts import facts_of
-from fennelwind.fleet.figures import figures
-from fennelwind.fleet.plan import Plan
-from fennelwind.fleet.virtual import Decides, Outcome, Virtual
-from fennelwind.fleet.yardsticks import Yardstick
+from fennelwind.testbed.baselines import Yardstick
+from fennelwind.testbed.facts import facts_of
+from fennelwind.testbed.figures import figures
+from fennelwind.testbed.plan import Plan
+from fennelwind.testbed.virtual import Decides, Outcome, Virtual
 
 KEPT_MS = 20_000.0  # ms of the executors' true states that the late-seeing yardstick may look back on
 
--- a/fennelwind/fleet/processes.py
+++ b/fennelwind/testbed/processes.py
@@ -25,12 +25,12 @@
 
 from fennelwind.audit.observations import Process, Sighting, Usage, read
 from fennelwind.errors import FennelwindError
-from fennelwind.fleet.addresses import PORTS, Addresses
-from fennelwind.fleet.plan import FOREVER, Plan, Step
-from fennelwind.fleet.settings import Book, config_text
-from fennelwind.fleet.virtual import Outcome
 from fennelwind.loop import Address, ConnectFailed, DeadlineExceeded, Loop, RealLoop, StreamReset
 from fennelwind.loop.real import TELL_WHERE
+from fennelwind.testbed.addresses import PORTS, Addresses
+from fennelwind.testbed.plan import FOREVER, Plan, Step
+from fennelwind.testbed.settings import Book, config_text
+from fennelwind.testbed.virtual import Outcome
 
 PORT_FIRST, PORT_LAST = 20_000, 32_000  # base ports; below what the system gives to connections
 LOCK_HOST = "127.19.0.1"  # whoever listens there at a base port has that port's rig
@@ -84,7 +84,7 @@
     """A worker's process, which is talked to in lines of JSON."""
 
     def __init__(
-        self, loop: Loop, spec: dict[str, Any], log: Path, module: str = "fennelwind.fleet.worker"
+        self, loop: Loop, spec: dict[str, Any], log: Path, module: str = "fennelwind.testbed.worker"
     ) -> None:
         self.loop, self.spec = loop, spec
         self.done = self.ready = self.ended = self.silent = False
--- a/fennelwind/fleet/relay.py
+++ b/fennelwind/testbed/relay.py
@@ -11,7 +11,6 @@
 from dataclasses import dataclass
 from random import Random
 
-from fennelwind.fleet.links import Links
 from fennelwind.loop import (
     Address,
     Channel,
@@ -24,6 +23,7 @@
     Task,
 )
 from fennelwind.loop.sim_network import FOREVER, Path
+from fennelwind.testbed.links import Links
 
 AHEAD_MOST = 64  # pieces of a stream on their way through a relay
 DIRECT_MS = 0.8  # ms; a shorter delay is that of the relay itself
--- a/fennelwind/fleet/report.py
+++ b/fennelwind/testbed/report.py
@@ -98,7 +98,7 @@
             *(f"{rule['rule']}: {first}" for rule in result["rules"] for first in rule["first"]),
         ]
     ][:BREAKS_MOST]
-    environment = Environment(loader=PackageLoader("fennelwind.fleet"), autoescape=select_autoescape())
+    environment = Environment(loader=PackageLoader("fennelwind.testbed"), autoescape=select_autoescape())
     page = environment.get_template("report.html").render(
         results=results, summary=rows, charts=charts, breaks=breaks
     )
--- a/fennelwind/fleet/settings.py
+++ b/fennelwind/testbed/settings.py
@@ -5,10 +5,10 @@
 from random import Random
 from typing import Any
 
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet.plan import TENANT, Ask, Plan
+from fennelwind.emulators.platform.clients import Wish
 from fennelwind.loop import Address
-from fennelwind.standin.platform.clients import Wish
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed.plan import TENANT, Ask, Plan
 
 EFFECTS = {pb.QueryClass.SAFE: "repeatable", pb.QueryClass.KEYED: "by_key", pb.QueryClass.UNSAFE: "once"}
 IDLE_MS = 15_000.0  # ms after which executors close idle connections
--- a/fennelwind/fleet/stage.py
+++ b/fennelwind/testbed/stage.py
@@ -8,14 +8,14 @@
 from typing import Any
 
 from fennelwind.audit.observations import Sighting
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet.plan import FOREVER, RELOADED_MS, TENANT, ExecutorFault, Life, Plan
-from fennelwind.fleet.settings import wish_of
+from fennelwind.emulators.model import Machine
+from fennelwind.emulators.platform.channel import Channel
+from fennelwind.emulators.platform.clients import Clients, Manners
+from fennelwind.emulators.platform.executor import Executor, Faults, Reporting
 from fennelwind.loop import Address, Loop, Stream
-from fennelwind.standin.model import Machine
-from fennelwind.standin.platform.channel import Channel
-from fennelwind.standin.platform.clients import Clients, Manners
-from fennelwind.standin.platform.executor import Executor, Faults, Reporting
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed.plan import FOREVER, RELOADED_MS, TENANT, ExecutorFault, Life, Plan
+from fennelwind.testbed.settings import wish_of
 
 RANKS = (1.0, 4.0, 8.0, 16.0)  # parts of short cores by priority, where it is heeded
 BIND_AGAIN_MS = 100.0  # ms until an address that is still held is tried again
--- a/fennelwind/fleet/virtual.py
+++ b/fennelwind/testbed/virtual.py
@@ -12,15 +12,15 @@
 from fennelwind.audit.observations import Process, Sighting, Usage
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.types import AttemptEnd
-from fennelwind.fleet.addresses import Addresses
-from fennelwind.fleet.links import Links
-from fennelwind.fleet.plan import CHANNEL, FOREVER, Plan, Step, clients_of
-from fennelwind.fleet.settings import Book, config_text
-from fennelwind.fleet.stage import ChannelStage, ClientStage, ExecutorStage
 from fennelwind.loop import Address, Stream
 from fennelwind.loop.sim_network import Host, Path, World
 from fennelwind.node.config import read_config
 from fennelwind.node.lifecycle import Node
+from fennelwind.testbed.addresses import Addresses
+from fennelwind.testbed.links import Links
+from fennelwind.testbed.plan import CHANNEL, FOREVER, Plan, Step, clients_of
+from fennelwind.testbed.settings import Book, config_text
+from fennelwind.testbed.stage import ChannelStage, ClientStage, ExecutorStage
 
 PORT = 9090
 BEFORE_MS = 1000.0  # ms that everybody has to start in
--- a/fennelwind/fleet/wholeday.py
+++ b/fennelwind/testbed/wholeday.py
@@ -17,7 +17,7 @@
 from fennelwind.audit.record import Wire
 from fennelwind.audit.trace import CUT
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.standin.client import Ask
+from fennelwind.emulators.client import Ask
 
 REPORTS = 0.15  # part of the asks that are reports; the rest are lookups
 NAMED = 0.6  # part of the asks that name a shard
--- a/fennelwind/fleet/wholeplays.py
+++ b/fennelwind/testbed/wholeplays.py
@@ -1,6 +1,6 @@
 """Plays of whole programs by command: storms of faults, days with and without moves, many controllers.
 
-`python -m fennelwind.fleet.wholeplays storm|pair FIRST LAST` and `many COUNT`; each prints lines of JSON.
+`python -m fennelwind.testbed.wholeplays storm|pair FIRST LAST` and `many COUNT`; each prints lines of JSON.
 """
 
 import json
@@ -13,10 +13,10 @@
 
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.fleet.processes import RigFailed
-from fennelwind.fleet.wholeday import Fault, figures, storm
-from fennelwind.fleet.wholerig import DISK, KIND, TIMING, WholeRig
 from fennelwind.shards.shards_pb2 import Command, Declare, Shard
+from fennelwind.testbed.processes import RigFailed
+from fennelwind.testbed.wholeday import Fault, figures, storm
+from fennelwind.testbed.wholerig import DISK, KIND, TIMING, WholeRig
 
 STORM_MS, PER_S = 45_000.0, 15.0  # a storm's length, and queries a second
 PAIR_MS, PAIR_PER_S = 40_000.0, 25.0
--- a/fennelwind/fleet/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -19,19 +19,19 @@
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.config import settings_pb2 as pb
+from fennelwind.emulators.client import Ask, Client
+from fennelwind.emulators.discovery import Discovery, Listed
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
+from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.engines.connection_pool import Link, RemoteError
-from fennelwind.fleet.councilrig import LOOK_MS, CouncilRig
-from fennelwind.fleet.relay import Row
-from fennelwind.fleet.wholeday import End, Query, traffic, verdict
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
-from fennelwind.standin.client import Ask, Client
-from fennelwind.standin.discovery import Discovery, Listed
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
-from fennelwind.standin.shelves import Content, Shelf
+from fennelwind.testbed.councilrig import LOOK_MS, CouncilRig
+from fennelwind.testbed.relay import Row
+from fennelwind.testbed.wholeday import End, Query, traffic, verdict
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 from fennelwind.thrift.transport import SASL
@@ -79,7 +79,7 @@
 class WholeRig(CouncilRig):
     """Members, followers, engines with shards on their disks, and traffic."""
 
-    WORK = "fennelwind.fleet.wholework"
+    WORK = "fennelwind.testbed.wholework"
 
     def __init__(
         self,
--- a/fennelwind/fleet/wholework.py
+++ b/fennelwind/testbed/wholework.py
@@ -14,12 +14,12 @@
 from typing import Any
 
 from fennelwind.cluster import runtime
-from fennelwind.fleet.lines import say
-from fennelwind.fleet.registers import Registers
-from fennelwind.fleet.rigdisk import Faults, RigDisk
 from fennelwind.loop import Address, RealLoop, Stream, parse_address
 from fennelwind.raft.replicated_state import LEVEL
 from fennelwind.shards.migration import Timing
+from fennelwind.testbed.lines import say
+from fennelwind.testbed.registers import Registers
+from fennelwind.testbed.rigdisk import Faults, RigDisk
 
 PROGRAM = "fennelwind.cli.main"  # which is started here, as `processes` starts its own by a command
 
--- a/fennelwind/fleet/worker.py
+++ b/fennelwind/testbed/worker.py
@@ -11,14 +11,14 @@
 from typing import Any
 
 from fennelwind.audit.observations import Sighting, Usage, write
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.addresses import Addresses
-from fennelwind.fleet.lines import say
-from fennelwind.fleet.plan import CHANNEL, Plan, clients_of, make_plan
-from fennelwind.fleet.relay import Relay, Row
-from fennelwind.fleet.settings import Book
-from fennelwind.fleet.stage import ChannelStage, ClientStage, ExecutorStage
 from fennelwind.loop import RealLoop, Stream, Task
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.addresses import Addresses
+from fennelwind.testbed.lines import say
+from fennelwind.testbed.plan import CHANNEL, Plan, clients_of, make_plan
+from fennelwind.testbed.relay import Relay, Row
+from fennelwind.testbed.settings import Book
+from fennelwind.testbed.stage import ChannelStage, ClientStage, ExecutorStage
 
 PULSE_MS = 50.0  # ms; a relay without faults would set no timer at all
 TOLD_MOST = 20.0  # ms between two looks whether the clients have ended
--- a/tests/contracts_defects.py
+++ b/tests/contracts_defects.py
@@ -13,7 +13,7 @@
 from contracts_world import World
 from planted import Line, broken, by_model, planted, row
 
-from fennelwind.lab import contract_rows
+from fennelwind.benchmarks import contract_rows
 from fennelwind.schema_compatibility import checker, messages, rules, session_options, state_machine
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.rollout import Carrier
--- a/tests/council_chaos.py
+++ b/tests/council_chaos.py
@@ -14,12 +14,12 @@
 
 from fennelwind.audit.linearizability import Linearizable, Operation, check
 from fennelwind.cluster.errors import CommandRefused, CouncilLost, OutcomeUnknown
-from fennelwind.fleet.councilrig import Seen, overlaps
-from fennelwind.fleet.registers import Registers
 from fennelwind.leases.errors import OlderFence
 from fennelwind.leases.fencing import Fenced
 from fennelwind.loop.simdisk import Costs
 from fennelwind.raft.messages import Timing
+from fennelwind.testbed.councilrig import Seen, overlaps
+from fennelwind.testbed.registers import Registers
 
 PLAY_MS = 20_000.0  # of virtual time with faults
 WITHIN_MS = 2000.0  # of one ask
--- a/tests/council_storm.py
+++ b/tests/council_storm.py
@@ -15,8 +15,8 @@
 
 from test_council_processes import answered, flip, judge
 
-from fennelwind.fleet.councilrig import ACT, CouncilRig
-from fennelwind.fleet.processes import RigFailed
+from fennelwind.testbed.councilrig import ACT, CouncilRig
+from fennelwind.testbed.processes import RigFailed
 
 EACH_MS = 2000.0  # ms between two faults, in the mean: on a busy machine a start takes as long
 PACES = (0.9, 1.0, 1.1)  # of the members' clocks: 20% apart
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -7,10 +7,10 @@
 
 from fennelwind import config
 from fennelwind.cli.program import Program
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
 from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.loop import Address, StreamReset
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.messages import CALL, read_message, write_message
 
--- a/tests/fuzz.py
+++ b/tests/fuzz.py
@@ -15,7 +15,7 @@
 
 from fleet import Fleet, HttpClient, execute, outcome  # noqa: E402
 
-from fennelwind.lab.path import resident_mb  # noqa: E402
+from fennelwind.benchmarks.path import resident_mb  # noqa: E402
 from fennelwind.loop import SimLoop, StreamReset  # noqa: E402
 from fennelwind.thrift import hiveserver2 as hs2  # noqa: E402
 from fennelwind.thrift.codec import ThriftError  # noqa: E402
--- a/tests/move_play.py
+++ b/tests/move_play.py
@@ -11,6 +11,7 @@
 from dataclasses import replace
 from functools import partial
 
+from fennelwind.emulators.shelves import Content, Refused, Shelf
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.migration import (
@@ -32,7 +33,6 @@
 from fennelwind.shards.model import Bounds, Home, Move, Planned, World
 from fennelwind.shards.plan import plan as planned
 from fennelwind.shards.state_machine import ShardMachine
-from fennelwind.standin.shelves import Content, Refused, Shelf
 
 SIZE, DISK, HEADROOM = 100, 1000, 200  # bytes, as good as any
 RATE = 0.01  # bytes per ms that an import or export carries: a copy takes 10 s
--- a/tests/simday.py
+++ b/tests/simday.py
@@ -8,9 +8,9 @@
 from fennelwind.cli.demo import DATA
 from fennelwind.cli.program import Program
 from fennelwind.dispatch.driver import Silent
+from fennelwind.emulators import script_pb2 as sc
+from fennelwind.emulators.day import Day
 from fennelwind.loop import SimLoop
-from fennelwind.standin import script_pb2 as sc
-from fennelwind.standin.day import Day
 
 SCRIPT = """
 length_ms: 9000 connections: 300 discovery_delay_ms: 300
--- a/tests/test_clearance_processes.py
+++ b/tests/test_clearance_processes.py
@@ -19,19 +19,19 @@
 from fleet import SETTINGS, execute
 
 from fennelwind.cluster.raft_client import Asker
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
+from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.errors import FennelwindError
-from fennelwind.fleet.councilrig import Ways
-from fennelwind.fleet.relay import Relay, Row
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
 from fennelwind.loop.sim_network import Path as Way
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state_machine import ShardMachine
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
-from fennelwind.standin.shelves import Content, Shelf
+from fennelwind.testbed.councilrig import Ways
+from fennelwind.testbed.relay import Relay, Row
 from fennelwind.thrift import hiveserver2 as hs2
 
 ROOT = Path(__file__).parent.parent
--- a/tests/test_cli.py
+++ b/tests/test_cli.py
@@ -10,12 +10,12 @@
 from click.testing import CliRunner
 from fleet import SETTINGS
 
+from fennelwind.benchmarks import timers
 from fennelwind.cli.main import main
 from fennelwind.cli.output import table
 from fennelwind.dispatch.ledger import Ledger
 from fennelwind.dispatch.types import REFUSED, SERVED, Answer, AttemptEnd, Submission
-from fennelwind.lab import timers
-from fennelwind.observe import LogObserver, configure
+from fennelwind.observability import LogObserver, configure
 
 COMMAND = [sys.executable, "-m", "fennelwind.cli.main"]
 
--- a/tests/test_contracts.py
+++ b/tests/test_contracts.py
@@ -14,8 +14,8 @@
 from hypothesis.stateful import run_state_machine_as_test
 from test_descriptors import fill
 
+from fennelwind.benchmarks import contract_rows
 from fennelwind.client.cursor import Cursor
-from fennelwind.lab import contract_rows
 from fennelwind.raft.state_machine import At, UnreadableCommand
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout as go
--- a/tests/test_council_processes.py
+++ b/tests/test_council_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from fennelwind.audit.linearizability import Broken, Linearizable, Operation, check
-from fennelwind.fleet.councilrig import ACT, CouncilRig, Seen, overlaps
+from fennelwind.testbed.councilrig import ACT, CouncilRig, Seen, overlaps
 
 LONG_ACT = ACT | {"act_ms": 600.0}  # long enough to be met in its middle
 
--- a/tests/test_council_world.py
+++ b/tests/test_council_world.py
@@ -11,10 +11,10 @@
 from fennelwind.cluster.disaster_recovery import found_alone, look
 from fennelwind.cluster.errors import CommandRefused, CouncilError
 from fennelwind.cluster.member_folder import Folder
-from fennelwind.fleet.registers import Registers
 from fennelwind.loop.simdisk import Platter, SimDisk
-from fennelwind.observe.metrics import Collector
+from fennelwind.observability.metrics import Collector
 from fennelwind.raft_storage.store import Limits
+from fennelwind.testbed.registers import Registers
 
 
 def test_a_members_figures_are_told_to_scrapers():
--- a/tests/test_descriptors.py
+++ b/tests/test_descriptors.py
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 from grpc_tools import protoc
 
-from fennelwind.lab import descriptors as lab
+from fennelwind.benchmarks import descriptors as lab
 from fennelwind.schema_compatibility.message_compatibility import RULES, compare
 
 BASE = """
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -9,9 +9,9 @@
 
 from fennelwind import interface as api
 from fennelwind.dispatch.types import Order, Submission
+from fennelwind.emulators.discovery import Discovery, Listed
 from fennelwind.engines.discovery import DiscoveryError, DiscoveryLink, Lives, read_list
 from fennelwind.loop import Address, SimLoop
-from fennelwind.standin.discovery import Discovery, Listed
 from fennelwind.thrift import hints
 
 ROOT = Path(__file__).parent.parent / "fennelwind"
@@ -301,10 +301,10 @@
         "node/table_group.py",
         "node/request_validation.py",
         "node/endpoint_view.py",
-        "fleet/plan.py",
-        "fleet/links.py",
-        "fleet/wholeday.py",
-        "fleet/yardsticks.py",
+        "testbed/plan.py",
+        "testbed/links.py",
+        "testbed/wholeday.py",
+        "testbed/baselines.py",
         "load_balancing/load_estimate.py",
         "load_balancing/subsetting.py",
         "load_balancing/load_advisor.py",
--- a/tests/test_moves_program.py
+++ b/tests/test_moves_program.py
@@ -8,8 +8,8 @@
 from fennelwind import config
 from fennelwind import interface as api
 from fennelwind.cli.program import Program
-from fennelwind.observe.metrics import exposition
-from fennelwind.standin.shelves import Content, Shelf
+from fennelwind.emulators.shelves import Content, Shelf
+from fennelwind.observability.metrics import exposition
 
 NAMES = ["sales/day=0", "sales/day=1"]
 MOVES = """
--- a/tests/test_moves_whole.py
+++ b/tests/test_moves_whole.py
@@ -10,14 +10,14 @@
 from fennelwind.cluster.engine_statements import Statements
 from fennelwind.cluster.shard_migration import SHARDS, Moves
 from fennelwind.config import settings_pb2
+from fennelwind.emulators.engine import Engine
+from fennelwind.emulators.model import Machine
+from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.loop import Address
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import UNIT, Named
 from fennelwind.shards.migration import Timing
 from fennelwind.shards.model import Home
-from fennelwind.standin.engine import Engine
-from fennelwind.standin.model import Machine
-from fennelwind.standin.shelves import Content, Shelf
 
 NAMES = [f"sales/day={n}" for n in range(3)]
 LINKS = settings_pb2.EngineLinks(transport=settings_pb2.EngineLinks.SASL, max_links=10, connect_ms=300.0)
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -15,17 +15,17 @@
 from fennelwind.cli.main import main as cli
 from fennelwind.config.text import SettingsError
 from fennelwind.dispatch.driver import Driver
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.facts import facts_of
-from fennelwind.fleet.figures import figures
-from fennelwind.fleet.plan import deal, make_plan
-from fennelwind.fleet.play import sim
-from fennelwind.fleet.stats import difference
-from fennelwind.fleet.virtual import Virtual
 from fennelwind.node import attempt
 from fennelwind.node.frontend import Connection
 from fennelwind.rules import Gateway
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.facts import facts_of
+from fennelwind.testbed.figures import figures
+from fennelwind.testbed.plan import deal, make_plan
+from fennelwind.testbed.play import sim
+from fennelwind.testbed.stats import difference
+from fennelwind.testbed.virtual import Virtual
 
 ROOT = Path(__file__).parent.parent
 
--- a/tests/test_rig_processes.py
+++ b/tests/test_rig_processes.py
@@ -12,14 +12,14 @@
 from nodes import serve_echo
 
 from fennelwind.audit.fleet import audit, put_together
-from fennelwind.fleet import day_pb2 as pb
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.facts import facts_of
-from fennelwind.fleet.links import Distances, LinkFault, Links
-from fennelwind.fleet.plan import make_plan
-from fennelwind.fleet.processes import Processes, RigFailed
-from fennelwind.fleet.relay import Relay, Row
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
+from fennelwind.testbed import day_pb2 as pb
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.facts import facts_of
+from fennelwind.testbed.links import Distances, LinkFault, Links
+from fennelwind.testbed.plan import make_plan
+from fennelwind.testbed.processes import Processes, RigFailed
+from fennelwind.testbed.relay import Relay, Row
 
 ROOT = Path(__file__).parent.parent
 WAIT_S = 60.0  # s; a wait that is over much sooner, but for a machine that stands still
--- a/tests/test_shard_moves.py
+++ b/tests/test_shard_moves.py
@@ -19,6 +19,7 @@
 from move_play import plan as simple_plan
 from planted import planted
 
+from fennelwind.emulators.shelves import Shelf
 from fennelwind.raft import council_pb2
 from fennelwind.raft.replicated_state import Record
 from fennelwind.raft.state_machine import At, UnreadableCommand
@@ -40,7 +41,6 @@
 from fennelwind.shards.model import Bounds
 from fennelwind.shards.plan import plan
 from fennelwind.shards.state_machine import ASIDE_FIRST_MS, ASIDE_MOST_MS, REST_MS, ShardMachine
-from fennelwind.standin.shelves import Shelf
 
 Answer, Step = pb.Answer, pb.Step
 SHARDS, ENGINES = ("t/d=1", "t/d=2", "u/"), ("e1", "e2", "e3", "e4")
--- a/tests/test_shard_plan.py
+++ b/tests/test_shard_plan.py
@@ -11,11 +11,11 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from fennelwind.lab.heat import poisson
-from fennelwind.lab.shard_cases import adopt, large, may_step, small, step
-from fennelwind.lab.shard_defects import DEFECTS, found
-from fennelwind.lab.shards import NEEDS_ONLY, measure_small, play
-from fennelwind.shards import exact
+from fennelwind.benchmarks import exact
+from fennelwind.benchmarks.heat import poisson
+from fennelwind.benchmarks.shard_cases import adopt, large, may_step, small, step
+from fennelwind.benchmarks.shard_defects import DEFECTS, found
+from fennelwind.benchmarks.shards import NEEDS_ONLY, measure_small, play
 from fennelwind.shards.model import Bounds, Copy, Home, Move, Planned, Shard, World
 from fennelwind.shards.plan import __file__ as plan_file
 from fennelwind.shards.plan import plan
@@ -408,7 +408,7 @@
     files = {path.name for path in SHARDS.glob("*.py")}
     assert "highspy" in imported("exact.py")
     for name in sorted(files - {"exact.py"}):
-        assert not imported(name) & {"highspy", "fennelwind.shards.exact", "random", "time", "os"}, name
+        assert not imported(name) & {"highspy", "fennelwind.benchmarks.exact", "random", "time", "os"}, name
 
 
 def test_a_copy_that_has_to_wait_for_its_shards_move_is_no_finding():
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -11,14 +11,14 @@
 
 from fennelwind import interface as api
 from fennelwind.audit.fleet import audit, put_together
-from fennelwind.fleet import dayfile
-from fennelwind.fleet.facts import facts_of
-from fennelwind.fleet.figures import figures
-from fennelwind.fleet.plan import make_plan
-from fennelwind.fleet.processes import Processes
-from fennelwind.fleet.virtual import Virtual
 from fennelwind.load_balancing import load_advisor, load_estimate, subsetting
 from fennelwind.load_balancing.load_advisor import Advisor, acts
+from fennelwind.testbed import dayfile
+from fennelwind.testbed.facts import facts_of
+from fennelwind.testbed.figures import figures
+from fennelwind.testbed.plan import make_plan
+from fennelwind.testbed.processes import Processes
+from fennelwind.testbed.virtual import Virtual
 
 FLEET = settings(gateways=40, report_fields=("cpu", "x1"), kind_cores=(8, 16))
 
--- a/tests/test_whole.py
+++ b/tests/test_whole.py
@@ -5,8 +5,8 @@
 """
 
 from fennelwind.cluster.errors import CommandRefused
-from fennelwind.fleet.wholerig import DISK, WholeRig
 from fennelwind.raft.replicated_state import LEVEL
+from fennelwind.testbed.wholerig import DISK, WholeRig
 
 OLD = "id bigint, total decimal(10,2)"
 WIDER = OLD + ", note string"
