--- a/fennelwind/benchmarks/store.py
+++ b/fennelwind/benchmarks/store.py
@@ -1,7 +1,7 @@
 """The record on disk on a real folder, beside the bare calls of the system in the same run.
 
-`python -m fennelwind.benchmarks.store [FOLDER]`. The bare yardstick appends the same bytes to a file of its own and
-syncs them, in the same turns, so that whatever else the disk does meets both.
+`python -m fennelwind.benchmarks.store [FOLDER]`. The bare yardstick appends the same bytes to a file of its
+own and syncs them, in the same turns, so that whatever else the disk does meets both.
 """
 
 import os
--- a/fennelwind/loop/sim.py
+++ b/fennelwind/loop/sim.py
@@ -120,7 +120,10 @@
 
 
 class Pipe:
-    """One way of a connection, between two tasks of one loop. `loop/sim_network.py` has one between two hosts."""
+    """One way of a connection, between two tasks of one loop.
+
+    `loop/sim_network.py` has one between two hosts.
+    """
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
