--- a/Makefile
+++ b/Makefile
@@ -22,7 +22,7 @@
 # The generated modules are in the repository; make them anew after a change of a .proto file.
 proto: $(STAMP)
 	for p in fennelwind/*/*.proto; do \
-		.venv/bin/python -m grpc_tools.protoc -I $$(dirname $$p) --python_out=$$(dirname $$p) $$p || exit 1; \
+		.venv/bin/python -m grpc_tools.protoc -I $$(dirname $$p) --python_out=$$(dirname $$p) --pyi_out=$$(dirname $$p) $$p || exit 1; \
 	done
 
 clean:
--- a/fennelwind/adapter.py
+++ b/fennelwind/adapter.py
@@ -4,8 +4,8 @@
 from collections.abc import Callable, Iterator
 from typing import TextIO
 
-from fennelwind import interface as api
-from fennelwind.rules import Gateway
+from fennelwind import policy
+from fennelwind.policy.gateway import Gateway
 
 EFFECTS = {"repeatable": "safe", "by_key": "keyed", "once": "unsafe"}
 STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
@@ -82,7 +82,7 @@
             raise WireError(f"{self.message}: field {name} cannot be read") from None
 
 
-def read_settings(conf: Fields) -> api.Settings:
+def read_settings(conf: Fields) -> policy.Settings:
     """Build the settings from the pairs of a NEW_INSTANCE line."""
     get = conf.get
     threads = get("FamilyInfo.WidthByClass", _whole, ())
@@ -91,66 +91,66 @@
     for i in range(get("Grades.count", int)):
         at = f"Grades.{i}."
         classes.append(
-            api.QueryClass(
+            policy.QueryClass(
                 name=get(at + "Name", str, str(i)),
-                aim_ms=get(at + "AimMs", _number),
-                give_up_ms=get(at + "GiveUpMs", _number),
-                worth=get(at + "Points", _number),
-                aim_stretch=get(at + "AimStretch", _number, 0.0),
-                late_worth=get(at + "LateWorth", _number, 0.0),
-                effect=get(at + "Effect", EFFECTS.__getitem__),
-                group=get(at + "Group", str, "all"),
-                memory_ms=get(at + "MemorySpanMs", _number, 0.0),
-                serial=get(at + "SerialByKey", _flag, False),
+                latency_objective_ms=get(at + "AimMs", _number),
+                client_timeout_ms=get(at + "GiveUpMs", _number),
+                priority_weight=get(at + "Points", _number),
+                latency_objective_slowdown=get(at + "AimStretch", _number, 0.0),
+                late_weight_share=get(at + "LateWorth", _number, 0.0),
+                idempotency=get(at + "Effect", EFFECTS.__getitem__),
+                deduplication_scope=get(at + "Group", str, "all"),
+                deduplication_window_ms=get(at + "MemorySpanMs", _number, 0.0),
+                is_ordered_by_key=get(at + "SerialByKey", _flag, False),
                 zones=get(at + "RunsIn", _whole, None),
                 kinds=get(at + "RunsOn", _whole, None),
                 threads=threads[i] if i < len(threads) else 1,
-                holds=i < len(holds) and holds[i],
-                waits=i < len(waits) and waits[i],
+                locks_tables=i < len(holds) and holds[i],
+                waits_for_table_locks=i < len(waits) and waits[i],
             )
         )
     tenants = tuple(
-        api.Tenant(
+        policy.Tenant(
             name=get(f"Projects.{i}.Name", str, str(i)), quota_per_s=get(f"Projects.{i}.QuotaPerS", _number)
         )
         for i in range(get("Projects.count", int, 0))
     )
-    return api.Settings(
+    return policy.Settings(
         classes=tuple(classes),
         tenants=tenants,
         kind_cores=get("FamilyInfo.KindCores", _whole, ()),
-        gateways=get("Balancers", int, 1),
-        me=get("Me", int, 0),
+        gateway_count=get("Balancers", int, 1),
+        gateway_index=get("Me", int, 0),
         zone=get("Zone", int, 0),
-        over_share_worth=get("OverShareWorth", _number, 1.0),
+        over_quota_weight_share=get("OverShareWorth", _number, 1.0),
         kind_memory_mb=get("FamilyInfo.SizeMb", _numbers, ()),
         max_grant_share=get("FamilyInfo.MaxGrantShare", _number, 1.0),
-        grants=get("FamilyInfo.TakesGrants", _flag, False),
-        memory_waits=get("FamilyInfo.WhenShort", str, "") == "queue",
-        memory_pages=get("FamilyInfo.WhenShort", str, "") == "swap",
-        priorities=get("FamilyInfo.RanksHeeded", _flag, False),
-        note_ms=get("FamilyInfo.NotePeriodMs", _number, 0.0),
-        tells_cost=get("FamilyInfo.SaysCost", _flag, False),
+        has_memory_grants=get("FamilyInfo.TakesGrants", _flag, False),
+        queues_when_short_of_memory=get("FamilyInfo.WhenShort", str, "") == "queue",
+        swaps_when_short_of_memory=get("FamilyInfo.WhenShort", str, "") == "swap",
+        has_priorities=get("FamilyInfo.RanksHeeded", _flag, False),
+        progress_interval_ms=get("FamilyInfo.NotePeriodMs", _number, 0.0),
+        reports_cost=get("FamilyInfo.SaysCost", _flag, False),
         report_fields=get("Report.Columns", _texts, ()),
         can_cancel=get("Ceilings.Cancel", _flag, False),
         can_probe=get("Ceilings.Probing", _flag, False),
-        can_tell=get("Ceilings.Peers", _flag, False),
-        parallel=get("Ceilings.ParallelTries", _flag, False),
-        retry_after=get("Ceilings.RetryAfter", _flag, False),
+        can_message_peers=get("Ceilings.Peers", _flag, False),
+        allows_concurrent_attempts=get("Ceilings.ParallelTries", _flag, False),
+        allows_retry_after=get("Ceilings.RetryAfter", _flag, False),
         max_retry_after_ms=get("Ceilings.MaxRetryAfterMs", _number, 0.0),
         max_attempts=get("Ceilings.MaxAttempts", int, 1),
-        must_ask=get("RegistryMode", str, "pushed") == "on_request",
+        requires_subscription=get("RegistryMode", str, "pushed") == "on_request",
         answer_slack_ms=get("Rules.AnswerSlackMs", _number, 0.0),
         drain_grace_ms=get("Rules.DrainGraceMs", _number, 0.0),
-        cold_share=get("Rules.ColdShare", _number, 1.0),
-        cold_ms=get("Rules.RampTimeMs", _number, 0.0),
-        fall_multiple=get("Rules.FallMultiple", _number, 0.0),
-        fall_ms=get("Rules.OverloadForMs", _number, 0.0),
-        settle_ms=get("Rules.SettleAfterDoubtMs", _number, 0.0),
-        budget_free=get("Rules.ExtraFloor", _number, 0.0),
-        budget_share=get("Rules.FurtherRatio", _number, 0.0),
-        budget_ms=get("Rules.LookBackMs", _number, 0.0),
-        tick_ms=get("ResolutionMs", _number, 1.0),
+        cold_capacity_share=get("Rules.ColdShare", _number, 1.0),
+        slow_start_ms=get("Rules.RampTimeMs", _number, 0.0),
+        overload_multiple=get("Rules.FallMultiple", _number, 0.0),
+        overload_window_ms=get("Rules.OverloadForMs", _number, 0.0),
+        unresolved_hold_ms=get("Rules.SettleAfterDoubtMs", _number, 0.0),
+        retry_budget_free=get("Rules.ExtraFloor", _number, 0.0),
+        retry_budget_share=get("Rules.FurtherRatio", _number, 0.0),
+        retry_budget_window_ms=get("Rules.LookBackMs", _number, 0.0),
+        resolution_ms=get("ResolutionMs", _number, 1.0),
     )
 
 
@@ -166,7 +166,7 @@
         self.gateways: dict[int, Gateway] = {}
         self.columns: dict[int, tuple[str, ...]] = {}
         self.costs: dict[int, bool] = {}
-        self.pages: dict[int, tuple[api.EngineEntry, ...]] = {}
+        self.pages: dict[int, tuple[policy.EngineEndpoint, ...]] = {}
 
     def run(self) -> None:
         """Answer batches until the input ends."""
@@ -190,7 +190,7 @@
             yield message, parts
         raise WireError("BATCH: the input ended before YOUR_TURN")
 
-    def _batch(self) -> list[tuple[int, tuple[api.Settings, int] | None, list[api.Event]]]:
+    def _batch(self) -> list[tuple[int, tuple[policy.Settings, int] | None, list[policy.Event]]]:
         """Read one batch into stretches: an instance, its start if it starts here, its events."""
         stretches: list = []
         who: int | None = None
@@ -219,7 +219,7 @@
                 except ValueError as exc:
                     raise WireError(f"NEW_INSTANCE: {exc}") from None
                 self.gateways.pop(who, None)
-                self.columns[who], self.costs[who] = start[0].report_fields, start[0].tells_cost
+                self.columns[who], self.costs[who] = start[0].report_fields, start[0].reports_cost
                 current = [who, start, []]
                 stretches.append(current)
                 continue
@@ -237,73 +237,73 @@
         for table in (self.gateways, self.columns, self.costs):
             table.pop(who, None)
 
-    def _entry(self, lines: Iterator[tuple[str, list[str]]]) -> api.EngineEntry:
+    def _entry(self, lines: Iterator[tuple[str, list[str]]]) -> policy.EngineEndpoint:
         message, parts = next(lines, ("YOUR_TURN", []))
         if message != "EXECUTOR":
             raise WireError(f"LIST: field MembersList promises more entries, got {message[:40]}")
         get = Fields(message, parts).get
-        return api.EngineEntry(
+        return policy.EngineEndpoint(
             engine=get("Executor"),
             state=get("State", STATES.__getitem__),
             zone=get("Dc", int, 0),
             kind=get("Sku", int, 0),
             cell=get("Cell", int, 0),
             weight=get("Nominal", _number, 1.0),
-            launched_ms=get("LaunchedMs", _number, 0.0),
+            started_ms=get("LaunchedMs", _number, 0.0),
         )
 
-    def _event(self, who: int, message: str, fields: Fields) -> api.Event:
+    def _event(self, who: int, message: str, fields: Fields) -> policy.Event:
         get = fields.get
         match message:
             case "REQUEST":
                 options = get("Options", int, 0)
-                return api.Arrival(
+                return policy.QueryArrived(
                     query=get("Txn", int),
-                    cls=get("Service", int),
+                    class_index=get("Service", int),
                     deadline_ms=get("DeadlineMs", _number),
                     tenant=get("Owner", int, 0),
                     key=get("Table", _key_space, None),
-                    work_ms=get("ExpectedMs", _number, None) if options & 1 else None,
-                    memory_mb=get("FootprintMb", _number, 0.0),
-                    tables=get("DataGroup", int, None),
-                    repeat=bool(options & 2),
+                    estimated_work_ms=get("ExpectedMs", _number, None) if options & 1 else None,
+                    estimated_memory_mb=get("FootprintMb", _number, 0.0),
+                    table_group=get("DataGroup", int, None),
+                    is_client_retry=bool(options & 2),
                 )
             case "ANSWER":
                 note = get("Note", int, 0) if self.costs[who] else 0
-                return api.Outcome(
+                return policy.AttemptEnded(
                     query=get("Txn", int),
                     attempt=get("Try", int),
                     engine=get("Executor"),
                     status=get("Disposition", STATUSES.__getitem__),
                     took_ms=get("TookMs", _number),
-                    finished=get("Complete", _flag, False),
-                    work_ms=float(note >> 12) if note else None,
-                    memory_mb=(note & 4095) * 4.0 if note else None,
+                    is_final=get("Complete", _flag, False),
+                    measured_work_ms=float(note >> 12) if note else None,
+                    measured_memory_mb=(note & 4095) * 4.0 if note else None,
                     load=self._load(who, fields),
                 )
             case "TIMEOUT_FIRED":
-                return api.TimerFired(token=get("Mark", int))
+                return policy.TimerFired(token=get("Mark", int))
             case "PEERS_KNOWN":
                 form = get("Form", FORMS.__getitem__)
                 if form == "failed":
-                    return api.EngineList(form=form)
+                    return policy.EngineListUpdate(form=form)
                 page = get("Page", int)
                 if page not in self.pages:
                     raise WireError("PEERS_KNOWN: field Page names no list")
-                return api.EngineList(form=form, engines=self.pages[page])
+                return policy.EngineListUpdate(form=form, engines=self.pages[page])
             case "UPDATE_OF":
-                return api.Note(
+                return policy.AttemptProgress(
                     query=get("Txn", int),
                     attempt=get("Try", int),
-                    sort=get("Sort", int),
+                    kind=get("Sort", int),
                     value=get("Value", _number),
                 )
             case "CLIENT_GONE":
-                return api.Gone(query=get("Txn", int))
+                return policy.ClientDisconnected(query=get("Txn", int))
             case "BEGUN":
-                return api.Begun(query=get("Txn", int), attempt=get("Try", int))
+                return policy.ResultStarted(query=get("Txn", int), attempt=get("Try", int))
             case "HEALTH":
-                return api.Probed(
+                return policy.HealthChecked(
                     engine=get("Executor"),
                     took_ms=get("TookMs", _number),
                     status=get("Disposition", STATUSES.__getitem__),
@@ -311,7 +311,7 @@
                 )
             case "MAIL":
                 text = get("Content")
-                return api.PeerMessage(
+                return policy.PeerMessageReceived(
                     sender=get("From", int), data=b"" if text == "-" else get("Content", bytes.fromhex)
                 )
         raise WireError(f"{message[:40]}: unknown message")
@@ -321,7 +321,7 @@
         return dict(zip(self.columns[who], values, strict=False))
 
     def _answer(
-        self, now: float, who: int, start: tuple[api.Settings, int] | None, events: list[api.Event]
+        self, now: float, who: int, start: tuple[policy.Settings, int] | None, events: list[policy.Event]
     ) -> list[str]:
         """Let one instance decide, and put its actions into lines."""
         try:
@@ -335,28 +335,28 @@
         return [f"SPEAKING\tWho={who}", *lines] if lines else []
 
 
-def _line(action: api.Action) -> str:
+def _line(action: policy.Action) -> str:
     match action:
-        case api.Send(query, engine, timeout):
+        case policy.StartAttempt(query, engine, timeout):
             within = f"\tWithinMs={timeout:.3f}" if timeout else ""
             return f"ISSUE\tTxn={query}\tExecutor={engine}{within}"
-        case api.Refuse(query, wait):
+        case policy.RejectQuery(query, wait):
             return f"SHED\tTxn={query}\tWaitMs={wait:.3f}"
-        case api.Fail(query):
+        case policy.FailQuery(query):
             return f"SURRENDER\tTxn={query}"
-        case api.Cancel(query, attempt):
+        case policy.CancelAttempt(query, attempt):
             return f"RECALL\tTxn={query}\tTry={attempt}"
-        case api.Terms(query, memory, priority):
+        case policy.SetGrant(query, memory, priority):
             return f"ASSIGN_TERMS\tTxn={query}\tMemMb={memory:.3f}\tImportance={priority}"
-        case api.Timer(delay, token):
+        case policy.StartTimer(delay, token):
             return f"AFTER\tDelayMs={delay:.3f}\tMark={token}"
-        case api.Tell(data, peer):
+        case policy.SendPeerMessage(data, peer):
             return f"NOTIFY\tNeighbourId={'*' if peer is None else peer}\tContent={data.hex() or '-'}"
-        case api.Probe(engine):
+        case policy.CheckHealth(engine):
             return f"SAMPLE\tExecutor={engine}"
-        case api.Subscribe():
+        case policy.SubscribeToEngines():
             return "SUBSCRIBE\tOn=1"
-        case api.Log(text):
+        case policy.LogMessage(text):
             return f"RECORD\tWords={' '.join(text.split())}"
     raise TypeError(f"no line for {type(action).__name__}")
 
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -2,7 +2,7 @@
 
 from typing import TYPE_CHECKING
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.config import Controller
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.config.tls import TlsError, server_context
@@ -68,7 +68,7 @@
 
     def start(self) -> None:
         """Learn of the engines and where copies are, and listen for clients. Raises `OSError` if it can't."""
-        self.driver.post(api.EngineList("cached", self.settings.engines))
+        self.driver.post(policy.EngineListUpdate("cached", self.settings.engines))
         self.links.start()
         if self.discovery is not None:
             self.discovery.start()
@@ -122,7 +122,7 @@
             self._serve_shards(keeper)
         return keeper
 
-    def _routing(self) -> tuple[api.Settings, Router | None]:
+    def _routing(self) -> tuple[policy.Settings, Router | None]:
         """Return the module's settings, split where queries go by copies of shards, and who splits them."""
         module = self.settings.module
         if not self.settings.file.HasField("moves"):
@@ -178,7 +178,7 @@
         book.route_copies, book.route_tables = self.driver.copies, self.driver.quiet
 
         def launched() -> dict[str, float]:
-            return {name: engine.entry.launched_ms for name, engine in self.driver.gateway.engines.items()}
+            return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
 
         keeper.serve_shards(
             self.links, homes, told.staging, bounds, shards, book, router.named, cleared=told.clearances
--- a/fennelwind/config/read.py
+++ b/fennelwind/config/read.py
@@ -10,7 +10,7 @@
 from pathlib import Path
 from typing import Any
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.config.text import FieldPath, Places, Problem, SettingsError, parse
 from fennelwind.config.tls import TlsError, client_context, server_context
@@ -118,12 +118,12 @@
 class Controller:
     """A controller's settings, checked: what the module is told, and what the program around it needs."""
 
-    module: api.Settings
+    module: policy.Settings
     file: pb.Settings
     listen: Address
     selectors: tuple[Selector, ...]
     tenants_by_user: dict[str, int]
-    engines: tuple[api.EngineEntry, ...]
+    engines: tuple[policy.EngineEndpoint, ...]
     discovery: Address | None
     zones: tuple[str, ...]
     kinds: tuple[str, ...]
@@ -401,7 +401,9 @@
             self.wrong(("listener", "users_file"), f"users_file: {exc}")
             return {}
 
-    def _class(self, i: int, c: pb.QueryClass, zones: list[str], kinds: list[str]) -> api.QueryClass | None:
+    def _class(
+        self, i: int, c: pb.QueryClass, zones: list[str], kinds: list[str]
+    ) -> policy.QueryClass | None:
         path: FieldPath = ("classes", i)
         self.stated(path, c, CLASS)
         if not c.effect:
@@ -418,22 +420,22 @@
         on_kinds = tuple(self.find((*path, "kinds", j), "kind", k, kinds) for j, k in enumerate(c.kinds))
         if self.problems:
             return None
-        return api.QueryClass(
+        return policy.QueryClass(
             name=c.name,
-            aim_ms=c.aim_ms,
-            give_up_ms=c.give_up_ms,
-            worth=c.worth,
-            aim_stretch=c.aim_stretch,
-            late_worth=c.late_worth,
-            effect=pb.QueryClass.Effect.Name(c.effect).lower(),
-            group=pb.QueryClass.Group.Name(c.group).lower() if c.group else "all",
-            memory_ms=c.memory_ms,
-            serial=c.serial,
+            latency_objective_ms=c.aim_ms,
+            client_timeout_ms=c.give_up_ms,
+            priority_weight=c.worth,
+            latency_objective_slowdown=c.aim_stretch,
+            late_weight_share=c.late_worth,
+            idempotency=pb.QueryClass.Effect.Name(c.effect).lower(),
+            deduplication_scope=pb.QueryClass.Group.Name(c.group).lower() if c.group else "all",
+            deduplication_window_ms=c.memory_ms,
+            is_ordered_by_key=c.serial,
             zones=in_zones or None,
             kinds=on_kinds or None,
             threads=c.threads,
-            holds=c.holds_tables,
-            waits=c.waits_for_tables,
+            locks_tables=c.holds_tables,
+            waits_for_table_locks=c.waits_for_tables,
         )
 
     def _selector(self, i: int, s: pb.Selector, classes: list[str]) -> Selector:
@@ -445,13 +447,13 @@
             self.wrong((*path, "statement"), f"statement: {exc}")
         return Selector(cls, s.user, pattern, tuple(sorted(s.configuration.items())))
 
-    def _engine(self, i: int, e: pb.Engine, zones: list[str], kinds: list[str]) -> api.EngineEntry:
+    def _engine(self, i: int, e: pb.Engine, zones: list[str], kinds: list[str]) -> policy.EngineEndpoint:
         path: FieldPath = ("engines", i)
         self.address((*path, "address"), e.address)
         if any(e.address == other.address for other in self.file.engines[:i]):
             self.wrong((*path, "address"), f"address: {e.address} stands twice")
         zone = self.find((*path, "zone"), "zone", e.zone, zones) if e.zone else 0
-        return api.EngineEntry(
+        return policy.EngineEndpoint(
             e.address,
             zone=zone,
             cell=e.cell,
@@ -459,41 +461,41 @@
             kind=self.find((*path, "kind"), "kind", e.kind, kinds),
         )
 
-    def _module(self, classes: tuple[api.QueryClass, ...], zones: list[str]) -> api.Settings:
+    def _module(self, classes: tuple[policy.QueryClass, ...], zones: list[str]) -> policy.Settings:
         f, rules, traits = self.file, self.file.rules, self.file.traits
-        return api.Settings(
+        return policy.Settings(
             classes=classes,
             kind_cores=tuple(k.cores for k in f.kinds),
-            gateways=f.gateways,
-            me=f.me,
+            gateway_count=f.gateways,
+            gateway_index=f.me,
             zone=zones.index(f.zone) if f.zone else 0,
-            tenants=tuple(api.Tenant(t.name, t.quota_per_s) for t in f.tenants),
-            over_share_worth=f.over_share_worth if f.tenants else 1.0,
+            tenants=tuple(policy.Tenant(t.name, t.quota_per_s) for t in f.tenants),
+            over_quota_weight_share=f.over_share_worth if f.tenants else 1.0,
             kind_memory_mb=tuple(k.memory_mb for k in f.kinds),
             max_grant_share=traits.max_grant_share or 1.0,
-            grants=traits.memory_grants,
-            memory_waits=traits.when_short_of_memory == pb.EngineTraits.WAIT,
-            memory_pages=traits.when_short_of_memory == pb.EngineTraits.PAGE,
-            priorities=traits.priorities,
-            note_ms=traits.note_ms,
-            tells_cost=traits.tells_cost,
+            has_memory_grants=traits.memory_grants,
+            queues_when_short_of_memory=traits.when_short_of_memory == pb.EngineTraits.WAIT,
+            swaps_when_short_of_memory=traits.when_short_of_memory == pb.EngineTraits.PAGE,
+            has_priorities=traits.priorities,
+            progress_interval_ms=traits.note_ms,
+            reports_cost=traits.tells_cost,
             report_fields=tuple(traits.report_fields),
             can_cancel=rules.cancel,
             can_probe=rules.probe,
-            parallel=rules.parallel,
-            retry_after=rules.max_retry_after_ms > 0,
+            allows_concurrent_attempts=rules.parallel,
+            allows_retry_after=rules.max_retry_after_ms > 0,
             max_retry_after_ms=rules.max_retry_after_ms,
             max_attempts=rules.max_attempts,
-            must_ask=f.discovery.mode == pb.Discovery.ASKED,
+            requires_subscription=f.discovery.mode == pb.Discovery.ASKED,
             answer_slack_ms=rules.answer_margin_ms,
             drain_grace_ms=rules.drain_grace_ms,
-            cold_share=rules.cold_share,
-            cold_ms=rules.cold_ms,
-            fall_multiple=rules.fall_multiple,
-            fall_ms=rules.fall_ms,
-            settle_ms=rules.settle_ms,
-            budget_free=rules.budget_free,
-            budget_share=rules.budget_share,
-            budget_ms=rules.budget_ms,
-            tick_ms=1.0,
+            cold_capacity_share=rules.cold_share,
+            slow_start_ms=rules.cold_ms,
+            overload_multiple=rules.fall_multiple,
+            overload_window_ms=rules.fall_ms,
+            unresolved_hold_ms=rules.settle_ms,
+            retry_budget_free=rules.budget_free,
+            retry_budget_share=rules.budget_share,
+            retry_budget_window_ms=rules.budget_ms,
+            resolution_ms=1.0,
         )
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from typing import Any, Protocol
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.dispatch.ledger import Entry, Ledger, Try
 from fennelwind.dispatch.types import (
     DONE,
@@ -30,8 +30,8 @@
 from fennelwind.limits.retry_budget import AttemptBudget
 from fennelwind.load_balancing.load_advisor import Advisor
 from fennelwind.loop import Cancelled, Loop, Task
+from fennelwind.policy.gateway import Gateway
 from fennelwind.recovery.request_coalescing import Repeats, Request, goes_on, request_name
-from fennelwind.rules import Gateway
 
 NO_TABLE = "42S02"  # SQLSTATE of a table or partition that is not there, as Hive tells it
 UNSURE = ("reset", "timeout", "cancelled")  # ends of attempts whose statement may go on at its engine
@@ -61,7 +61,7 @@
     def __init__(
         self,
         loop: Loop,
-        settings: api.Settings,
+        settings: policy.Settings,
         engines: Engines,
         observer: Observer,
         *,
@@ -86,13 +86,16 @@
         self.attempt_ends: Counter[str] = Counter()
         self.repeats = Repeats()
         self._asked_for: dict[Entry, Request] = {}  # askings that wait for a query of another entry
-        self._events: list[api.Event] = []
+        self._events: list[policy.Event] = []
         self._asked = False
         self._tasks: dict[tuple[int, int], Task] = {}
         # The time to come back of refusals that the module has no part in.
-        self.longest_wait_ms = settings.max_retry_after_ms if settings.retry_after else 0.0
+        self.longest_wait_ms = settings.max_retry_after_ms if settings.allows_retry_after else 0.0
         self._budget = AttemptBudget(
-            settings.budget_free, settings.budget_share, settings.budget_ms, settings.tick_ms
+            settings.retry_budget_free,
+            settings.retry_budget_share,
+            settings.retry_budget_window_ms,
+            settings.resolution_ms,
         )
 
     # What comes in.
@@ -172,16 +175,16 @@
             for event in lists:
                 self._push(event)
         self._push(
-            api.Arrival(
+            policy.QueryArrived(
                 query=entry.query,
-                cls=cls,
+                class_index=cls,
                 deadline_ms=entry.due_ms,
                 tenant=submission.tenant,
                 key=submission.key,
-                work_ms=submission.work_ms,
-                memory_mb=submission.memory_mb,
-                tables=submission.tables,
-                repeat=submission.repeat,
+                estimated_work_ms=submission.work_ms,
+                estimated_memory_mb=submission.memory_mb,
+                table_group=submission.tables,
+                is_client_retry=submission.repeat,
             )
         )
 
@@ -192,7 +195,7 @@
         self._settle(entry, Answer(LEFT, reason))
         request = self._asked_for.pop(entry, None)
         if request is None:
-            self.post(api.Gone(entry.query))
+            self.post(policy.ClientDisconnected(entry.query))
         elif self.repeats.leave(request, entry):
             self.repeats.end(request.owner)  # a later asking must not join what is being called off
             self.leave(request.owner, reason)
@@ -215,14 +218,14 @@
         self._settle(entry, self._given_up(entry, why, why))
         request = self._asked_for.pop(entry, None)
         if request is None:
-            self.post(api.Gone(entry.query))
+            self.post(policy.ClientDisconnected(entry.query))
         elif self.repeats.leave(request, entry):
             self.repeats.end(request.owner)
             self.leave(request.owner, why)
 
-    def post(self, event: api.Event) -> None:
+    def post(self, event: policy.Event) -> None:
         """Hand an event to the module in the next turn."""
-        if self.router is not None and isinstance(event, api.EngineList):
+        if self.router is not None and isinstance(event, policy.EngineListUpdate):
             event = self.router.listed(event)
         self._push(event)
 
@@ -236,7 +239,7 @@
         for event in self.router.quieted(quiet):
             self._push(event)
 
-    def _push(self, event: api.Event) -> None:
+    def _push(self, event: policy.Event) -> None:
         self._events.append(event)
         if not self._asked:
             self._asked = True
@@ -256,7 +259,7 @@
             return
         # Before any is carried out: an answer may show that its client has gone, and with it other queries.
         entries = [
-            self.ledger.entries.get(action.query) if isinstance(action, api.Send) else None
+            self.ledger.entries.get(action.query) if isinstance(action, policy.StartAttempt) else None
             for action in actions
         ]
         for action, entry in zip(actions, entries, strict=True):
@@ -266,7 +269,7 @@
                 self.step_errors += 1
                 self.observer.failed(f"carrying out {type(action).__name__}", exc)
 
-    def _advised(self, events: list[api.Event]) -> list[api.Event]:
+    def _advised(self, events: list[policy.Event]) -> list[policy.Event]:
         """Return the events with what is known of whole loads ahead of them."""
         if self.advisor is None:
             return events
@@ -278,33 +281,33 @@
         except Exception as exc:  # the module decides without such news, and must miss no event
             self.step_errors += 1
             self.observer.failed("advisor", exc)
-            return [api.Picture({}), *events]
+            return [policy.LoadAdvice({}), *events]
 
-    def _carry_out(self, action: api.Action, sent: Entry | None = None) -> None:
+    def _carry_out(self, action: policy.Action, sent: Entry | None = None) -> None:
         match action:
-            case api.Send(query, engine, timeout):
+            case policy.StartAttempt(query, engine, timeout):
                 self._send(sent, query, engine, timeout)
-            case api.Timer(delay, token):
-                self.loop.after(delay, lambda: self.post(api.TimerFired(token)))
-            case api.Terms(query, memory, priority) if query in self.ledger.entries:
+            case policy.StartTimer(delay, token):
+                self.loop.after(delay, lambda: self.post(policy.TimerFired(token)))
+            case policy.SetGrant(query, memory, priority) if query in self.ledger.entries:
                 entry = self.ledger.entries[query]
                 entry.memory_mb, entry.priority = memory, priority
                 if entry.out:
                     self.engines.terms(query, memory, priority)
-            case api.Refuse(query, wait) if query in self.ledger.entries:
+            case policy.RejectQuery(query, wait) if query in self.ledger.entries:
                 answer = Answer(REFUSED, "no engine can serve it in time", wait)
                 self._settle(self.ledger.entries[query], answer)
-            case api.Fail(query) if query in self.ledger.entries:
+            case policy.FailQuery(query) if query in self.ledger.entries:
                 self._settle(self.ledger.entries[query], Answer(FAILED, "it was not served in time"))
-            case api.Cancel(query, attempt):
+            case policy.CancelAttempt(query, attempt):
                 task = self._tasks.get((query, attempt))
                 if task is not None:
                     task.cancel()
-            case api.Probe(engine):
+            case policy.CheckHealth(engine):
                 self.loop.spawn(self._probe, engine, name=f"probe {engine}")
-            case api.Subscribe():
+            case policy.SubscribeToEngines():
                 self.subscribe()
-            case api.Log(text):
+            case policy.LogMessage(text):
                 self.observer.said(text)
 
     def _send(self, entry: Entry | None, query: int, engine: str, timeout: float) -> None:
@@ -337,7 +340,7 @@
     def _note(self, entry: Entry, number: int, sort: int, value: float) -> None:
         if sort == DONE:
             entry.done = value
-        self.post(api.Note(entry.query, number, sort, value))
+        self.post(policy.AttemptProgress(entry.query, number, sort, value))
 
     def _attempt(self, entry: Entry, number: int, engine: str, order: Order) -> None:
         sent, doubt = self.loop.now(), False
@@ -370,15 +373,17 @@
             return "the query had ended"
         if now >= deadline:
             return "its time was up"
-        if len(entry.out) > 1 and (cls.effect == "unsafe" or not self.settings.parallel):
+        if len(entry.out) > 1 and (
+            cls.idempotency == "unsafe" or not self.settings.allows_concurrent_attempts
+        ):
             return "another attempt is out"
         doubt = next((one for one in entry.tries[:number] if one.status not in NEVER_RAN), None)
-        if doubt is not None and cls.effect == "unsafe":
+        if doubt is not None and cls.idempotency == "unsafe":
             return "an earlier attempt may have run"
         if (
             doubt is not None
-            and cls.effect == "keyed"
-            and now + self.settings.tick_ms >= doubt.began_ms + cls.memory_ms
+            and cls.idempotency == "keyed"
+            and now + self.settings.resolution_ms >= doubt.began_ms + cls.deduplication_window_ms
         ):
             return "its repeats are not dropped any more"
         if number and not self._budget.begins(now):
@@ -423,15 +428,15 @@
                 end.result.close()
         self.observer.attempted(entry, number, engine, end, now - sent)
         self.post(
-            api.Outcome(
+            policy.AttemptEnded(
                 query=entry.query,
                 attempt=number,
                 engine=engine,
                 status=end.status,
                 took_ms=now - sent,
-                finished=entry.answer is not None,
-                work_ms=end.work_ms,
-                memory_mb=end.memory_mb,
+                is_final=entry.answer is not None,
+                measured_work_ms=end.work_ms,
+                measured_memory_mb=end.memory_mb,
                 load=end.load,
             )
         )
@@ -439,7 +444,7 @@
     def _probe(self, engine: str) -> None:
         sent = self.loop.now()
         end = self.engines.probe(engine)
-        self.post(api.Probed(engine, end.status, self.loop.now() - sent, end.load))
+        self.post(policy.HealthChecked(engine, end.status, self.loop.now() - sent, end.load))
 
     def _settle(self, entry: Entry, answer: Answer) -> bool:
         """Give a final answer; tell whether it is the first."""
@@ -452,7 +457,7 @@
 
     def _request_ended(self, owner: Entry) -> None:
         """Give all who ask for a request what became of its query, or a new query to those with more time."""
-        kind, safe = owner.answer.kind, self.settings.classes[owner.submission.cls].effect == "safe"
+        kind, safe = owner.answer.kind, self.settings.classes[owner.submission.cls].idempotency == "safe"
         refused, failed, patient = kind == REFUSED, kind == FAILED, []
         name, waiting = self.repeats.end(owner)
         for entry in waiting:
@@ -483,7 +488,7 @@
         if entry.answer is None:
             self.forgotten += entry.due_ms > entry.taken_ms  # else the module had no time to say anything
             self._settle(entry, self._too_late(entry))
-            self.post(api.Gone(entry.query))
+            self.post(policy.ClientDisconnected(entry.query))
 
     def _too_late(self, entry: Entry) -> Answer:
         return self._given_up(entry, "it was not served in time", "no time was left to serve it")
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -10,7 +10,7 @@
 import json
 from collections.abc import Callable
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset, Task, parse_address
 
@@ -48,7 +48,7 @@
 
 def read_list(
     line: bytes, zones: tuple[str, ...], kinds: tuple[str, ...], lives: Lives, now: float
-) -> api.EngineList:
+) -> policy.EngineListUpdate:
     """Turn a line into the module's event. Raises `DiscoveryError`."""
     try:
         told = json.loads(line)
@@ -62,7 +62,7 @@
                 raise DiscoveryError(f"{engine}: state {state!r}")
             launched = lives.local(engine, float(e.get("launched_ms", 0.0)), float(told["now_ms"]), now)
             entries.append(
-                api.EngineEntry(
+                policy.EngineEndpoint(
                     engine,
                     state,
                     zones.index(e["zone"]) if "zone" in e else 0,
@@ -74,7 +74,7 @@
             )
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
         raise DiscoveryError(f"{type(exc).__name__}: {exc}") from None
-    return api.EngineList(form, tuple(entries))
+    return policy.EngineListUpdate(form, tuple(entries))
 
 
 class DiscoveryLink:
@@ -88,7 +88,7 @@
         pushed: bool,
         zones: tuple[str, ...],
         kinds: tuple[str, ...],
-        post: Callable[[api.EngineList], None],
+        post: Callable[[policy.EngineListUpdate], None],
         seed: int,
         said: Callable[[str], None],
     ) -> None:
@@ -134,7 +134,7 @@
         except (OSError, DeadlineExceeded, DiscoveryError) as exc:
             self.failures += 1
             self.said(f"discovery at {self.address}: {type(exc).__name__}: {exc}")
-            self.post(api.EngineList("failed"))
+            self.post(policy.EngineListUpdate("failed"))
         finally:
             if stream is not None:
                 stream.close()
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -374,7 +374,7 @@
             raise BadRequestError(f"{method}: the settings name no class for metadata calls", "0A000")
         self._room(session)
         operation = self._operate(session, METADATA[method], True)
-        give_up = self.settings.module.classes[cls].give_up_ms
+        give_up = self.settings.module.classes[cls].client_timeout_ms
         operation.entry = self.driver.submit(
             Submission(
                 cls=cls,
@@ -612,7 +612,7 @@
         name = self.settings.module.classes[cls].name
         if not self.door.may_run(session.user, name):
             raise BadRequestError(f"{session.user} may not run queries of class {name}", "42501")
-        timeout = self.settings.module.classes[cls].give_up_ms
+        timeout = self.settings.module.classes[cls].client_timeout_ms
         timeout = number(said, "timeout_ms", timeout)
         if request.queryTimeout and request.queryTimeout > 0:
             timeout = request.queryTimeout * 1000.0
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -8,7 +8,7 @@
 import math
 from random import Random
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.load_balancing import subsetting
 from fennelwind.load_balancing.load_estimate import SHARES, Estimate
 
@@ -20,32 +20,32 @@
 DOUBT = 0.5  # of the standard deviation, by which each controller sees an executor higher or lower
 
 
-def acts(settings: api.Settings) -> bool:
+def acts(settings: policy.Settings) -> bool:
     """Tell whether news of the whole load is to be had and own counts tell too little of it."""
-    return settings.gateways >= LITTLE and any(name in settings.report_fields for name in SHARES)
+    return settings.gateway_count >= LITTLE and any(name in settings.report_fields for name in SHARES)
 
 
 class Advisor:
     """Keeps one controller's view of the fleet's load."""
 
-    def __init__(self, settings: api.Settings, seed: int, idle_ms: float) -> None:
+    def __init__(self, settings: policy.Settings, seed: int, idle_ms: float) -> None:
         self.set, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
         self.estimate = Estimate()
-        self.entries: dict[str, api.EngineEntry] = {}
+        self.entries: dict[str, policy.EngineEndpoint] = {}
         self.leaning: dict[str, float] = {}  # place of each in its doubt: fixed, so that views stay apart
         self.order: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
         self.rate, self.rate_at = 0.0, -math.inf  # queries a second
         self.trial = ""  # the executor that the next narrow query tries
         self.narrow = min(cls.threads for cls in settings.classes)
 
-    def take(self, event: api.Event, now: float) -> None:
+    def take(self, event: policy.Event, now: float) -> None:
         """Take one of the module's events."""
         match event:
-            case api.EngineList():
+            case policy.EngineListUpdate():
                 self._list(event)
-            case api.Arrival():
+            case policy.QueryArrived():
                 self._arrival(event, now)
-            case api.Outcome(engine=engine, load=load) if load and engine in self.entries:
+            case policy.AttemptEnded(engine=engine, load=load) if load and engine in self.entries:
                 entry = self.entries[engine]
                 self.estimate.news(engine, entry.zone, load, self._cores(entry), now)
 
@@ -55,7 +55,7 @@
         if engine == self.trial:
             self.trial = ""
 
-    def picture(self, now: float) -> api.Picture:
+    def picture(self, now: float) -> policy.LoadAdvice:
         """Return the executors to lean to and their loads, as they are taken to be now."""
         near, far = self.order = self.order or self._ranked()
         names = subsetting.choose(
@@ -64,13 +64,13 @@
         loads = {name: self._seen(name, now) for name in names}
         if self.trial in self.entries and self.entries[self.trial].state == "ready":
             loads = {self.trial: 0.0} | {name: load for name, load in loads.items() if name != self.trial}
-        return api.Picture(loads)
+        return policy.LoadAdvice(loads)
 
-    def _cores(self, entry: api.EngineEntry) -> int:
+    def _cores(self, entry: policy.EngineEndpoint) -> int:
         kinds = self.set.kind_cores
         return kinds[entry.kind] if 0 <= entry.kind < len(kinds) else 1
 
-    def _list(self, event: api.EngineList) -> None:
+    def _list(self, event: policy.EngineListUpdate) -> None:
         if event.form == "failed":
             return
         seen = {entry.engine: entry for entry in event.engines}
@@ -82,7 +82,7 @@
                 self._drop(name)
                 continue
             known = self.entries.get(name)
-            if known is None or known.launched_ms != entry.launched_ms:
+            if known is None or known.started_ms != entry.started_ms:
                 self._drop(name)
                 self.leaning[name] = max(-1.0, min(1.0, self.random.gauss(0.0, 1.0)))
             self.entries[name] = entry
@@ -94,8 +94,8 @@
         self.estimate.forget(name)
 
     def _ranked(self) -> tuple[list[str], list[str]]:
-        def place(entry: api.EngineEntry) -> float:
-            return subsetting.rank(self.set.me, entry.engine, self._cores(entry))
+        def place(entry: policy.EngineEndpoint) -> float:
+            return subsetting.rank(self.set.gateway_index, entry.engine, self._cores(entry))
 
         ready = sorted((e for e in self.entries.values() if e.state == "ready"), key=place)
         return (
@@ -106,9 +106,9 @@
     def _rate(self, now: float) -> float:
         return self.rate * math.exp(-max(now - self.rate_at, 0.0) / RATE_MS)
 
-    def _arrival(self, event: api.Arrival, now: float) -> None:
+    def _arrival(self, event: policy.QueryArrived, now: float) -> None:
         self.rate, self.rate_at = self._rate(now) + 1000.0 / RATE_MS, now
-        cls = self.set.classes[min(max(event.cls, 0), len(self.set.classes) - 1)]
+        cls = self.set.classes[min(max(event.class_index, 0), len(self.set.classes) - 1)]
         self.trial = ""
         if cls.threads == self.narrow and self.random.random() < TRIAL:
             ready = [name for name, entry in sorted(self.entries.items()) if entry.state == "ready"]
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.adapter import Fields, WireError, read_settings
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.endpoint_watch import as_figure, as_text, as_whole, read_list, shown
@@ -56,7 +56,7 @@
     cores: float
     memory_mb: float
     sockets: int
-    settings: api.Settings
+    settings: policy.Settings
     classes: dict[str, int]
     tenants: dict[str, int]
     zones: dict[str, int]
@@ -151,7 +151,7 @@
     return "settings." + re.sub(r"\.(\d+)(?=\.|$)", r"[\1]", field).removesuffix(".count")
 
 
-def _settings(pairs: dict[str, str]) -> tuple[api.Settings, float, float, int]:
+def _settings(pairs: dict[str, str]) -> tuple[policy.Settings, float, float, int]:
     """Return the module's settings, and of the program's own those on idle, new and open connections."""
     fields = Fields("settings", [f"{name}={value}" for name, value in pairs.items()])
     try:
--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 
 from fennelwind.node.executor_pool import Executors
-from fennelwind.rules import Gateway
+from fennelwind.policy.gateway import Gateway
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.loop.scheduler import Loop, Waiter
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.executor_pool import Executors
@@ -46,7 +46,7 @@
 
     name: str
     state: str  # "" if unknown
-    entry: api.EngineEntry | None = None
+    entry: policy.EngineEndpoint | None = None
     address: Address | None = None
 
 
@@ -111,14 +111,14 @@
     launched: Callable[[str, float], float],
 ) -> Line:
     started = _get(one, "startedAtMs", as_figure, 0.0)
-    entry = api.EngineEntry(
+    entry = policy.EngineEndpoint(
         engine=name,
         state=state,
         zone=_get(one, "zone", _named(zones)),
         kind=_get(one, "machineType", _named(kinds)),
         cell=_get(one, "cell", as_whole, 0),
         weight=_get(one, "weight", as_figure, 1.0),
-        launched_ms=launched(name, started),
+        started_ms=launched(name, started),
     )
     return Line(name, state, entry, _get(one, "hostPort", lambda at: parse_address(as_text(at))))
 
@@ -197,7 +197,7 @@
         *,
         zones: dict[str, int],
         kinds: dict[str, int],
-        post: Callable[[api.Event], None],
+        post: Callable[[policy.Event], None],
         said: Callable[[str], None],
     ) -> None:
         self.loop, self.address, self.links = loop, address, links
@@ -208,7 +208,7 @@
         self._in_touch: float | None = None  # when a comment was last heard; None before it is followed
         self._watches: list[Watch] = []  # those under way; the newest is the last
         self._pause: Waiter | None = None
-        self._entries: dict[str, api.EngineEntry] = {}  # the list as it was told last
+        self._entries: dict[str, policy.EngineEndpoint] = {}  # the list as it was told last
         self._ahead: dict[str, int] = {}  # executors told to drain or gone by a number not yet taken whole
         self._again: Counter[str] = Counter()  # times asked again, by what was wrong, since one was in order
 
@@ -366,7 +366,7 @@
         for entry in drained:
             self._place(entry, None)
         if drained:
-            self.post(api.EngineList("delta", tuple(drained)))
+            self.post(policy.EngineListUpdate("delta", tuple(drained)))
 
     def _apply(self, listed: Listed, number: int, form: str) -> None:
         """Let the event hold: who has gone first, then who drains, then the rest, in whatever order it tells.
@@ -377,11 +377,11 @@
             named = {line.name for line in listed.lines}
             for name in [name for name in self.links.hosts if name not in named]:
                 self._remove(name)
-        last: dict[str, tuple[api.EngineEntry, Address | None]] = {}
+        last: dict[str, tuple[policy.EngineEndpoint, Address | None]] = {}
         for line in listed.lines:
             entry, known = line.entry, self._entries.get(line.name)
             if line.state == "gone":
-                entry = entry or replace(known or api.EngineEntry(line.name), state="gone")
+                entry = entry or replace(known or policy.EngineEndpoint(line.name), state="gone")
                 self._remove(line.name)
             elif entry is None and known is not None and (listed.full or line.state == "draining"):
                 entry = replace(known, state=line.state) if line.state == "draining" else known
@@ -396,9 +396,11 @@
         self._ahead = {name: at for name, at in self._ahead.items() if at > number}
         self._starts.keep(self._entries)
         if last or listed.full:
-            self.post(api.EngineList(form if listed.full else "delta", tuple(e for e, _ in last.values())))
+            self.post(
+                policy.EngineListUpdate(form if listed.full else "delta", tuple(e for e, _ in last.values()))
+            )
 
-    def _place(self, entry: api.EngineEntry, address: Address | None) -> None:
+    def _place(self, entry: policy.EngineEndpoint, address: Address | None) -> None:
         host = self.links.hosts.get(entry.engine)
         if address is not None or host is not None:
             self.links.place(entry.engine, address or host.address, entry.state == "draining")
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -99,7 +99,7 @@
             idle_ms=config.idle_ms,
             dial_ms=config.dial_ms,
             most=int(config.sockets * EXECUTORS_PART),
-            parallel=settings.parallel,
+            parallel=settings.allows_concurrent_attempts,
         )
         self.driver = Driver(
             loop,
@@ -179,7 +179,7 @@
         """
         ledger, front = self.driver.ledger, self.front
         front.well = False
-        longest = max(cls.give_up_ms for cls in self.config.settings.classes)
+        longest = max(cls.client_timeout_ms for cls in self.config.settings.classes)
         schedule = ShutdownSchedule.from_signal(self.loop.now(), longest)
         self.loop.sleep(max(0.0, schedule.serve_until - self.loop.now()))
         self.driver.closing = True
--- a/fennelwind/node/request_validation.py
+++ b/fennelwind/node/request_validation.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 from typing import Any
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.node.table_group import table_group
 
 ID = re.compile(r"[0-9a-f]{16}")
@@ -38,7 +38,11 @@
 
 
 def read_request(
-    method: str, params: list[Any], classes: dict[str, int], tenants: dict[str, int], settings: api.Settings
+    method: str,
+    params: list[Any],
+    classes: dict[str, int],
+    tenants: dict[str, int],
+    settings: policy.Settings,
 ) -> Asked:
     """Check a request field by field. Raises `Unusable`."""
     cls = classes.get(method)
@@ -54,7 +58,7 @@
     if ID.fullmatch(name) is None:
         raise Unusable("an id is 16 hex digits")
     wait = fields.get("d", "")
-    longest = PATIENCE * settings.classes[cls].give_up_ms + PATIENCE_MS
+    longest = PATIENCE * settings.classes[cls].client_timeout_ms + PATIENCE_MS
     if MILLISECONDS.fullmatch(wait) is None or not 0.0 < float(wait) <= longest:
         raise Unusable("no time that a client of the class waits")
     tenant = tenants.get(fields.get("t", "")) if tenants else 0
--- a/fennelwind/observability/sampler.py
+++ b/fennelwind/observability/sampler.py
@@ -11,13 +11,11 @@
 STAGES = {
     "thrift": "codec",
     "loop": "loop",
-    "rules.py": "module",
-    "state.py": "module",
-    "interface.py": "module",
-    "core": "ledger and driver",
-    "engines": "engine links",
-    "fronts": "front",
-    "observe": "logs",
+    "policy": "policy",
+    "dispatch": "dispatch",
+    "engines": "engine connections",
+    "frontends": "frontend",
+    "observability": "logs",
 }
 
 
--- a/fennelwind/rules.py
+++ b/fennelwind/policy/gateway.py
@@ -1,4 +1,4 @@
-"""Every decision of a gateway. Its types, events and actions are in fennelwind/interface.py.
+"""Every decision of a gateway. Its settings, events and actions are those of `fennelwind.policy`.
 
 A query is held, then sent to an engine as an attempt. `span` is the told work of a query divided by its
 threads; `stretch` is an attempt's time over its span. Times are in ms.
@@ -10,8 +10,8 @@
 from random import Random
 from statistics import median_low
 
-from fennelwind import interface as api
-from fennelwind.state import Attempt, Engine, Lines, Query, Window
+from fennelwind import policy
+from fennelwind.policy.model import Attempt, Engine, Lines, Query, Window
 
 TICK_MS = 25.0  # ms between two looks at the clock while a query is held or out; short against every aim
 BEAT_MS = 250.0  # ms between two views of the whole fleet; a timer that much late was a stall of our own
@@ -59,10 +59,10 @@
 class Gateway:
     """The decisions of one gateway; instances share nothing."""
 
-    def __init__(self, settings: api.Settings, seed: int) -> None:
+    def __init__(self, settings: policy.Settings, seed: int) -> None:
         self.set = settings
         self.now, self.random = 0.0, Random(seed)
-        self.actions: list[api.Action] = []
+        self.actions: list[policy.Action] = []
         self.engines: dict[str, Engine] = {}
         self.queries: dict[int, Query] = {}
         self.lanes: list[list[tuple[float, int, Query]]] = [[] for _ in settings.classes * 2]
@@ -86,7 +86,7 @@
         self.blocked = [False] * len(self.lanes)  # those that found no room since the last news
         self.tick_at = self.beat_at = self.period_at = self.subscribe_at = float("-inf")
 
-    def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
+    def step(self, now_ms: float, events: list[policy.Event]) -> list[policy.Action]:
         """Take the time and all events of a tick; return the actions, in order."""
         self.now, self.actions = max(self.now, now_ms), []
         late = self.now - self.tick_at
@@ -97,28 +97,28 @@
                 attempt.stalled += late
         for event in events:
             match event:
-                case api.Arrival():
+                case policy.QueryArrived():
                     self._arrival(event)
-                case api.Outcome():
+                case policy.AttemptEnded():
                     self._outcome(event)
-                case api.EngineList():
+                case policy.EngineListUpdate():
                     self._list(event)
-                case api.Picture(loads):
+                case policy.LoadAdvice(loads):
                     self.told = loads
-                case api.Gone(query) if query in self.queries:
+                case policy.ClientDisconnected(query) if query in self.queries:
                     self._close(self.queries[query])
-                case api.Begun(query) if query in self.queries:
+                case policy.ResultStarted(query) if query in self.queries:
                     self.queries[query].begun = True
-                case api.Note(query, number, 1, share) if query in self.queries and share > 0.0:
+                case policy.AttemptProgress(query, number, 1, share) if query in self.queries and share > 0.0:
                     self.queries[query].note(number, share, self.now)
-                case api.TimerFired(token) if token == self.token:
+                case policy.TimerFired(token) if token == self.token:
                     self.tick_at = self.now  # a rounded clock must not lose the only timer
         if self.now >= self.tick_at:
             self._tick()
         self._dispatch()
         return self.actions
 
-    def _list(self, event: api.EngineList) -> None:
+    def _list(self, event: policy.EngineListUpdate) -> None:
         if event.form == "failed":
             self.subscribe_at = self.now + PERIOD_MS
             return
@@ -129,19 +129,19 @@
                     engine.entry = replace(engine.entry, state="gone")
         for name, entry in seen.items():
             known = self.engines.get(name)
-            if known is not None and (entry.state == "gone" or known.entry.launched_ms == entry.launched_ms):
+            if known is not None and (entry.state == "gone" or known.entry.started_ms == entry.started_ms):
                 known.entry = entry
             elif entry.state != "gone":
                 self.engines[name] = self._engine(entry, known)
         self._beat()
 
-    def _engine(self, entry: api.EngineEntry, known: Engine | None) -> Engine:
+    def _engine(self, entry: policy.EngineEndpoint, known: Engine | None) -> Engine:
         s = self.set
         cores = s.kind_cores[entry.kind] if 0 <= entry.kind < len(s.kind_cores) else 1
         fresh = Engine(
             entry,
             cores,
-            START_PER_CORE * cores / s.gateways,
+            START_PER_CORE * cores / s.gateway_count,
             self.random.random(),
             deque(maxlen=WARM_GROUPS),
             [(0.0, 0.0)] * len(s.classes),
@@ -151,33 +151,35 @@
             self.busy.update({entry.engine: fresh} if fresh.out else {})
         return fresh
 
-    def _arrival(self, told: api.Arrival) -> None:
+    def _arrival(self, told: policy.QueryArrived) -> None:
         if told.query in self.queries:
             return
-        c = min(max(told.cls, 0), len(self.mean) - 1)
+        c = min(max(told.class_index, 0), len(self.mean) - 1)
         cls = self.set.classes[c]
-        work = told.work_ms or self.work[c] or GUESS * cls.aim_ms * cls.threads
+        work = told.estimated_work_ms or self.work[c] or GUESS * cls.latency_objective_ms * cls.threads
         span = max(work / cls.threads, 1.0)
         self.work[c] += (work - self.work[c]) * (MEAN_PART if self.work[c] else 1.0)
         self.size += (work - self.size) * (MEAN_PART if self.size else 1.0)
         self.credit = min(self.credit + RESCUE_SHARE * work, RESCUE_MOST * self.size)
-        self.mean[c] = self.mean[c] or (span if told.work_ms else cls.aim_ms / 2)
-        aim_at = min(self.now + cls.aim_ms + cls.aim_stretch * span, told.deadline_ms)
-        short = self.set.priorities and work < SHORT * self.size
+        self.mean[c] = self.mean[c] or (span if told.estimated_work_ms else cls.latency_objective_ms / 2)
+        aim_at = min(
+            self.now + cls.latency_objective_ms + cls.latency_objective_slowdown * span, told.deadline_ms
+        )
+        short = self.set.has_priorities and work < SHORT * self.size
         query = Query(told, cls, c, self.now, span, aim_at, aim_at - self.mean[c], short)
         self.queries[told.query] = query
         self.lines.add(query)
         self._hold(query)
 
-    def _outcome(self, event: api.Outcome) -> None:
+    def _outcome(self, event: policy.AttemptEnded) -> None:
         query = self.queries.get(event.query)
         attempt = query.attempt(event.attempt) if query is not None else None
         if attempt is None or not attempt.ended():
             return
         self.threads[query.short] -= query.cls.threads
-        if event.status == "ok" and not query.done and self.set.budget_ms:
+        if event.status == "ok" and not query.done and self.set.retry_budget_window_ms:
             # Only who is served pays for further attempts: what bad clients ask for may not count as taken.
-            self.taken.add(query.arrived, 1.0, self.now - self.set.budget_ms)
+            self.taken.add(query.arrived, 1.0, self.now - self.set.retry_budget_window_ms)
         if not attempt.engine.out:
             self.busy.pop(attempt.engine.entry.engine, None)
         self.blocked = [False] * len(self.lanes)
@@ -186,16 +188,16 @@
         elif not query.doubt and not query.out:
             query.anchor = None  # proven never to have run: free to go anywhere
         if event.status in ("timeout", "reset", "cancelled") and query.line is not None:
-            self.rest[query.line] = self.now + self.set.settle_ms
+            self.rest[query.line] = self.now + self.set.unresolved_hold_ms
         self._learn(attempt, event)
         if query.done:
             self._forget(query)
-        elif event.finished:
+        elif event.is_final:
             self._close(query)
         elif not query.begun and not query.out:
             (self._hold if self._may_go_on(query) else self._end)(query)
 
-    def _learn(self, attempt: Attempt, event: api.Outcome) -> None:
+    def _learn(self, attempt: Attempt, event: policy.AttemptEnded) -> None:
         query, engine, c = attempt.query, attempt.engine, attempt.query.c
         if event.status in ("ok", "timeout", "cancelled"):
             due = query.span * self.best[c]
@@ -218,16 +220,16 @@
         if event.status == "ok":
             engine.fails = engine.fails if attempt.sent <= engine.failed else 0
             engine.heard = max(engine.heard, attempt.sent)
-            engine.read(query.told.tables)
+            engine.read(query.told.table_group)
         if attempt.stalled:
             return  # its time is as much this gateway's own as the engine's
         if event.status == "ok":
             step = BEST_FALL if stretch < self.best[c] else -BEST_RISE
             self.best[c] *= 1.0 - step
-            took = min(event.took_ms, CAP_AIMS * query.cls.aim_ms)
+            took = min(event.took_ms, CAP_AIMS * query.cls.latency_objective_ms)
             self.mean[c] += (took - self.mean[c]) * MEAN_PART
-            if not query.told.work_ms:  # nobody tells what it needs: its answers do
-                needed = event.work_ms or took * query.cls.threads
+            if not query.told.estimated_work_ms:  # nobody tells what it needs: its answers do
+                needed = event.measured_work_ms or took * query.cls.threads
                 self.work[c] += (needed - self.work[c]) * LOCAL_PART
         elif lag <= engine.lag or attempt.sent <= engine.heard:
             return  # an attempt cut short tells only that it would have taken longer
@@ -260,24 +262,33 @@
         fastest = LIKELY * query.span * self.best[query.c]
         in_time = self.now + fastest < query.told.deadline_ms - 2 * TICK_MS
         spare = not any(q.held and q is not query for lane in self.lanes for _, _, q in lane)
-        if not (query.cls.late_worth and in_time and spare and self._try_send(query)) and not query.done:
+        if (
+            not (query.cls.late_weight_share and in_time and spare and self._try_send(query))
+            and not query.done
+        ):
             self._end(query)
 
     def _may_go_on(self, query: Query) -> bool:
         """Tell whether the effect rule and the limits leave room for a further attempt."""
         if len(query.attempts) >= self.set.max_attempts or query.begun:
             return False
-        if query.cls.effect == "unsafe":
+        if query.cls.idempotency == "unsafe":
             return not query.doubt and not query.out
         anchor = query.anchor
-        return not anchor or self.now + self.set.tick_ms < anchor.sent + query.cls.memory_ms
+        return (
+            not anchor or self.now + self.set.resolution_ms < anchor.sent + query.cls.deduplication_window_ms
+        )
 
     def _end(self, query: Query) -> None:
         """Give the final answer of a query that is not served: refused where that is true, else failed."""
-        cls, wait = query.cls, self.set.max_retry_after_ms if self.set.retry_after else 0.0
-        harmless = cls.effect == "safe" or cls.effect == "keyed" and cls.group == "all"
+        cls, wait = query.cls, self.set.max_retry_after_ms if self.set.allows_retry_after else 0.0
+        harmless = (
+            cls.idempotency == "safe" or cls.idempotency == "keyed" and cls.deduplication_scope == "all"
+        )
         refuse = harmless or not query.doubt and not query.out
-        self.actions.append(api.Refuse(query.told.query, wait) if refuse else api.Fail(query.told.query))
+        self.actions.append(
+            policy.RejectQuery(query.told.query, wait) if refuse else policy.FailQuery(query.told.query)
+        )
         self._close(query)
 
     def _close(self, query: Query) -> None:
@@ -286,7 +297,7 @@
         for attempt in query.attempts if query.out and self.set.can_cancel and not query.begun else ():
             if (query.told.query, attempt.number) in attempt.engine.out and not attempt.cancelled:
                 attempt.cancelled = True
-                self.actions.append(api.Cancel(query.told.query, attempt.number))
+                self.actions.append(policy.CancelAttempt(query.told.query, attempt.number))
         self._forget(query)
 
     def _forget(self, query: Query) -> None:
@@ -309,14 +320,14 @@
                 self._send_late(query)
         for engine in list(self.busy.values()):
             self._judge(engine)
-        if self.set.must_ask and self.now >= self.subscribe_at:
+        if self.set.requires_subscription and self.now >= self.subscribe_at:
             self.subscribe_at = float("inf")  # until it fails
-            self.actions.append(api.Subscribe())
+            self.actions.append(policy.SubscribeToEngines())
         self.tick_at = float("-inf")  # idle: the next event looks at the clock
-        if self.queries or self.set.must_ask:  # else nothing to look after until the next event
+        if self.queries or self.set.requires_subscription:  # else nothing to look after until the next event
             self.tick_at = self.now + TICK_MS
             self.token += 1
-            self.actions.append(api.Timer(TICK_MS, self.token))
+            self.actions.append(policy.StartTimer(TICK_MS, self.token))
 
     def _beat(self) -> None:
         """View the whole fleet: who is ready, what is usual, how many threads this gateway may run there."""
@@ -340,10 +351,10 @@
         # With many gateways an even part is hardly one query, and demand scatters: a fleet that its reports
         # tell to be half empty is open to all; when it fills, as by a burst or lost engines, all give way.
         told = min(FILL / self.fill, MOST_PARTS**0.5) ** 2 if self.fill > 0.0 else 1.0
-        if self.set.memory_waits and not self.fill and self.took:
+        if self.set.queues_when_short_of_memory and not self.fill and self.took:
             # Nothing reported: how long attempts take tells a jam, as by one tenant's burst or lost engines.
             return WAITING * min(1.0, PACE * self.due / self.took) ** 2
-        return max(told, WAITING) if self.set.memory_waits else told
+        return max(told, WAITING) if self.set.queues_when_short_of_memory else told
 
     def _ring(self) -> list[Engine]:
         """Order engines for ties: own zone first, from a point that spreads the gateways evenly."""
@@ -351,7 +362,7 @@
         ring = []
         for own in (True, False):
             part = [e for e in ready if (e.entry.zone == self.set.zone) == own]
-            start = int(self.set.me * GOLDEN % 1.0 * len(part))
+            start = int(self.set.gateway_index * GOLDEN % 1.0 * len(part))
             ring += part[start:] + part[:start]
         return ring
 
@@ -365,7 +376,7 @@
         engine.lag_now = total / weight
         engine.suspect = engine.shut_until > self.now or engine.lag_now > SUSPECT_LAG * self.usual
         for attempt in list(engine.out.values()):
-            if self.set.priorities and not attempt.query.done:
+            if self.set.has_priorities and not attempt.query.done:
                 self._terms(attempt.query)  # what has passed its aim meanwhile goes last
             self._rescue(attempt)
 
@@ -377,7 +388,7 @@
         due = lateness * max(self.usual, attempt.engine.lag, 1.0) * usual_span * self.best[c]
         # What its notes tell to be under way is left alone, though a busy engine or its low priority makes it
         # late: starting anew costs all its work. When notes stop, as from a hung engine, its age decides.
-        told = self.now - attempt.noted < NOTES * self.set.note_ms
+        told = self.now - attempt.noted < NOTES * self.set.progress_interval_ms
         early = attempt.age(self.now) < due or told and attempt.left < due
         if (
             early
@@ -385,7 +396,7 @@
             or attempt.cancelled
             or query.done
             or query.out > 1
-            or query.cls.effect == "unsafe"
+            or query.cls.idempotency == "unsafe"
         ):
             return
         # By work, not by number: short queries must not pay for starting long ones anew again and again.
@@ -395,8 +406,8 @@
             self.credit -= work
             if self.set.can_cancel:
                 attempt.cancelled = True
-                self.actions.append(api.Cancel(query.told.query, attempt.number))
-            elif self.set.parallel and not query.held:
+                self.actions.append(policy.CancelAttempt(query.told.query, attempt.number))
+            elif self.set.allows_concurrent_attempts and not query.held:
                 self._hold(query)  # a second copy, as the first can't be called off
 
     def _bounds(self) -> None:
@@ -406,9 +417,13 @@
             engine.loads = [(total * FADE, count * FADE) for total, count in engine.loads]
             engine.lag += (1.0 - engine.lag) * FORGET  # a figure with no fresh answers must not bind for ever
             if worst > 1.0:
-                engine.bound = max(FLOOR_PER_CORE * engine.cores / self.set.gateways, engine.bound / worst)
+                engine.bound = max(
+                    FLOOR_PER_CORE * engine.cores / self.set.gateway_count, engine.bound / worst
+                )
             elif engine.reached:
-                engine.bound = min(engine.bound * RAISE, CEILING_PER_CORE * engine.cores / self.set.gateways)
+                engine.bound = min(
+                    engine.bound * RAISE, CEILING_PER_CORE * engine.cores / self.set.gateway_count
+                )
             engine.reached = False
 
     def _dispatch(self) -> None:
@@ -430,7 +445,7 @@
 
     def _rank(self, query: Query) -> tuple[bool, float, float]:
         late = query.target < self.now
-        return not late, -query.cls.worth if late else 0.0, query.target
+        return not late, -query.cls.priority_weight if late else 0.0, query.target
 
     def _try_send(self, query: Query) -> bool:
         """Send the query if every rule that binds the sender allows it; tell whether it left."""
@@ -441,7 +456,7 @@
             query.attempts
             and not self._budget_left()
             or query.out
-            and not self.set.parallel
+            and not self.set.allows_concurrent_attempts
             or query.line is not None
             and not query.attempts
             and self.rest.get(query.line, 0.0) > self.now
@@ -452,26 +467,32 @@
         engine = None if barred else self._choose(query)
         if engine is None:
             return False
-        if query.attempts and self.set.budget_ms:
-            self.further.add(self.now, 1.0, self.now - self.set.budget_ms)
+        if query.attempts and self.set.retry_budget_window_ms:
+            self.further.add(self.now, 1.0, self.now - self.set.retry_budget_window_ms)
         attempt = query.sent_to(engine, self.now)
         self.threads[query.short] += query.cls.threads
         self.busy[engine.entry.engine] = engine
-        engine.sends.add(self.now, query.weight, self.now - self.set.fall_ms)
-        if query.cls.effect == "keyed" and query.anchor is None:
+        engine.sends.add(self.now, query.weight, self.now - self.set.overload_window_ms)
+        if query.cls.idempotency == "keyed" and query.anchor is None:
             query.anchor = attempt
         self._terms(query)
-        self.actions.append(api.Send(query.told.query, engine.entry.engine))
+        self.actions.append(policy.StartAttempt(query.told.query, engine.entry.engine))
         return True
 
     def _terms(self, query: Query) -> None:
         """Name the memory and the priority of a query, where they are heeded and differ from before."""
-        times = PAGED if self.set.memory_pages else WAITED if self.set.memory_waits else GRANT
-        memory = times * query.told.memory_mb if self.set.grants else 0.0
-        terms = memory, self._priority(query) if self.set.priorities else USUAL_PRIORITY
+        times = (
+            PAGED
+            if self.set.swaps_when_short_of_memory
+            else WAITED
+            if self.set.queues_when_short_of_memory
+            else GRANT
+        )
+        memory = times * query.told.estimated_memory_mb if self.set.has_memory_grants else 0.0
+        terms = memory, self._priority(query) if self.set.has_priorities else USUAL_PRIORITY
         if terms != query.terms:
             query.terms = terms
-            self.actions.append(api.Terms(query.told.query, *terms))
+            self.actions.append(policy.SetGrant(query.told.query, *terms))
 
     def _priority(self, query: Query) -> int:
         """Return the query's priority on its engine: short ones first, those past their aim last."""
@@ -481,9 +502,9 @@
 
     def _budget_left(self) -> bool:
         """Tell whether the ration of further attempts allows one more now."""
-        s, since = self.set, self.now - self.set.budget_ms
-        most = s.budget_free + s.budget_share * self.taken.total(since + s.tick_ms)
-        return not s.budget_ms or self.further.total(since) + 1 <= most
+        s, since = self.set, self.now - self.set.retry_budget_window_ms
+        most = s.retry_budget_free + s.retry_budget_share * self.taken.total(since + s.resolution_ms)
+        return not s.retry_budget_window_ms or self.further.total(since) + 1 <= most
 
     def _choose(self, query: Query) -> Engine | None:
         """Return the engine with the fewest own queries for its size and pace, among a few with room."""
@@ -521,13 +542,13 @@
         least = min(loads.values(), default=0.0) + (TOLD_TIE if self.told else TIE_PER_CORE)
         tied = [e for e, load in loads.items() if load <= least]
         if self.told:  # the order is this gateway's own, so that it comes back to connections that are open
-            return min(tied, default=None, key=lambda e: query.told.tables not in e.warm)
+            return min(tied, default=None, key=lambda e: query.told.table_group not in e.warm)
         return min(
             tied,
             default=None,
             key=lambda e: (
                 e.entry.zone != self.set.zone,
-                query.told.tables not in e.warm,
+                query.told.table_group not in e.warm,
                 e.threads / e.cores,
             ),
         )
@@ -536,7 +557,7 @@
         """Return the threads allowed: the bound under pressure, else the ceiling, as pressure shows late."""
         if engine.lag_now > PRESSURE_LAG or engine.fails:
             return engine.bound
-        return CEILING_PER_CORE * engine.cores / self.set.gateways
+        return CEILING_PER_CORE * engine.cores / self.set.gateway_count
 
     def _permitted(self, query: Query, engine: Engine) -> bool:
         """Drain, placement, keyed group and cold budget: the rules on where an attempt may go."""
@@ -549,20 +570,24 @@
         )
         if entry.state != "ready" or misplaced:
             return False
-        first = query.anchor.engine.entry if query.anchor is not None and cls.group != "all" else entry
-        if entry.zone != first.zone or cls.group == "cell" and entry.cell != first.cell:
+        first = (
+            query.anchor.engine.entry
+            if query.anchor is not None and cls.deduplication_scope != "all"
+            else entry
+        )
+        if entry.zone != first.zone or cls.deduplication_scope == "cell" and entry.cell != first.cell:
             return False
         s, warmth, weight = self.set, self._warmth(engine), query.weight
-        if warmth >= 1.0 or not s.fall_multiple:
+        if warmth >= 1.0 or not s.overload_multiple:
             return True  # else keep this gateway's part in every window of the stated length
-        budget = s.fall_multiple * warmth * engine.cores * s.fall_ms * COLD_PART
+        budget = s.overload_multiple * warmth * engine.cores * s.overload_window_ms * COLD_PART
         # Where a part is less than a query, a draw by each gateway lets as many send one as the parts add up
         # to. Only queries that are small against the whole: chance must not heap them up.
         over = weight * engine.draw if weight <= budget * COLD_GRAIN else 0.0
-        return engine.sends.total(self.now - s.fall_ms) + weight <= budget / s.gateways + over
+        return engine.sends.total(self.now - s.overload_window_ms) + weight <= budget / s.gateway_count + over
 
     def _warmth(self, engine: Engine) -> float:
         """Return the share of its capacity that an engine is sure to have so long after its start."""
-        s, up = self.set, max(0.0, self.now - engine.entry.launched_ms)
-        warm = not engine.entry.launched_ms or up >= s.cold_ms
-        return 1.0 if warm else s.cold_share + (1.0 - s.cold_share) * up / s.cold_ms
+        s, up = self.set, max(0.0, self.now - engine.entry.started_ms)
+        warm = not engine.entry.started_ms or up >= s.slow_start_ms
+        return 1.0 if warm else s.cold_capacity_share + (1.0 - s.cold_capacity_share) * up / s.slow_start_ms
--- a/fennelwind/state.py
+++ b/fennelwind/policy/model.py
@@ -3,15 +3,15 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from fennelwind import interface as api
+from fennelwind import policy
 
 
 @dataclass(slots=True, eq=False)
 class Query:
     """A query that this gateway has taken."""
 
-    told: api.Arrival
-    cls: api.QueryClass
+    told: policy.QueryArrived
+    cls: policy.QueryClass
     c: int  # position of the class
     arrived: float
     span: float  # told work divided by threads
@@ -36,7 +36,7 @@
     @property
     def line(self) -> str | None:
         """The key whose order this query keeps, if any."""
-        return self.told.key if self.cls.serial else None
+        return self.told.key if self.cls.is_ordered_by_key else None
 
     def attempt(self, number: int) -> "Attempt | None":
         """Return the attempt of that number, if it was made."""
@@ -134,7 +134,7 @@
 class Engine:
     """What a gateway knows of one engine."""
 
-    entry: api.EngineEntry
+    entry: policy.EngineEndpoint
     cores: int
     bound: float  # threads of this gateway's queries
     draw: float  # drawn by seed for rounding a cold engine's budget
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -13,7 +13,7 @@
 from dataclasses import replace
 from typing import Protocol
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.shards.access_load import Named
 
 SLOTS_MOST = 6  # kinds are split by every set of slots, 64 ways then; a look at a class's kinds stays short
@@ -35,7 +35,7 @@
         """Its engine may run it on, until then at the longest."""
 
 
-def widen(settings: api.Settings, slots: int) -> api.Settings:
+def widen(settings: policy.Settings, slots: int) -> policy.Settings:
     """Return a controller's settings with its classes and kinds split by slots; 0: as they are."""
     if not slots:
         return settings
@@ -74,10 +74,10 @@
 class Routing:
     """One controller's part: which slot a query needs, and what the module is told of engines."""
 
-    def __init__(self, settings: api.Settings, slots: int, opened: Opened | None = None) -> None:
+    def __init__(self, settings: policy.Settings, slots: int, opened: Opened | None = None) -> None:
         self.classes = len(settings.classes)
         self.slots = [_Slot() for _ in range(min(slots, SLOTS_MOST))]
-        self.entries: dict[str, api.EngineEntry] = {}  # as discovery told them
+        self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery told them
         self.places: Places = {}
         self.quiet: Quiet = {}
         self.opened = opened
@@ -87,19 +87,19 @@
         self._named: dict[int, tuple[str, ...]] = {}  # all that a query named
         self._uses = 0
 
-    def seen(self, places: Places) -> list[api.EngineList]:
+    def seen(self, places: Places) -> list[policy.EngineListUpdate]:
         """Take a newer view of the record; return what the module is to be told."""
         self.places = places
         return self._turned()
 
-    def quieted(self, quiet: Quiet) -> list[api.EngineList]:
+    def quieted(self, quiet: Quiet) -> list[policy.EngineListUpdate]:
         """Take a newer view of engines that get no query of some tables; return what the module is told."""
         if quiet == self.quiet:
             return []
         self.quiet = quiet
         return self._turned()
 
-    def _turned(self) -> list[api.EngineList]:
+    def _turned(self) -> list[policy.EngineListUpdate]:
         before = self._masks()
         for slot in self.slots:
             slot.engines = self._allowed(slot.shards)
@@ -118,7 +118,7 @@
             return frozenset()
         return frozenset().union(*(self.quiet.get(s.partition("/")[0].lower(), ()) for s in shards))
 
-    def listed(self, event: api.EngineList) -> api.EngineList:
+    def listed(self, event: policy.EngineListUpdate) -> policy.EngineListUpdate:
         """Return a list of engines as the module is to be told it."""
         if not self.slots:
             return event
@@ -135,7 +135,9 @@
         known = [frozenset(self.places[shard]) for shard in shards if shard in self.places]
         return frozenset.intersection(*known) if known else None
 
-    def arrives(self, query: int, cls: int, shards: Iterable[str]) -> tuple[int, list[api.EngineList]]:
+    def arrives(
+        self, query: int, cls: int, shards: Iterable[str]
+    ) -> tuple[int, list[policy.EngineListUpdate]]:
         """Return the class by which a query is handed to the module, and what it is told ahead of it."""
         self.named.count(shard for shard in set(shards) if shard in self.places)
         if self.opened is not None and shards:
@@ -147,7 +149,7 @@
             return cls, []
         self._uses += 1
         slot = next((s for s in self.slots if s.shards == named), None)
-        told: list[api.EngineList] = []
+        told: list[policy.EngineListUpdate] = []
         if slot is None:
             slot = min((s for s in self.slots if not s.open), key=lambda s: s.used, default=None)
             if slot is not None:
@@ -169,7 +171,7 @@
             return False
         return holders is None or engine in holders
 
-    def missed(self, query: int, engine: str) -> list[api.EngineList] | None:
+    def missed(self, query: int, engine: str) -> list[policy.EngineListUpdate] | None:
         """Take an engine's word that it has not what a query reads; return what the module is to be told.
 
         The engine knows better than the view, until that is told anew. None: the view does not say otherwise,
@@ -211,12 +213,12 @@
                 masks[engine] = masks.get(engine, 0) | 1 << bit
         return masks
 
-    def _split(self, entry: api.EngineEntry) -> api.EngineEntry:
+    def _split(self, entry: policy.EngineEndpoint) -> policy.EngineEndpoint:
         mask = sum(1 << bit for bit, slot in enumerate(self.slots) if entry.engine in slot.engines)
         return replace(entry, kind=entry.kind * 2 ** len(self.slots) + mask)
 
-    def _told(self, before: dict[str, int]) -> list[api.EngineList]:
+    def _told(self, before: dict[str, int]) -> list[policy.EngineListUpdate]:
         after = self._masks()
         changed = [name for name in sorted({*before, *after}) if before.get(name) != after.get(name)]
         entries = tuple(self._split(self.entries[name]) for name in changed if name in self.entries)
-        return [api.EngineList("delta", entries)] if entries else []
+        return [policy.EngineListUpdate("delta", entries)] if entries else []
--- a/fennelwind/testbed/baselines.py
+++ b/fennelwind/testbed/baselines.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind import interface as api
+from fennelwind import policy
 
 AGAIN = ("full", "connect_failed", "moot")  # ends that prove that nothing ran
 TIMES_GRANT = 2.5  # of the told memory, as the module grants, so that choices alone differ
@@ -18,7 +18,7 @@
 class _Engine:
     """What a yardstick knows of an executor; the fields a view of the controller looks at."""
 
-    def __init__(self, entry: api.EngineEntry, cores: int) -> None:
+    def __init__(self, entry: policy.EngineEndpoint, cores: int) -> None:
         self.entry, self.cores = entry, cores
         self.out: dict[tuple[int, int], int] = {}
         self.threads = 0
@@ -30,7 +30,12 @@
     """A policy by name, with the module's interface."""
 
     def __init__(
-        self, name: str, settings: api.Settings, seed: int, truth: Truth | None = None, late_ms: float = 0.0
+        self,
+        name: str,
+        settings: policy.Settings,
+        seed: int,
+        truth: Truth | None = None,
+        late_ms: float = 0.0,
     ) -> None:
         choices = {
             "random": self._random,
@@ -46,26 +51,26 @@
         self.choice, self.set, self.random = choices[name], settings, Random(seed)
         self.truth, self.late_ms, self.now = truth, late_ms, 0.0
         self.engines: dict[str, _Engine] = {}
-        self.queries: dict[int, tuple[api.Arrival, list[str]]] = {}
+        self.queries: dict[int, tuple[policy.QueryArrived, list[str]]] = {}
 
-    def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
+    def step(self, now_ms: float, events: list[policy.Event]) -> list[policy.Action]:
         """Take the time and events; return actions."""
         self.now = max(self.now, now_ms)
-        actions: list[api.Action] = []
+        actions: list[policy.Action] = []
         for event in events:
             match event:
-                case api.EngineList():
+                case policy.EngineListUpdate():
                     self._list(event)
-                case api.Arrival():
+                case policy.QueryArrived():
                     self.queries[event.query] = event, []
                     self._send(event.query, actions)
-                case api.Outcome():
+                case policy.AttemptEnded():
                     self._outcome(event, actions)
-                case api.Gone(query):
+                case policy.ClientDisconnected(query):
                     self.queries.pop(query, None)
         return actions
 
-    def _list(self, event: api.EngineList) -> None:
+    def _list(self, event: policy.EngineListUpdate) -> None:
         seen = {entry.engine: entry for entry in event.engines}
         if event.form != "delta":
             for name in [name for name in self.engines if name not in seen]:
@@ -78,9 +83,9 @@
             else:
                 self.engines[name] = _Engine(entry, self.set.kind_cores[entry.kind])
 
-    def _send(self, number: int, actions: list[api.Action]) -> None:
+    def _send(self, number: int, actions: list[policy.Action]) -> None:
         query, tried = self.queries[number]
-        cls = self.set.classes[query.cls]
+        cls = self.set.classes[query.class_index]
         pool = [
             engine
             for _, engine in sorted(self.engines.items())
@@ -89,18 +94,20 @@
         fresh = [engine for engine in pool if engine.entry.engine not in tried] or pool
         if not fresh or len(tried) >= self.set.max_attempts or self.now >= query.deadline_ms:
             del self.queries[number]
-            ran = bool(tried) and cls.effect != "safe"
-            actions.append(api.Fail(number) if ran else api.Refuse(number, self.set.max_retry_after_ms))
+            ran = bool(tried) and cls.idempotency != "safe"
+            actions.append(
+                policy.FailQuery(number) if ran else policy.RejectQuery(number, self.set.max_retry_after_ms)
+            )
             return
         engine = self.choice(fresh)
         engine.out[number, len(tried)] = cls.threads
         engine.threads += cls.threads
         tried.append(engine.entry.engine)
-        if self.set.grants:
-            actions.append(api.Terms(number, TIMES_GRANT * query.memory_mb, 1))
-        actions.append(api.Send(number, engine.entry.engine))
+        if self.set.has_memory_grants:
+            actions.append(policy.SetGrant(number, TIMES_GRANT * query.estimated_memory_mb, 1))
+        actions.append(policy.StartAttempt(number, engine.entry.engine))
 
-    def _outcome(self, event: api.Outcome, actions: list[api.Action]) -> None:
+    def _outcome(self, event: policy.AttemptEnded, actions: list[policy.Action]) -> None:
         engine = self.engines.get(event.engine)
         if engine is not None:
             engine.threads -= engine.out.pop((event.query, event.attempt), 0)
@@ -109,15 +116,15 @@
                 engine.told = event.load.get("cpu", 0.0) + waiting / engine.cores
         if event.query not in self.queries:
             return
-        if event.finished:
+        if event.is_final:
             del self.queries[event.query]
             return
-        cls = self.set.classes[self.queries[event.query][0].cls]
-        if event.status in AGAIN or cls.effect == "safe":
+        cls = self.set.classes[self.queries[event.query][0].class_index]
+        if event.status in AGAIN or cls.idempotency == "safe":
             self._send(event.query, actions)
         else:
             del self.queries[event.query]
-            actions.append(api.Fail(event.query))
+            actions.append(policy.FailQuery(event.query))
 
     # Whom to send to.
 
--- a/fennelwind/testbed/compare.py
+++ b/fennelwind/testbed/compare.py
@@ -25,20 +25,9 @@
 from fennelwind.testbed.stats import Difference, difference
 
 PACKAGE = Path(__file__).parent.parent
-# What another revision brings along: what decides and what carries decisions out. The rig stays this one's.
-BROUGHT = (
-    "rules.py",
-    "interface.py",
-    "state.py",
-    "adapter.py",
-    "node",
-    "core",
-    "limits",
-    "recovery",
-    "membership",
-    "replica",
-    "spread",
-)
+# What another revision brings along: what decides and what carries decisions out. The rig stays this one's,
+# so a revision from before these packages had their names can't be played.
+BROUGHT = ("policy", "adapter.py", "node", "dispatch", "limits", "recovery", "load_balancing")
 LONGEST_S = 1800.0  # s for one day
 METRICS = {
     "worth": "worth served",
--- a/fennelwind/testbed/play.py
+++ b/fennelwind/testbed/play.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 from typing import Any
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.audit.fleet import audit, put_together
 from fennelwind.audit.observations import Sighting, Usage
 from fennelwind.audit.rules import SHOWN
@@ -54,23 +54,23 @@
         return threads / self.cores[instance]
 
 
-def deciders(policy: str) -> Callable[[api.Settings, int, Virtual], Decides] | None:
+def deciders(decider: str) -> Callable[[policy.Settings, int, Virtual], Decides] | None:
     """Return what makes the deciders of a policy by name: the module's own, or a yardstick's.
 
     Names: module, random, fewest, two, reported, late or late:MS. Raises `ValueError`.
     """
-    if policy == "module":
+    if decider == "module":
         return None
-    name, _, late = policy.partition(":")
+    name, _, late = decider.partition(":")
     late_ms = float(late or 100.0)
     Yardstick(
         name,
-        api.Settings(classes=(api.QueryClass("x", 1.0, 1.0, 1.0),), kind_cores=(1,)),
+        policy.Settings(classes=(policy.QueryClass("x", 1.0, 1.0, 1.0),), kind_cores=(1,)),
         0,
         lambda at, instance: 0.0,
     )  # a wrong name is told now
 
-    def make(settings: api.Settings, seed: int, fleet: Virtual) -> Decides:
+    def make(settings: policy.Settings, seed: int, fleet: Virtual) -> Decides:
         def truth(at: float, instance: str) -> float:
             return fleet.truth.load(at - fleet.before_ms, instance)
 
--- a/fennelwind/testbed/virtual.py
+++ b/fennelwind/testbed/virtual.py
@@ -8,7 +8,7 @@
 from dataclasses import dataclass, field
 from typing import Any, Protocol
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.audit.observations import Process, Sighting, Usage
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.types import AttemptEnd
@@ -33,11 +33,11 @@
 class Decides(Protocol):
     """What takes the module's place in a driver."""
 
-    def step(self, now_ms: float, events: list[api.Event]) -> list[api.Action]:
+    def step(self, now_ms: float, events: list[policy.Event]) -> list[policy.Action]:
         """Take the time and events; return actions."""
 
 
-MakeDecider = Callable[[api.Settings, int, "Virtual"], Decides]
+MakeDecider = Callable[[policy.Settings, int, "Virtual"], Decides]
 
 
 class Shifted:
--- a/tests/cold_model.py
+++ b/tests/cold_model.py
@@ -18,8 +18,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from fennelwind import interface as api
-from fennelwind.rules import Gateway
+from fennelwind import policy
+from fennelwind.policy.gateway import Gateway
 
 THREADS = (1, 4)
 
@@ -146,7 +146,7 @@
     def __init__(self, me: int, traffic: float) -> None:
         self.me, self.traffic, self.starts = me, traffic, 0
         self.gateway: Gateway | None = None
-        self.believed: dict[str, api.EngineEntry] = {}
+        self.believed: dict[str, policy.EngineEndpoint] = {}
 
 
 @dataclass
@@ -174,7 +174,15 @@
         self.requests: dict[tuple[int, int, int], Request] = {}
         self.result = Result()
         self.classes = tuple(
-            api.QueryClass(name, aim, give_up, worth, aim_stretch=stretch, late_worth=late, threads=threads)
+            policy.QueryClass(
+                name,
+                aim,
+                give_up,
+                worth,
+                latency_objective_slowdown=stretch,
+                late_weight_share=late,
+                threads=threads,
+            )
             for name, aim, give_up, worth, stretch, late, threads in (
                 ("lookup", case.aims[0], 4000.0, 1.0, 1.5, 0.0, THREADS[0]),
                 ("build", case.aims[1], 15000.0, 10.0, 2.5, 0.4, THREADS[1]),
@@ -235,22 +243,22 @@
         """Start a gateway that remembers nothing; it is told of all engines."""
         case = self.case
         kept = dict(
-            fall_multiple=case.fall_multiple if case.rule == "module" else 0.0,
-            fall_ms=case.fall_ms,
-            cold_share=case.cold_share,
-            cold_ms=case.cold_ms,
+            overload_multiple=case.fall_multiple if case.rule == "module" else 0.0,
+            overload_window_ms=case.fall_ms,
+            cold_capacity_share=case.cold_share,
+            slow_start_ms=case.cold_ms,
         )
-        settings = api.Settings(
+        settings = policy.Settings(
             self.classes,
             (case.cores,),
-            gateways=case.gateways,
-            me=node.me,
+            gateway_count=case.gateways,
+            gateway_index=node.me,
             can_cancel=True,
-            parallel=case.parallel,
+            allows_concurrent_attempts=case.parallel,
             max_attempts=3,
-            retry_after=True,
+            allows_retry_after=True,
             max_retry_after_ms=2000.0,
-            tick_ms=5.0,
+            resolution_ms=5.0,
             **kept,
         )
         node.starts += 1
@@ -258,11 +266,11 @@
         if case.rule == "fleet":
             node.gateway._permitted = self.whole(node.gateway)
         entries = tuple(
-            api.EngineEntry(name, "ready" if life.up else "gone", launched_ms=life.launched)
+            policy.EngineEndpoint(name, "ready" if life.up else "gone", started_ms=life.launched)
             for name, life in self.lives.items()
         )
         node.believed = {entry.engine: entry for entry in entries}
-        self.step(node, api.EngineList("full", entries))
+        self.step(node, policy.EngineListUpdate("full", entries))
 
     def whole(self, gateway: Gateway):
         """Return a rule that knows what the whole fleet sends, to the request and without delay."""
@@ -282,26 +290,26 @@
 
         return permitted
 
-    def step(self, node: Node, *events: api.Event) -> None:
+    def step(self, node: Node, *events: policy.Event) -> None:
         """Give a gateway events; do what it decides."""
         gateway, mark = node.gateway, node.starts
         if gateway is None:
             return
         for action in gateway.step(self.now, list(events)):
             match action:
-                case api.Timer(delay, token):
+                case policy.StartTimer(delay, token):
                     self.at(self.now + delay, "timer", node, mark, token)
-                case api.Send(query, engine):
+                case policy.StartAttempt(query, engine):
                     self.sent(node, query, engine)
-                case api.Refuse(query) | api.Fail(query):
+                case policy.RejectQuery(query) | policy.FailQuery(query):
                     self.requests[node.me, mark, query].done = True
-                case api.Cancel(query, number):
+                case policy.CancelAttempt(query, number):
                     self.at(self.now + 1.0, "ended", node, mark, query, number, "cancelled", self.now, False)
 
     def timer(self, node: Node, mark: int, token: int) -> None:
         """A gateway's timer is due."""
         if node.starts == mark:
-            self.step(node, api.TimerFired(token))
+            self.step(node, policy.TimerFired(token))
 
     def ask(self) -> None:
         """A client asks some gateway that lives; the next one is planned."""
@@ -322,13 +330,13 @@
         request = Request(
             cls,
             work,
-            self.now + made.aim_ms + made.aim_stretch * work / made.threads,
-            self.now + made.give_up_ms,
+            self.now + made.latency_objective_ms + made.latency_objective_slowdown * work / made.threads,
+            self.now + made.client_timeout_ms,
         )
-        self.result.offered += made.worth
+        self.result.offered += made.priority_weight
         self.count += 1
         self.requests[node.me, node.starts, self.count] = request
-        self.step(node, api.Arrival(self.count, cls, request.deadline, work_ms=told))
+        self.step(node, policy.QueryArrived(self.count, cls, request.deadline, estimated_work_ms=told))
 
     def sent(self, node: Node, query: int, engine: str) -> None:
         """An attempt is decided; it reaches the engine when its connection is up."""
@@ -349,7 +357,7 @@
         if not life.up:
             self.at(self.now + 1.0, "ended", node, mark, query, number, "connect_failed", began, False)
             return
-        told = node.believed[engine].launched_ms == life.launched
+        told = node.believed[engine].started_ms == life.launched
         if life.reached(case, self.now, request.work, case.work[request.cls], told):
             self.lost(engine)
             return
@@ -381,13 +389,13 @@
         if status == "ok" and not request.done:
             request.done = True
             cls = self.classes[request.cls]
-            late = cls.late_worth if self.now <= request.deadline else 0.0
-            self.result.worth += cls.worth * (1.0 if self.now <= request.aim_at else late)
+            late = cls.late_weight_share if self.now <= request.deadline else 0.0
+            self.result.worth += cls.priority_weight * (1.0 if self.now <= request.aim_at else late)
         gateway = node.gateway
         if gateway is None or query not in gateway.queries or number >= len(gateway.queries[query].attempts):
             return
         engine = gateway.queries[query].attempts[number].engine.entry.engine
-        self.step(node, api.Outcome(query, number, engine, status, self.now - began, finished))
+        self.step(node, policy.AttemptEnded(query, number, engine, status, self.now - began, finished))
 
     def lost(self, engine: str) -> None:
         """An engine ends at once; all that is out there is reset, and the gateways hear of it by and by."""
@@ -399,7 +407,7 @@
                     self.at(
                         self.now + 1.0, "ended", self.nodes[me], mark, query, number, "reset", self.now, False
                     )
-        self.tell(api.EngineEntry(engine, "gone"))
+        self.tell(policy.EngineEndpoint(engine, "gone"))
 
     def replaced(self, engine: str) -> None:
         """An engine starts anew under its name."""
@@ -408,23 +416,23 @@
             life.up = False
         self.past.append(self.lives[engine])
         self.lives[engine] = Life(self.now)
-        self.tell(api.EngineEntry(engine, launched_ms=self.now))
+        self.tell(policy.EngineEndpoint(engine, started_ms=self.now))
 
-    def tell(self, entry: api.EngineEntry) -> None:
+    def tell(self, entry: policy.EngineEndpoint) -> None:
         """Tell all gateways, each in its own time."""
         for node in self.nodes:
             self.at(self.now + 100.0 + self.random.random() * 2200.0, "heard", node, entry)
 
-    def heard(self, node: Node, entry: api.EngineEntry) -> None:
+    def heard(self, node: Node, entry: policy.EngineEndpoint) -> None:
         """A gateway hears of an engine; news of a life that is past is not told after that of the next."""
         known = node.believed.get(entry.engine)
-        if known is not None and known.launched_ms > entry.launched_ms and entry.state != "gone":
+        if known is not None and known.started_ms > entry.started_ms and entry.state != "gone":
             return
         life = self.lives[entry.engine]
         if entry.state == "gone" and life.up:
             return
         node.believed[entry.engine] = entry
-        self.step(node, api.EngineList("delta", (entry,)))
+        self.step(node, policy.EngineListUpdate("delta", (entry,)))
 
     def killed(self, node: Node) -> None:
         """A gateway is killed; its clients go, and another starts in its place."""
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -3,8 +3,8 @@
 import pytest
 from known_red import KnownRed
 
-from fennelwind import interface as api
-from fennelwind.rules import Gateway
+from fennelwind import policy
+from fennelwind.policy.gateway import Gateway
 
 # Files whose tests start processes or take times: one of them at a time, whatever else runs beside.
 PROCESSES = {
@@ -39,8 +39,17 @@
         item.add_marker(pytest.mark.xdist_group("processes" if name in PROCESSES else name))
 
 
-LOOKUP = api.QueryClass("small", aim_ms=800.0, give_up_ms=4000.0, worth=1.0, threads=1)
-REPORT = api.QueryClass("large", aim_ms=3000.0, give_up_ms=15000.0, worth=10.0, late_worth=0.3, threads=4)
+LOOKUP = policy.QueryClass(
+    "small", latency_objective_ms=800.0, client_timeout_ms=4000.0, priority_weight=1.0, threads=1
+)
+REPORT = policy.QueryClass(
+    "large",
+    latency_objective_ms=3000.0,
+    client_timeout_ms=15000.0,
+    priority_weight=10.0,
+    late_weight_share=0.3,
+    threads=4,
+)
 
 
 def settings(**changes):
@@ -48,15 +57,15 @@
         classes=(LOOKUP, REPORT),
         kind_cores=(8,),
         can_cancel=True,
-        parallel=True,
+        allows_concurrent_attempts=True,
         max_attempts=4,
-        retry_after=True,
+        allows_retry_after=True,
         max_retry_after_ms=500.0,
         answer_slack_ms=20.0,
         drain_grace_ms=1000.0,
-        tick_ms=5.0,
+        resolution_ms=5.0,
     )
-    return api.Settings(**{**base, **changes})
+    return policy.Settings(**{**base, **changes})
 
 
 class Drive:
@@ -67,37 +76,39 @@
         self.gateway = Gateway(self.settings, 7)
         self.now = 1000.0
         self.tries = {}
-        entries = entries or tuple(api.EngineEntry(f"e{i}") for i in range(engines))
-        self.step(api.EngineList("cached", entries))
+        entries = entries or tuple(policy.EngineEndpoint(f"e{i}") for i in range(engines))
+        self.step(policy.EngineListUpdate("cached", entries))
 
     def step(self, *events, after=0.0):
         self.now += after
         actions = self.gateway.step(self.now, list(events))
         for action in actions:
-            if isinstance(action, api.Send):
+            if isinstance(action, policy.StartAttempt):
                 self.tries.setdefault(action.query, []).append(action.engine)
         return actions
 
     def ask(self, query, cls=0, work=100.0, left=None, **more):
-        left = self.settings.classes[cls].give_up_ms if left is None else left
-        return self.step(api.Arrival(query, cls, self.now + left, work_ms=work, **more))
+        left = self.settings.classes[cls].client_timeout_ms if left is None else left
+        return self.step(policy.QueryArrived(query, cls, self.now + left, estimated_work_ms=work, **more))
 
     def answer(self, query, status="ok", took=100.0, after=0.0, attempt=None, finished=None, **more):
         attempt = len(self.tries[query]) - 1 if attempt is None else attempt
         finished = status == "ok" if finished is None else finished
         engine = self.tries[query][attempt]
-        return self.step(api.Outcome(query, attempt, engine, status, took, finished, **more), after=after)
+        return self.step(
+            policy.AttemptEnded(query, attempt, engine, status, took, finished, **more), after=after
+        )
 
     def run(self, ms):
         """Let time pass in ticks; return all actions."""
         actions = []
         for _ in range(int(ms / 25.0)):
-            actions += self.step(api.TimerFired(self.gateway.token), after=25.0)
+            actions += self.step(policy.TimerFired(self.gateway.token), after=25.0)
         return actions
 
 
 def sends(actions):
-    return [(a.query, a.engine) for a in actions if isinstance(a, api.Send)]
+    return [(a.query, a.engine) for a in actions if isinstance(a, policy.StartAttempt)]
 
 
 def of(actions, kind):
--- a/tests/test_adapter.py
+++ b/tests/test_adapter.py
@@ -176,7 +176,7 @@
 def test_a_failing_module_becomes_the_wires_fault():
     broken = "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1"
     script = (
-        "import fennelwind.rules as r\n"
+        "import fennelwind.policy.gateway as r\n"
         "def boom(self, now, events): raise RuntimeError('no\\nluck')\n"
         "r.Gateway.step = boom\n"
         "import fennelwind.adapter as a\nraise SystemExit(a.main())"
--- a/tests/test_audit.py
+++ b/tests/test_audit.py
@@ -6,9 +6,9 @@
 import pytest
 from simday import SimDay
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.frontends.hiveserver2 import service
-from fennelwind.state import Lines
+from fennelwind.policy.model import Lines
 from fennelwind.thrift import hiveserver2 as hs2
 
 
@@ -96,7 +96,7 @@
     post = program.driver.post
 
     def blind(event):
-        if isinstance(event, api.EngineList):
+        if isinstance(event, policy.EngineListUpdate):
             entries = tuple(dataclasses.replace(e, state="ready") for e in event.engines)
             event = dataclasses.replace(event, engines=entries)
         post(event)
--- a/tests/test_clearance_program.py
+++ b/tests/test_clearance_program.py
@@ -5,8 +5,7 @@
 from fleet import Fleet, Seen, execute, outcome, status
 from test_gate import FOLLOWER, OLD, WIDER, alter, class_of_alter  # noqa: F401 - a fixture
 
-from fennelwind import config
-from fennelwind import interface as api
+from fennelwind import config, policy
 from fennelwind.cli.program import Program
 from fennelwind.cluster import quiescence
 from fennelwind.quiescence.registered_controllers import RollMachine
@@ -50,7 +49,7 @@
 
     def drain(self, engine):
         """Let every controller hear that an engine drains; it has to be emptied then."""
-        event = api.EngineList("delta", (api.EngineEntry(engine.name, "draining"),))
+        event = policy.EngineListUpdate("delta", (policy.EngineEndpoint(engine.name, "draining"),))
         for program in [self.fleet.program, *self.programs.values()]:
             program.driver.post(event)
 
--- a/tests/test_cold_fleet.py
+++ b/tests/test_cold_fleet.py
@@ -5,7 +5,7 @@
 import pytest
 from cold_model import Case, interval, sample
 
-from fennelwind.rules import Gateway
+from fennelwind.policy.gateway import Gateway
 
 # An engine that starts under far more than it may take, from gateways that see the same traffic: the budget
 # is used as far as it goes, and N of 73 leaves little to chance.
@@ -30,7 +30,7 @@
     """Takes the budget of all gateways for its own."""
 
     def __init__(self, settings, seed):
-        super().__init__(replace(settings, gateways=1), seed)
+        super().__init__(replace(settings, gateway_count=1), seed)
 
 
 class RoundedUp(Gateway):
--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -5,8 +5,7 @@
 import pytest
 from fleet import SETTINGS
 
-from fennelwind import config
-from fennelwind import interface as api
+from fennelwind import config, policy
 from fennelwind.config import settings_pb2 as pb
 
 GOOD = SETTINGS % {"engines": 'engines { address: "127.0.0.1:5000" kind: "k" }', "note": 0, "open": 9}
@@ -24,10 +23,10 @@
     module = settings.module
     assert [c.name for c in module.classes] == ["lookup", "build", "load", "metadata"]
     assert settings.metadata_class == 3
-    assert (module.classes[1].threads, module.classes[2].effect) == (4, "unsafe")
+    assert (module.classes[1].threads, module.classes[2].idempotency) == (4, "unsafe")
     assert module.kind_cores == (8,) and module.report_fields == ("active",)
-    assert (module.max_attempts, module.parallel, module.can_cancel) == (3, False, True)
-    assert settings.engines == (api.EngineEntry("127.0.0.1:5000"),)
+    assert (module.max_attempts, module.allows_concurrent_attempts, module.can_cancel) == (3, False, True)
+    assert settings.engines == (policy.EngineEndpoint("127.0.0.1:5000"),)
     assert settings.class_of("ann", "SELECT 1", {}) == 0
     assert settings.class_of("ann", "build it", {}) == 1
     assert settings.class_of("ann", "explain", {}) is None
@@ -35,7 +34,7 @@
 
 def test_every_field_of_the_modules_settings_can_be_stated():
     """What no settings file could say would be a decision hidden in the program."""
-    fixed = {"tick_ms"}  # the loop's own: it steps whenever something happened
+    fixed = {"resolution_ms"}  # the loop's own: it steps whenever something happened
     text = GOOD.replace(
         "gateways: 1",
         """gateways: 4 over_share_worth: 0.1 zones: "a" zones: "b" zone: "b"
@@ -54,14 +53,14 @@
     text = text.replace("cores: 8", "cores: 8 memory_mb: 64")
     told = config.read(text + 'discovery { address: "127.0.0.1:1" mode: ASKED }').module
     told_wait = config.read(text.replace("PAGE", "WAIT")).module
-    plain = api.Settings(classes=told.classes, kind_cores=())
+    plain = policy.Settings(classes=told.classes, kind_cores=())
     same = {
         name
-        for name in api.Settings.__dataclass_fields__
+        for name in policy.Settings.__dataclass_fields__
         if getattr(told, name) == getattr(plain, name) == getattr(told_wait, name)
     }
     # Classes are compared with themselves; controllers do not talk to each other yet.
-    assert same - fixed == {"classes", "can_tell"}
+    assert same - fixed == {"classes", "can_message_peers"}
     assert config.read(text).tenants_by_user == {"ann": 0}
 
 
--- a/tests/test_controller.py
+++ b/tests/test_controller.py
@@ -14,7 +14,7 @@
 import pytest
 from fleet import Fleet, execute, fetch, ids, outcome, status
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.dispatch.driver import Driver, Silent
 from fennelwind.dispatch.types import AttemptEnd, Order, Result, Submission
 from fennelwind.engines.connection_pool import RemoteError
@@ -215,7 +215,9 @@
                     kept.append(silent.accept())
 
         fleet.loop.spawn(take, name="silent")
-        fleet.program.driver.post(api.EngineList("full", (api.EngineEntry(str(silent.address)),)))
+        fleet.program.driver.post(
+            policy.EngineListUpdate("full", (policy.EngineEndpoint(str(silent.address)),))
+        )
         fleet.loop.sleep(5)
         assert outcome(lambda: execute(fleet.client(), "load x")) == "53000"
         assert kept and {a[3] for a in fleet.seen.attempts} == {"connect_failed"}
@@ -620,7 +622,7 @@
         step = fleet.program.driver.gateway.step
 
         def broken(now, events):
-            if any(isinstance(e, api.Arrival) for e in events):
+            if any(isinstance(e, policy.QueryArrived) for e in events):
                 raise RuntimeError("planted")
             return step(now, events)
 
@@ -668,23 +670,31 @@
 @pytest.mark.parametrize("seed", range(20))
 def test_every_query_ends_once_and_in_time_whatever_attempts_do(seed):
     loop = SimLoop(seed)
-    settings = api.Settings(
+    settings = policy.Settings(
         classes=(
-            api.QueryClass("a", 300.0, 1000.0, 1.0),
-            api.QueryClass("b", 900.0, 3000.0, 9.0, threads=4),
-            api.QueryClass("c", 300.0, 1500.0, 2.0, effect="keyed", memory_ms=800.0, serial=True),
-            api.QueryClass("d", 300.0, 1500.0, 2.0, effect="unsafe"),
+            policy.QueryClass("a", 300.0, 1000.0, 1.0),
+            policy.QueryClass("b", 900.0, 3000.0, 9.0, threads=4),
+            policy.QueryClass(
+                "c",
+                300.0,
+                1500.0,
+                2.0,
+                idempotency="keyed",
+                deduplication_window_ms=800.0,
+                is_ordered_by_key=True,
+            ),
+            policy.QueryClass("d", 300.0, 1500.0, 2.0, idempotency="unsafe"),
         ),
         kind_cores=(8,),
         can_cancel=True,
         max_attempts=3,
-        parallel=seed % 2 == 0,
-        retry_after=True,
+        allows_concurrent_attempts=seed % 2 == 0,
+        allows_retry_after=True,
         max_retry_after_ms=200.0,
-        settle_ms=100.0,
-        budget_free=3.0,
-        budget_share=0.2,
-        budget_ms=5000.0,
+        unresolved_hold_ms=100.0,
+        retry_budget_free=3.0,
+        retry_budget_share=0.2,
+        retry_budget_window_ms=5000.0,
     )
     answers, random = {}, Random(seed)
 
@@ -698,12 +708,14 @@
             max_open=150,
             margin=AnswerMargin(20.0, 20.0),
         )
-        driver.post(api.EngineList("full", tuple(api.EngineEntry(f"e{i}:1") for i in range(3))))
+        driver.post(
+            policy.EngineListUpdate("full", tuple(policy.EngineEndpoint(f"e{i}:1") for i in range(3)))
+        )
         entries = []
         for _ in range(400):
             loop.sleep(random.expovariate(1 / 6.0))
             c = random.randrange(4)
-            give_up = settings.classes[c].give_up_ms * random.choice([1.0, 1.0, 0.1, 0.02])
+            give_up = settings.classes[c].client_timeout_ms * random.choice([1.0, 1.0, 0.1, 0.02])
             entry = driver.submit(
                 Submission(c, "x", loop.now() + give_up, key=random.choice("klm"), work_ms=50.0),
                 lambda e: answers.setdefault(e, []).append((e.answer.kind, loop.now())),
@@ -776,13 +788,13 @@
         fleet.loop.sleep(20)
         driver, links = fleet.program.driver, fleet.program.links
         for priority in (3, 0, 2, 2):
-            driver._carry_out(api.Terms(1, 0.0, priority))
+            driver._carry_out(policy.SetGrant(1, 0.0, priority))
         fleet.loop.sleep(50)
         told = [each for e in fleet.engines for each in e.counts.terms]
         assert told[-1] == ("build", "2") and 1 <= len(told) <= 3
         for engine in fleet.engines:  # one that hears nothing more costs a link, and no answer
             engine.faults.hang = True
-        driver._carry_out(api.Terms(1, 0.0, 1))
+        driver._carry_out(policy.SetGrant(1, 0.0, 1))
         fleet.loop.sleep(1500)
         assert (links.telling, links.told, links.untold) == (0, len(told), 1)
         client.drop()
@@ -798,7 +810,7 @@
         for engine in fleet.engines:
 
             def run(request, mine, run=engine._ExecuteStatement):
-                fleet.program.driver._carry_out(api.Terms(1, 0.0, 3))
+                fleet.program.driver._carry_out(policy.SetGrant(1, 0.0, 3))
                 return run(request, mine)
 
             engine._ExecuteStatement = run
--- a/tests/test_council_program.py
+++ b/tests/test_council_program.py
@@ -89,7 +89,7 @@
 atexit.register(lambda: open(os.environ["MODULES"], "w").write(" ".join(sys.modules)))
 """
 COUNCILS = re.compile(
-    r"fennelwind\.(clearance|council|store|leases|shards|contracts|keeper)\b|^(crc32c|highspy)\b"
+    r"fennelwind\.(quiescence|raft|raft_storage|leases|shards|schema_compatibility|cluster)\b|^(crc32c|highspy)\b"
 )
 
 
--- a/tests/test_crossings_front.py
+++ b/tests/test_crossings_front.py
@@ -414,7 +414,7 @@
 
 def killed_at(node, loop):
     """Return when SIGKILL may come, had SIGTERM come now: as the protocol has it."""
-    longest = max(cls.give_up_ms for cls in node.config.settings.classes)
+    longest = max(cls.client_timeout_ms for cls in node.config.settings.classes)
     return loop.now() + min(longest, 3000.0) + 700.0
 
 
--- a/tests/test_crossings_list.py
+++ b/tests/test_crossings_list.py
@@ -21,7 +21,7 @@
 from nodes import CHANNEL, Quiet, config_text, instance, nodes_event, start
 from test_node_run import ROOT, WAIT_S, Program, ask, command, listening
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset
 from fennelwind.loop.streams import READ_MOST
 from fennelwind.node import endpoint_watch as channel_module
@@ -1474,7 +1474,7 @@
         seen, wrong, post = {}, [], node.driver.post
 
         def watch(told):
-            if isinstance(told, api.EngineList):
+            if isinstance(told, policy.EngineListUpdate):
                 for entry in told.engines:
                     back = entry.state == "ready" and seen.get(entry.engine) in ("draining", "gone")
                     if back and entry.engine not in platform.again:
--- a/tests/test_engines.py
+++ b/tests/test_engines.py
@@ -7,7 +7,7 @@
 import pytest
 from fleet import Fleet
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.dispatch.types import Order, Submission
 from fennelwind.emulators.discovery import Discovery, Listed
 from fennelwind.engines.discovery import DiscoveryError, DiscoveryLink, Lives, read_list
@@ -37,7 +37,9 @@
 
 def test_lists_become_the_modules_events():
     event = read_list(line(entry(), form="delta"), ZONES, KINDS, Lives(), 100.0)
-    assert event == api.EngineList("delta", (api.EngineEntry("10.0.0.1:5", "ready", 1, 1, 3, 2.0, 0.0),))
+    assert event == policy.EngineListUpdate(
+        "delta", (policy.EngineEndpoint("10.0.0.1:5", "ready", 1, 1, 3, 2.0, 0.0),)
+    )
 
 
 def test_a_start_is_put_on_our_clock_once_and_a_restart_differs():
@@ -45,7 +47,7 @@
 
     def start(at, now, mine):
         raw = line(entry(launched_ms=at), now=now)
-        return read_list(raw, ZONES, KINDS, lives, mine).engines[0].launched_ms
+        return read_list(raw, ZONES, KINDS, lives, mine).engines[0].started_ms
 
     told = [start(4000.0, 5000.0, 100.0), start(4000.0, 6000.0, 1130.0), start(7000.0, 8000.0, 3100.0)]
     assert told == [-900.0, -900.0, 2100.0]
@@ -173,77 +175,73 @@
 
 LAYERS = [
     "errors",
-    "interface",
-    "state",
-    "rules",
+    "policy",
     "adapter",
     "loop",
     "thrift",
     "config",
     "limits",
     "recovery",
-    "council",
-    "store",
+    "raft",
+    "raft_storage",
     "leases",
-    "clearance",
+    "quiescence",
     "shards",
-    "contracts",
-    "spread",
-    "core",
+    "schema_compatibility",
+    "load_balancing",
+    "dispatch",
     "engines",
     "node",
-    "keeper",
-    "fronts",
+    "cluster",
+    "frontends",
     "client",
-    "observe",
-    "standin",
+    "observability",
+    "emulators",
     "audit",
-    "lab",
-    "fleet",
+    "benchmarks",
+    "testbed",
     "cli",
 ]
 MAY = {
-    "interface": set(),
-    "state": {"interface"},
-    "rules": {"interface", "state"},
-    "adapter": {"interface", "rules"},
+    "policy": set(),
+    "adapter": {"policy"},
     "errors": set(),
     "loop": {"errors"},
     "thrift": set(),
-    "config": {"errors", "interface", "loop"},
-    "council": {"errors"},
-    "store": {"errors", "loop", "council"},
-    "leases": {"errors", "council"},
-    "clearance": {"council"},
-    "shards": {"errors", "council", "interface"},
-    "contracts": {"errors", "council"},
-    "keeper": {
+    "config": {"errors", "policy", "loop"},
+    "raft": {"errors"},
+    "raft_storage": {"errors", "loop", "raft"},
+    "leases": {"errors", "raft"},
+    "quiescence": {"raft"},
+    "shards": {"errors", "raft", "policy"},
+    "schema_compatibility": {"errors", "raft"},
+    "cluster": {
         "errors",
         "config",
         "thrift",
         "loop",
-        "council",
-        "store",
+        "raft",
+        "raft_storage",
         "leases",
-        "clearance",
+        "quiescence",
         "shards",
-        "contracts",
-        "core",
+        "schema_compatibility",
+        "dispatch",
         "engines",
     },
-    "core": {"interface", "rules", "loop", "limits", "recovery", "spread"},
+    "dispatch": {"policy", "loop", "limits", "recovery", "load_balancing"},
     "limits": set(),
     "recovery": set(),
-    "spread": {"interface"},
-    "engines": {"errors", "interface", "loop", "thrift", "config", "core"},
-    "fronts": {"errors", "interface", "loop", "thrift", "config", "core", "limits", "engines", "keeper"},
-    "node": {"interface", "rules", "adapter", "loop", "limits", "core", "spread"},
+    "load_balancing": {"policy"},
+    "engines": {"errors", "policy", "loop", "thrift", "config", "dispatch"},
+    "frontends": {"errors", "policy", "loop", "thrift", "config", "dispatch", "limits", "engines", "cluster"},
+    "node": {"policy", "adapter", "loop", "limits", "dispatch", "load_balancing"},
     "client": {"thrift"},
-    "observe": {"core", "loop", "limits"},
-    "standin": {"loop", "thrift", "config", "audit"},
+    "observability": {"dispatch", "loop", "limits"},
+    "emulators": {"loop", "thrift", "config", "audit"},
     "audit": {"thrift", "config"},
-    "lab": set(LAYERS) - {"cli", "fleet", "lab"},
-    "fleet": set(LAYERS) - {"cli"},
+    "benchmarks": set(LAYERS) - {"cli", "testbed", "benchmarks"},
+    "testbed": set(LAYERS) - {"cli"},
     "cli": set(LAYERS),
 }
 
@@ -267,8 +265,8 @@
 
 
 def test_only_the_loop_touches_sockets_clocks_and_signals():
-    # The command line starts processes; lab and benches take times; the client blocks in its user's process.
-    allowed = {"loop", "cli", "lab", "client"}
+    # The command line starts processes; benchmarks take times; the client blocks in its user's process.
+    allowed = {"loop", "cli", "benchmarks", "client"}
     pattern = r"^\s*(?:import|from) (socket|select|time|signal|secrets|threading|asyncio|selectors)\b"
     for path in sources():
         room = path.relative_to(ROOT).parts[0].removesuffix(".py")
@@ -280,9 +278,6 @@
 def test_decisions_are_free_of_io():
     pattern = r"\b(?:open|print|input)\(|^\s*(?:import|from) (?:os|sys|fennelwind\.loop (?!import Path))\b"
     for name in (
-        "rules.py",
-        "state.py",
-        "interface.py",
         "dispatch/ledger.py",
         "dispatch/types.py",
         "thrift/transport.py",
@@ -310,7 +305,7 @@
         "load_balancing/load_advisor.py",
         *(
             str(p.relative_to(ROOT))
-            for room in ("council", "leases", "clearance", "shards", "contracts")
+            for room in ("policy", "raft", "leases", "quiescence", "shards", "schema_compatibility")
             for p in (ROOT / room).glob("*.py")
         ),
     ):
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -3,11 +3,11 @@
 import pytest
 from conftest import Drive, of, sends, settings
 
-from fennelwind import interface as api
-from fennelwind import rules
-from fennelwind.rules import Gateway
+from fennelwind import policy
+from fennelwind.policy import gateway as rules
+from fennelwind.policy.gateway import Gateway
 
-COLD = dict(cold_share=0.3, cold_ms=10000.0, fall_multiple=2.0, fall_ms=2000.0)
+COLD = dict(cold_capacity_share=0.3, slow_start_ms=10000.0, overload_multiple=2.0, overload_window_ms=2000.0)
 
 
 class Counting(Gateway):
@@ -25,9 +25,9 @@
 
 
 def counted(engines, gateways=1):
-    d = Drive(engines=engines, gateways=gateways)
+    d = Drive(engines=engines, gateway_count=gateways)
     d.gateway = Counting(d.settings, 7)
-    d.step(api.EngineList("full", tuple(api.EngineEntry(f"e{i:02}") for i in range(engines))))
+    d.step(policy.EngineListUpdate("full", tuple(policy.EngineEndpoint(f"e{i:02}") for i in range(engines))))
     d.gateway.looks = 0
     return d
 
@@ -39,9 +39,9 @@
     d.answer(1)
     d.run(100.0)
     before = d.gateway.looks
-    assert not of(d.run(2000.0), api.Send)
+    assert not of(d.run(2000.0), policy.StartAttempt)
     assert not d.gateway.queries
-    assert not of(d.step(after=1.0), api.Timer)
+    assert not of(d.step(after=1.0), policy.StartTimer)
     assert before <= 6 * engines
 
 
@@ -71,7 +71,7 @@
 
 def test_part_less_than_one_query_still_serves():
     """200 gateways, 8 engines of 8 cores: an even part is under one thread, a query has four."""
-    d = Drive(engines=8, gateways=200)
+    d = Drive(engines=8, gateway_count=200)
     assert sends(d.ask(1, cls=1, work=4000.0))
     assert not sends(d.ask(2, cls=1, work=4000.0))  # all gateways together must not overfill the engines
     assert [q for q, _ in sends(d.answer(1, took=1000.0))] == [2]
@@ -81,7 +81,7 @@
     """Each gateway's first choice is its own, so that many small gateways do not all fill one engine."""
     first = {}
     for me in range(120):
-        d = Drive(engines=30, gateways=120, me=me)
+        d = Drive(engines=30, gateway_count=120, gateway_index=me)
         engine = sends(d.ask(1, cls=1, work=4000.0))[0][1]
         first[engine] = first.get(engine, 0) + 1
     assert len(first) == 30
@@ -91,19 +91,21 @@
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_cold_engine_among_two_hundred_gateways_gets_work_within_its_budget(seed):
     gateways = 200
-    entry = api.EngineEntry("e0", launched_ms=990.0)
+    entry = policy.EngineEndpoint("e0", started_ms=990.0)
     fleet = []
     for me in range(gateways):
-        gateway = Gateway(settings(gateways=gateways, me=me, **COLD), 1000 * seed + me)
-        gateway.step(1000.0, [api.EngineList("full", (entry,))])
+        gateway = Gateway(settings(gateway_count=gateways, gateway_index=me, **COLD), 1000 * seed + me)
+        gateway.step(1000.0, [policy.EngineListUpdate("full", (entry,))])
         fleet.append(gateway)
     sent = 0.0
     for gateway in fleet:
         for n in range(10):
             now = 1000.0 + 10.0 * n
-            for query, _ in sends(gateway.step(now, [api.Arrival(n, 0, now + 4000.0, work_ms=100.0)])):
+            for query, _ in sends(
+                gateway.step(now, [policy.QueryArrived(n, 0, now + 4000.0, estimated_work_ms=100.0)])
+            ):
                 sent += 100.0
-                gateway.step(now, [api.Outcome(query, 0, "e0", "ok", 100.0, True)])
+                gateway.step(now, [policy.AttemptEnded(query, 0, "e0", "ok", 100.0, True)])
     budget = 2.0 * (0.3 + 0.7 * 0.01) * 8 * 2000.0
     assert 0.3 * budget <= sent <= budget
 
@@ -111,24 +113,28 @@
 def test_large_queries_are_not_sent_to_a_cold_engine_by_chance():
     """A few of them would spend the whole budget of an engine that has just started."""
     for seed in range(40):
-        gateway = Gateway(settings(gateways=200, **COLD), seed)
-        gateway.step(1000.0, [api.EngineList("full", (api.EngineEntry("e0", launched_ms=990.0),))])
-        assert not sends(gateway.step(1000.0, [api.Arrival(1, 1, 16000.0, work_ms=4000.0)]))
+        gateway = Gateway(settings(gateway_count=200, **COLD), seed)
+        gateway.step(
+            1000.0, [policy.EngineListUpdate("full", (policy.EngineEndpoint("e0", started_ms=990.0),))]
+        )
+        assert not sends(gateway.step(1000.0, [policy.QueryArrived(1, 1, 16000.0, estimated_work_ms=4000.0)]))
 
 
 def test_own_stall_says_nothing_of_the_engines():
     d = Drive(engines=3)
     for n in range(6):
         d.ask(n)
-    actions = d.step(api.TimerFired(d.gateway.token), after=2000.0)  # due after a tick, came after 2 s
-    assert not of(actions, api.Cancel)
+    actions = d.step(policy.TimerFired(d.gateway.token), after=2000.0)  # due after a tick, came after 2 s
+    assert not of(actions, policy.CancelAttempt)
     assert not any(e.suspect for e in d.gateway.engines.values())
     lags = [e.lag for e in d.gateway.engines.values()]
     for n in range(6):
         d.answer(n, took=2050.0)  # as the lump tells it
     assert [e.lag for e in d.gateway.engines.values()] == lags
     d.ask(10)
-    assert of(d.run(1500.0), api.Cancel)  # what is silent while the gateway has its turns is found again
+    assert of(
+        d.run(1500.0), policy.CancelAttempt
+    )  # what is silent while the gateway has its turns is found again
 
 
 def test_restart_makes_an_engine_healthy_again():
@@ -138,14 +144,14 @@
     d.answer(1, "reset", took=5.0)
     d.gateway.engines[bad].lag = 7.0
     assert d.gateway.engines[bad].suspect
-    d.step(api.EngineList("delta", (api.EngineEntry(bad, launched_ms=d.now - 1.0),)))
+    d.step(policy.EngineListUpdate("delta", (policy.EngineEndpoint(bad, started_ms=d.now - 1.0),)))
     engine = d.gateway.engines[bad]
     assert (engine.lag, engine.fails, engine.suspect) == (1.0, 0, False)
 
 
 def test_no_second_attempt_while_the_first_is_out():
     """A query that waits to be sent again must not go while an attempt of it has no outcome."""
-    d = Drive(engines=3, parallel=False)
+    d = Drive(engines=3, allows_concurrent_attempts=False)
     d.ask(1)
     query = d.gateway.queries[1]
     query.held = True
@@ -156,7 +162,7 @@
 @pytest.mark.parametrize("waits,more", [(True, True), (False, False)])
 def test_allowance_is_larger_where_engines_let_queries_wait_for_memory(waits, more):
     """Where overfilling means a line and not a spill, a small gateway need not keep its queries back."""
-    d = Drive(engines=8, gateways=40, memory_waits=waits)  # an even part of 4.8 threads
+    d = Drive(engines=8, gateway_count=40, queues_when_short_of_memory=waits)  # an even part of 4.8 threads
     assert sends(d.ask(1, cls=1, work=4000.0))
     assert bool(sends(d.ask(2, cls=1, work=4000.0))) == more
 
@@ -164,11 +170,11 @@
 @pytest.mark.parametrize("active,sent", [(1.0, 3), (30.0, 0)])
 def test_part_grows_while_pooled_reports_tell_of_room_and_shrinks_when_they_do_not(active, sent):
     """A part of the fleet may be under one query; what others run is told by any engine's answers."""
-    d = Drive(engines=8, gateways=40)  # an even part of 4.8 threads, and queries of 4
+    d = Drive(engines=8, gateway_count=40)  # an even part of 4.8 threads, and queries of 4
     assert sends(d.ask(0, cls=1, work=4000.0))
     attempt = d.gateway.queries[0].attempts[0]
     for _ in range(20):
-        d.gateway._learn(attempt, api.Outcome(0, 0, "", "ok", 1000.0, False, load={"active": active}))
+        d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": active}))
     d.run(300.0)
     for n in range(1, 10):
         d.ask(n, cls=1, work=4000.0)
@@ -179,7 +185,7 @@
 @pytest.mark.parametrize("priorities", [True, False])
 def test_short_queries_do_not_wait_for_room_among_long_ones(priorities):
     """Where they go first they take little, so long ones filling the part are no reason to wait."""
-    d = Drive(engines=8, gateways=40, priorities=priorities)
+    d = Drive(engines=8, gateway_count=40, has_priorities=priorities)
     for n in range(4):
         d.ask(n, cls=1, work=4000.0)
     assert bool(sends(d.ask(10, work=100.0))) == priorities
@@ -187,11 +193,11 @@
 
 def test_in_a_jam_long_queries_give_way_and_short_ones_keep_the_even_part():
     """Held here they would be late, though they hardly take from an engine that serves them first."""
-    d = Drive(engines=8, gateways=40, priorities=True)  # an even part of 4.8 threads
+    d = Drive(engines=8, gateway_count=40, has_priorities=True)  # an even part of 4.8 threads
     assert sends(d.ask(0, cls=1, work=4000.0))
     attempt = d.gateway.queries[0].attempts[0]
     for _ in range(20):
-        d.gateway._learn(attempt, api.Outcome(0, 0, "", "ok", 1000.0, False, load={"active": 30.0}))
+        d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": 30.0}))
     d.run(300.0)
     assert d.gateway.allowance < 1.0
     assert not sends(d.ask(1, cls=1, work=4000.0))
@@ -201,25 +207,25 @@
 @pytest.mark.parametrize("active", [0.0, -1.0, 1e12])
 def test_odd_reports_of_queries_in_flight_leave_the_part_in_its_limits(active):
     """A fleet may report next to nothing for hours, and a report is noisy: no figure may overflow."""
-    d = Drive(engines=8, gateways=40)
+    d = Drive(engines=8, gateway_count=40)
     d.ask(0, cls=1, work=4000.0)
     attempt = d.gateway.queries[0].attempts[0]
-    d.gateway._learn(attempt, api.Outcome(0, 0, "", "ok", 1000.0, False, load={"active": 1.0}))
+    d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": 1.0}))
     for _ in range(5000):
-        d.gateway._learn(attempt, api.Outcome(0, 0, "", "ok", 1000.0, False, load={"active": active}))
+        d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": active}))
         assert 0.0 <= d.gateway._part() <= rules.MOST_PARTS
 
 
 def test_slow_attempts_close_the_part_where_nothing_is_reported_and_quick_ones_open_it():
     """A jam shows in all times at once; it must end, and its memory must not outlast it."""
-    d = Drive(engines=8, gateways=40, memory_waits=True)
+    d = Drive(engines=8, gateway_count=40, queues_when_short_of_memory=True)
     d.ask(0, cls=1, work=4000.0)
     attempt = d.gateway.queries[0].attempts[0]
     for _ in range(40):
-        d.gateway._learn(attempt, api.Outcome(0, 0, "", "timeout", 9000.0, False))
+        d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "timeout", 9000.0, False))
     assert d.gateway._part() < 1.0
     for _ in range(60):
-        d.gateway._learn(attempt, api.Outcome(0, 0, "", "ok", 1000.0, False))
+        d.gateway._learn(attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False))
     assert d.gateway._part() == rules.WAITING
 
 
@@ -232,11 +238,11 @@
     for n in range(100, 104):
         d.ask(n, cls=1, work=4000.0)
     out = [n for n in range(100, 104) if n in d.tries]
-    cancelled = {a.query for a in d.run(8000.0) if isinstance(a, api.Cancel)}
+    cancelled = {a.query for a in d.run(8000.0) if isinstance(a, policy.CancelAttempt)}
     assert len(out) == 4 and len(cancelled) <= 1
 
 
 def test_the_first_bad_attempt_of_a_gateway_that_just_started_is_rescued():
     d = Drive(engines=4)
     d.ask(1, cls=1, work=4000.0)
-    assert [a.query for a in d.run(8000.0) if isinstance(a, api.Cancel)] == [1]
+    assert [a.query for a in d.run(8000.0) if isinstance(a, policy.CancelAttempt)] == [1]
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -4,8 +4,7 @@
 from council_world import Council
 from fleet import Fleet, Seen, execute
 
-from fennelwind import config
-from fennelwind import interface as api
+from fennelwind import config, policy
 from fennelwind.cli.program import Program
 from fennelwind.cluster import schema_gate as gate_module
 from fennelwind.cluster.schema_rollout import shape
@@ -203,7 +202,7 @@
         while not changes or not next(iter(changes.values())).fence:
             scene.host.sleep(20.0)
         scene.fleet.program.driver.post(
-            api.EngineList("delta", (api.EngineEntry(scene.engines[1].name, "gone"),))
+            policy.EngineListUpdate("delta", (policy.EngineEndpoint(scene.engines[1].name, "gone"),))
         )
         while pb.Change.GONE_AWAY not in next(iter(changes.values())).engines.values():
             scene.host.sleep(20.0)
--- a/tests/test_moves_program.py
+++ b/tests/test_moves_program.py
@@ -5,8 +5,7 @@
 from fleet import Fleet, Seen, execute, outcome
 from test_gate import FOLLOWER
 
-from fennelwind import config
-from fennelwind import interface as api
+from fennelwind import config, policy
 from fennelwind.cli.program import Program
 from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.observability.metrics import exposition
@@ -84,7 +83,7 @@
         execute(scene.link, "select 1")  # one that names none goes anywhere
         assert outcome(lambda: scene.ran_at("sales/day=9")) == "served"  # the record knows no such shard
         scene.fleet.program.driver.post(
-            api.EngineList("delta", (api.EngineEntry(engines[0].name, "draining"),))
+            policy.EngineListUpdate("delta", (policy.EngineEndpoint(engines[0].name, "draining"),))
         )
         scene.until(lambda: scene.good(NAMES[0]) and engines[0].name not in scene.good(NAMES[0]))
         assert {scene.ran_at(NAMES[0]) for _ in range(4)} == set(scene.good(NAMES[0]))
@@ -121,7 +120,9 @@
         engine.shelf = Shelf(1000, engine.shelf.staging, ms_per_byte=20.0)
         engine.start(cold=True)
         scene.fleet.program.driver.post(
-            api.EngineList("delta", (api.EngineEntry(engine.name, "ready", launched_ms=scene.host.now()),))
+            policy.EngineListUpdate(
+                "delta", (policy.EngineEndpoint(engine.name, "ready", started_ms=scene.host.now()),)
+            )
         )
         scene.until(lambda: engine.name not in scene.good(NAMES[0]), 120_000.0)
         assert scene.good(NAMES[0])
--- a/tests/test_rig.py
+++ b/tests/test_rig.py
@@ -17,7 +17,7 @@
 from fennelwind.dispatch.driver import Driver
 from fennelwind.node import attempt
 from fennelwind.node.frontend import Connection
-from fennelwind.rules import Gateway
+from fennelwind.policy.gateway import Gateway
 from fennelwind.testbed import day_pb2 as pb
 from fennelwind.testbed import dayfile
 from fennelwind.testbed.facts import facts_of
--- a/tests/test_shard_routing.py
+++ b/tests/test_shard_routing.py
@@ -2,21 +2,23 @@
 
 from random import Random
 
-from fennelwind import interface as api
-from fennelwind.rules import Gateway
+from fennelwind import policy
+from fennelwind.policy.gateway import Gateway
 from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
 
-SETTINGS = api.Settings(
+SETTINGS = policy.Settings(
     classes=(
-        api.QueryClass("short", 500.0, 2_000.0, 1.0),
-        api.QueryClass("long", 5_000.0, 20_000.0, 3.0, kinds=(1,)),
+        policy.QueryClass("short", 500.0, 2_000.0, 1.0),
+        policy.QueryClass("long", 5_000.0, 20_000.0, 3.0, kinds=(1,)),
     ),
     kind_cores=(4, 8),
-    gateways=2,
+    gateway_count=2,
     max_attempts=3,
-    tick_ms=5.0,
+    resolution_ms=5.0,
+)
+ENGINES = policy.EngineListUpdate(
+    "full", tuple(policy.EngineEndpoint(f"e{n}", zone=n % 2, kind=n % 2) for n in range(8))
 )
-ENGINES = api.EngineList("full", tuple(api.EngineEntry(f"e{n}", zone=n % 2, kind=n % 2) for n in range(8)))
 
 
 class Rig:
@@ -32,17 +34,17 @@
     def step(self, now, *events):
         for action in self.gateway.step(now, list(events)):
             self.log.append((now, action))
-            if isinstance(action, api.Send):
+            if isinstance(action, policy.StartAttempt):
                 self.sent.setdefault(action.query, []).append(action.engine)
                 self.out[action.query] = (len(self.sent[action.query]) - 1, action.engine)
 
     def arrive(self, now, query, cls=0, shards=()):
         handed, told = self.routing.arrives(query, cls, shards)
-        self.step(now, *told, api.Arrival(query, handed, now + 2_000.0, work_ms=50.0))
+        self.step(now, *told, policy.QueryArrived(query, handed, now + 2_000.0, estimated_work_ms=50.0))
 
     def end(self, now, query, status="ok"):
         number, engine = self.out.pop(query)
-        self.step(now, api.Outcome(query, number, engine, status, 20.0, status == "ok"))
+        self.step(now, policy.AttemptEnded(query, number, engine, status, 20.0, status == "ok"))
 
 
 def day(rig, shards_of, steps=400):
@@ -53,7 +55,7 @@
         rig.arrive(now, query, draw.randrange(2), shards_of(query))
         for one in [q for q in rig.out if draw.random() < 0.35]:
             rig.end(now, one, "error" if draw.random() < 0.1 else "ok")
-        rig.step(now, api.TimerFired(rig.gateway.token))
+        rig.step(now, policy.TimerFired(rig.gateway.token))
     return rig
 
 
--- a/tests/test_spread.py
+++ b/tests/test_spread.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from fennelwind import interface as api
+from fennelwind import policy
 from fennelwind.audit.fleet import audit, put_together
 from fennelwind.load_balancing import load_advisor, load_estimate, subsetting
 from fennelwind.load_balancing.load_advisor import Advisor, acts
@@ -20,23 +20,25 @@
 from fennelwind.testbed.processes import Processes
 from fennelwind.testbed.virtual import Virtual
 
-FLEET = settings(gateways=40, report_fields=("cpu", "x1"), kind_cores=(8, 16))
+FLEET = settings(gateway_count=40, report_fields=("cpu", "x1"), kind_cores=(8, 16))
 
 
 def entries(count, zone=0, first=0, **more):
-    return tuple(api.EngineEntry(f"s{n}", zone=zone, **more) for n in range(first, first + count))
+    return tuple(policy.EngineEndpoint(f"s{n}", zone=zone, **more) for n in range(first, first + count))
 
 
 def advised(me=0, near=20, far=10, seed=1, **more):
     """Return an advisor of one of 40 controllers, with executors in its own zone and in another."""
-    told = settings(gateways=40, me=me, report_fields=("cpu", "x1"), kind_cores=(8, 16), **more)
+    told = settings(
+        gateway_count=40, gateway_index=me, report_fields=("cpu", "x1"), kind_cores=(8, 16), **more
+    )
     a = Advisor(told, seed, 15000.0)
-    a.take(api.EngineList("full", entries(near) + entries(far, 1, near)), 0.0)
+    a.take(policy.EngineListUpdate("full", entries(near) + entries(far, 1, near)), 0.0)
     return a
 
 
 def answer(engine, **load):
-    return api.Outcome(1, 0, engine, "ok", 100.0, True, load=load)
+    return policy.AttemptEnded(1, 0, engine, "ok", 100.0, True, load=load)
 
 
 # Estimates.
@@ -155,7 +157,7 @@
     assert subsetting.size(10.0, 5.0) == 50
     quiet, busy = advised(), advised()
     for n in range(100):
-        busy.take(api.Arrival(n, 1, 1e6), 50.0 * n)
+        busy.take(policy.QueryArrived(n, 1, 1e6), 50.0 * n)
     assert len(quiet.picture(5000.0).loads) == subsetting.LEAST + 3
     assert len(busy.picture(5000.0).loads) == 30  # all there are
     assert len(busy.picture(65_000.0).loads) == subsetting.LEAST + 3  # and gives them up again
@@ -166,20 +168,25 @@
 
 def test_it_acts_only_where_own_counts_tell_too_little_and_shares_are_told():
     assert acts(FLEET)
-    assert not acts(settings(gateways=load_advisor.LITTLE - 1, report_fields=("cpu",)))
-    assert not acts(settings(gateways=200, report_fields=("active", "x0")))
+    assert not acts(settings(gateway_count=load_advisor.LITTLE - 1, report_fields=("cpu",)))
+    assert not acts(settings(gateway_count=200, report_fields=("active", "x0")))
 
 
 def test_who_drains_or_goes_is_not_leaned_to_and_a_new_life_starts_unknown():
     a = advised(near=4, far=0)
     a.take(answer("s1", cpu=0.9, x1=0.1), 0.0)
-    a.take(api.EngineList("delta", (api.EngineEntry("s0", "draining"), api.EngineEntry("s2", "gone"))), 1.0)
+    a.take(
+        policy.EngineListUpdate(
+            "delta", (policy.EngineEndpoint("s0", "draining"), policy.EngineEndpoint("s2", "gone"))
+        ),
+        1.0,
+    )
     assert set(a.picture(1.0).loads) == {"s1", "s3"}
-    a.take(api.EngineList("delta", (api.EngineEntry("s1", launched_ms=500.0),)), 2.0)
+    a.take(policy.EngineListUpdate("delta", (policy.EngineEndpoint("s1", started_ms=500.0),)), 2.0)
     assert math.isinf(a.estimate.age("s1", 2.0))
-    a.take(api.EngineList("failed"), 3.0)
+    a.take(policy.EngineListUpdate("failed"), 3.0)
     assert set(a.picture(3.0).loads) == {"s1", "s3"}
-    a.take(api.EngineList("full", ()), 4.0)
+    a.take(policy.EngineListUpdate("full", ()), 4.0)
     assert a.picture(4.0).loads == {} and not a.leaning and not a.estimate.told
 
 
@@ -208,7 +215,7 @@
     for me in range(40):
         a = advised(me, seed=me)
         for n in range(20):
-            a.take(api.Arrival(n, 0, 1e6), 500.0 * n)
+            a.take(policy.QueryArrived(n, 0, 1e6), 500.0 * n)
             asked += 1
             first, load = next(iter(a.picture(500.0 * n).loads.items()))
             if a.trial:
@@ -223,23 +230,23 @@
 
 
 def told(**loads):
-    return api.Picture(loads)
+    return policy.LoadAdvice(loads)
 
 
 def test_the_module_sends_to_the_emptiest_as_told():
-    d = Drive(engines=4, gateways=40)
+    d = Drive(engines=4, gateway_count=40)
     d.step(told(e0=0.9, e1=0.8, e2=0.1, e3=0.7))
     assert sends(d.ask(1)) == [(1, "e2")]
 
 
 def test_ties_go_by_the_order_told():
-    d = Drive(engines=4, gateways=40)
+    d = Drive(engines=4, gateway_count=40)
     d.step(told(e3=0.5, e1=0.45, e0=0.4))
     assert sends(d.ask(1)) == [(1, "e3")]
 
 
 def test_engines_not_leaned_to_are_there_when_all_others_are_in_trouble():
-    d = Drive(engines=3, gateways=40)
+    d = Drive(engines=3, gateway_count=40)
     d.step(told(e0=0.1))
     assert sends(d.ask(1)) == [(1, "e0")]
     assert sends(d.answer(1, "connect_failed"))[0][1] in ("e1", "e2")
@@ -252,37 +259,37 @@
 
 def test_few_engines_leaned_to_bear_more_of_each_gateways_queries():
     def most(news):
-        d = Drive(engines=8, gateways=40, kind_cores=(20,))
+        d = Drive(engines=8, gateway_count=40, kind_cores=(20,))
         d.gateway.allowance = d.gateway.even = 100.0
         d.step(*news)
         d.gateway.allowance = d.gateway.even = 100.0
         return max(Counter(engine for n in range(8) for _, engine in sends(d.ask(n))).values())
 
     assert most([]) == 1
-    assert most([api.Picture({"e0": 0.1})]) > 1
+    assert most([policy.LoadAdvice({"e0": 0.1})]) > 1
 
 
 def test_a_rescue_waits_longer_where_loads_are_told():
     def rescued_after(*news):
-        d = Drive(engines=2, gateways=40, can_cancel=True)
+        d = Drive(engines=2, gateway_count=40, can_cancel=True)
         d.step(*news)
         d.ask(1, work=100.0)
         for n in range(200):
-            if of(d.step(after=25.0), api.Cancel):
+            if of(d.step(after=25.0), policy.CancelAttempt):
                 return n
         return None
 
-    assert rescued_after(api.Picture({"e0": 0.1, "e1": 0.2})) > 1.5 * rescued_after()
+    assert rescued_after(policy.LoadAdvice({"e0": 0.1, "e1": 0.2})) > 1.5 * rescued_after()
 
 
 def test_without_such_news_decisions_are_as_before_to_the_byte():
     def play(extra):
-        random, d = Random(5), Drive(engines=6, gateways=20)
+        random, d = Random(5), Drive(engines=6, gateway_count=20)
         seen = []
         for n in range(400):
             actions = d.step(
                 *extra,
-                api.Arrival(n, n % 2, d.now + 4000.0, work_ms=random.uniform(10, 900)),
+                policy.QueryArrived(n, n % 2, d.now + 4000.0, estimated_work_ms=random.uniform(10, 900)),
                 after=random.uniform(1, 30),
             )
             seen.append(repr(actions))
@@ -291,7 +298,7 @@
                     seen.append(
                         repr(
                             d.step(
-                                api.Outcome(
+                                policy.AttemptEnded(
                                     query, 0, engine, random.choice(["ok", "ok", "full"]), 50.0, False
                                 ),
                                 after=5.0,
@@ -300,8 +307,8 @@
                     )
         return seen
 
-    assert play([]) == play([api.Picture({})])
-    assert play([]) != play([api.Picture({"e3": 0.1, "e5": 0.2})])
+    assert play([]) == play([policy.LoadAdvice({})])
+    assert play([]) != play([policy.LoadAdvice({"e3": 0.1, "e5": 0.2})])
 
 
 # Fleets.
