--- a/tests/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -7,7 +7,7 @@
 from fennelwind.config.text import Problem, SettingsError
 from fennelwind.errors import FennelwindError
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 # What never reaches an operator: it ends where it is caught, or speaks to a client in its protocol's words.
 INNER = {
     "loop/scheduler.py": {"ChannelClosed", "ChannelFull"},
--- a/tests/test_client.py
+++ b/tests/client/test_client.py
@@ -17,7 +17,7 @@
 from fennelwind.loop import RealLoop
 from fennelwind.thrift import hiveserver2 as hs2
 
-EXAMPLES = Path(__file__).parent.parent / "examples"
+EXAMPLES = Path(__file__).parent.parent.parent / "examples"
 
 
 def play(user, prepare=lambda fleet: None, **fleet_options):
--- a/tests/test_clearance_processes.py
+++ b/tests/cluster/test_clearance_processes.py
@@ -34,7 +34,7 @@
 from fennelwind.testbed.relay import Relay, Row
 from fennelwind.thrift import hiveserver2 as hs2
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 MEMBERS, PROGRAMS = ("m0", "m1", "m2"), ("m0", "m1", "m2", "c0")
 SHARDS = [f"sales/day={n}" for n in range(4)]  # each leaves once
 WAIT_MS = 600_000.0  # ms; what is waited for takes a few seconds, or the record's rest
--- a/tests/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -25,7 +25,7 @@
 from fennelwind.raft.messages import Write
 from fennelwind.raft_storage.store import Limits
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 COUNCIL = """
 council {
   fleet: "north" me: "m0" folder: "record"
--- a/tests/test_config.py
+++ b/tests/config/test_config.py
@@ -9,7 +9,7 @@
 from fennelwind.config import settings_pb2 as pb
 
 GOOD = SETTINGS % {"engines": 'engines { address: "127.0.0.1:5000" kind: "k" }', "note": 0, "open": 9}
-DATA = Path(__file__).parent.parent / "fennelwind" / "cli" / "data"
+DATA = Path(__file__).parent.parent.parent / "fennelwind" / "cli" / "data"
 
 
 def problems(text):
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,7 @@
 """A small hand-driven world for the module: lists, arrivals and outcomes, and nothing that decides."""
 
 import pytest
+import search_paths  # noqa: F401 - tests import from each other's folders
 from known_red import KnownRed
 
 from fennelwind import policy
--- a/tests/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -14,7 +14,7 @@
 from fennelwind.loop import Address, SimLoop
 from fennelwind.thrift import hints
 
-ROOT = Path(__file__).parent.parent / "fennelwind"
+ROOT = Path(__file__).parent.parent.parent / "fennelwind"
 ZONES, KINDS = ("a", "b"), ("k", "l")
 
 
--- a/tests/test_disks.py
+++ b/tests/loop/test_disks.py
@@ -431,7 +431,8 @@
 
     def __init__(self, folder, before=""):
         """Start; `before` is Python run ahead of the program, with the tests' own modules at hand."""
-        code = f"import sys; sys.path.insert(0, {str(Path(__file__).parent)!r}); {before}\n{KEEPER}"
+        support = str(Path(__file__).parent.parent / "support")
+        code = f"import sys; sys.path.insert(0, {support!r}); {before}\n{KEEPER}"
         self.process = subprocess.Popen(
             [sys.executable, "-c", code, str(folder)], text=True, stdout=subprocess.PIPE
         )
--- a/tests/test_crossings_front.py
+++ b/tests/node/test_crossings_front.py
@@ -615,7 +615,8 @@
 
 def in_a_process(call, **more):
     """Run one of this file's calls in a process of its own; return how it ended and what it wrote."""
-    code = f"import sys; sys.path.insert(0, 'tests'); import test_crossings_front as t; t.{call}()"
+    found = "import sys; sys.path.insert(0, 'tests/support'); import search_paths"
+    code = f"{found}; import test_crossings_front as t; t.{call}()"
     return subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=4 * WAIT_S, **more
     )
--- a/tests/test_crossings_sampled.py
+++ b/tests/node/test_crossings_sampled.py
@@ -8,7 +8,7 @@
 
 from fennelwind.node import attempt, endpoint_watch, executor_pool, frontend, lifecycle
 
-SEEDS = range(40)  # days in CI; `python tests/crossings_play.py 0 1000` plays more
+SEEDS = range(40)  # days in CI; `python tests/support/crossings_play.py 0 1000` plays more
 DAYS_MOST = 40  # in which a planted defect has to be found
 RARE = {"window": 280, "two out": 240}  # first of the days for defects that need two rare things at once
 
--- a/tests/test_node_run.py
+++ b/tests/node/test_node_run.py
@@ -13,7 +13,7 @@
 import pytest
 from nodes import ROWS, config_text, first_page, instance, name
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WAIT_S = 30.0  # s; a wait that is over much sooner, but for a machine that stands still
 
 
--- a/tests/test_terms_system_calls.py
+++ b/tests/node/test_terms_system_calls.py
@@ -17,9 +17,8 @@
     def __init__(self, folder, executors, trouble=None, **told):
         self.trouble = folder / "trouble.json"
         self.fail(**(trouble or {}))
-        before = (
-            f"import sys; sys.path.insert(0, 'tests'); import faulty; faulty.install({str(self.trouble)!r})"
-        )
+        found = "import sys; sys.path.insert(0, 'tests/support')"
+        before = f"{found}; import faulty; faulty.install({str(self.trouble)!r})"
         super().__init__(folder, executors, before=before, **told)
 
     def fail(self, **calls):
--- a/tests/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 CONF = "\t".join(
     [
         "Balancers=2",
--- a/tests/test_cold_fleet.py
+++ b/tests/policy/test_cold_fleet.py
@@ -1,4 +1,4 @@
-"""Cold engines under the sum of all gateways: a small sample of tests/cold_model.py, and planted defects."""
+"""Cold engines under the sum of all gateways: a small sample of `cold_model.py`, and planted defects."""
 
 from dataclasses import replace
 
--- a/tests/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -3,7 +3,7 @@
 import re
 from pathlib import Path
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 MODULE = ROOT / "fennelwind" / "policy" / "gateway.py"
 
 
@@ -23,7 +23,13 @@
 
 
 def test_tuned_values_stand_in_the_module_only():
-    for name in ("policy/settings.py", "policy/events.py", "policy/actions.py", "policy/model.py", "adapter.py"):
+    for name in (
+        "policy/settings.py",
+        "policy/events.py",
+        "policy/actions.py",
+        "policy/model.py",
+        "adapter.py",
+    ):
         text = (ROOT / "fennelwind" / name).read_text(encoding="utf-8")
         assert not re.findall(r"^[A-Z_]{4,} = [\d.]+$", text.replace("FINITE = 1e300", ""), re.M), name
 
--- a/tests/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -323,7 +323,7 @@
 
 # Cases written from the public rules.
 
-DATA = Path(__file__).parent / "data"
+DATA = Path(__file__).parent.parent / "data"
 
 
 def cases(name):
--- a/tests/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -1,8 +1,12 @@
 """Defects planted in clearances, and after how many days of play each is found.
 
-`tests/clearance_defects.py [DAYS]` prints the table.
+`tests/support/clearance_defects.py [DAYS]` prints the table.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 from functools import partial
 
--- a/tests/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -1,4 +1,11 @@
-"""What clearances gain and cost: `tests/clearance_measure.py drops|changes SEEDS`, `messages`, `check`."""
+"""What clearances gain and cost.
+
+`python tests/support/clearance_measure.py drops|changes SEEDS`, `messages` or `check`.
+"""
+
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
 
 import statistics
 import sys
--- a/tests/cold_model.py
+++ b/tests/support/cold_model.py
@@ -6,10 +6,14 @@
 what the settings allow it then, and the rule is broken where over two thirds of that came from gateways that
 had been told of the start.
 
-    python tests/cold_model.py share [--plays 8] [--only NAME] [--first SEED]   how often it falls
-    python tests/cold_model.py worth [--plays 8] [--only NAME] [--first SEED]   worth lost by too much caution
+    python tests/support/cold_model.py share [--plays 8] [--only NAME] [--first SEED]   how often it falls
+    python tests/support/cold_model.py worth [--plays 8] [--only NAME] [--first SEED]   worth lost by caution
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import math
 import sys
--- a/tests/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -1,8 +1,12 @@
 """Defects planted in the gate, and what finds each: a proof that can't fail proves nothing.
 
-`python tests/contracts_defects.py` prints the table: which finder, after how many plays.
+`python tests/support/contracts_defects.py` prints the table: which finder, after how many plays.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 from contextlib import AbstractContextManager
 from dataclasses import replace
 from functools import partial
--- a/tests/contracts_search.py
+++ b/tests/support/contracts_search.py
@@ -1,9 +1,13 @@
 """Changes and moves of one table, all interleavings of both real machines, until no new state comes.
 
 Publishers and the mover go on for ever; times are taken against the record's clock and numbers against one
-another, so what can happen is finite. `python tests/contracts_search.py` searches the larger world.
+another, so what can happen is finite. `python tests/support/contracts_search.py` searches the larger world.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 import time
 from typing import NamedTuple
--- a/tests/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -1,5 +1,9 @@
 """A world for the carrier of schema changes: the record's machine, engines, crashes, lost answers."""
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 from random import Random
 
 from fennelwind.raft.state_machine import At
--- a/tests/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -1,9 +1,13 @@
 """Whole members, followers, clients and a leased task in a virtual world in which all sorts of things break.
 
-`python tests/council_chaos.py 1000 0` plays seeds 0 to 999 and tells which broke, how, and what was met; with
-`hard` behind it with more faults, and several at once.
+`python tests/support/council_chaos.py 1000 0` plays seeds 0 to 999 and tells which broke, how, and what was
+met; with `hard` behind it with more faults, and several at once.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import json
 import sys
 import time
--- a/tests/council_cluster.py
+++ b/tests/support/council_cluster.py
@@ -1,9 +1,13 @@
 """A council in virtual time: N cores, disks that lose, networks that lose, double, reorder and cut, by seed.
 
-Run as a program it plays many seeds: `python tests/council_cluster.py --seeds 10000`. Every step is checked
-against what may never be: see `Checks`.
+Run as a program it plays many seeds: `python tests/support/council_cluster.py --seeds 10000`. Every step is
+checked against what may never be: see `Checks`.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import hashlib
 import heapq
--- a/tests/council_defects.py
+++ b/tests/support/council_defects.py
@@ -1,8 +1,12 @@
 """Defects planted in the council's core, and how soon the tests find each.
 
-Run as a program it makes the table of docs/results/council.md: `python tests/council_defects.py`.
+Run as a program it makes the table of docs/results/council.md: `python tests/support/council_defects.py`.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import sys
 from contextlib import AbstractContextManager
--- a/tests/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -1,10 +1,14 @@
 """Days of a few virtual seconds, drawn from a seed, on which clients, executors, lists and ends cross.
 
 The peers are scripted by the seed and keep what they see in a `Record`; a play that is over is judged by it.
-They keep to the protocol page; when they do what it allows is drawn. `python tests/crossings_play.py FROM TO`
-plays the days of some seeds and prints their faults.
+They keep to the protocol page; when they do what it allows is drawn.
+`python tests/support/crossings_play.py FROM TO` plays the days of some seeds and prints their faults.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import json
 import sys
 from collections import deque
--- a/tests/fuzz.py
+++ b/tests/support/fuzz.py
@@ -1,4 +1,4 @@
-"""Fuzzes what clients can send: python tests/fuzz.py SECONDS [SEED]; not collected by pytest.
+"""Fuzzes what clients can send: python tests/support/fuzz.py SECONDS [SEED]; not collected by pytest.
 
 Valid calls over every transport and HTTP are bent (bytes flipped, cut, doubled, lengths changed) and sent in
 pieces to a front in virtual time. After each round of 300 inputs the front has to be empty, no task may have
@@ -6,21 +6,22 @@
 count of inputs and the resident memory as it goes; ends with status 1 at the first thing that went wrong.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 import time
-from pathlib import Path
 from random import Random
 
-sys.path.insert(0, str(Path(__file__).parent))
-
-from fleet import Fleet, HttpClient, execute, outcome  # noqa: E402
+from fleet import Fleet, HttpClient, execute, outcome
 
-from fennelwind.benchmarks.path import resident_mb  # noqa: E402
-from fennelwind.loop import SimLoop, StreamReset  # noqa: E402
-from fennelwind.thrift import hiveserver2 as hs2  # noqa: E402
-from fennelwind.thrift.codec import ThriftError  # noqa: E402
-from fennelwind.thrift.messages import CALL, REPLY, write_message  # noqa: E402
-from fennelwind.thrift.transport import ClientSide, ServerSide  # noqa: E402
+from fennelwind.benchmarks.path import resident_mb
+from fennelwind.loop import SimLoop, StreamReset
+from fennelwind.thrift import hiveserver2 as hs2
+from fennelwind.thrift.codec import ThriftError
+from fennelwind.thrift.messages import CALL, REPLY, write_message
+from fennelwind.thrift.transport import ClientSide, ServerSide
 
 ROUND = 300
 HEADS = b"POST /cliservice HTTP/1.1\r\nHost: x\r\nAuthorization: Basic YTpi\r\nContent-Length: %d\r\n\r\n"
--- a/tests/fuzz_store.py
+++ b/tests/support/fuzz_store.py
@@ -1,12 +1,16 @@
-"""Plays the record on disk against the model for a time: `python tests/fuzz_store.py SECONDS [SEED]`.
+"""Plays the record on disk against the model for a time: `python tests/support/fuzz_store.py SECONDS [SEED]`.
 
 Each seed is a random play of writes and faults, and a folder in which a file is changed at random. Prints the
 seeds that fail, each with its error; ends with 1 if there were any.
 
-`python tests/fuzz_store.py twice [SEED]` cuts the power at each call of a play and again at each call of the
-opening that follows, with each kind of loss.
+`python tests/support/fuzz_store.py twice [SEED]` cuts the power at each call of a play and again at each call
+of the opening that follows, with each kind of loss.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 import time
 from collections import Counter
--- a/tests/golden.py
+++ b/tests/support/golden.py
@@ -6,6 +6,10 @@
 taken anew only when a wire is changed on purpose.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import base64
 import hashlib
 import json
--- a/tests/hunt.py
+++ b/tests/support/hunt.py
@@ -1,16 +1,19 @@
-"""Looks for days in virtual time on which a rule breaks: `python tests/hunt.py FIRST LAST` plays a seed each.
+"""Looks for days in virtual time on which a rule breaks.
+
+`python tests/support/hunt.py FIRST LAST` plays a seed each.
 
 Not part of the tests: hundreds of days take minutes. A day that is found goes into a test of its own.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import random
 import sys
 from multiprocessing import Pool
-from pathlib import Path
-
-sys.path[:0] = [str(Path(__file__).parent), str(Path(__file__).parent.parent)]
 
-from simday import SCRIPT, SimDay  # noqa: E402 - found by the line above
+from simday import SCRIPT, SimDay
 
 KINDS = (
     "HANG",
--- a/tests/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -1,8 +1,12 @@
 """Defects planted into what carries the council out, and after how many seeds of chaos each is found.
 
-`python tests/keeper_defects.py 60` plants each in turn and plays up to so many seeds.
+`python tests/support/keeper_defects.py 60` plants each in turn and plays up to so many seeds.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 from contextlib import AbstractContextManager
 from functools import partial
--- a/tests/lease_council.py
+++ b/tests/support/lease_council.py
@@ -1,12 +1,16 @@
 """The plays of leases over a real council: three cores, their disks and network, and their clocks.
 
-python tests/lease_council.py --seeds 1000 [--kind fences|plain]
+python tests/support/lease_council.py --seeds 1000 [--kind fences|plain]
 
 As lease_play.py, but the record is agreed by cores (council_cluster.py, with all its checks). They crash
 with unsynced writes lost, are cut off one way or both, lose and double messages, and hand over; snapshots are
 small and frequent. Each member's clock has its own pace within the stated drift.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import sys
 from collections import Counter
 
--- a/tests/lease_fleet.py
+++ b/tests/support/lease_fleet.py
@@ -1,12 +1,16 @@
 """A whole fleet's leases in virtual time: how many messages they cost, how soon a dead holder's task goes on.
 
-python tests/lease_fleet.py [--controllers 200] [--tasks 50] [--plays 30]
+python tests/support/lease_fleet.py [--controllers 200] [--tasks 50] [--plays 30]
 
 One record that answers after 1 to 5 ms each way, writes time alone once a second, and tells of offers at
 once. Each controller wants every task. Messages are commands, answers and word of an offer. A task acts every
 50 ms. For the second table 20 controllers have 10 tasks, and one holder goes in each play.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import heapq
 import itertools
--- a/tests/lease_play.py
+++ b/tests/support/lease_play.py
@@ -1,6 +1,6 @@
 """Controllers, their clocks and a record with leases in virtual time, by seed: do two ever act at once?
 
-python tests/lease_play.py --seeds 10000 [--first 1] [--kind fences|plain]
+python tests/support/lease_play.py --seeds 10000 [--first 1] [--kind fences|plain]
 
 `fences`: pauses longer than the term anywhere, and a resource that refuses older fences. `plain`: the
 resource checks nothing; a pause between a check and its effect, together with the call's way, stays within
@@ -8,6 +8,10 @@
 asks and answers, restarts, ends, gaps without a leader, in which the record's clock stands still.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import heapq
 import itertools
--- a/tests/lease_search.py
+++ b/tests/support/lease_search.py
@@ -1,6 +1,6 @@
 """Every order of events of two holders and the machine, to a depth: can both believe that they hold a task?
 
-python tests/lease_search.py [--states 1000000] [--menu late|crash|fail|spare]
+python tests/support/lease_search.py [--states 1000000] [--menu late|crash|fail|spare]
 
 The real holder, guard and machine. Time goes in ticks; the record's clock is as fast and the first holder's
 as slow as the stated drift allows, so that a lease ends on the record at the tick at which its holder has
@@ -11,6 +11,10 @@
 for the same order of fences, or by what can't matter within some seconds (`World.key`).
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import argparse
 import hashlib
 import pickle
--- a/tests/move_defects.py
+++ b/tests/support/move_defects.py
@@ -1,4 +1,11 @@
-"""Planted defects of moves, and which play finds each after how many: `tests/move_defects.py [SEEDS]`."""
+"""Planted defects of moves, and which play finds each after how many.
+
+`python tests/support/move_defects.py [SEEDS]` prints the table.
+"""
+
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
 
 import sys
 from functools import partial
--- a/tests/move_play.py
+++ b/tests/support/move_play.py
@@ -1,9 +1,13 @@
 """A play of moves in virtual time: the record, one holder after another, engines' disks, queries, and faults.
 
 Everything goes by one heap of times and one seed. Invariants are looked at after every event; `Broken` tells
-the one that failed. `python tests/move_play.py mixed|careless|one [FIRST LAST]` plays many.
+the one that failed. `python tests/support/move_play.py mixed|careless|one [FIRST LAST]` plays many.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import heapq
 import random
 import sys
--- a/tests/processes.py
+++ b/tests/support/processes.py
@@ -4,6 +4,10 @@
 compares with are written here and in the tests from the pages, never taken from the program's constants.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import json
 import os
 import re
--- a/tests/shutdown_soak.py
+++ b/tests/support/shutdown_soak.py
@@ -1,8 +1,12 @@
 """Sampled ends of service on real processes; clients use their connections until the earliest SIGKILL.
 
-.venv/bin/python tests/shutdown_soak.py FIRST LAST [AT_ONCE]
+.venv/bin/python tests/support/shutdown_soak.py FIRST LAST [AT_ONCE]
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 import signal
 import socket
 import sys
--- a/tests/storedefects.py
+++ b/tests/support/storedefects.py
@@ -1,8 +1,12 @@
 """Defects planted in the record on disk, each of which the plays or the damage must find.
 
-Prints, for each, what finds it and after how many plays: `python tests/storedefects.py`.
+Prints, for each, what finds it and after how many plays: `python tests/support/storedefects.py`.
 """
 
+import search_paths  # noqa: F401 - for a play that is run by hand
+
+# isort: split
+
 from functools import partial
 from unittest.mock import patch
 
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -36,6 +36,7 @@
 def test_without_set_up(broken):
     pass
 """
+SUPPORT = str(Path(__file__).parent / "support")
 COLD = "tests/test_it.py::test_rare[cold] | the cold one is forgotten | issue 38"
 LATE = "tests/test_it.py::test_rare[late] | it was late once | 38"
 SET_UP = "tests/test_it.py::test_without_set_up | nothing is there | #7"
@@ -58,7 +59,7 @@
             [sys.executable, "-m", "pytest", "-p", "no:cacheprovider", *options],
             cwd=tmp_path,
             timeout=60,
-            env=env | {"PYTHONPATH": str(Path(__file__).parent), "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
+            env=env | {"PYTHONPATH": SUPPORT, "PYTEST_DISABLE_PLUGIN_AUTOLOAD": "1"},
             capture_output=True,
             text=True,
         )
--- a/tests/test_rig.py
+++ b/tests/testbed/test_rig.py
@@ -27,7 +27,7 @@
 from fennelwind.testbed.stats import difference
 from fennelwind.testbed.virtual import Virtual
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 
 
 def day(faults="", base="calm", controllers=6, executors=4, seconds=5.0, more=""):
--- a/tests/test_rig_processes.py
+++ b/tests/testbed/test_rig_processes.py
@@ -21,7 +21,7 @@
 from fennelwind.testbed.processes import Processes, RigFailed
 from fennelwind.testbed.relay import Relay, Row
 
-ROOT = Path(__file__).parent.parent
+ROOT = Path(__file__).parent.parent.parent
 WAIT_S = 60.0  # s; a wait that is over much sooner, but for a machine that stands still
 FAULTS = """
 faults { kind: KILL at_ms: 1000 back_ms: 200 who { numbers: 0 numbers: 1 } }
