--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 
 import pytest
-from known_red import MOST, Malformed, Red, plain, read
+from known_red import MAX_ENTRIES, KnownFailure, MalformedListError, parse, without_group
 
 CONFTEST = """
 import pytest
@@ -37,9 +37,9 @@
     pass
 """
 SUPPORT = str(Path(__file__).parent / "support")
-COLD = "tests/test_it.py::test_rare[cold] | the cold one is forgotten | issue 38"
-LATE = "tests/test_it.py::test_rare[late] | it was late once | 38"
-SET_UP = "tests/test_it.py::test_without_set_up | nothing is there | #7"
+COLD = "tests/test_it.py::test_rare[cold] | pytest -k cold, seed 3 | the cold one is forgotten | issue 38"
+LATE = "tests/test_it.py::test_rare[late] | pytest -k late | it was late once | 38"
+SET_UP = "tests/test_it.py::test_without_set_up | pytest | nothing is there | #7"
 
 
 @pytest.fixture
@@ -69,32 +69,40 @@
 
 
 def test_what_a_line_is():
-    assert read("") == {} and read("\n\n") == {}
-    assert read(COLD) == {"tests/test_it.py::test_rare[cold]": Red("the cold one is forgotten", "issue 38")}
+    assert parse("") == {} and parse("\n\n") == {}
+    assert parse(COLD) == {
+        "tests/test_it.py::test_rare[cold]": KnownFailure(
+            "pytest -k cold, seed 3", "the cold one is forgotten", "issue 38"
+        )
+    }
 
 
 @pytest.mark.parametrize(
     "text",
     [
         "tests/test_it.py::test_good",
-        "tests/test_it.py::test_good | a cause",
-        "tests/test_it.py | a cause | 38",
-        "tests/test_it.py::test_good |  | 38",
-        "tests/test_it.py::test_good | a cause | soon",
-        "tests/test_it.py::test_good\ta cause\t38",
+        "tests/test_it.py::test_good | pytest",
+        "tests/test_it.py::test_good | a cause | 38",
+        "tests/test_it.py | pytest | a cause | 38",
+        "tests/test_it.py::test_good | pytest |  | 38",
+        "tests/test_it.py::test_good |  | a cause | 38",
+        "tests/test_it.py::test_good | pytest | a cause | soon",
+        "tests/test_it.py::test_good\tpytest\ta cause\t38",
         f"{COLD} | more",
         f"{COLD}\n{COLD}",
-        "\n".join(f"tests/test_it.py::test_{number} | a cause | 38" for number in range(MOST + 1)),
+        "\n".join(
+            f"tests/test_it.py::test_{number} | pytest | a cause | 38" for number in range(MAX_ENTRIES + 1)
+        ),
     ],
 )
 def test_what_is_no_list(text):
-    with pytest.raises(Malformed):
-        read(text)
+    with pytest.raises(MalformedListError):
+        parse(text)
 
 
 def test_the_group_of_a_test_is_no_part_of_its_id():
-    assert plain("tests/test_it.py::test_a[x@y]@test_it") == "tests/test_it.py::test_a[x@y]"
-    assert plain("tests/test_it.py::test_a[x@y]") == "tests/test_it.py::test_a[x@y]"
+    assert without_group("tests/test_it.py::test_a[x@y]@test_it") == "tests/test_it.py::test_a[x@y]"
+    assert without_group("tests/test_it.py::test_a[x@y]") == "tests/test_it.py::test_a[x@y]"
 
 
 @pytest.mark.parametrize("workers", [(), ("-p", "xdist", "-n", "2", "--dist", "loadgroup")])
@@ -108,7 +116,7 @@
 
 @pytest.mark.parametrize("workers", [(), ("-p", "xdist", "-n", "2", "--dist", "loadgroup")])
 def test_a_test_that_there_is_not_fails_the_run(play, workers):
-    gone = "tests/test_gone.py::test_it | its file is no more | 38"
+    gone = "tests/test_gone.py::test_it | pytest | its file is no more | 38"
     code, said = play([COLD, SET_UP, gone], *workers)
     assert code == 1 and "known red: ERROR: there is no test tests/test_gone.py::test_it" in said
     assert f"known red: failed: {COLD}" in said
@@ -127,7 +135,9 @@
 
 
 def test_a_list_that_is_none_or_too_long_fails_the_run(play):
-    code, said = play([COLD, "no line of three"])
+    code, said = play([COLD, "no line of four"])
     assert code not in (0, 1) and "KNOWN-RED.txt: line 2 is not TEST" in said
-    code, said = play([f"tests/test_it.py::test_{number} | a cause | 38" for number in range(MOST + 1)])
+    code, said = play(
+        [f"tests/test_it.py::test_{number} | pytest | a cause | 38" for number in range(MAX_ENTRIES + 1)]
+    )
     assert code not in (0, 1) and "4 tests are listed; 3 may be" in said
