--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -15,8 +15,8 @@
 from fennelwind.loop import Loop
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Applied, Apply, Event, Restore, Snapshot, TakeSnapshot
-from fennelwind.raft.replicated_state import Record
-from fennelwind.raft.state_machine import Machine
+from fennelwind.raft.replicated_state import ReplicatedState
+from fennelwind.raft.state_machine import StateMachine
 
 AT_ONCE = 8  # entries that are applied in the turn that agreed on them: a command's answer waits for it
 SLICE = 64  # entries applied in one turn of the loop; some 2 ms
@@ -43,9 +43,9 @@
     def __init__(
         self,
         loop: Loop,
-        record: Record,
+        record: ReplicatedState,
         post: Callable[[Event], None],
-        ask: Callable[[Machine, bytes], bytes],
+        ask: Callable[[StateMachine, bytes], bytes],
     ) -> None:
         self.loop, self.record, self.post, self.ask = loop, record, post, ask
         self.revisions = dict.fromkeys(record.every, 0)
@@ -227,6 +227,6 @@
         return told
 
 
-def whole_state(machine: Machine, query: bytes) -> bytes:
+def whole_state(machine: StateMachine, query: bytes) -> bytes:
     """Answer any query by all that a machine keeps."""
     return machine.snapshot()
--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -10,7 +10,7 @@
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.log import Log
-from fennelwind.raft.messages import Durable, Write
+from fennelwind.raft.messages import DurableState, Write
 
 JUMP = 100_000  # entries left out; a member that is further behind takes a snapshot and is no fit heir
 
@@ -31,7 +31,7 @@
         return len(self.members) // 2 + 1
 
 
-def look(durable: Durable) -> Left:
+def look(durable: DurableState) -> Left:
     """Return what there is."""
     log = Log(durable.head, durable.entries)
     return Left(
@@ -43,7 +43,7 @@
     )
 
 
-def found_alone(folder: Folder, durable: Durable, address: str) -> Left:
+def found_alone(folder: Folder, durable: DurableState, address: str) -> Left:
     """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
     left, me = look(durable), durable.me
     term = max(durable.hard.term, left.last_term) + 1
@@ -58,7 +58,7 @@
     return Left(me.name, term, entries[-1].index, left.clock_ms, (me.name,))
 
 
-def _clock(durable: Durable) -> int:
+def _clock(durable: DurableState) -> int:
     if durable.entries:
         return durable.entries[-1].clock_ms
     return durable.head.clock_ms if durable.head is not None else 0
--- a/fennelwind/cluster/member_folder.py
+++ b/fennelwind/cluster/member_folder.py
@@ -4,7 +4,7 @@
 
 from fennelwind.loop.disk import Disk, DiskError
 from fennelwind.raft import council_pb2
-from fennelwind.raft.messages import Durable, Write
+from fennelwind.raft.messages import DurableState, Write
 from fennelwind.raft_storage.store import Limits, Store
 
 LIFE = 16  # bytes of a life: no two folders ever draw the same
@@ -27,7 +27,7 @@
         self.pause = pause
         self.store: Store | None = None
 
-    def open(self) -> Durable:
+    def open(self) -> DurableState:
         """Read what is kept. Raises `StoreError` and `DiskError`; it may be tried again."""
         disk = self.make_disk()
         try:
@@ -39,7 +39,7 @@
             raise
         return durable
 
-    def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> Durable:
+    def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> DurableState:
         """Read anew what is kept after a write has failed. Raises `StoreError` and `DiskError`."""
         return self.store.reopen(head, snapshot)
 
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -17,7 +17,7 @@
 from fennelwind.cluster.wakeup import Bell
 from fennelwind.loop import Address, Loop, Stream, Task
 from fennelwind.raft import council_pb2
-from fennelwind.raft.messages import Life
+from fennelwind.raft.messages import Incarnation
 
 DIAL_MS = 1000.0  # ms to connect and to hear the other's name
 PULSE_MS = 1000.0  # ms between two words of a reader
@@ -144,7 +144,7 @@
             if name not in self.peers:
                 self.peers[name] = Peer(self, name, address)
 
-    def send(self, to: Life, message: council_pb2.Message) -> None:
+    def send(self, to: Incarnation, message: council_pb2.Message) -> None:
         """Hand a message on, or lose it: to nobody we know, to another life, without a connection."""
         peer = self.peers.get(to.name)
         if peer is None or not peer.up or to.life and peer.life != to.life:
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -29,31 +29,31 @@
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import (
     Action,
-    Answer,
     Apply,
-    Became,
-    CanWrite,
-    Durable,
+    DiskSpaceLow,
+    DurableState,
     Event,
-    HandOver,
-    Life,
+    Incarnation,
+    MessageReceived,
+    ProposalOutcome,
     Propose,
-    Read,
-    Readable,
-    Received,
+    ReadOutcome,
+    ReadRequested,
     Restore,
-    RoomShort,
+    RoleChanged,
     Send,
+    StorageRecovered,
     TakeSnapshot,
     Timer,
     TimerFired,
+    TransferLeadership,
     Write,
+    WriteCompleted,
     WriteFailed,
-    Written,
 )
-from fennelwind.raft.replicated_state import ITSELF, Record
+from fennelwind.raft.replicated_state import ITSELF, ReplicatedState
 from fennelwind.raft.snapshot_chunks import head_of
-from fennelwind.raft.state_machine import Machine
+from fennelwind.raft.state_machine import StateMachine
 
 EVENTS_MOST = 8192  # messages that wait for the core; more are lost, as on any network
 STEP_MOST = 256  # events of one step; some 20 ms at the worst
@@ -79,10 +79,10 @@
 class Keeping(Protocol):
     """The folder, as far as it is used here. Its calls wait, and raise what a disk raises."""
 
-    def open(self) -> Durable:
+    def open(self) -> DurableState:
         """Read what is kept."""
 
-    def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> Durable:
+    def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> DurableState:
         """Read anew what is kept after a write has failed; a full disk may take a snapshot for all else."""
 
     def write(self, writes: list[Write]) -> None:
@@ -102,17 +102,17 @@
         self,
         loop: Loop,
         place: Place,
-        record: Record,
+        record: ReplicatedState,
         store: Keeping,
-        core: Callable[[Durable], Deciding],
+        core: Callable[[DurableState], Deciding],
         seed: str,
         said: Callable[[str, dict], None],
-        ask: Callable[[Machine, bytes], bytes] = whole_state,
+        ask: Callable[[StateMachine, bytes], bytes] = whole_state,
     ) -> None:
         self.loop, self.place, self.store, self.make_core = loop, place, store, core
         self.said = said
         self.core: Deciding | None = None
-        self.me = Life(place.me, b"")
+        self.me = Incarnation(place.me, b"")
         self.part, self.term, self.leader = "closed", 0, ""
         self.state = State(loop, record, self.post, ask)
         self.peers = Peers(loop, place.fleet, self.hello, seed, self._wrong, self._met)
@@ -126,7 +126,7 @@
         self._writes: deque[Write] = deque()
         self._timer = None
         self._token = 0
-        self._asked: dict[int, Callable[[Answer | Readable], None]] = {}
+        self._asked: dict[int, Callable[[ProposalOutcome | ReadOutcome], None]] = {}
         self._parts: list[Once] = []  # who waits for a change of part
         self._tasks: list[Task] = []
 
@@ -169,7 +169,7 @@
         )
         self._turn()
 
-    def _opened(self) -> Durable:
+    def _opened(self) -> DurableState:
         """Open the folder, sooner or later."""
         waits = Waits(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
         told = ""
@@ -204,7 +204,7 @@
     def hand_over(self, within_ms: float) -> bool:
         """Let another lead, if this one does; tell whether it doesn't any more."""
         if self.part == "leader":
-            self.post(HandOver())
+            self.post(TransferLeadership())
             # Until another leads: its election may need this one's vote, which has to reach the disk first.
             self.wait_for(lambda: self.part != "leader" and self.leader != "", within_ms)
         return self.part != "leader"
@@ -252,16 +252,16 @@
             level=self.state.record.known,
         )
 
-    def greeted(self, sender: Life) -> None:
+    def greeted(self, sender: Incarnation) -> None:
         """Take note that a member has opened its way to this one."""
         self.peers.heard(sender.name)
 
-    def received(self, sender: Life, message: council_pb2.Message) -> None:
+    def received(self, sender: Incarnation, message: council_pb2.Message) -> None:
         """Take a message of a member."""
         if len(self._events) >= EVENTS_MOST:
             self.counts["lost, too busy"] += 1
             return
-        self.post(Received(sender, message))
+        self.post(MessageReceived(sender, message))
 
     def asked(self, caller: Caller, ask: pb.Ask) -> None:
         """Take an ask; each is answered once."""
@@ -311,7 +311,7 @@
         return Result(body=heard.SerializeToString(), index=record.index)
 
     def _propose(self, command: council_pb2.Command, tell: Callable[[Result], None]) -> None:
-        def answered(answer: Answer) -> None:
+        def answered(answer: ProposalOutcome) -> None:
             if answer.refusal:
                 tell(_refusal(answer))
             else:
@@ -331,14 +331,14 @@
             elif not self.state.watch(view, tell, lambda: caller.gone):
                 self._refuse(caller, token, Result(refusal=Result.TOO_MANY, again_ms=BUSY_MS))
 
-        def readable(answer: Readable) -> None:
+        def readable(answer: ReadOutcome) -> None:
             if answer.refusal:
                 self._refuse(caller, token, _refusal(answer))
             else:
                 self.state.when(answer.index, watch)
 
         if view.fresh:
-            self.post(Read(self._new_token(readable)))
+            self.post(ReadRequested(self._new_token(readable)))
         else:
             watch()
 
@@ -377,7 +377,7 @@
 
     def _carry(self, actions: list[Action]) -> None:
         for action in actions:  # who waits for an entry has to be known before it is applied
-            if isinstance(action, Answer | Readable):
+            if isinstance(action, ProposalOutcome | ReadOutcome):
                 call = self._asked.pop(action.token, None)
                 if call is not None:
                     call(action)
@@ -391,7 +391,7 @@
                 self.state.take(action)
             elif isinstance(action, Timer):
                 self._set_timer(action.at)
-            elif isinstance(action, Became):
+            elif isinstance(action, RoleChanged):
                 self._become(action)
         self._stop_if_too_new()
         if any(
@@ -407,7 +407,7 @@
             self._timer.cancel()
         self._timer = self.loop.at(at, lambda: self.post(TimerFired()))
 
-    def _become(self, became: Became) -> None:
+    def _become(self, became: RoleChanged) -> None:
         self.part, self.term, self.leader = became.part, became.term, became.leader
         self.said(
             "part",
@@ -482,7 +482,7 @@
                 self.post(WriteFailed(writes[0].number, isinstance(exc, DiskFull)))
                 self._write_again(isinstance(exc, DiskFull))
             else:
-                self.post(Written(writes[-1].number))
+                self.post(WriteCompleted(writes[-1].number))
 
     def _write_again(self, full: bool) -> None:
         """Wait until the folder takes writes; what was asked for behind a failed one counts for nothing."""
@@ -496,7 +496,7 @@
                 self.counts["still cannot write"] += 1
         self._writes.clear()
         self.said("can write again", {"entries": len(durable.entries)})
-        self.post(CanWrite(durable))
+        self.post(StorageRecovered(durable))
 
     def _compact(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
         """Return a snapshot of what is agreed and applied, which makes room in place of a long log."""
@@ -514,8 +514,8 @@
             was, short = short, self.store.room_short()
             if short and not was:
                 self.said("room is short", {})
-                self.post(RoomShort())
+                self.post(DiskSpaceLow())
 
 
-def _refusal(answer: Answer | Readable) -> Result:
+def _refusal(answer: ProposalOutcome | ReadOutcome) -> Result:
     return Result(refusal=answer.refusal, leader=answer.leader, again_ms=getattr(answer, "again_ms", 0))
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -21,10 +21,10 @@
 from fennelwind.loop.disk import Disk
 from fennelwind.quiescence.in_flight import Book
 from fennelwind.raft.council_pb2 import Member as Stated
-from fennelwind.raft.member import Core
-from fennelwind.raft.messages import Durable
-from fennelwind.raft.replicated_state import LEVEL, Record
-from fennelwind.raft.state_machine import Machine
+from fennelwind.raft.member import RaftMember
+from fennelwind.raft.messages import DurableState
+from fennelwind.raft.replicated_state import LEVEL, ReplicatedState
+from fennelwind.raft.state_machine import StateMachine
 from fennelwind.raft_storage.store import Limits
 from fennelwind.shards.access_load import Named
 from fennelwind.shards.model import Bounds, Home
@@ -44,12 +44,14 @@
         seed: int,
         said: Callable[[str, dict], None],
         disk: Callable[[], Disk] | None = None,
-        more: Iterable[Machine] = (),
+        more: Iterable[StateMachine] = (),
         level: int = LEVEL,
     ) -> None:
         """Make it. `disk`, `more` machines and another `level` that is known are for rigs."""
         self.loop, self.place, self.said = loop, place, said
-        self.member = self._member(seed, disk, Record([*machines(), *more], level)) if place.member else None
+        self.member = (
+            self._member(seed, disk, ReplicatedState([*machines(), *more], level)) if place.member else None
+        )
         self.asker = Asker(loop, place.fleet, place.me, place.members, f"asker {seed}", self._wrong)
         self.tasks = Tasks(loop, self.asker, place.me, seed, said)
         self.gate: Gate | None = None
@@ -62,13 +64,13 @@
         self.clearances: Clearances | None = None
         self._seed = seed
 
-    def _member(self, seed: int, disk: Callable[[], Disk] | None, record: Record) -> Member:
+    def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> Member:
         place, loop = self.place, self.loop
         limits = Limits(reserve=place.reserve_bytes, low=2 * place.reserve_bytes)
         stated = [Stated(name=name, address=str(address)) for name, address in sorted(place.members.items())]
 
-        def core(durable: Durable) -> Core:
-            return Core(place.timing, durable, seed, stated)
+        def core(durable: DurableState) -> RaftMember:
+            return RaftMember(place.timing, durable, seed, stated)
 
         folder = Folder(
             disk or self._disk, place.fleet, place.me, loop.token, limits, lambda: loop.sleep(0.0)
--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -16,7 +16,7 @@
 from fennelwind.cluster.peer_connections import PULSE_MS
 from fennelwind.loop import Listener, Loop, Stream, StreamReset, Task
 from fennelwind.raft import council_pb2
-from fennelwind.raft.messages import Life
+from fennelwind.raft.messages import Incarnation
 
 HELLO_MS = 2000.0  # ms in which a stranger has to say who it is
 STRANGERS_MOST = 128  # connections without a hello; one more is broken at once
@@ -32,10 +32,10 @@
     def hello(self) -> pb.Hello:
         """Return what this member says first."""
 
-    def greeted(self, sender: Life) -> None:
+    def greeted(self, sender: Incarnation) -> None:
         """Take note that a member has opened its way to this one."""
 
-    def received(self, sender: Life, message: council_pb2.Message) -> None:
+    def received(self, sender: Incarnation, message: council_pb2.Message) -> None:
         """Take a message of a member."""
 
     def asked(self, caller: "Caller", ask: pb.Ask) -> None:
@@ -66,7 +66,7 @@
         self.loop, self.listener, self.fleet, self.taker, self.said = loop, listener, fleet, taker, said
         self.counts: Counter[str] = Counter()  # connections by what became of them
         self.strangers = 0
-        self.members: dict[Life, Stream] = {}  # the newest connection of each
+        self.members: dict[Incarnation, Stream] = {}  # the newest connection of each
         self.callers: set[Caller] = set()
         self._task: Task | None = None
         self._tasks: set[Task] = set()
@@ -127,7 +127,8 @@
             wrong = wrong_hello(hello, self.fleet)
             if wrong is None:
                 full = (
-                    len(self.members) >= MEMBERS_MOST and Life(hello.name, hello.life) not in self.members
+                    len(self.members) >= MEMBERS_MOST
+                    and Incarnation(hello.name, hello.life) not in self.members
                     if hello.life
                     else len(self.callers) >= ASKERS_MOST
                 )
@@ -144,7 +145,7 @@
             return None
 
     def _member(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
-        sender = Life(hello.name, hello.life)
+        sender = Incarnation(hello.name, hello.life)
         before = self.members.get(sender)
         self.members[sender] = stream
         if before is not None:
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -23,7 +23,7 @@
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
 from fennelwind.quiescence.acknowledgements import WISHES_MOST
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.shards import migration as api
 from fennelwind.shards import migration_statements
 from fennelwind.shards import shards_pb2 as pb
@@ -117,7 +117,7 @@
         timing: api.Timing | None = None,
         planner: Callable[[World, Bounds], Planned] = plan,
         shards: Iterable[pb.Shard] = (),
-        record: Record | None = None,
+        record: ReplicatedState | None = None,
     ) -> None:
         """Make it. `homes` tells the engines that are there now; `shards` are those that settings state.
 
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -7,19 +7,19 @@
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.quiescence.registered_controllers import RollMachine
-from fennelwind.raft.state_machine import Machine
+from fennelwind.raft.state_machine import StateMachine
 from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
 
 LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", RollMachine.name
 
 
-def machines() -> list[Machine]:
+def machines() -> list[StateMachine]:
     """Return the machines, empty."""
     return [LeaseMachine(), ContractMachine(), ShardMachine(), RollMachine()]
 
 
-def answer(machine: Machine, query: bytes) -> bytes:
+def answer(machine: StateMachine, query: bytes) -> bytes:
     """Answer a query; without one, with all that the machine keeps.
 
     `leases`: by a `Who`, which tasks are offered to it. `contracts`: by a `ChangeQuery`, which changes are
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -13,7 +13,7 @@
 from google.protobuf.message import DecodeError
 
 from fennelwind.leases import leases_pb2 as pb
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 
 ASKS_MOST = 512  # asks of one command; a controller wants some fifty tasks
 TASKS_MOST = 4096  # tasks; a thousand tables and the fleet's own, four times over
@@ -137,7 +137,7 @@
         try:
             asked = pb.LeaseCommand.FromString(command)
         except DecodeError as exc:
-            raise UnreadableCommand("not a command of leases") from exc
+            raise UnreadableCommandError("not a command of leases") from exc
         by = Life(asked.by.name, asked.by.life)
         refusal = _refusal(asked)
         if refusal:
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -13,7 +13,7 @@
 from google.protobuf.message import DecodeError
 
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 
 FORGET_MS = 120_000  # ms of silence; as long as a copy that leaves may be waited for in all (60 s twice)
 ROLL_MOST = 4096  # numbers at once; two hundred controllers, each begun anew twenty times within FORGET_MS
@@ -44,18 +44,18 @@
         self.revision = 0  # the entry that last changed who is on it
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out. Raises `UnreadableCommand`."""
+        """Carry a command out. Raises `UnreadableCommandError`."""
         try:
             told = pb.RollCommand.FromString(command)
         except DecodeError as exc:
-            raise UnreadableCommand(str(exc)) from exc
+            raise UnreadableCommandError(str(exc)) from exc
         what = told.WhichOneof("what")
         if what == "sign_on":
             answer = self._sign_on(told.sign_on, at)
         elif what == "renew":
             answer = self._renew(told.renew, at)
         else:
-            raise UnreadableCommand("a command of no kind")
+            raise UnreadableCommandError("a command of no kind")
         return answer.SerializeToString(deterministic=True)
 
     def _sign_on(self, told: pb.SignOn, at: At) -> pb.RollAnswer:
--- a/fennelwind/raft/bootstrap.py
+++ b/fennelwind/raft/bootstrap.py
@@ -1,7 +1,7 @@
 """A member without a record asks to be let in; the first by name founds one if nobody has any. No I/O."""
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.messages import Life
+from fennelwind.raft.messages import Incarnation
 
 FRESH_TIMEOUTS = 4  # election time-outs for which a word counts; it is asked for anew with each one
 
@@ -9,23 +9,23 @@
 class Joining:
     """What a member knows of the others while it has no record."""
 
-    def __init__(self, me: Life, stated: dict[str, pb.Member]) -> None:
+    def __init__(self, me: Incarnation, stated: dict[str, pb.Member]) -> None:
         self.me, self.stated = me, stated
         self.empty: dict[str, float] = {}  # ms, when who said that it has no record either
         self.lives: dict[str, bytes] = {}
         self.next_at: float | None = None  # ms, when it asks again
 
-    def messages(self) -> list[tuple[Life, pb.Message]]:
+    def messages(self) -> list[tuple[Incarnation, pb.Message]]:
         """Return what is asked of all others, whose lives aren't known yet."""
         stated = self.stated.get(self.me.name)
         member = pb.Member(name=self.me.name, life=self.me.life, address=stated.address if stated else "")
         return [
-            (Life(name, b""), pb.Message(join=pb.Join(member=member)))
+            (Incarnation(name, b""), pb.Message(join=pb.Join(member=member)))
             for name in sorted(self.stated)
             if name != self.me.name
         ]
 
-    def answered(self, sender: Life, answer: pb.JoinAnswer, now: float) -> None:
+    def answered(self, sender: Incarnation, answer: pb.JoinAnswer, now: float) -> None:
         """Take another's word."""
         if sender.name not in self.stated or answer.life != sender.life:
             return
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -5,10 +5,10 @@
 from typing import TYPE_CHECKING
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.messages import Life
+from fennelwind.raft.messages import Incarnation
 
 if TYPE_CHECKING:
-    from fennelwind.raft.member import Core
+    from fennelwind.raft.member import RaftMember
 
 
 @dataclass(slots=True)
@@ -18,9 +18,9 @@
     before: bool
     term: int  # the term it asks for, or would
     write: int = 0  # the write with its own vote, which counts when that is done
-    granted: set[Life] = field(default_factory=set)
+    granted: set[Incarnation] = field(default_factory=set)
 
-    def won(self, voters: Sequence[Life]) -> bool:
+    def won(self, voters: Sequence[Incarnation]) -> bool:
         """Whether more than half of the voters said yes."""
         return 2 * sum(life in self.granted for life in voters) > len(voters)
 
@@ -30,14 +30,14 @@
     return (vote.last_term, vote.last_index) >= (last_term, last_index)
 
 
-def ask_before(core: "Core") -> None:
+def ask_before(core: "RaftMember") -> None:
     """Ask whether a majority would vote for this member: only then a term is worth it."""
     core.leader = None
     core.ballot = Ballot(True, core.term + 1, granted={core.me})
     _ask(core, core.term + 1, pb.Vote(before=True))
 
 
-def ask(core: "Core", handed_over: bool = False) -> None:
+def ask(core: "RaftMember", handed_over: bool = False) -> None:
     """Begin a term and ask for votes in it; the own one counts when it is on the disk."""
     core.follow(core.term + 1, None)
     core.voted = core.me
@@ -47,14 +47,14 @@
     _ask(core, core.term, pb.Vote(handed_over=handed_over))
 
 
-def _ask(core: "Core", term: int, vote: pb.Vote) -> None:
+def _ask(core: "RaftMember", term: int, vote: pb.Vote) -> None:
     vote.last_index, vote.last_term = core.log.last, core.log.last_term
     for life in core.log.config.voters:
         if life != core.me:
             core.send(life, pb.Message(term=term, vote=vote))
 
 
-def asked(core: "Core", sender: Life, term: int, vote: pb.Vote) -> None:
+def asked(core: "RaftMember", sender: Incarnation, term: int, vote: pb.Vote) -> None:
     """Answer one that asks. Who hears a leader gives no vote, unless that leader asked for it.
 
     One that isn't a member by this log may be by a later one, and is answered; a mute member, and one without
@@ -88,7 +88,7 @@
     core.send(sender, pb.Message(term=core.term, vote_answer=pb.VoteAnswer(granted=granted)))
 
 
-def answered(core: "Core", sender: Life, term: int, answer: pb.VoteAnswer) -> None:
+def answered(core: "RaftMember", sender: Incarnation, term: int, answer: pb.VoteAnswer) -> None:
     """Count an answer, if it is one to what is asked now."""
     ballot = core.ballot
     if ballot is None or sender not in core.log.config.voters:
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -8,13 +8,13 @@
 from typing import TYPE_CHECKING
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.messages import Answer, Change, Life, Propose
+from fennelwind.raft.messages import ChangeMembership, Incarnation, ProposalOutcome, Propose
 from fennelwind.raft.progress import PIECES, PROBE, STREAM, Progress
 from fennelwind.raft.read_index import Reads
 from fennelwind.raft.replicated_state import COMMAND_MOST
 
 if TYPE_CHECKING:
-    from fennelwind.raft.member import Core
+    from fennelwind.raft.member import RaftMember
 
 NEAR = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
 VOTERS_MOST = 7  # more only make each commit wait for more disks
@@ -24,22 +24,22 @@
 LEAVE_TIMEOUTS = 10  # election time-outs for which a removed member is told so
 
 
-class Leading:
+class Leader:
     """The leader's part of the core."""
 
-    def __init__(self, core: "Core", now: float) -> None:
+    def __init__(self, core: "RaftMember", now: float) -> None:
         self.core, self.term = core, core.term
         self.began = now
         self.clock_base = core.log_clock()
         self.clock_at = now  # when an entry was last stamped
-        self.peers: dict[Life, Progress] = {}
+        self.peers: dict[Incarnation, Progress] = {}
         self.waiting: deque[tuple[int, int]] = deque()  # index of the entry, token
         self.reads = Reads(core.timing.reads_most)
         self.round = 0
         self.rounds: deque[tuple[int, float]] = deque(maxlen=ROUNDS_MOST)  # when each began
         self.next_beat = now
         self.hand_over_by: float | None = None  # ms: until then nothing is proposed
-        self.asked_over: Life | None = None
+        self.asked_over: Incarnation | None = None
         self._append(pb.Entry(nothing=True), now)
         self.sync_peers(now)
 
@@ -60,11 +60,15 @@
         """Enter a command, or say why not."""
         timing, core = self.core.timing, self.core
         if event.command.ByteSize() > COMMAND_MOST + 1024:  # its machine's name and numbers beside the body
-            core.out.append(Answer(event.token, pb.Result.TOO_LARGE))
+            core.out.append(ProposalOutcome(event.token, pb.Result.TOO_LARGE))
         elif self.hand_over_by is not None or not core.founded():
-            core.out.append(Answer(event.token, pb.Result.NO_LEADER, again_ms=int(timing.election_ms)))
+            core.out.append(
+                ProposalOutcome(event.token, pb.Result.NO_LEADER, again_ms=int(timing.election_ms))
+            )
         elif len(self.waiting) >= timing.waiting_most or core.log.size >= 2 * timing.log_most:
-            core.out.append(Answer(event.token, pb.Result.TOO_MANY, again_ms=int(timing.election_ms)))
+            core.out.append(
+                ProposalOutcome(event.token, pb.Result.TOO_MANY, again_ms=int(timing.election_ms))
+            )
         else:
             self.waiting.append((self._append(pb.Entry(command=event.command), now), event.token))
 
@@ -77,7 +81,7 @@
             and self.hand_over_by is None
         )
 
-    def change(self, event: Change, now: float) -> None:
+    def change(self, event: ChangeMembership, now: float) -> None:
         """Change the members by one, or say why not."""
         core, config = self.core, self.core.log.config
         known = dict(zip(config.lives, config.members.members, strict=True))
@@ -85,16 +89,16 @@
         if not self.may_change():
             refusal = pb.Result.TOO_MANY
         elif event.add is not None:
-            life = Life(event.add.name, event.add.life)
+            life = Incarnation(event.add.name, event.add.life)
             if life in known:
-                core.out.append(Answer(event.token, index=config.index))
+                core.out.append(ProposalOutcome(event.token, index=config.index))
                 return
             if not life.life or len(known) >= MEMBERS_MOST or self.lives_still(life.name, now):
                 refusal = pb.Result.NOT_MEMBER
         elif event.remove not in known or config.voters == (event.remove,):
             refusal = pb.Result.NOT_MEMBER
         if refusal:
-            core.out.append(Answer(event.token, refusal, again_ms=int(core.timing.election_ms)))
+            core.out.append(ProposalOutcome(event.token, refusal, again_ms=int(core.timing.election_ms)))
         elif event.add is not None:
             self.waiting.append((self.let_in(event.add, now), event.token))
         else:
@@ -120,7 +124,7 @@
         self.sync_peers(now)
         return index
 
-    def join(self, sender: Life, member: pb.Member, now: float) -> "pb.JoinAnswer.Word":
+    def join(self, sender: Incarnation, member: pb.Member, now: float) -> "pb.JoinAnswer.Word":
         """Answer one that asks to be let in."""
         core, words = self.core, pb.JoinAnswer
         if sender in core.log.config.lives:
@@ -149,11 +153,11 @@
 
     # Answers
 
-    def voters(self) -> tuple[Life, ...]:
+    def voters(self) -> tuple[Incarnation, ...]:
         """Return those whose disks and words count."""
         return self.core.log.config.voters
 
-    def answered(self, sender: Life, answer: pb.AppendAnswer, now: float) -> None:
+    def answered(self, sender: Incarnation, answer: pb.AppendAnswer, now: float) -> None:
         """Take a member's word on entries."""
         peer = self.peers[sender]
         self._heard(peer, answer.round, now)
@@ -182,7 +186,7 @@
                 peer.pace(now - began > timing.election_ms / LATE_PART, timing.append_most)
         peer.heard = now
 
-    def piece_answered(self, sender: Life, answer: pb.PieceAnswer, now: float) -> None:
+    def piece_answered(self, sender: Incarnation, answer: pb.PieceAnswer, now: float) -> None:
         """Take a member's word on a snapshot's pieces."""
         peer = self.peers[sender]
         self._heard(peer, answer.round, now)
@@ -237,7 +241,7 @@
         heard = sum(life == self.core.me or self.peers[life].heard > since for life in voters)
         return 2 * heard > len(voters)
 
-    def _agreed(self, own: int, others: dict[Life, int]) -> int:
+    def _agreed(self, own: int, others: dict[Incarnation, int]) -> int:
         """Return what more than half of the voters have reached."""
         voters = self.voters()
         reached = sorted(own if life == self.core.me else others[life] for life in voters)
@@ -265,7 +269,7 @@
             core.give()
             while self.waiting and self.waiting[0][0] <= commit:
                 index, token = self.waiting.popleft()
-                core.out.append(Answer(token, index=index))
+                core.out.append(ProposalOutcome(token, index=index))
             if core.me not in core.log.config.lives and core.log.config.index <= commit:
                 self.start_round()  # the others learn that it is agreed
                 self._ask_over(now)
@@ -284,7 +288,7 @@
     def _promote(self, now: float) -> None:
         members = list(self.core.log.config.members.members)
         for place, member in enumerate(members):
-            peer = self.peers.get(Life(member.name, member.life))
+            peer = self.peers.get(Incarnation(member.name, member.life))
             if member.votes or peer is None or peer.cannot_write or peer.way != STREAM:
                 continue
             if peer.match + NEAR >= self.core.log.last and now - peer.heard < self.core.timing.election_ms:
@@ -314,7 +318,7 @@
 
     # Messages
 
-    def _send_entries(self, life: Life, peer: Progress, beat: bool) -> None:
+    def _send_entries(self, life: Incarnation, peer: Progress, beat: bool) -> None:
         """Send a member what it lacks, within the bounds; with `beat` a message goes in any case."""
         core, timing = self.core, self.core.timing
         while True:
@@ -361,7 +365,7 @@
                 peer.next = entries[-1].index + 1
                 peer.under_way.append(entries[-1].index)
 
-    def _send_piece(self, life: Life, peer: Progress, beat: bool) -> None:
+    def _send_piece(self, life: Incarnation, peer: Progress, beat: bool) -> None:
         if peer.head is None or (peer.waits and not beat):
             return
         if beat:  # it has to hear its leader, whatever becomes of the pieces
@@ -392,7 +396,7 @@
             self.asked_over = life
             self.core.send(life, pb.Message(term=self.term, take_over=pb.TakeOver()))
 
-    def heir(self, now: float) -> Life | None:
+    def heir(self, now: float) -> Incarnation | None:
         """Return the voter that is best to lead next; None: nobody is."""
         since = now - self.core.timing.election_ms
         fit = [
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.messages import Life
+from fennelwind.raft.messages import Incarnation
 
 
 class Config(NamedTuple):
@@ -13,8 +13,8 @@
 
     index: int
     members: pb.Members
-    lives: tuple[Life, ...]  # all of them, in order of their names
-    voters: tuple[Life, ...]  # those whose votes and disks count
+    lives: tuple[Incarnation, ...]  # all of them, in order of their names
+    voters: tuple[Incarnation, ...]  # those whose votes and disks count
 
 
 def config(index: int, members: pb.Members) -> Config:
@@ -22,8 +22,8 @@
     return Config(
         index,
         members,
-        tuple(Life(m.name, m.life) for m in members.members),
-        tuple(Life(m.name, m.life) for m in members.members if m.votes),
+        tuple(Incarnation(m.name, m.life) for m in members.members),
+        tuple(Incarnation(m.name, m.life) for m in members.members if m.votes),
     )
 
 
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -1,6 +1,7 @@
-"""The council's core: one member's part in the agreed record, by the Raft paper. No I/O, no clock.
+"""One member of the Raft group, by the Raft paper. No I/O, no clock.
 
-`Core.step(now, events) -> actions`; see interface.py. A core is a value: it may be copied, stepped, compared.
+`RaftMember.step(now, events) -> actions`; see messages.py. A member is a value: it may be copied, stepped,
+compared.
 """
 
 import math
@@ -14,9 +15,9 @@
 from fennelwind.raft import messages as api
 from fennelwind.raft.bootstrap import Joining
 from fennelwind.raft.election import Ballot
-from fennelwind.raft.leader import Leading
+from fennelwind.raft.leader import Leader
 from fennelwind.raft.log import Log
-from fennelwind.raft.messages import Action, Durable, Event, Life, Timing
+from fennelwind.raft.messages import Action, DurableState, Event, Incarnation, Timing
 from fennelwind.raft.pending_writes import Writes
 from fennelwind.raft.snapshots import Snapshots
 
@@ -29,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class View:
+class MemberStatus:
     """What there is to see of a member."""
 
     part: str
@@ -48,24 +49,26 @@
     counts: dict[str, int]
 
 
-class Core:
+class RaftMember:
     """One member. `stated` are the members that the settings name; their lives are empty there."""
 
-    def __init__(self, timing: Timing, durable: Durable, seed: int, stated: Iterable[pb.Member] = ()) -> None:
+    def __init__(
+        self, timing: Timing, durable: DurableState, seed: int, stated: Iterable[pb.Member] = ()
+    ) -> None:
         self.timing, self.me = timing, durable.me
         self.stated = {member.name: member for member in stated}
         self.random = Random(f"council {seed} {self.me.name} {self.me.life.hex()}")
         self.log = Log(durable.head, durable.entries)
         self.term = durable.hard.term
         hard = durable.hard
-        self.voted = Life(hard.voted_name, hard.voted_life) if hard.voted_name else None
+        self.voted = Incarnation(hard.voted_name, hard.voted_life) if hard.voted_name else None
         self.out: list[Action] = []
         self.snapshots = Snapshots(self, durable)
         self.commit = self.given = self.snapshots.index
         self.agreed = self.commit  # up to here the log is as the present leader's
         self.writes = Writes(self.log.last)
-        self.leader: Life | None = None
-        self.leading: Leading | None = None
+        self.leader: Incarnation | None = None
+        self.leading: Leader | None = None
         self.ballot: Ballot | None = None
         self.joining = Joining(self.me, self.stated)
         self.mute = False
@@ -80,7 +83,7 @@
         self.due: int | None = None
         self.commands_seen = False
         self.counts: Counter[str] = Counter()  # of what was dropped, and why
-        self._shown: api.Became | None = None
+        self._shown: api.RoleChanged | None = None
         self._timer: float | None = None
 
     # The step
@@ -100,16 +103,16 @@
 
     def _take(self, event: Event) -> None:
         match event:
-            case api.Received(sender, message):
+            case api.MessageReceived(sender, message):
                 self._received(sender, message)
-            case api.Written(number):
+            case api.WriteCompleted(number):
                 self._written(number)
             case api.Propose(token):
                 if self.leading is not None:
                     self.leading.propose(event, self.now)
                 else:
                     self._refuse(token)
-            case api.Read(token):
+            case api.ReadRequested(token):
                 if self.leading is not None:
                     self.leading.read(token)
                 else:
@@ -118,16 +121,16 @@
                 self.due = due
             case api.Snapshot():
                 self.snapshots.taken(event)
-            case api.Change(token):
+            case api.ChangeMembership(token):
                 if self.leading is not None:
                     self.leading.change(event, self.now)
                 else:
                     self._refuse(token)
-            case api.HandOver() | api.RoomShort():
+            case api.TransferLeadership() | api.DiskSpaceLow():
                 self._hand_over()
             case api.WriteFailed():
                 self._fall_mute()
-            case api.CanWrite(durable):
+            case api.StorageRecovered(durable):
                 self._speak_again(durable)
             case api.TimerFired():
                 self._timer = None  # it may have come early: it is wanted again
@@ -194,7 +197,7 @@
         self.give()
         self.snapshots.want()
         part = self.part
-        shown = api.Became(part, self.term, self.leader.name if self.leader is not None else "")
+        shown = api.RoleChanged(part, self.term, self.leader.name if self.leader is not None else "")
         if shown != self._shown:
             self._shown = shown
             self.out.append(shown)
@@ -213,7 +216,7 @@
 
     @property
     def part(self) -> str:
-        """Its part, as `Became` tells it."""
+        """Its part, as `RoleChanged` tells it."""
         if self.leading is not None:
             return "leader"
         if self.mute and self.me in self.log.config.lives:
@@ -258,10 +261,10 @@
             return self.log.entries[-1].clock_ms
         return self.snapshots.head.clock_ms if self.snapshots.head is not None else 0
 
-    def state(self) -> View:
+    def state(self) -> MemberStatus:
         """Return what there is to see."""
         leading = self.leading
-        return View(
+        return MemberStatus(
             part=self.part,
             term=self.term,
             leader=self.leader.name if self.leader is not None else "",
@@ -280,7 +283,7 @@
 
     # What leaves
 
-    def send(self, to: Life, message: pb.Message) -> None:
+    def send(self, to: Incarnation, message: pb.Message) -> None:
         """Send a message once the last term and vote are on the disk; a mute member's promises nothing."""
         if self.mute or self.writes.hard_done:
             self.out.append(api.Send(to, message))
@@ -297,7 +300,7 @@
 
     def set_hard(self) -> None:
         if not self.mute:
-            voted = self.voted or Life("", b"")
+            voted = self.voted or Incarnation("", b"")
             self.writes.set_hard(pb.HardState(term=self.term, voted_name=voted.name, voted_life=voted.life))
 
     def _nobody(self) -> int:
@@ -306,12 +309,14 @@
 
     def _refuse(self, token: int) -> None:
         name = self.leader.name if self.leader is not None else ""
-        self.out.append(api.Answer(token, self._nobody(), leader=name, again_ms=int(self.timing.election_ms)))
+        self.out.append(
+            api.ProposalOutcome(token, self._nobody(), leader=name, again_ms=int(self.timing.election_ms))
+        )
 
     def refuse_read(self, token: int, refusal: int) -> None:
         """Tell a reader that it can't be served here and now."""
         name = self.leader.name if self.leader is not None and self.leader != self.me else ""
-        self.out.append(api.Readable(token, refusal=refusal, leader=name))
+        self.out.append(api.ReadOutcome(token, refusal=refusal, leader=name))
 
     def give(self) -> None:
         """Hand over entries that are agreed."""
@@ -335,7 +340,7 @@
             self.leader is not None and self.now < self.heard + self.timing.election_ms
         )
 
-    def follow(self, term: int, leader: Life | None) -> None:
+    def follow(self, term: int, leader: Incarnation | None) -> None:
         """Be no leader; take a later term if there is one."""
         leading, self.leading, self.ballot = self.leading, None, None
         if term > self.term:
@@ -349,7 +354,7 @@
             self.draw()
             for _, token in leading.waiting:
                 self.out.append(
-                    api.Answer(
+                    api.ProposalOutcome(
                         token,
                         pb.Result.UNKNOWN,
                         leader=leader.name if leader else "",
@@ -364,13 +369,13 @@
             election.ask(self)
             return
         self.ballot, self.leader = None, self.me
-        self.leading = Leading(self, self.now)
+        self.leading = Leader(self, self.now)
         self.leading.tick(self.now)
         self.leading.settle(self.now)
 
     # Messages
 
-    def _received(self, sender: Life, message: pb.Message) -> None:
+    def _received(self, sender: Incarnation, message: pb.Message) -> None:
         term, body = message.term, message.WhichOneof("body")
         if sender == self.me or body is None or term > TERM_MOST:
             self.counts["malformed"] += 1
@@ -420,7 +425,7 @@
                     self.removed_until = self.now + REMOVED_TIMEOUTS * self.timing.election_ms
                     self.removed_as_of = self.log.config.index
 
-    def _leads(self, sender: Life, term: int, append: bool) -> bool:
+    def _leads(self, sender: Incarnation, term: int, append: bool) -> bool:
         """Take a leader's message as one; False: it is late, or a stranger's while another is heard."""
         if term < self.term:
             if append and not self.mute:
@@ -489,7 +494,7 @@
             answer = pb.AppendAnswer(took=True, index=self.told, round=self.round)
         self.send(self.leader, pb.Message(term=self.term, append_answer=answer))
 
-    def _join(self, sender: Life, join: pb.Join) -> None:
+    def _join(self, sender: Incarnation, join: pb.Join) -> None:
         word = pb.JoinAnswer.WAIT
         if (join.member.name, join.member.life) != sender:
             self.counts["malformed"] += 1
@@ -534,7 +539,7 @@
         if self.leading is not None or self.ballot is not None:
             self.follow(self.term, None)
 
-    def _speak_again(self, durable: Durable) -> None:
+    def _speak_again(self, durable: DurableState) -> None:
         """Go on from what the folder holds; what was promised, and the folder lacks, is written first."""
         self.writes.failed()
         disk, snapshots = Log(durable.head, durable.entries), self.snapshots
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -1,8 +1,8 @@
 """Between the council's core, which decides, and what carries out: events in, actions out.
 
-`Core.step(now, events) -> actions`. Times are ms on the member's own clock, which never goes back. The
+`RaftMember.step(now, events) -> actions`. Times are ms on the member's own clock, which never goes back. The
 carrier makes writes in their order, sends messages without waiting, and hands the core whatever comes of it.
-Nothing that rests on a write leaves before its `Written`: the core holds it back.
+Nothing that rests on a write leaves before its `WriteCompleted`: the core holds it back.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 from fennelwind.raft import council_pb2 as pb
 
 
-class Life(NamedTuple):
+class Incarnation(NamedTuple):
     """Who a member is: its name, and the number drawn when its folder was made."""
 
     name: str
@@ -35,10 +35,10 @@
 
 
 @dataclass(slots=True)
-class Durable:
+class DurableState:
     """What a member's folder held when it was opened."""
 
-    me: Life
+    me: Incarnation
     hard: pb.HardState = field(default_factory=pb.HardState)
     head: pb.SnapshotHead | None = None
     snapshot: bytes = b""
@@ -49,15 +49,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Received:
+class MessageReceived:
     """A message of another member, whose name and life were checked against the connection's hello."""
 
-    sender: Life
+    sender: Incarnation
     message: pb.Message
 
 
 @dataclass(slots=True, frozen=True)
-class Written:
+class WriteCompleted:
     """All writes up to this number are on the disk."""
 
     number: int
@@ -67,7 +67,7 @@
 class WriteFailed:
     """The write with this number and all behind it are not on the disk, and nothing of them counts.
 
-    Until `CanWrite` the member has no vote, acknowledges nothing and leads nobody.
+    Until `StorageRecovered` the member has no vote, acknowledges nothing and leads nobody.
     """
 
     number: int
@@ -75,28 +75,28 @@
 
 
 @dataclass(slots=True, frozen=True)
-class CanWrite:
+class StorageRecovered:
     """The folder takes writes again; what it holds was read anew."""
 
-    durable: Durable
+    durable: DurableState
 
 
 @dataclass(slots=True, frozen=True)
-class RoomShort:
+class DiskSpaceLow:
     """The disk is nearly full: who leads hands over while it still can."""
 
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """Somebody's command; `Answer` with this token tells what became of it."""
+    """Somebody's command; `ProposalOutcome` with this token tells what became of it."""
 
     token: int
     command: pb.Command
 
 
 @dataclass(slots=True, frozen=True)
-class Read:
-    """Somebody wants to read what is true now; `Readable` with this token tells from which index on."""
+class ReadRequested:
+    """Somebody wants to read what is true now; `ReadOutcome` with this token tells from which index on."""
 
     token: int
 
@@ -119,17 +119,17 @@
 
 
 @dataclass(slots=True, frozen=True)
-class HandOver:
+class TransferLeadership:
     """The member is going to end, or cannot do its part: who leads lets another lead."""
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """An operator, or a lost member's return, changes the members by one; `Answer` tells the outcome."""
+class ChangeMembership:
+    """An operator, or a lost member's return, changes the members by one; `ProposalOutcome` follows."""
 
     token: int
     add: pb.Member | None = None
-    remove: Life | None = None
+    remove: Incarnation | None = None
 
 
 @dataclass(slots=True, frozen=True)
@@ -138,17 +138,17 @@
 
 
 Event = (
-    Received
-    | Written
+    MessageReceived
+    | WriteCompleted
     | WriteFailed
-    | CanWrite
-    | RoomShort
+    | StorageRecovered
+    | DiskSpaceLow
     | Propose
-    | Read
+    | ReadRequested
     | Applied
     | Snapshot
-    | HandOver
-    | Change
+    | TransferLeadership
+    | ChangeMembership
     | TimerFired
 )
 
@@ -160,13 +160,15 @@
 class Send:
     """A message for a member; lost where it can't be sent at once."""
 
-    to: Life
+    to: Incarnation
     message: pb.Message
 
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """What has to be on the disk, as one step, in the order of numbers; `Written` or `WriteFailed` follows.
+    """What has to be on the disk, as one step, in the order of numbers.
+
+    `WriteCompleted` or `WriteFailed` follows.
 
     In this order: the snapshot in place of all up to its head (`keep_from`: entries kept from there on), the
     log cut behind `cut_after`, the entries, the hard state.
@@ -202,7 +204,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Answer:
+class ProposalOutcome:
     """What became of a proposal. Where it was done, its result comes from applying the entry at `index`."""
 
     token: int
@@ -213,7 +215,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Readable:
+class ReadOutcome:
     """The read may be answered from a state of at least this index; a refusal where nobody can say."""
 
     token: int
@@ -230,7 +232,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Became:
+class RoleChanged:
     """The member's part: `leader`, `follower`, `asking`, `learner`, `outside` or `mute` (can't write)."""
 
     part: str
@@ -238,4 +240,4 @@
     leader: str  # by name; "": none is known
 
 
-Action = Send | Write | Apply | Restore | TakeSnapshot | Answer | Readable | Timer | Became
+Action = Send | Write | Apply | Restore | TakeSnapshot | ProposalOutcome | ReadOutcome | Timer | RoleChanged
--- a/fennelwind/raft/read_index.py
+++ b/fennelwind/raft/read_index.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from fennelwind.raft.messages import Readable
+from fennelwind.raft.messages import ReadOutcome
 
 
 class Reads:
@@ -32,12 +32,12 @@
         """Whether a round is needed that has not begun."""
         return bool(self.placed) and self.placed[-1][2] > begun
 
-    def served(self, confirmed: int) -> list[Readable]:
+    def served(self, confirmed: int) -> list[ReadOutcome]:
         """Return the reads that rounds up to this one have confirmed."""
         done = []
         while self.placed and self.placed[0][2] <= confirmed:
             token, index, _ = self.placed.popleft()
-            done.append(Readable(token, index))
+            done.append(ReadOutcome(token, index))
         return done
 
     def drop(self) -> list[int]:
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.state_machine import At, Machine, UnreadableCommand
+from fennelwind.raft.state_machine import At, StateMachine, UnreadableCommandError
 
 CLIENTS_MOST = 4096  # clients remembered; the one that was quiet for longest goes first
 KEPT_MOST = 64  # answers kept for one client; it may have as many commands under way
@@ -28,15 +28,15 @@
         self.kept: dict[int, bytes] = {}  # results by number
 
 
-class Record:
+class ReplicatedState:
     """What all entries up to `index` have made."""
 
-    def __init__(self, machines: Iterable[Machine], known: int = LEVEL) -> None:
+    def __init__(self, machines: Iterable[StateMachine], known: int = LEVEL) -> None:
         self.known = known  # the level that this version knows
         self.level = 1  # a command's result may rest on it, as on all that the record says
         self.every = {machine.name: machine for machine in machines}  # that this version knows
-        self.machines: dict[str, Machine] = {}  # those of the level
-        self._tellers: dict[str, Machine] = {}
+        self.machines: dict[str, StateMachine] = {}  # those of the level
+        self._tellers: dict[str, StateMachine] = {}
         self._set_level(1)
         self.index = self.clock_ms = 0
         self._clients: dict[int, _Client] = {}  # in the order in which they were last heard
@@ -111,7 +111,7 @@
             return pb.Result(refusal=pb.Result.TOO_LARGE, index=at.index)
         try:
             return pb.Result(body=machine.apply(at, command.body, self), index=at.index)
-        except UnreadableCommand as exc:
+        except UnreadableCommandError as exc:
             return pb.Result(refusal=pb.Result.UNREADABLE, index=at.index, text=str(exc))
 
     def snapshot(self) -> bytes:
--- a/fennelwind/raft/snapshots.py
+++ b/fennelwind/raft/snapshots.py
@@ -4,11 +4,11 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.log import Log
-from fennelwind.raft.messages import Durable, Restore, Snapshot, TakeSnapshot, Write
+from fennelwind.raft.messages import DurableState, Restore, Snapshot, TakeSnapshot, Write
 from fennelwind.raft.snapshot_chunks import SNAPSHOT_MOST, Incoming, head_of
 
 if TYPE_CHECKING:
-    from fennelwind.raft.member import Core
+    from fennelwind.raft.member import RaftMember
 
 ENTRIES_TIMES = 4  # times the kept entries: so many behind the last snapshot make one due, however small
 KEPT_PART = 4  # the kept entries have at most this part of the log's bytes, or a snapshot would free nothing
@@ -17,7 +17,7 @@
 class Snapshots:
     """The snapshot on the disk, the one being written, the one coming in."""
 
-    def __init__(self, core: "Core", durable: Durable) -> None:
+    def __init__(self, core: "RaftMember", durable: DurableState) -> None:
         self.core = core
         self.head, self.data = durable.head, durable.snapshot
         self.incoming = Incoming()
--- a/fennelwind/raft/state_machine.py
+++ b/fennelwind/raft/state_machine.py
@@ -25,18 +25,21 @@
         """
 
 
-class UnreadableCommand(Exception):  # noqa: N818
+class UnreadableCommandError(Exception):
     """The command's bytes are none of this machine's; the record answers UNREADABLE, state is as before."""
 
 
-class Machine(Protocol):
-    """State on the record. A refusal is a result like any other; only `UnreadableCommand` may be raised."""
+class StateMachine(Protocol):
+    """State on the record.
+
+    A refusal is a result like any other; only `UnreadableCommandError` may be raised.
+    """
 
     name: str
     kinds: tuple[str, ...]  # of the facts that it tells
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out; return its result. Raises `UnreadableCommand`."""
+        """Carry a command out; return its result. Raises `UnreadableCommandError`."""
 
     def pass_time(self, at: At) -> None:
         """Let lapse what is due at this time; called ahead of each entry from `due` on."""
--- a/fennelwind/raft_storage/errors.py
+++ b/fennelwind/raft_storage/errors.py
@@ -16,7 +16,7 @@
     advice = "Read the text; the folder was not changed."
 
 
-class OtherFleet(StoreError):
+class WrongFleetError(StoreError):
     """The folder is a member's of another fleet."""
 
     code = "store-other-fleet"
@@ -25,7 +25,7 @@
     )
 
 
-class OtherMember(StoreError):
+class WrongMemberError(StoreError):
     """The folder is another member's."""
 
     code = "store-other-member"
@@ -35,7 +35,7 @@
     )
 
 
-class NewerFormat(StoreError):
+class NewerFormatError(StoreError):
     """The folder was written by a newer version."""
 
     code = "store-newer-format"
@@ -45,63 +45,63 @@
     )
 
 
-class MetaMissing(StoreError):
+class MetaMissingError(StoreError):
     """There is a log, but nothing that says whose it is."""
 
     code = "store-meta-missing"
     advice = "The file `meta` was taken away. " + JOIN_ANEW
 
 
-class MetaDamaged(StoreError):
+class MetaDamagedError(StoreError):
     """What says whose folder it is can't be read."""
 
     code = "store-meta-damaged"
     advice = "The file `meta` was changed from outside or the disk is bad. " + JOIN_ANEW
 
 
-class SegmentMissing(StoreError):
+class SegmentMissingError(StoreError):
     """A part of the log is not there."""
 
     code = "store-segment-missing"
     advice = "A file of the log was taken away. Put it back if you have it. Otherwise: " + JOIN_ANEW
 
 
-class LogDamaged(StoreError):
+class LogDamagedError(StoreError):
     """What was acknowledged can't be read any more; nothing of the log was dropped for it."""
 
     code = "store-log-damaged"
     advice = "The disk changed or lost what it had taken: look at its state first. " + JOIN_ANEW
 
 
-class SnapshotDamaged(StoreError):
+class SnapshotDamagedError(StoreError):
     """No snapshot that the log can be read behind is whole."""
 
     code = "store-snapshot-damaged"
     advice = "The disk changed or lost what it had taken: look at its state first. " + JOIN_ANEW
 
 
-class WriteTooLarge(StoreError):
+class WriteTooLargeError(StoreError):
     """More than the folder takes at once; nothing was written."""
 
     code = "store-write-too-large"
     advice = "The record's state has outgrown its bound. Look which machine holds so much state."
 
 
-class WriteRefused(StoreError):
+class InvalidWriteError(StoreError):
     """A write that does not fit what is there: a fault of the program, not of the disk."""
 
     code = "store-write-refused"
     advice = "This is a fault of the program; keep the log and the folder and report it. Restart the member."
 
 
-class StoreStopped(StoreError):
+class StoreStoppedError(StoreError):
     """An earlier write failed; nothing is written until the folder was read anew."""
 
     code = "store-stopped"
     advice = "Nothing to do: the member reads its folder anew. The error before this one says what failed."
 
 
-class NoRoom(StoreError):
+class InsufficientSpaceError(StoreError):
     """There is not yet room enough to write again."""
 
     code = "store-no-room"
--- a/fennelwind/raft_storage/log_index.py
+++ b/fennelwind/raft_storage/log_index.py
@@ -4,7 +4,7 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft_storage import store_pb2 as kept
-from fennelwind.raft_storage.errors import WriteRefused
+from fennelwind.raft_storage.errors import InvalidWriteError
 
 GENERATIONS = 2  # snapshots kept: if the newer can't be read, the log behind the older still says all
 
@@ -75,7 +75,7 @@
         if with_head:
             after = max(after, self.agreed)
         if after < self.agreed:
-            raise WriteRefused(f"cut behind {after}, but {self.agreed} is agreed", after=after)
+            raise InvalidWriteError(f"cut behind {after}, but {self.agreed} is agreed", after=after)
         if after < self.start:  # reading began behind it, since nobody needs what lies there
             self.start, self.start_term = after, 0
         del self.terms[after - self.start :]
@@ -91,7 +91,7 @@
             if index <= last and self.term(index) in ((term, None) if index <= self.agreed else (term,)):
                 continue
             if index != last + 1 or term < last_term:
-                raise WriteRefused(
+                raise InvalidWriteError(
                     f"entry {index} of term {term} behind {last} of term {last_term}", index=index, term=term
                 )
             terms.append(term)
@@ -120,7 +120,7 @@
     def take(self, group: kept.Group, good: Callable[[pb.SnapshotHead], bool]) -> None:
         """Carry a group out; a snapshot that can't be read is passed over where the log says all without it.
 
-        Raises `WriteRefused` if it does not fit what is before it, `DecodeError` if it can't be read.
+        Raises `InvalidWriteError` if it does not fit what is before it, `DecodeError` if it can't be read.
         """
         shape = self.shape
         for step in group.steps:
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -32,24 +32,24 @@
 
 from fennelwind.loop.disk import READ_MOST, Disk, DiskError, DiskFull, NameMissing
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.messages import Durable, Life, Write
+from fennelwind.raft.messages import DurableState, Incarnation, Write
 from fennelwind.raft.snapshot_chunks import SNAPSHOT_MOST
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage import store_pb2 as kept
 from fennelwind.raft_storage.errors import (
-    LogDamaged,
-    MetaDamaged,
-    MetaMissing,
-    NewerFormat,
-    NoRoom,
-    OtherFleet,
-    OtherMember,
-    SegmentMissing,
-    SnapshotDamaged,
+    InsufficientSpaceError,
+    InvalidWriteError,
+    LogDamagedError,
+    MetaDamagedError,
+    MetaMissingError,
+    NewerFormatError,
+    SegmentMissingError,
+    SnapshotDamagedError,
     StoreError,
-    StoreStopped,
-    WriteRefused,
-    WriteTooLarge,
+    StoreStoppedError,
+    WriteTooLargeError,
+    WrongFleetError,
+    WrongMemberError,
 )
 from fennelwind.raft_storage.log_index import GENERATIONS, Replay, Shape
 
@@ -112,7 +112,7 @@
         life: bytes,
         limits: Limits | None = None,
         pause: Callable[[], None] = lambda: None,
-    ) -> tuple["Store", Durable]:
+    ) -> tuple["Store", DurableState]:
         """Take the folder and read it; make it if it is empty, for a member with this life.
 
         `pause` is called while a log is read, each few ms of work: it lets other tasks run. Raises
@@ -132,18 +132,18 @@
     def write(self, *writes: Write) -> None:
         """Carry writes out, as one group with one sync; on return all of them are on the disk.
 
-        Raises `WriteTooLarge` ahead of any effect. After any other error nothing of them counts, and nothing
-        is taken until `reopen`.
+        Raises `WriteTooLargeError` ahead of any effect. After any other error nothing of them counts, and
+        nothing is taken until `reopen`.
         """
         if self.failed:
-            raise StoreStopped("an earlier write failed; the folder has to be read anew")
+            raise StoreStoppedError("an earlier write failed; the folder has to be read anew")
         group = _grouped(writes)
         for size, most in (
             (group.ByteSize(), self.limits.group),
             *((len(write.snapshot), self.limits.snapshot) for write in writes),
         ):
             if size > most:
-                raise WriteTooLarge(f"{size} bytes in one write, {most} at most", size=size, most=most)
+                raise WriteTooLargeError(f"{size} bytes in one write, {most} at most", size=size, most=most)
         self.failed, self.full = True, False  # also for who is cancelled in the middle
         try:
             self._write(group, writes)
@@ -156,12 +156,13 @@
             self._sweep()
             self._take_reserve()
 
-    def reopen(self, head: pb.SnapshotHead | None = None, snapshot: bytes = b"") -> Durable:
+    def reopen(self, head: pb.SnapshotHead | None = None, snapshot: bytes = b"") -> DurableState:
         """Read anew what the disk holds after a failed write, and take writes again.
 
         Of the failed write nothing counts. A snapshot of what is agreed and applied, handed in while the disk
-        is full, is written at the cost of the reserve and takes the place of all else. Raises `NoRoom` where
-        the disk was full and still is nearly so; `DiskError` or `StoreError` as `open` does.
+        is full, is written at the cost of the reserve and takes the place of all else. Raises
+        `InsufficientSpaceError` where the disk was full and still is nearly so; `DiskError` or `StoreError`
+        as `open` does.
         """
         self.failed = True
         if self.full and head is None:
@@ -198,7 +199,7 @@
             if name.endswith(NEW) or not name.startswith((LOG, MARKS, SNAPSHOT)):
                 continue
             if name != _log(1) or self._read_segment(1).groups:
-                raise MetaMissing(f"{META} is not there, but {name} is", file=name)
+                raise MetaMissingError(f"{META} is not there, but {name} is", file=name)
         self.life = life
         self._begin(self._head(1, 1, 1))
         self._put_meta()
@@ -208,24 +209,24 @@
         self._put(META, [record_format.pack(record_format.META, 0, meta.SerializeToString())])
 
     def _check_meta(self) -> None:
-        data = self._whole(META, record_format.AROUND + record_format.RECORD_MOST, MetaDamaged)
+        data = self._whole(META, record_format.AROUND + record_format.RECORD_MOST, MetaDamagedError)
         record = record_format.read(data, 0)
         if record is None or record.kind != record_format.META or record.end != len(data):
-            raise MetaDamaged(f"{META} can't be read", file=META)
-        meta = _parsed(kept.Meta, record.payload, MetaDamaged, META)
+            raise MetaDamagedError(f"{META} can't be read", file=META)
+        meta = _parsed(kept.Meta, record.payload, MetaDamagedError, META)
         if meta.format > FORMAT:
-            raise NewerFormat(
+            raise NewerFormatError(
                 f"the folder's format is {meta.format}, this version's {FORMAT}", format=meta.format
             )
         if meta.fleet != self.fleet:
-            raise OtherFleet(f"the folder is of the fleet {meta.fleet!r}", fleet=meta.fleet)
+            raise WrongFleetError(f"the folder is of the fleet {meta.fleet!r}", fleet=meta.fleet)
         if meta.name != self.name:
-            raise OtherMember(f"the folder is the member {meta.name!r}'s", member=meta.name)
+            raise WrongMemberError(f"the folder is the member {meta.name!r}'s", member=meta.name)
         self.life = meta.life
 
     # Reading.
 
-    def _load(self, acknowledged: int | None, generations: int = GENERATIONS) -> Durable:
+    def _load(self, acknowledged: int | None, generations: int = GENERATIONS) -> DurableState:
         """Read the folder and begin a new segment; drop what is known not to be acknowledged."""
         segments, again = self._read_log(acknowledged, generations)
         last = segments[-1]
@@ -233,7 +234,7 @@
         reached = sure + len(again)
         marked = self._marked() if acknowledged is None else acknowledged
         if reached < marked:
-            raise LogDamaged(
+            raise LogDamagedError(
                 f"group {marked} was acknowledged, the log ends with {reached}", group=marked, reached=reached
             )
         self.segments = {s.head.segment: s.head.last_index for s in segments}
@@ -251,9 +252,9 @@
         self._mark()
         self._sweep()
         newest = self.shape.heads[-1] if self.shape.heads else None
-        hard = _parsed(pb.HardState, self.shape.hard, LogDamaged, _log(number))
+        hard = _parsed(pb.HardState, self.shape.hard, LogDamagedError, _log(number))
         self.failed = False
-        return Durable(Life(self.name, self.life), hard, newest, snapshot, replay.wanted())
+        return DurableState(Incarnation(self.name, self.life), hard, newest, snapshot, replay.wanted())
 
     def _read_log(
         self, acknowledged: int | None, generations: int
@@ -261,7 +262,7 @@
         """Return the segments needed, with the groups that count, and those that are to be written again."""
         numbers = _numbers(self.disk.names(), LOG)
         if not numbers:
-            raise SegmentMissing("there is no log", file=_log(1))
+            raise SegmentMissingError("there is no log", file=_log(1))
         last, again = self._read_segment(numbers[-1]), []
         if acknowledged is not None:
             del last.groups[max(0, acknowledged + 1 - last.head.group) :]
@@ -273,7 +274,7 @@
                 and not record_format.torn(last.data, last.rest, after)
             ):
                 offset = last.rest or len(last.data)
-                raise LogDamaged(
+                raise LogDamagedError(
                     f"{_log(numbers[-1])} is damaged at {offset}", file=_log(numbers[-1]), offset=offset
                 )
         first = max([last.head.first_segment, *(group.first_segment for group in last.groups)])
@@ -284,10 +285,10 @@
         segments = [last]
         for number in range(numbers[-1] - 1, first - 1, -1):
             if number not in numbers:
-                raise SegmentMissing(f"{_log(number)} is not there", file=_log(number))
+                raise SegmentMissingError(f"{_log(number)} is not there", file=_log(number))
             segment, following = self._read_segment(number), segments[0].head.group
             if segment.head.group + len(segment.groups) < following:
-                raise LogDamaged(
+                raise LogDamagedError(
                     f"{_log(number)} ends before group {following}",
                     file=_log(number),
                     offset=segment.rest or len(segment.data),
@@ -298,17 +299,17 @@
 
     def _read_segment(self, number: int) -> _Segment:
         name = _log(number)
-        data = self._whole(name, self.limits.segment + 2 * self.limits.group, LogDamaged)
+        data = self._whole(name, self.limits.segment + 2 * self.limits.group, LogDamagedError)
         record = record_format.read(data, 0)
         if record is None or record.kind != record_format.HEAD:
-            raise LogDamaged(f"{name} has no beginning", file=name, offset=0)
-        head = _parsed(kept.Head, record.payload, LogDamaged, name)
+            raise LogDamagedError(f"{name} has no beginning", file=name, offset=0)
+        head = _parsed(kept.Head, record.payload, LogDamagedError, name)
         if head.format > FORMAT:
-            raise NewerFormat(
+            raise NewerFormatError(
                 f"{name} is of format {head.format}, this version's is {FORMAT}", format=head.format
             )
         if head.segment != number or self.life and head.life != self.life:
-            raise LogDamaged(f"{name} is not this folder's", file=name, offset=0)
+            raise LogDamagedError(f"{name} is not this folder's", file=name, offset=0)
         groups: list[kept.Group] = []
         at = begin = record.end
         payloads: list[bytes] = []
@@ -317,11 +318,11 @@
                 record_format.PART,
                 record_format.LAST,
             ) or record.number != head.group + len(groups):
-                raise LogDamaged(f"{name} has what does not belong there at {at}", file=name, offset=at)
+                raise LogDamagedError(f"{name} has what does not belong there at {at}", file=name, offset=at)
             payloads.append(record.payload)
             at = record.end
             if record.kind == record_format.LAST:
-                groups.append(_parsed(kept.Group, b"".join(payloads), LogDamaged, name))
+                groups.append(_parsed(kept.Group, b"".join(payloads), LogDamagedError, name))
                 payloads, begin = [], at
         return _Segment(head, groups, data, at if begin < len(data) else None)
 
@@ -345,11 +346,11 @@
                 for one in again:
                     replay.take(one, lambda head: head.index not in bad)
                     self._worked(one.ByteSize())
-            except (WriteRefused, DecodeError) as exc:
-                raise LogDamaged(f"the log does not fit together: {exc}") from None
+            except (InvalidWriteError, DecodeError) as exc:
+                raise LogDamagedError(f"the log does not fit together: {exc}") from None
             if not shape.heads:
                 if shape.start:
-                    raise SnapshotDamaged("no snapshot is whole behind which the log goes on")
+                    raise SnapshotDamagedError("no snapshot is whole behind which the log goes on")
                 return replay, b"", head
             newest = shape.heads[-1]
             snapshot = self._read_snapshot(newest)
@@ -358,7 +359,9 @@
                 return replay, snapshot, head
             if newest.index in bad:
                 name = _snapshot(newest)
-                raise SnapshotDamaged(f"{name} can't be read, and the log does not go back so far", file=name)
+                raise SnapshotDamagedError(
+                    f"{name} can't be read, and the log does not go back so far", file=name
+                )
             bad.add(newest.index)
 
     @staticmethod
@@ -367,15 +370,15 @@
             0,
             head.last_term,
         ):
-            raise LogDamaged(
+            raise LogDamagedError(
                 f"{_log(head.segment)} does not go on where the one before ends", file=_log(head.segment)
             )
 
     def _read_snapshot(self, head: pb.SnapshotHead) -> bytes | None:
         """Return a snapshot's bytes; None: it is not there or not whole."""
         try:
-            data = self._whole(_snapshot(head), 2 * self.limits.snapshot, SnapshotDamaged)
-        except (NameMissing, SnapshotDamaged):
+            data = self._whole(_snapshot(head), 2 * self.limits.snapshot, SnapshotDamagedError)
+        except (NameMissing, SnapshotDamagedError):
             return None
         record = record_format.read(data, 0)
         if record is None or record.kind != record_format.SNAPSHOT:
@@ -536,7 +539,7 @@
     def _check_room(self) -> None:
         free = self.disk.free()
         if free < self.limits.low:
-            raise NoRoom(
+            raise InsufficientSpaceError(
                 f"{free} bytes are free, {self.limits.low} are wanted", free=free, wanted=self.limits.low
             )
 
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -21,7 +21,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.checker import Subscriptions, check
 from fennelwind.schema_compatibility.messages import (
@@ -171,14 +171,16 @@
     # What the record asks of a machine.
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out; return a `ContractAnswer`. Raises `UnreadableCommand`."""
+        """Carry a command out; return a `ContractAnswer`. Raises `UnreadableCommandError`."""
         try:
             told = pb.ContractCommand.FromString(command)
         except DecodeError:
-            raise UnreadableCommand("no ContractCommand") from None
+            raise UnreadableCommandError("no ContractCommand") from None
         kind = told.WhichOneof("what")
         if kind is None or told.rules != NUMBER:
-            raise UnreadableCommand(f"{kind or 'nothing'} under the rules {told.rules}, here are {NUMBER}")
+            raise UnreadableCommandError(
+                f"{kind or 'nothing'} under the rules {told.rules}, here are {NUMBER}"
+            )
         answer = pb.ContractAnswer()
         try:
             getattr(self, "_" + kind)(at, getattr(told, kind), facts, answer)
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -16,7 +16,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 from fennelwind.shards import access_load
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.model import LIVES, Copy, Home, Move, Shard, World
@@ -205,15 +205,15 @@
     # The record's side.
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out; its answer tells a refusal. Raises `UnreadableCommand`."""
+        """Carry a command out; its answer tells a refusal. Raises `UnreadableCommandError`."""
         try:
             asked = pb.Command.FromString(command)
         except DecodeError as exc:
-            raise UnreadableCommand(str(exc)) from exc
+            raise UnreadableCommandError(str(exc)) from exc
         self._entry = at.index
         what = asked.WhichOneof("what")
         if what is None or what == "counted" and facts.fact("level", "") < COUNTED_SINCE:
-            raise UnreadableCommand("a command of no kind")
+            raise UnreadableCommandError("a command of no kind")
         if what == "counted":  # nobody who waits for where copies are is woken for it
             return self._counted(asked.counted, at).SerializeToString(deterministic=True)
         if what in ("declare", "remove"):
--- a/fennelwind/testbed/registers.py
+++ b/fennelwind/testbed/registers.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 
 KEYS_MOST = 1000  # registers; a rig uses a handful
 
@@ -21,14 +21,14 @@
         try:
             what, key, *rest = json.loads(command)
         except (ValueError, TypeError):
-            raise UnreadableCommand("no list of JSON") from None
+            raise UnreadableCommandError("no list of JSON") from None
         match what, rest:
             case "put", [int(value)]:
                 done = True
             case "swap", [int(old), int(value)]:
                 done = self.values.get(key, 0) == old
             case _:
-                raise UnreadableCommand(f"{str(what)[:20]!r} is nothing to do")
+                raise UnreadableCommandError(f"{str(what)[:20]!r} is nothing to do")
         done = done and (key in self.values or len(self.values) < KEYS_MOST)
         if done:
             self.values[key] = value
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -13,7 +13,7 @@
     "loop/scheduler.py": {"ChannelClosed", "ChannelFull"},
     "audit/linearizability.py": {"UnknownOperation"},
     "loop/realdisk.py": {"_Late"},
-    "raft/state_machine.py": {"UnreadableCommand"},
+    "raft/state_machine.py": {"UnreadableCommandError"},
     "thrift/codec.py": {"ThriftError"},
     "dispatch/sessions.py": {"SessionError"},
     "frontends/hiveserver2/service.py": {"BadRequestError", "UnknownHandleError"},
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -25,18 +25,18 @@
 from fennelwind.raft import council_pb2 as cpb
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import (
-    Answer,
     Applied,
     Apply,
-    Became,
-    Durable,
-    Life,
+    DurableState,
+    Incarnation,
+    ProposalOutcome,
     Propose,
-    Read,
-    Readable,
+    ReadOutcome,
+    ReadRequested,
+    RoleChanged,
     Timing,
 )
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 Result = cpb.Result
 HERE = {name: Address("127.0.0.1", 7000 + n) for n, name in enumerate("abc")}
@@ -50,15 +50,15 @@
         self.log = Log(None, ())
 
     def step(self, now, events):
-        actions = [] if events else [Became("leader", 1, "a")]
+        actions = [] if events else [RoleChanged("leader", 1, "a")]
         for event in events:
             if isinstance(event, Propose):
                 self.asked += 1
                 if self.way == "refuses":
-                    actions.append(Answer(event.token, Result.NO_LEADER))
+                    actions.append(ProposalOutcome(event.token, Result.NO_LEADER))
                     continue
                 if self.way == "elsewhere":
-                    actions.append(Answer(event.token, Result.NOT_LEADER, leader=self.leader))
+                    actions.append(ProposalOutcome(event.token, Result.NOT_LEADER, leader=self.leader))
                     continue
                 entry = cpb.Entry(
                     term=1, index=len(self.entries) + 1, clock_ms=int(now), command=event.command
@@ -66,9 +66,9 @@
                 self.entries.append(entry)
                 actions.append(Apply((entry,)))
                 if self.way != "silent":
-                    actions.append(Answer(event.token, index=entry.index))
-            elif isinstance(event, Read):
-                actions.append(Readable(event.token, index=len(self.entries)))
+                    actions.append(ProposalOutcome(event.token, index=entry.index))
+            elif isinstance(event, ReadRequested):
+                actions.append(ReadOutcome(event.token, index=len(self.entries)))
             elif isinstance(event, Applied):
                 assert event.index <= len(self.entries)
         return actions
@@ -81,7 +81,7 @@
         self.me = me
 
     def open(self):
-        return Durable(self.me)
+        return DurableState(self.me)
 
     def write(self, writes):
         pass
@@ -96,8 +96,8 @@
 def member(loop, name="a", log=None, fleet="f", said=lambda *_: None):
     place = Place(fleet, name, HERE, listen=HERE[name], timing=Timing())
     core = Alone([] if log is None else log)
-    folder = Folder(Life(name, name.encode()))
-    made = Member(loop, place, Record([Sum()]), folder, lambda _: core, "1", said)
+    folder = Folder(Incarnation(name, name.encode()))
+    made = Member(loop, place, ReplicatedState([Sum()]), folder, lambda _: core, "1", said)
     made.start()
     loop.sleep(5.0)
     return made
@@ -389,19 +389,19 @@
         one, two = member(loop, "a"), member(loop, "b")
         two.received = lambda sender, message: heard.append((sender, message.term))
         loop.sleep(3000.0)
-        one.peers.send(Life("b", b"b"), cpb.Message(term=3))
-        one.peers.send(Life("b", b"another"), cpb.Message(term=4))
+        one.peers.send(Incarnation("b", b"b"), cpb.Message(term=3))
+        one.peers.send(Incarnation("b", b"another"), cpb.Message(term=4))
         loop.sleep(50.0)
-        assert heard == [(Life("a", b"a"), 3)] and one.peers.counts["unsent"] == 1
+        assert heard == [(Incarnation("a", b"a"), 3)] and one.peers.counts["unsent"] == 1
         two.close()
         loop.sleep(6000.0)
         assert not one.peers.peers["b"].up
         again = member(loop, "b")
         again.received = lambda sender, message: heard.append((sender, message.term))
         loop.sleep(20.0)  # it has opened its way here, so the way there is tried at once
-        one.peers.send(Life("b", b""), cpb.Message(term=5))
+        one.peers.send(Incarnation("b", b""), cpb.Message(term=5))
         loop.sleep(50.0)
-        assert heard[1:] == [(Life("a", b"a"), 5)]
+        assert heard[1:] == [(Incarnation("a", b"a"), 5)]
 
     play(main)
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -15,7 +15,7 @@
 from fennelwind.leases import state_machine as m
 from fennelwind.leases.errors import ActTooLong, FencesFull, OlderFence, TaskNotHeld
 from fennelwind.leases.state_machine import LeaseMachine, Life
-from fennelwind.raft.state_machine import At, UnreadableCommand
+from fennelwind.raft.state_machine import At, UnreadableCommandError
 
 A, B, C = (Life(name, b"1") for name in "abc")
 
@@ -193,7 +193,7 @@
     twice = pb.LeaseAsk(task="t", renew=pb.Renew(fence=fence))
     assert desk.ask(A, twice, twice).refusal == pb.NAMED_TWICE
     assert desk.ask(A, *[twice] * 513).refusal == pb.TOO_MANY_ASKS
-    with pytest.raises(UnreadableCommand):
+    with pytest.raises(UnreadableCommandError):
         desk.machine.apply(At(1, 1), b"\xff\xff", None)
 
 
@@ -572,7 +572,7 @@
         try:
             answer = pb.LeaseAnswer.FromString(machine.apply(At(index, clock), command, None))
             assert not answer.refusal or machine.snapshot() == before
-        except UnreadableCommand:
+        except UnreadableCommandError:
             assert machine.snapshot() == before
         again = LeaseMachine()
         again.restore(machine.snapshot())
--- a/tests/raft/test_council.py
+++ b/tests/raft/test_council.py
@@ -9,14 +9,19 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import messages as api
-from fennelwind.raft.member import Core
-from fennelwind.raft.messages import Durable, Life, Timing
+from fennelwind.raft.member import RaftMember
+from fennelwind.raft.messages import DurableState, Incarnation, Timing
 from fennelwind.raft.replicated_state import COMMAND_MOST
 
-A, B, C, OLD = Life("a", b"a"), Life("b", b"b"), Life("c", b"c"), Life("b", b"old")
+A, B, C, OLD = (
+    Incarnation("a", b"a"),
+    Incarnation("b", b"b"),
+    Incarnation("c", b"c"),
+    Incarnation("b", b"old"),
+)
 
 
-def members(*lives: Life, learners: tuple[Life, ...] = ()) -> pb.Members:
+def members(*lives: Incarnation, learners: tuple[Incarnation, ...] = ()) -> pb.Members:
     return pb.Members(
         members=[
             pb.Member(name=life.name, life=life.life, votes=life not in learners)
@@ -36,11 +41,13 @@
         self,
         *entries: pb.Entry,
         hard: pb.HardState | None = None,
-        me: Life = A,
+        me: Incarnation = A,
         timing: Timing = Timing(),  # noqa: B008 - it is frozen
     ) -> None:
         first = entry(1, members=members(A, B, C))
-        self.core = Core(timing, Durable(me, hard or pb.HardState(term=1), entries=[first, *entries]), 1)
+        self.core = RaftMember(
+            timing, DurableState(me, hard or pb.HardState(term=1), entries=[first, *entries]), 1
+        )
         self.now = 1000.0
         self.actions: list[api.Action] = []
         self.do()
@@ -51,9 +58,9 @@
         self.actions = self.core.step(self.now, events)
         return self.actions
 
-    def hear(self, sender: Life, term: int, **body) -> list[api.Action]:
+    def hear(self, sender: Incarnation, term: int, **body) -> list[api.Action]:
         """Let a message come."""
-        return self.do(api.Received(sender, pb.Message(term=term, **body)))
+        return self.do(api.MessageReceived(sender, pb.Message(term=term, **body)))
 
     def sent(self, kind: str) -> list[pb.Message]:
         """Return the messages of a kind in the last step."""
@@ -65,7 +72,7 @@
 
     def written(self) -> list[api.Action]:
         """Say that all writes are done."""
-        return self.do(api.Written(self.core.writes.number))
+        return self.do(api.WriteCompleted(self.core.writes.number))
 
     def lead(self) -> "One":
         """Have it elected by b."""
@@ -88,10 +95,10 @@
         assert self.core.commit == self.core.log.last
         return self
 
-    def propose(self, token: int, size: int = 1) -> list[api.Answer]:
+    def propose(self, token: int, size: int = 1) -> list[api.ProposalOutcome]:
         """Propose; return what is answered at once."""
         self.do(api.Propose(token, pb.Command(client=1, number=token, body=bytes(size))))
-        return self.of(api.Answer)
+        return self.of(api.ProposalOutcome)
 
 
 def founded(count: int = 3, seed: int = 1) -> Cluster:
@@ -117,7 +124,7 @@
     assert one.core.term == 2
     one.hear(C, 3, vote=pb.Vote(before=True, last_index=9, last_term=2))
     assert not one.sent("vote_answer")[0].vote_answer.granted
-    stranger = Life("z", b"z")
+    stranger = Incarnation("z", b"z")
     one.hear(stranger, 99, vote=pb.Vote(last_index=9, last_term=2, handed_over=True))
     assert one.core.term == 2 and one.core.leader == B
     one.hear(C, 3, vote=pb.Vote(last_index=9, last_term=2, handed_over=True))
@@ -146,12 +153,12 @@
 def test_a_leader_that_hears_no_majority_steps_down_and_says_that_it_does_not_know():
     one = One().lead().agree()
     assert not one.propose(7)
-    one.do(api.Read(8))
+    one.do(api.ReadRequested(8))
     one.do(wait=100.0)
     one.do(wait=250.0)
     assert one.core.part == "follower"
-    assert [(a.token, a.refusal) for a in one.of(api.Answer)] == [(7, pb.Result.UNKNOWN)]
-    assert [(a.token, a.refusal) for a in one.of(api.Readable)] == [(8, pb.Result.NO_LEADER)]
+    assert [(a.token, a.refusal) for a in one.of(api.ProposalOutcome)] == [(7, pb.Result.UNKNOWN)]
+    assert [(a.token, a.refusal) for a in one.of(api.ReadOutcome)] == [(8, pb.Result.NO_LEADER)]
     assert one.propose(9)[0].refusal == pb.Result.NO_LEADER
 
 
@@ -160,8 +167,11 @@
     one.hear(B, 2, append=pb.Append(before_index=1, before_term=1))
     (answer,) = one.propose(1)
     assert (answer.refusal, answer.leader) == (pb.Result.NOT_LEADER, "b")
-    one.do(api.Read(2))
-    assert (one.of(api.Readable)[0].refusal, one.of(api.Readable)[0].leader) == (pb.Result.NOT_LEADER, "b")
+    one.do(api.ReadRequested(2))
+    assert (one.of(api.ReadOutcome)[0].refusal, one.of(api.ReadOutcome)[0].leader) == (
+        pb.Result.NOT_LEADER,
+        "b",
+    )
 
 
 # The log
@@ -224,7 +234,7 @@
             before = one.core.commit, one.core.term
             fine = one.core.log.slice(1, one.core.commit)
             sender, message = random.choice((A, B, C, OLD)), fill(pb.Message())
-            one.do(api.Received(sender, message), wait=random.choice((0, 50)))
+            one.do(api.MessageReceived(sender, message), wait=random.choice((0, 50)))
             assert (one.core.commit, one.core.term) >= before and one.core.log.slice(1, before[0]) == fine
 
 
@@ -237,7 +247,7 @@
 
 def test_messages_without_sense_are_dropped_and_counted():
     one = One()
-    one.do(api.Received(B, pb.Message(term=1)))
+    one.do(api.MessageReceived(B, pb.Message(term=1)))
     one.hear(A, 5, append=pb.Append())
     one.hear(B, 1 << 63, append=pb.Append())
     one.hear(B, 0, join=pb.Join(member=pb.Member(name="c", life=b"c")))
@@ -265,8 +275,8 @@
     for token in range(TIGHT.waiting_most):
         assert not one.propose(token)
     assert one.propose(99)[0].refusal == pb.Result.TOO_MANY
-    one.do(*(api.Read(token) for token in range(TIGHT.reads_most + 1)))
-    assert [a.refusal for a in one.of(api.Readable)] == [pb.Result.TOO_MANY]
+    one.do(*(api.ReadRequested(token) for token in range(TIGHT.reads_most + 1)))
+    assert [a.refusal for a in one.of(api.ReadOutcome)] == [pb.Result.TOO_MANY]
 
 
 def test_a_log_that_no_snapshot_shortens_takes_nothing_more():
@@ -329,7 +339,7 @@
     one.propose(1)
     one.do(api.WriteFailed(one.core.writes.number, True))
     assert [(a.to, a.message.WhichOneof("body")) for a in one.of(api.Send)] == [(B, "take_over")]
-    assert one.of(api.Answer)[0].refusal == pb.Result.UNKNOWN and one.core.part == "mute"
+    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.UNKNOWN and one.core.part == "mute"
 
 
 def test_a_leader_whose_disk_stands_while_others_agree_hands_over():
@@ -337,7 +347,7 @@
     took = one.propose(1) or pb.AppendAnswer(took=True, index=one.core.log.last)
     for life in (B, C):
         one.hear(life, one.core.term, append_answer=took)
-    assert one.core.commit == one.core.log.last and not one.of(api.Answer)[0].refusal
+    assert one.core.commit == one.core.log.last and not one.of(api.ProposalOutcome)[0].refusal
     for _ in range(59):  # ten election time-outs are over with the 60th
         one.do(wait=50.0)
         took.round = one.core.leading.round
@@ -352,12 +362,12 @@
     one.hear(B, 2, append=pb.Append(before_index=1, before_term=1, entries=[entry(2, 2)]))
     one.do(api.WriteFailed(1, False))
     first = entry(1, members=members(A, B, C))
-    one.do(api.CanWrite(Durable(A, pb.HardState(term=2), entries=[first, entry(2, 2)])))
+    one.do(api.StorageRecovered(DurableState(A, pb.HardState(term=2), entries=[first, entry(2, 2)])))
     assert one.core.writes.durable == 2 and not one.of(api.Write)[0].entries
     old = One(entry(2), entry(3))
     old.hear(B, 2, append=pb.Append(before_index=1, before_term=1, entries=[entry(2, 2)]))
     old.do(api.WriteFailed(1, False))
-    old.do(api.CanWrite(Durable(A, pb.HardState(term=1), entries=[first, entry(2), entry(3)])))
+    old.do(api.StorageRecovered(DurableState(A, pb.HardState(term=1), entries=[first, entry(2), entry(3)])))
     (write,) = old.of(api.Write)
     assert write.cut_after == 1 and list(write.entries) == [entry(2, 2)] and old.core.writes.durable == 1
 
@@ -367,7 +377,7 @@
     one.do(api.Snapshot(15, 0, b"state"))
     one.written()
     one.do(api.WriteFailed(one.core.writes.number + 1, False))
-    one.do(api.CanWrite(Durable(A, pb.HardState())))
+    one.do(api.StorageRecovered(DurableState(A, pb.HardState())))
     image = Image()
     for write in one.of(api.Write):
         image.take(write)
@@ -381,7 +391,7 @@
 def test_a_leader_hands_over_to_who_lacks_nothing_and_refuses_meanwhile():
     one = One().lead().agree()
     one.propose(1)
-    one.do(api.HandOver())
+    one.do(api.TransferLeadership())
     assert not one.sent("take_over")
     assert one.propose(2)[0].refusal == pb.Result.NO_LEADER
     one.agree()
@@ -406,7 +416,7 @@
 def test_a_leader_ends_and_another_leads_within_one_round():
     cluster = founded()
     leader, began = cluster.leader(), cluster.now
-    cluster.give(leader.name, api.HandOver())
+    cluster.give(leader.name, api.TransferLeadership())
     while cluster.leader() is leader or cluster.leader() is None:
         cluster.run(cluster.now + 1.0)
     assert cluster.now - began < 300.0  # no election time-out was waited for
@@ -427,9 +437,9 @@
 
 def test_a_word_of_long_ago_that_there_is_no_record_founds_none():
     stated = [pb.Member(name=name, address=name) for name in "abc"]
-    core = Core(Timing(), Durable(A), 1, stated)
+    core = RaftMember(Timing(), DurableState(A), 1, stated)
     empty = {
-        life: api.Received(
+        life: api.MessageReceived(
             life, pb.Message(join_answer=pb.JoinAnswer(word=pb.JoinAnswer.EMPTY, life=life.life))
         )
         for life in (B, C)
@@ -467,20 +477,22 @@
 
 def test_members_change_one_at_a_time():
     one = One().lead()
-    change = api.Change(1, add=pb.Member(name="d", life=b"d"))
+    change = api.ChangeMembership(1, add=pb.Member(name="d", life=b"d"))
     one.do(change)
-    assert one.of(api.Answer)[0].refusal == pb.Result.TOO_MANY  # nothing of the own term is agreed yet
+    assert (
+        one.of(api.ProposalOutcome)[0].refusal == pb.Result.TOO_MANY
+    )  # nothing of the own term is agreed yet
     one.agree()
     one.do(change)
-    assert not one.of(api.Answer) and Life("d", b"d") in one.core.log.config.lives
-    assert Life("d", b"d") not in one.core.log.config.voters
-    one.do(api.Change(2, remove=C))
-    assert one.of(api.Answer)[0].refusal == pb.Result.TOO_MANY
+    assert not one.of(api.ProposalOutcome) and Incarnation("d", b"d") in one.core.log.config.lives
+    assert Incarnation("d", b"d") not in one.core.log.config.voters
+    one.do(api.ChangeMembership(2, remove=C))
+    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.TOO_MANY
     one.agree()
-    one.do(api.Change(3, remove=Life("x", b"x")))
-    assert one.of(api.Answer)[0].refusal == pb.Result.NOT_MEMBER
-    one.do(api.Change(4, add=pb.Member(name="b", life=b"b2")))
-    assert one.of(api.Answer)[0].refusal == pb.Result.NOT_MEMBER  # b lives, and its name is taken
+    one.do(api.ChangeMembership(3, remove=Incarnation("x", b"x")))
+    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.NOT_MEMBER
+    one.do(api.ChangeMembership(4, add=pb.Member(name="b", life=b"b2")))
+    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.NOT_MEMBER  # b lives, and its name is taken
 
 
 def test_a_removed_member_falls_silent():
@@ -563,12 +575,12 @@
 def test_a_read_waits_for_a_round_that_began_after_it():
     one = One().lead().agree()
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=one.core.leading.round))
-    one.do(api.Read(1))
+    one.do(api.ReadRequested(1))
     number = one.sent("append")[0].append.round
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=number - 1))
-    assert not one.of(api.Readable)
+    assert not one.of(api.ReadOutcome)
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=number))
-    assert [(a.token, a.index) for a in one.of(api.Readable)] == [(1, 2)]
+    assert [(a.token, a.index) for a in one.of(api.ReadOutcome)] == [(1, 2)]
 
 
 # All together
--- a/tests/raft/test_record.py
+++ b/tests/raft/test_record.py
@@ -7,7 +7,7 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import replicated_state as record_module
-from fennelwind.raft.replicated_state import COMMAND_MOST, Record
+from fennelwind.raft.replicated_state import COMMAND_MOST, ReplicatedState
 
 
 class Lapsing(Sum):
@@ -21,7 +21,7 @@
 
 
 def opened(record=None):
-    record = record or Record([Lapsing()])
+    record = record or ReplicatedState([Lapsing()])
     return record, record.apply(pb.Entry(term=1, index=record.index + 1, command=pb.Command())).index
 
 
@@ -100,7 +100,11 @@
         else pb.Entry(index=i + 1, command=pb.Command())
         for i, (c, n, h, _) in enumerate(steps)
     ]
-    whole, first, second = Record([Lapsing()]), Record([Lapsing()]), Record([Lapsing()])
+    whole, first, second = (
+        ReplicatedState([Lapsing()]),
+        ReplicatedState([Lapsing()]),
+        ReplicatedState([Lapsing()]),
+    )
     told = [whole.apply(e) for e in entries]
     for e in entries[:cut]:
         first.apply(e)
@@ -125,7 +129,7 @@
 
 
 def test_members_of_two_versions_make_the_same_state_until_all_know_the_next_level():
-    older, newer = Record([Lapsing()], known=1), Record([Later(), Lapsing()], known=2)
+    older, newer = ReplicatedState([Lapsing()], known=1), ReplicatedState([Later(), Lapsing()], known=2)
     entries = [
         pb.Entry(term=1, index=1, command=pb.Command()),
         command(2, "later", b"4", 1, 1),
@@ -140,7 +144,7 @@
     for _ in range(2):  # asked twice, raised once
         assert newer.apply(command(newer.index + 1, "record", b"2")).body == b"2"
     assert newer.apply(command(8, "later", b"4", 1, 3)).body == b"4"
-    again = Record([Later(), Lapsing()], known=2)
+    again = ReplicatedState([Later(), Lapsing()], known=2)
     again.restore(newer.snapshot())
     assert again.snapshot() == newer.snapshot() and again.fact("later", "") == 4
     older.restore(newer.snapshot())
--- a/tests/raft_storage/test_store.py
+++ b/tests/raft_storage/test_store.py
@@ -34,18 +34,18 @@
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage import store_pb2 as kept
 from fennelwind.raft_storage.errors import (
-    LogDamaged,
-    MetaDamaged,
-    MetaMissing,
-    NewerFormat,
-    NoRoom,
-    OtherFleet,
-    OtherMember,
-    SegmentMissing,
-    SnapshotDamaged,
-    StoreStopped,
-    WriteRefused,
-    WriteTooLarge,
+    InsufficientSpaceError,
+    InvalidWriteError,
+    LogDamagedError,
+    MetaDamagedError,
+    MetaMissingError,
+    NewerFormatError,
+    SegmentMissingError,
+    SnapshotDamagedError,
+    StoreStoppedError,
+    WriteTooLargeError,
+    WrongFleetError,
+    WrongMemberError,
 )
 from fennelwind.raft_storage.store import Limits, Store
 
@@ -113,7 +113,12 @@
 
 def test_each_flipped_byte_and_each_cut_is_noticed_or_harmless():
     seen = check_harms(built(), True)
-    assert {outcome for _, outcome in seen} == {"LogDamaged", "MetaDamaged", "whole", "older snapshot"}
+    assert {outcome for _, outcome in seen} == {
+        "LogDamagedError",
+        "MetaDamagedError",
+        "whole",
+        "older snapshot",
+    }
 
 
 def test_without_marks_a_flip_in_the_last_group_is_still_no_torn_tail():
@@ -141,14 +146,14 @@
     def change(platter):
         platter.names[name].shown[begin + 700 : begin + 800] = bytes(100)  # less than any disk writes
 
-    assert damaged(play, change) is LogDamaged
+    assert damaged(play, change) is LogDamagedError
     later = damaged(play, lambda platter: platter.flip(name, 8 * begin + 3))  # the length, or the magic
-    assert later is LogDamaged
+    assert later is LogDamagedError
 
 
 def test_files_changed_at_random_are_noticed_or_harmless():
     held = Counter(changed_folder(seed) for seed in range(300))
-    assert held["LogDamaged"] > 50 and held["whole"] > 50 and held["older snapshot"] > 10
+    assert held["LogDamagedError"] > 50 and held["whole"] > 50 and held["older snapshot"] > 10
 
 
 def test_a_damaged_snapshot_is_replaced_by_the_older_one_and_the_log():
@@ -172,7 +177,7 @@
         platter.flip(newest, 300)
         platter.lose(older)
 
-    assert damaged(play, both) is SnapshotDamaged
+    assert damaged(play, both) is SnapshotDamagedError
 
 
 def test_a_snapshot_over_a_gap_has_nothing_to_fall_back_to():
@@ -182,13 +187,15 @@
     play.write(Write(1, head=pb.SnapshotHead(index=90, term=3), snapshot=b"ninety"))
     play.kill()
     newest = max(name for name in play.platter.names if name.startswith("snapshot-"))
-    assert damaged(play, lambda platter: platter.flip(newest, 300)) is SnapshotDamaged
+    assert damaged(play, lambda platter: platter.flip(newest, 300)) is SnapshotDamagedError
 
 
 # Folders that are not this member's, or not whole.
 
 
-@pytest.mark.parametrize("fleet, name, error", [("other", "a", OtherFleet), ("fleet", "b", OtherMember)])
+@pytest.mark.parametrize(
+    "fleet, name, error", [("other", "a", WrongFleetError), ("fleet", "b", WrongMemberError)]
+)
 def test_a_folder_of_another_is_refused_and_left_as_it_was(fleet, name, error):
     play = built()
     before = {name: bytes(file.shown) for name, file in play.platter.names.items()}
@@ -202,7 +209,7 @@
     disk = SimDisk(None, built().platter)
     disk.remove("meta")
     disk.append("meta", record_format.pack(record_format.META, 0, meta.SerializeToString()))
-    with pytest.raises(NewerFormat):
+    with pytest.raises(NewerFormatError):
         Store.open(disk, "fleet", "a", LIFE, SMALL)
 
 
@@ -210,17 +217,17 @@
     play = built()
     logs = sorted(name for name in play.platter.names if name.startswith("log-"))
     assert len(logs) > 2
-    assert damaged(play, lambda platter: platter.lose("meta")) is MetaMissing
+    assert damaged(play, lambda platter: platter.lose("meta")) is MetaMissingError
     for name in logs[:-1]:
-        assert damaged(play, lambda platter, name=name: platter.lose(name)) is SegmentMissing
-    assert damaged(play, lambda platter: platter.lose(logs[-1])) is LogDamaged  # a mark knows of more
+        assert damaged(play, lambda platter, name=name: platter.lose(name)) is SegmentMissingError
+    assert damaged(play, lambda platter: platter.lose(logs[-1])) is LogDamagedError  # a mark knows of more
 
     def all_logs(platter):
         for name in logs:
             platter.lose(name)
 
-    assert damaged(play, all_logs) is SegmentMissing
-    assert damaged(play, lambda platter: platter.cut("meta", 5)) is MetaDamaged
+    assert damaged(play, all_logs) is SegmentMissingError
+    assert damaged(play, lambda platter: platter.cut("meta", 5)) is MetaDamagedError
 
 
 def test_an_empty_folder_is_a_new_life():
@@ -300,7 +307,7 @@
 def test_a_full_disk_stops_the_store_until_there_is_room_again():
     play = filled_up()
     assert play.store.full and play.store.short()
-    with pytest.raises(NoRoom) as told:
+    with pytest.raises(InsufficientSpaceError) as told:
         play.store.reopen()
     assert told.value.facts["wanted"] == SMALL.low
     play.platter.room += 4000
@@ -361,7 +368,7 @@
         Write(1, entries=(entry(1, 1, SMALL.group),)),
         Write(1, head=pb.SnapshotHead(index=1), snapshot=bytes(SMALL.snapshot + 1)),
     ):
-        with pytest.raises(WriteTooLarge):
+        with pytest.raises(WriteTooLargeError):
             play.store.write(write)
     assert play.calls == calls and not play.store.failed
     assert play.write(Write(1, entries=(entry(1, 1, SMALL.group // 2),)))
@@ -374,7 +381,7 @@
     play = Play(1)
     play.write(Write(1, entries=(entry(1, 2), entry(2, 2))))
     play.write(Write(1, head=pb.SnapshotHead(index=2, term=2), snapshot=b"s"))
-    with pytest.raises(WriteRefused):
+    with pytest.raises(InvalidWriteError):
         play.store.write(write)
     assert play.again()
 
@@ -399,7 +406,7 @@
         store, _ = Store.open(SimDisk(loop, Platter(slow=20.0)), "fleet", "a", LIFE, SMALL)
         with pytest.raises(DeadlineExceeded), loop.deadline(5.0):
             store.write(Write(1, entries=(entry(1, 1),)))
-        with pytest.raises(StoreStopped):
+        with pytest.raises(StoreStoppedError):
             store.write(Write(2, entries=(entry(1, 1),)))
         assert store.reopen().entries == []
         store.write(Write(2, entries=(entry(1, 1),)))
@@ -453,7 +460,7 @@
     @precondition(lambda self: self.play.store is not None and self.play.store.failed)
     @rule(shrink=st.booleans())
     def again(self, shrink):
-        with pytest.raises(StoreStopped):
+        with pytest.raises(StoreStoppedError):
             self.play.store.write(Write(1))
         self.play.again(tries=1, shrink=shrink)
 
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -16,7 +16,7 @@
 
 from fennelwind.benchmarks import contract_rows
 from fennelwind.client.cursor import Cursor
-from fennelwind.raft.state_machine import At, UnreadableCommand
+from fennelwind.raft.state_machine import At, UnreadableCommandError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout as go
 from fennelwind.schema_compatibility.messages import (
@@ -317,7 +317,7 @@
     "command", [b"\xff", b"", pb.ContractCommand(rules=99, leave=pb.Leave()).SerializeToString()]
 )
 def test_bytes_that_are_no_command_are_told_and_change_nothing(command):
-    with pytest.raises(UnreadableCommand):
+    with pytest.raises(UnreadableCommandError):
         ContractMachine().apply(At(1, 0), command, Facts())
 
 
@@ -694,7 +694,7 @@
         command = strange(random)
         try:
             pb.ContractAnswer.FromString(gate.machine.apply(At(index, index * 100), command, gate.facts))
-        except UnreadableCommand:
+        except UnreadableCommandError:
             continue
         data, other = gate.machine.snapshot(), ContractMachine()
     other.restore(data)
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -21,8 +21,8 @@
 
 from fennelwind.emulators.shelves import Shelf
 from fennelwind.raft import council_pb2
-from fennelwind.raft.replicated_state import Record
-from fennelwind.raft.state_machine import At, UnreadableCommand
+from fennelwind.raft.replicated_state import ReplicatedState
+from fennelwind.raft.state_machine import At, UnreadableCommandError
 from fennelwind.shards import access_load, migration_statements
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards import state_machine as machine_module
@@ -246,7 +246,7 @@
 )
 def test_change_and_move_of_one_table_never_meet_and_neither_waits_for_the_other(asked):
     machine, changes = ShardMachine(), Changes()
-    record = Record([machine, changes])
+    record = ReplicatedState([machine, changes])
     client = record.apply(council_pb2.Entry(index=1, command=council_pb2.Command())).index
     numbers = iter(range(1, 1000))
 
@@ -467,7 +467,7 @@
     assert desk.found("t/d=1", "e1") == 0
     before = desk.machine.snapshot()
     for data in (b"", b"\xff\xff", b"\x0a", pb.Command(fence=1).SerializeToString()):
-        with pytest.raises(UnreadableCommand):
+        with pytest.raises(UnreadableCommandError):
             desk.machine.apply(At(1, 1), data, desk)
     assert desk.step(99) == Answer.UNKNOWN and desk.home("e9", life="odd") == Answer.BAD
     assert desk.machine.snapshot() == before
@@ -872,7 +872,7 @@
         abs(access_load.faded(10**9, n) - 10**9 * 0.5 ** (n / access_load.PARTS)) < 10**5 for n in range(200)
     )
     two_versions = mock.patch.object(Desk, "fact", lambda self, kind, key: int(kind == "level"))
-    with two_versions, pytest.raises(UnreadableCommand, match="of no kind"):
+    with two_versions, pytest.raises(UnreadableCommandError, match="of no kind"):
         machine.apply(later, pb.Command(counted=counted()).SerializeToString(), desk)
     many = counted(*[(f"t/d={n}", 1) for n in range(access_load.TOLD_MOST + 1)])
     answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), desk)
--- a/tests/support/council_cluster.py
+++ b/tests/support/council_cluster.py
@@ -19,8 +19,8 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import messages as api
-from fennelwind.raft.member import Core
-from fennelwind.raft.messages import Durable, Life, Timing
+from fennelwind.raft.member import RaftMember
+from fennelwind.raft.messages import DurableState, Incarnation, Timing
 
 TIGHT = Timing(
     heartbeat_ms=50,
@@ -72,9 +72,9 @@
                 raise Broken("a term goes back on the disk")
             self.hard = write.hard
 
-    def durable(self, me: Life) -> Durable:
+    def durable(self, me: Incarnation) -> DurableState:
         """Return what is read when the folder is opened."""
-        return Durable(me, self.hard, self.head, self.snapshot, list(self.entries))
+        return DurableState(me, self.hard, self.head, self.snapshot, list(self.entries))
 
     def holds(self, index: int, term: int) -> bool:
         """Whether an entry is on the disk, by itself or in the snapshot."""
@@ -87,9 +87,9 @@
     """What may never be, checked at each step."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, Life] = {}
-        self.votes: dict[tuple[Life, int], Life] = {}
-        self.terms: dict[Life, int] = {}  # the last in which each gave its vote
+        self.leaders: dict[int, Incarnation] = {}
+        self.votes: dict[tuple[Incarnation, int], Incarnation] = {}
+        self.terms: dict[Incarnation, int] = {}  # the last in which each gave its vote
         self.entries: dict[tuple[int, int], tuple[bytes, int]] = {}  # by index and term: bytes, term before
         self.agreed: list[pb.Entry] = []
         self.digests: list[bytes] = [b""]
@@ -106,7 +106,7 @@
             if last.term < core.term and core.log.base < last.index and held != last.term:
                 raise Broken(f"the leader of term {core.term} lacks agreed entry {last.index}")
 
-    def voted(self, voter: Life, term: int, candidate: Life) -> None:
+    def voted(self, voter: Incarnation, term: int, candidate: Incarnation) -> None:
         """One vote a term, whatever was lost in between."""
         self.terms[voter] = max(self.terms.get(voter, 0), term)
         if self.votes.setdefault((voter, term), candidate) != candidate:
@@ -135,7 +135,7 @@
             if known[0] != this[0] or (None not in (known[1], before) and known[1] != before):
                 raise Broken(f"two logs differ at entry {entry.index} of term {entry.term}")
 
-    def apply(self, node: "Node", entry: pb.Entry, images: dict[Life, Image]) -> None:
+    def apply(self, node: "Node", entry: pb.Entry, images: dict[Incarnation, Image]) -> None:
         """Agreed entries are the same everywhere, for ever, and on the disks of more than half."""
         if entry.index != node.applied + 1:
             raise Broken(f"{node.name} applied {entry.index} behind {node.applied}")
@@ -161,11 +161,11 @@
     """One member: its core while it runs, its folder, its clock, its state."""
 
     name: str
-    me: Life
+    me: Incarnation
     rate: float
     offset: float
     image: Image = field(default_factory=Image)
-    core: Core | None = None
+    core: RaftMember | None = None
     applied: int = 0
     state: bytes = b""
     clock_ms: int = 0
@@ -187,7 +187,7 @@
         seed: int,
         members: int = 3,
         timing: Timing = TIGHT,
-        core: type[Core] = Core,
+        core: type[RaftMember] = RaftMember,
         stated: int | None = None,
     ) -> None:
         self.random, self.seed, self.timing, self.core = Random(seed), seed, timing, core
@@ -196,7 +196,7 @@
         names = [chr(ord("a") + i) for i in range(members)]
         self.stated = [pb.Member(name=n, address=f"{n}:1") for n in names[:stated]]
         self.nodes = {n: self._node(n) for n in names}
-        self.lost: dict[Life, Image] = {}
+        self.lost: dict[Incarnation, Image] = {}
         self.cuts: set[tuple[str, str]] = set()
         self.loss = self.double = 0.0
         self.delay = (0.5, 3.0)
@@ -211,7 +211,7 @@
     def _node(self, name: str) -> Node:
         return Node(
             name,
-            Life(name, b"%s1" % name.encode()),
+            Incarnation(name, b"%s1" % name.encode()),
             self.random.uniform(0.85, 1.18),
             self.random.uniform(0, 1e6),
         )
@@ -282,7 +282,7 @@
         self.lost[old.me] = old.image  # what it said before is on its way and counts: it was one loss of few
         node = self.nodes[name] = Node(
             name,
-            Life(name, b"%s%d" % (name.encode(), old.life_count + 2)),
+            Incarnation(name, b"%s%d" % (name.encode(), old.life_count + 2)),
             old.rate,
             old.offset,
             epoch=old.epoch + 1,
@@ -361,11 +361,11 @@
                 node.timer = at
                 delay = max((at - self.clock(node)) / node.rate, 0.0) + 1e-6
                 self.at(delay, self._timer, node, node.epoch, at)
-            case api.Answer():
+            case api.ProposalOutcome():
                 self._answered(action)
-            case api.Readable():
+            case api.ReadOutcome():
                 self._readable(action)
-            case api.Became(part):
+            case api.RoleChanged(part):
                 self.counts["became " + part] += 1
 
     def _give_if(self, node: Node, epoch: int, event: api.Event) -> None:
@@ -395,7 +395,7 @@
             done = node.image.pending[0].number
             node.image.take(node.image.pending.popleft())
         if done:
-            self.give(node.name, api.Written(done))
+            self.give(node.name, api.WriteCompleted(done))
 
     def mend(self, name: str) -> None:
         """Let a folder take writes again."""
@@ -403,11 +403,11 @@
         node.failing = False
         if node.core is not None and node.broken:
             node.broken = False
-            self.give(name, api.CanWrite(node.image.durable(node.me)))
+            self.give(name, api.StorageRecovered(node.image.durable(node.me)))
 
     # The network
 
-    def _send(self, node: Node, to: Life, message: pb.Message) -> None:
+    def _send(self, node: Node, to: Incarnation, message: pb.Message) -> None:
         body = message.WhichOneof("body")
         self.counts[body] += 1
         if body == "vote_answer" and message.vote_answer.granted and not message.vote_answer.before:
@@ -433,13 +433,13 @@
         if node.image.hard.term < message.term and not message.vote_answer.before:
             raise Broken(f"{node.name} speaks in term {message.term} without having written it")
 
-    def _deliver(self, sender: Life, to: Life, message: pb.Message) -> None:
+    def _deliver(self, sender: Incarnation, to: Incarnation, message: pb.Message) -> None:
         node = self.nodes.get(to.name)
         if node is None or node.core is None or (to.life and to != node.me):
             return
         if (sender.name, to.name) in self.cuts:
             return
-        self.give(to.name, api.Received(sender, message))
+        self.give(to.name, api.MessageReceived(sender, message))
 
     def cut(self, a: str, b: str, both: bool = True) -> None:
         """Let nothing from a reach b (nor back)."""
@@ -463,17 +463,17 @@
         """Ask a member for a read; return the token."""
         self.tokens += 1
         self.asked[self.tokens] = ("read", self.now, max(self.checks.acked, self.checks.read))
-        self.give(name, api.Read(self.tokens))
+        self.give(name, api.ReadRequested(self.tokens))
         return self.tokens
 
-    def change(self, name: str, add: pb.Member | None = None, remove: Life | None = None) -> int:
+    def change(self, name: str, add: pb.Member | None = None, remove: Incarnation | None = None) -> int:
         """Ask a member to change the members; return the token."""
         self.tokens += 1
         self.asked[self.tokens] = ("change", self.now, 0)
-        self.give(name, api.Change(self.tokens, add, remove))
+        self.give(name, api.ChangeMembership(self.tokens, add, remove))
         return self.tokens
 
-    def _answered(self, answer: api.Answer) -> None:
+    def _answered(self, answer: api.ProposalOutcome) -> None:
         kind, _, told = self.asked.pop(answer.token)
         if answer.refusal:
             self.refused[answer.refusal] += 1
@@ -491,7 +491,7 @@
             raise Broken(f"{answer.token} stands before what had been answered when it was asked")
         self.checks.acked = max(self.checks.acked, answer.index)
 
-    def _readable(self, answer: api.Readable) -> None:
+    def _readable(self, answer: api.ReadOutcome) -> None:
         _, _, told = self.asked.pop(answer.token)
         if answer.refusal:
             self.refused[answer.refusal] += 1
@@ -583,7 +583,7 @@
 )
 
 
-def play(seed: int, core: type[Core] = Core, part: float = 1.0) -> Cluster:
+def play(seed: int, core: type[RaftMember] = RaftMember, part: float = 1.0) -> Cluster:
     """Play one seed's day, or the first part of it: a council is founded, troubled, and comes to rest."""
     random = Random(f"day {seed}")
     size = random.choice((1, 2, 3, 3, 3, 3, 4, 5, 5))
@@ -663,9 +663,9 @@
         case "slow":
             cluster.nodes[name].slow = random.choice((1.0, 20.0, 100.0))
         case "hand over":
-            cluster.give(name, api.HandOver())
+            cluster.give(name, api.TransferLeadership())
         case "room":
-            cluster.give(name, api.RoomShort())
+            cluster.give(name, api.DiskSpaceLow())
         case "member":
             for leader in cluster.leading():
                 for each in random.sample(names, random.choice((1, 1, min(2, len(names))))):
@@ -719,25 +719,28 @@
     Messages and writes come at once, and time passes for the leader alone, so that nobody else asks:
     what is counted is the cores' own work.
     """
-    lives = [Life(chr(ord("a") + i), b"x") for i in range(members)]
+    lives = [Incarnation(chr(ord("a") + i), b"x") for i in range(members)]
     first = pb.Entry(
         term=1,
         index=1,
         members=pb.Members(members=[pb.Member(name=life.name, life=life.life, votes=True) for life in lives]),
     )
-    cores = {life: Core(Timing(), Durable(life, pb.HardState(term=1), entries=[first]), 1) for life in lives}
-    boxes: dict[Life, list[api.Event]] = {life: [] for life in lives}
+    cores = {
+        life: RaftMember(Timing(), DurableState(life, pb.HardState(term=1), entries=[first]), 1)
+        for life in lives
+    }
+    boxes: dict[Incarnation, list[api.Event]] = {life: [] for life in lives}
     counts, now, leader = Counter(), 0.0, lives[0]
 
-    def step(life: Life, events: list[api.Event]) -> None:
+    def step(life: Incarnation, events: list[api.Event]) -> None:
         counts["steps"] += 1
         for action in cores[life].step(now if life == leader else 0.0, events):
             match action:
                 case api.Send(to, message):
-                    boxes[to].append(api.Received(life, message))
+                    boxes[to].append(api.MessageReceived(life, message))
                 case api.Write(number):
-                    boxes[life].append(api.Written(number))
-                case api.Answer(_, refusal):
+                    boxes[life].append(api.WriteCompleted(number))
+                case api.ProposalOutcome(_, refusal):
                     counts["done" if not refusal else "refused"] += 1
                 case api.TakeSnapshot():
                     boxes[life].append(api.Snapshot(cores[life].given, 0, bytes(1000)))
--- a/tests/support/council_defects.py
+++ b/tests/support/council_defects.py
@@ -22,9 +22,9 @@
 
 from fennelwind.raft import election, snapshots
 from fennelwind.raft.election import Ballot
-from fennelwind.raft.leader import Leading
+from fennelwind.raft.leader import Leader
 from fennelwind.raft.log import Log
-from fennelwind.raft.member import Core
+from fennelwind.raft.member import RaftMember
 from fennelwind.raft.pending_writes import Writes
 from fennelwind.raft.snapshot_chunks import Incoming
 
@@ -43,7 +43,7 @@
     "acknowledge before sync": Defect(
         [
             Line(
-                Core._answer_leader,
+                RaftMember._answer_leader,
                 "min(self.writes.durable, self.agreed)",
                 "min(self.log.last, self.agreed)",
             )
@@ -51,21 +51,27 @@
         ("led", 1000),
     ),
     "leader counts itself early": Defect(
-        [Line(Leading.committed, "core.writes.durable", "core.log.last")], ("led", 3000)
+        [Line(Leader.committed, "core.writes.durable", "core.log.last")], ("led", 3000)
     ),
     "vote forgotten at a crash": Defect(
-        [Line(Core.__init__, "Life(hard.voted_name, hard.voted_life) if hard.voted_name else None", "None")],
+        [
+            Line(
+                RaftMember.__init__,
+                "Incarnation(hard.voted_name, hard.voted_life) if hard.voted_name else None",
+                "None",
+            )
+        ],
         ("rivals", 1000),
     ),
     # Messages leave before the term and vote that they rest on are on the disk.
     "vote before it is written": Defect(
-        [Line(Core.send, "if self.mute or self.writes.hard_done:", "if True:")], (1, PART)
+        [Line(RaftMember.send, "if self.mute or self.writes.hard_done:", "if True:")], (1, PART)
     ),
     # A leader answers reads without asking whether it still leads.
     "read from a deposed leader": Defect(
         [
             Line(
-                Leading._serve_reads,
+                Leader._serve_reads,
                 "reads.place(core.commit, self.round + 1)",
                 "reads.place(core.commit, 0)",
             )
@@ -74,21 +80,25 @@
     ),
     # A new leader answers reads before it knows what earlier leaders agreed on.
     "read before an own entry": Defect(
-        [Line(Leading._serve_reads, "if core.log.term(core.commit) != self.term:", "if False:")], (42, PART)
+        [Line(Leader._serve_reads, "if core.log.term(core.commit) != self.term:", "if False:")], (42, PART)
     ),
     # Entries that differ from the leader's are left where they are.
     "tail kept after a conflict": Defect(
-        [Line(Core._append, "e.index > log.base and log.term(e.index) != e.term", "e.index > log.last")],
+        [
+            Line(
+                RaftMember._append, "e.index > log.base and log.term(e.index) != e.term", "e.index > log.last"
+            )
+        ],
         (19, PART),
     ),
     "commit by counting old terms": Defect(
-        [Line(Leading.committed, " and core.log.term(index) == self.term", "")], ("old_term", 12_000)
+        [Line(Leader.committed, " and core.log.term(index) == self.term", "")], ("old_term", 12_000)
     ),
-    "two changes at once": Defect([patch.object(Leading, "may_change", lambda self: True)], (56, 1.0)),
+    "two changes at once": Defect([patch.object(Leader, "may_change", lambda self: True)], (56, 1.0)),
     # Who catches up counts for what is agreed, and for votes.
     "learners count": Defect(
         [
-            Line(Leading.voters, "config.voters", "config.lives"),
+            Line(Leader.voters, "config.voters", "config.lives"),
             Line(Ballot.won, "sum(life in self.granted for life in voters)", "len(self.granted)"),
         ],
         (71, 1.0),
@@ -106,7 +116,7 @@
     "follower commits what it has": Defect(
         [
             Line(
-                Core._append,
+                RaftMember._append,
                 "newer = append.round > self.round",
                 "newer = append.round > self.round; "
                 "self.commit = max(self.commit, min(append.commit, log.last))",
@@ -115,17 +125,17 @@
         ("contested", 1000),
     ),
     "failed write taken as done": Defect(
-        [Line(Core._take, "self._fall_mute()", "self._written(self.writes.number)")], ("led", 1000)
+        [Line(RaftMember._take, "self._fall_mute()", "self._written(self.writes.number)")], ("led", 1000)
     ),
     # A member whose disk takes no writes goes on as if it had one.
     "mute member votes": Defect(
-        [patch.object(Core, "_fall_mute", lambda self: self.writes.written(self.writes.number))],
+        [patch.object(RaftMember, "_fall_mute", lambda self: self.writes.written(self.writes.number))],
         ("led", 3000),
     ),
     "promise forgotten when it can write": Defect(
         [
             Line(
-                Core._speak_again,
+                RaftMember._speak_again,
                 "self.writes.failed()",
                 "self.writes.failed(); self.term, self.voted, self.leader = durable.hard.term, None, None",
             )
@@ -137,9 +147,7 @@
         [Line(Writes.cut_after, "min(self.durable, index)", "self.durable", "min(last, index)", "last")],
         (19, PART),
     ),
-    "clock of the new leader": Defect(
-        [patch.object(Leading, "clock", lambda self, now: int(now))], (1, PART)
-    ),
+    "clock of the new leader": Defect([patch.object(Leader, "clock", lambda self, now: int(now))], (1, PART)),
     # Pieces of a later snapshot are put behind those of an earlier one.
     "pieces of two snapshots": Defect(
         [
@@ -158,7 +166,7 @@
         [
             Line(
                 Cluster.wipe,
-                'Life(name, b"%s%d" % (name.encode(), old.life_count + 2))',
+                'Incarnation(name, b"%s%d" % (name.encode(), old.life_count + 2))',
                 "old.me",
                 "node.core = None",
                 "node.image.hard, node.image.entries = pb.HardState(term=1), list(self.checks.agreed[:1])",
--- a/tests/support/council_search.py
+++ b/tests/support/council_search.py
@@ -24,11 +24,11 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import messages as api
 from fennelwind.raft.log import Config
-from fennelwind.raft.member import Core
-from fennelwind.raft.messages import Durable, Life, Timing
+from fennelwind.raft.member import RaftMember
+from fennelwind.raft.messages import DurableState, Incarnation, Timing
 
 NAMES = ("a", "b", "c")
-LIVES = tuple(Life(name, name.encode()) for name in NAMES)
+LIVES = tuple(Incarnation(name, name.encode()) for name in NAMES)
 TIMING = Timing(heartbeat_ms=100, election_ms=200, append_most=1, under_way_most=2, clock_ms=1e12)
 TIMES = (
     "now",
@@ -67,8 +67,8 @@
 )  # no rule rests on them
 
 
-ATOMS = (int, float, str, bytes, bool, type(None), Life)
-SHARED = (Message, Config, Timing, Counter, Random, api.Send, api.Became)
+ATOMS = (int, float, str, bytes, bool, type(None), Incarnation)
+SHARED = (Message, Config, Timing, Counter, Random, api.Send, api.RoleChanged)
 
 
 class Broken(AssertionError):
@@ -91,7 +91,7 @@
         return 0.5
 
 
-def copy(value: Any, core: Core | None = None) -> Any:
+def copy(value: Any, core: RaftMember | None = None) -> Any:
     """Return a copy of a core; messages, entries and events are never changed and are shared."""
     kind = type(value)
     if kind in ATOMS or isinstance(value, SHARED):
@@ -100,10 +100,10 @@
         return kind([copy(each, core) for each in value])
     if kind is dict:
         return {key: copy(each, core) for key, each in value.items()}
-    if isinstance(value, Core) and core is not None:
+    if isinstance(value, RaftMember) and core is not None:
         return core
     made = kind.__new__(kind)
-    core = made if isinstance(value, Core) else core
+    core = made if isinstance(value, RaftMember) else core
     for name in value.__dict__ if hasattr(value, "__dict__") else value.__slots__:
         setattr(made, name, copy(getattr(value, name), core))
     return made
@@ -137,7 +137,7 @@
 class Cell(NamedTuple):
     """One member: its core, what is surely on its disk, what is being written."""
 
-    core: Core
+    core: RaftMember
     hard: pb.HardState
     entries: tuple[pb.Entry, ...]
     pending: tuple[api.Write, ...]
@@ -188,7 +188,7 @@
 class Search:
     """The states that can be reached, and what is known of each member's own."""
 
-    def __init__(self, core: type[Core] = Core) -> None:
+    def __init__(self, core: type[RaftMember] = RaftMember) -> None:
         self.kind = core
         self.cells: list[Cell] = []
         self.cell_ids: dict[Any, int] = {}
@@ -209,7 +209,7 @@
 
     def begun(self, me: int, hard: pb.HardState, entries: tuple) -> tuple[Cell, list[api.Action]]:
         """Return a member that has just opened its folder."""
-        core = self.kind(TIMING, Durable(LIVES[me], hard, entries=list(entries)), 0)
+        core = self.kind(TIMING, DurableState(LIVES[me], hard, entries=list(entries)), 0)
         core.random = Middle()
         return Cell(core, hard, entries, ()), core.step(0.0, ())
 
@@ -232,9 +232,9 @@
         match what:
             case "deliver":
                 sender, _, message = self.messages[detail]
-                events = [api.Received(LIVES[sender], message)]
+                events = [api.MessageReceived(LIVES[sender], message)]
             case "written":
-                events = [api.Written(cell.pending[0].number)]
+                events = [api.WriteCompleted(cell.pending[0].number)]
                 cell = cell.after(cell.pending[0])._replace(pending=cell.pending[1:])
             case "fail":
                 events = [api.WriteFailed(cell.pending[0].number, True)]
@@ -242,7 +242,9 @@
                     cell = cell.after(write)
                 cell = cell._replace(pending=(), failed=True)
             case "mend":
-                events = [api.CanWrite(Durable(LIVES[me], cell.hard, entries=list(cell.entries)))]
+                events = [
+                    api.StorageRecovered(DurableState(LIVES[me], cell.hard, entries=list(cell.entries)))
+                ]
                 cell = cell._replace(failed=False)
             case "timeout":
                 at = core.leading.next_beat if core.leading else max(core.ask_at, core.heard + core.patience)
@@ -251,7 +253,7 @@
             case "propose":
                 events = [api.Propose(detail, pb.Command(client=1, number=detail))]
             case "read":
-                events = [api.Read(detail)]
+                events = [api.ReadRequested(detail)]
         return self._carry_out(me, cell, core.step(at, events))
 
     def _carry_out(self, me: int, cell: Cell, actions: list) -> tuple[int, tuple[int, ...], tuple]:
@@ -280,9 +282,9 @@
                     effects += [
                         ("agreed", e.index, e.term, e.SerializeToString(deterministic=True)) for e in entries
                     ]
-                case api.Answer(_, refusal, index) if not refusal:
+                case api.ProposalOutcome(_, refusal, index) if not refusal:
                     effects.append(("answered", index))
-                case api.Readable(_, index, refusal):
+                case api.ReadOutcome(_, index, refusal):
                     effects.append(("read", -1 if refusal else index))
         number = self.cell(cell._replace(pending=tuple(pending)))
         return number, tuple(sent), tuple(effects)
@@ -466,7 +468,7 @@
         return state._replace(net=())
 
 
-def shift_core(core: Core) -> None:
+def shift_core(core: RaftMember) -> None:
     """Count all of a core's times from its present."""
     by = core.now
     for part in (core, core.joining, *((core.leading, *core.leading.peers.values()) if core.leading else ())):
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -40,7 +40,7 @@
 from fennelwind.quiescence import clearance_pb2
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Write
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.raft.snapshot_chunks import head_of
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage.store import Limits
@@ -329,7 +329,7 @@
     loop, platter = SimLoop(14), Platter()
 
     def run():
-        record, folder = Record(machines()), _folder(loop, platter)
+        record, folder = ReplicatedState(machines()), _folder(loop, platter)
         folder.open()
         snapshot, number = b"", 0
         for entry in entries():
@@ -398,7 +398,7 @@
 def _state(loop, platter):
     folder = _folder(loop, platter)
     durable = folder.open()
-    record = Record(machines())
+    record = ReplicatedState(machines())
     if durable.head is not None:
         record.restore(durable.snapshot)
     for entry in durable.entries:
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -23,7 +23,7 @@
 from fennelwind.cluster.raft_host import Member
 from fennelwind.leases.fencing import Fenced, Guard
 from fennelwind.loop.simdisk import SimDisk
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 
 class Defect(NamedTuple):
@@ -69,7 +69,13 @@
     ),
     Defect(
         "answers are not kept: what is asked again is done again",
-        [Line(Record._command, "if command.number in client.kept:", "client.kept.clear()\n    if False:")],
+        [
+            Line(
+                ReplicatedState._command,
+                "if command.number in client.kept:",
+                "client.kept.clear()\n    if False:",
+            )
+        ],
         ("stop", "cut", "kill"),
     ),
     Defect(
@@ -89,7 +95,7 @@
     ),
     Defect(
         "a snapshot forgets what clients have done",
-        [Line(Record.restore, "{kept.number: kept.result for kept in told.kept}", "{}")],
+        [Line(ReplicatedState.restore, "{kept.number: kept.result for kept in told.kept}", "{}")],
     ),
     Defect(
         "one entry in forty is left out",
@@ -113,7 +119,8 @@
             Line(
                 Member.received,
                 "Received(sender, message)",
-                "Received(next((Life(m.name, m.life) for m in self.core.log.config.members.members"
+                "MessageReceived(next((Incarnation(m.name, m.life)"
+                " for m in self.core.log.config.members.members"
                 " if m.name == sender.name), sender), message)",
             )
         ],
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -22,7 +22,7 @@
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft import messages as api
 from fennelwind.raft.messages import Timing
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 CLIENTS = 60  # opened ahead: lives of controllers in one play
 
@@ -43,7 +43,7 @@
         )
         super().__init__(play.seed, 3, timing)
         self.play = play
-        self.records: dict[str, Record] = {}
+        self.records: dict[str, ReplicatedState] = {}
         self.results: dict[tuple[str, int], council.Result] = {}
         self.clients: list[int] = []
         self.waiting: dict[int, tuple[Controller, Life, int]] = {}  # by token
@@ -54,7 +54,7 @@
     # What lease_play asks of its leader.
 
     @property
-    def record(self) -> Record:
+    def record(self) -> ReplicatedState:
         return max(self.records.values(), key=lambda record: record.index)
 
     @property
@@ -67,7 +67,7 @@
     def change(self) -> None:
         """Let another lead."""
         for node in self.leading():
-            self.give(node.name, api.HandOver())
+            self.give(node.name, api.TransferLeadership())
 
     def begin(self) -> None:
         """Found the council, and open clients."""
@@ -93,7 +93,7 @@
     # Carrying out.
 
     def start(self, name: str) -> None:
-        self.records[name] = Record([LeaseMachine()])
+        self.records[name] = ReplicatedState([LeaseMachine()])
         super().start(name)
 
     def _act(self, node: Node, action: api.Action) -> None:
@@ -117,7 +117,7 @@
                     if ahead:
                         self.play.watched()
                 self.at(0.1, self._give_if, node, node.epoch, api.Applied(node.applied, record.due()))
-            case api.Answer(token, refusal, index, _, again_ms) if token in self.waiting:
+            case api.ProposalOutcome(token, refusal, index, _, again_ms) if token in self.waiting:
                 if refusal:
                     who, life, number = self.waiting.pop(token)
                     self.play.answered(who, life, h.Answered(number, None, float(again_ms)))
--- a/tests/support/lease_fleet.py
+++ b/tests/support/lease_fleet.py
@@ -21,7 +21,7 @@
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft import council_pb2 as council
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 ACT_MS, EVERY_MS = 20.0, 50.0  # ms: of an act, and from one to the next
 CLOCK_MS = 1000.0  # ms; as the council's timing has it
@@ -87,7 +87,7 @@
         self.seed, self.random, self.now = seed, Random(f"fleet {seed} {term_ms}"), 0.0
         self.tasks, self.term_ms = [f"task-{n:02}" for n in range(tasks)], term_ms
         self.counts: Counter[str] = Counter()
-        self.record, self.index = Record([LeaseMachine()]), 0
+        self.record, self.index = ReplicatedState([LeaseMachine()]), 0
         self.machine = self.record.machines["leases"]
         self._heap: list[tuple] = []
         self._order = itertools.count()
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -25,7 +25,7 @@
 from fennelwind.leases.fencing import DRIFT, Fenced
 from fennelwind.leases.state_machine import LeaseMachine, Life
 from fennelwind.raft import council_pb2 as council
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 TERM_MS, PAUSE_MS, ACT_MS = 2000, 150.0, 400.0  # ms: of the played tasks
 PLAYED_MS, CALM_MS = 25_000.0, 16_000.0  # ms with faults, and without them after it
@@ -42,7 +42,7 @@
 
     def __init__(self, play: "Play") -> None:
         self.play = play
-        self.record = Record([LeaseMachine()])
+        self.record = ReplicatedState([LeaseMachine()])
         self.index = self.stamped = 0
         self.change()
 
--- a/tests/support/storemodel.py
+++ b/tests/support/storemodel.py
@@ -6,7 +6,7 @@
 from fennelwind.loop.simdisk import LOSSES, Platter, PowerCut, SimDisk
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Write
-from fennelwind.raft_storage.errors import NoRoom, StoreError
+from fennelwind.raft_storage.errors import InsufficientSpaceError, StoreError
 from fennelwind.raft_storage.store import Limits, Store
 
 SMALL = Limits(segment=400, group=1 << 16, snapshot=1 << 16, reserve=2000, again=300, low=1500)
@@ -232,7 +232,7 @@
             except PowerCut:
                 self.crash()
                 return self.start()
-            except NoRoom:
+            except InsufficientSpaceError:
                 continue
             except DiskError:
                 self.failures += 1
--- a/tests/support/sums.py
+++ b/tests/support/sums.py
@@ -1,6 +1,6 @@
 """A machine for the record that is easy to see through."""
 
-from fennelwind.raft.state_machine import UnreadableCommand
+from fennelwind.raft.state_machine import UnreadableCommandError
 
 
 class Sum:
@@ -13,7 +13,7 @@
 
     def apply(self, at, command, facts):
         if not command.isdigit():
-            raise UnreadableCommand("no number")
+            raise UnreadableCommandError("no number")
         self.sum += int(command)
         if self.lapse_ms and self.until is None:
             self.until = at.clock_ms + self.lapse_ms
