--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -5,9 +5,9 @@
 
     tests/node/test_x.py::test_y[z] | pytest -k test_y, seed 7 | a late answer is counted twice | issue 38
 
-Empty lines are ignored. The file is best empty or absent. More than `MAX_ENTRIES`, an entry that can't be read
-or a test that doesn't exist fails the run. Whether a test exists is checked only where the whole suite is
-collected.
+Empty lines are ignored. The file is best empty or absent. More than `MAX_ENTRIES`, an entry that can't be
+read or a test that doesn't exist fails the run.
+That a test exists is checked where the whole suite is collected.
 """
 
 import re
