--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -10,7 +10,7 @@
     *(ROOT / name for name in ("README.md", "DEVELOPERS.md")),
     *(page for page in sorted((ROOT / "docs").rglob("*.md")) if "incidents" not in page.parts),
 ]  # incidents and CHANGELOG.md tell what was; they keep the paths of their day
-FILE = re.compile(r"(?<![\w./-])((?:[\w-]+/)*[\w-]+\.(?:py|proto))\b")
+FILE = re.compile(r"(?<![\w./*-])((?:[\w-]+/)*[\w-]+\.(?:py|proto))\b")
 MODULE = re.compile(r"(?<![\w./-])(fennelwind(?:\.[a-z_]\w*)+)")
 SETTINGS_OF_SESSIONS = (  # names on the wire that begin like a module
     "fennelwind.at_once",
