--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -9,8 +9,8 @@
 from fennelwind.config.users import UsersError, load_users
 from fennelwind.dispatch.driver import Driver, Observer
 from fennelwind.dispatch.types import Router
-from fennelwind.engines.connection_pool import EngineLinks
-from fennelwind.engines.discovery import DiscoveryLink
+from fennelwind.engines.discovery import DiscoveryClient
+from fennelwind.engines.engine_client import EngineClient
 from fennelwind.frontends.hiveserver2 import Front
 from fennelwind.frontends.hiveserver2.http import HttpFront
 from fennelwind.frontends.hiveserver2.service import Service
@@ -28,14 +28,14 @@
     def __init__(self, loop: Loop, settings: Controller, observer: Observer, seed: int) -> None:
         self.loop, self.settings, self.observer = loop, settings, observer
         rules = settings.file.rules
-        self.links = EngineLinks(
+        self.engine_client = EngineClient(
             loop, settings.file.links, settings.module.report_fields, settings.engines_tls
         )
         module, router = self._routing()
         self.driver = Driver(
             loop,
             module,
-            self.links,
+            self.engine_client,
             observer,
             seed=seed,
             max_open=settings.file.max_open,
@@ -45,7 +45,7 @@
         )
         self.discovery = None
         if settings.discovery is not None:
-            self.discovery = DiscoveryLink(
+            self.discovery = DiscoveryClient(
                 loop,
                 settings.discovery,
                 pushed=settings.file.discovery.mode == pb.Discovery.PUSHED,
@@ -53,7 +53,7 @@
                 kinds=settings.kinds,
                 post=self.driver.post,
                 seed=seed,
-                said=observer.said,
+                report=observer.said,
             )
         self.service = Service(loop, settings, self.driver)
         self.keeper = self._keeper(seed) if settings.council is not None else None
@@ -69,7 +69,7 @@
     def start(self) -> None:
         """Learn of the engines and where copies are, and listen for clients. Raises `OSError` if it can't."""
         self.driver.post(policy.EngineListUpdate("cached", self.settings.engines))
-        self.links.start()
+        self.engine_client.start()
         if self.discovery is not None:
             self.discovery.start()
         if self.keeper is not None:
@@ -116,7 +116,7 @@
             c.handover_ms,
         )
         keeper = Keeper(self.loop, place, seed, self.observer.council)
-        keeper.serve_engines(self.links, self._engines)
+        keeper.serve_engines(self.engine_client, self._engines)
         self.service.gate = keeper.gate
         if self.driver.router is not None:
             self._serve_shards(keeper)
@@ -181,7 +181,14 @@
             return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
 
         keeper.serve_shards(
-            self.links, homes, told.staging, bounds, shards, book, router.named, cleared=told.clearances
+            self.engine_client,
+            homes,
+            told.staging,
+            bounds,
+            shards,
+            book,
+            router.named,
+            cleared=told.clearances,
         )
         keeper.moves.launched = launched
 
@@ -221,4 +228,4 @@
 
     def _subscribe(self) -> None:
         if self.discovery is not None:
-            self.discovery.ask()
+            self.discovery.request()
--- a/fennelwind/cli/query.py
+++ b/fennelwind/cli/query.py
@@ -5,7 +5,7 @@
 
 import click
 
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.loop import DeadlineExceeded, RealLoop, parse_address
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
@@ -54,7 +54,7 @@
     loop = RealLoop()
 
     def run() -> int:
-        link = Link(loop, there, "sasl", user)
+        link = EngineConnection(loop, there, "sasl", user)
         try:
             with loop.deadline(timeout_s * 1000.0):
                 link.open()
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -9,7 +9,7 @@
 from contextlib import suppress
 
 from fennelwind.config import settings_pb2 as settings
-from fennelwind.engines.connection_pool import TRANSPORTS, Link, RemoteError
+from fennelwind.engines.connection import TRANSPORTS, EngineConnection, RemoteError
 from fennelwind.loop import DeadlineExceeded, Loop, parse_address
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
@@ -25,7 +25,7 @@
 
     def __init__(self, loop: Loop, links: settings.EngineLinks, tls: object, engine: str) -> None:
         self.loop, self.links, self.tls, self.engine = loop, links, tls, engine
-        self.link: Link | None = None
+        self.link: EngineConnection | None = None
         self.text = self.state = ""  # what the engine said, where it said no, and its SQLSTATE
 
     def run(
@@ -78,8 +78,8 @@
             return False
         return True
 
-    def _open(self) -> Link:
-        link = Link(
+    def _open(self) -> EngineConnection:
+        link = EngineConnection(
             self.loop, parse_address(self.engine), TRANSPORTS[self.links.transport], self.links.user, self.tls
         )
         try:
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -16,7 +16,7 @@
 from fennelwind.cluster.schema_rollout import Changes
 from fennelwind.cluster.shard_migration import Moves
 from fennelwind.cluster.state_machines import answer, machines
-from fennelwind.engines.connection_pool import EngineLinks
+from fennelwind.engines.engine_client import EngineClient
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
 from fennelwind.quiescence.in_flight import Book
@@ -85,7 +85,7 @@
     def _wrong(self, exc: CouncilError) -> None:
         self.said("asking", exc.told())
 
-    def serve_engines(self, links: EngineLinks, engines: Callable[[], Iterable[str]]) -> None:
+    def serve_engines(self, links: EngineClient, engines: Callable[[], Iterable[str]]) -> None:
         """Guard the schemas of the engines' tables; `engines` tells those that are there now."""
         statements, self._engines = Statements(self.loop, links.settings, links.tls), engines
         self.gate = Gate(self.loop, self.asker, engines, f"gate {self._seed}", self.said)
@@ -93,7 +93,7 @@
 
     def serve_shards(
         self,
-        links: EngineLinks,
+        links: EngineClient,
         homes: Callable[[], Iterable[Home]],
         staging: str,
         bounds: Bounds,
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -18,7 +18,7 @@
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS, SHARDS
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.leases.errors import TaskNotHeld
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
--- /dev/null
+++ b/fennelwind/engines/attempt.py
@@ -0,0 +1,306 @@
+"""One attempt of a statement at an engine, and every way in which it can end.
+
+An attempt is ExecuteStatement (async), GetOperationStatus until the operation has ended, then the pages of
+its result. Nothing can have run before ExecuteStatement is written; that line decides how a failure counts:
+
+- before it, whatever breaks is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
+- an engine's word `fennelwind-not-run` is `OVERLOADED`: rejected unseen
+- an error that is the statement's own (`statement_status.py`) is an answer, `OK`: it would fail anywhere
+- after it, a broken connection or bytes that are no reply are `RESET`, an error status is `ERROR`
+- with no descriptors left here, `NOT_STARTED`: never sent, and no fault of the engine's
+- `TIMEOUT` when the time is up, `CANCELLED` when called off; the operation left behind is cancelled
+"""
+
+from collections.abc import Iterator
+from contextlib import contextmanager, suppress
+from copy import copy
+from typing import Protocol
+
+from hdrh.histogram import HdrHistogram
+
+from fennelwind.config import settings_pb2 as pb
+from fennelwind.dispatch.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
+from fennelwind.engines.connection import EngineConnection, RemoteError
+from fennelwind.engines.connection_pool import ConnectionPool, PoolExhaustedError
+from fennelwind.engines.operation_cleanup import OperationCleanup
+from fennelwind.engines.row_stream import RowStream, StreamCounts, can_stream
+from fennelwind.engines.statement_status import StatementStatus, classify
+from fennelwind.loop import DeadlineExceeded, LocalConnectFailure, Loop
+from fennelwind.policy import AttemptStatus
+from fennelwind.thrift import hints
+from fennelwind.thrift import hiveserver2 as hs2
+from fennelwind.thrift.codec import Malformed, Structure
+from fennelwind.thrift.hiveserver2 import row_count
+
+MIN_POLL_MS, MAX_POLL_MS = 2.0, 50.0  # ms between polls of engines that answer a status at once
+
+
+class AttemptServices(Protocol):
+    """What an attempt needs of the client that makes it."""
+
+    loop: Loop
+    settings: pb.EngineLinks
+    cleanup: OperationCleanup
+    stream_counts: StreamCounts
+    connection_wait_us: HdrHistogram
+
+    def load(self, status: Structure) -> dict[str, float]:
+        """Return the load figures among a status's hints that the settings name."""
+
+    def update_grant(self, attempt: "Attempt") -> None:
+        """Send the engine the attempt's grant, if it knows another one."""
+
+
+class Attempt:
+    """One attempt under way."""
+
+    def __init__(self, services: AttemptServices, pool: ConnectionPool, order: Order) -> None:
+        self.services, self.pool, self.order, self.loop = services, pool, order, services.loop
+        self.connection: EngineConnection | None = None
+        self.handle: Structure | None = None
+        self.is_over = False
+        self.is_grant_update_running = False
+        self.known_grant: dict[str, str] | None = None  # the grant that the engine knows
+        self._may_have_run = False  # the statement may have reached the engine
+        self._is_database_sent = False  # `USE` was sent for it
+        self._load: dict[str, float] = {}
+        self._cost: dict[str, float] = {}
+
+    def grant(self) -> dict[str, str]:
+        """Return the attempt's memory grant and priority, as settings of its session."""
+        grant = {"fennelwind.priority": str(self.order.priority)}
+        if self.order.memory_mb:
+            grant["fennelwind.memory_mb"] = f"{self.order.memory_mb:.6g}"
+        return grant
+
+    def run(self) -> AttemptEnd:
+        """Make the attempt and wait for its end. Raises only what cancels its task."""
+        try:
+            with self._leaving_nothing_behind(), self.loop.deadline_at(self.order.deadline_ms):
+                self._connect()
+                self._enter_database()
+                barred = self.order.barred()
+                if barred:
+                    self.pool.put(self.connection)
+                    return self._end(AttemptStatus.NOT_STARTED, barred)
+                return self._end(AttemptStatus.OK, result=self._execute())
+        except DeadlineExceeded as exc:
+            if not self._may_have_run:
+                return self._end(AttemptStatus.CONNECT_FAILED, str(exc) or "no connection in time")
+            return self._end(AttemptStatus.TIMEOUT, "no answer in time")
+        except PoolExhaustedError as exc:
+            return self._end(AttemptStatus.OVERLOADED, str(exc))
+        except LocalConnectFailure as exc:
+            return self._end(AttemptStatus.NOT_STARTED, str(exc))
+        except (OSError, Malformed) as exc:
+            status = AttemptStatus.RESET if self._may_have_run else AttemptStatus.CONNECT_FAILED
+            return self._end(status, str(exc))
+        except RemoteError as exc:
+            return self._end_by_error(exc)
+
+    def _end_by_error(self, error: RemoteError) -> AttemptEnd:
+        self._read_hints(error.status)
+        meaning = StatementStatus.ENGINE_ERROR
+        if error.status is not None:
+            meaning = classify(error.status.sqlState, error.status.infoMessages)
+        was_sent = self._may_have_run or self._is_database_sent
+        if meaning is StatementStatus.STATEMENT_ERROR and was_sent:
+            return self._end(AttemptStatus.OK, result=Result(error=_status_for_client(error.status)))
+        if meaning is StatementStatus.REJECTED or not self._may_have_run:
+            return self._end(AttemptStatus.OVERLOADED, str(error))
+        return self._end(AttemptStatus.ERROR, str(error))
+
+    def _end(self, status: AttemptStatus, reason: str = "", result: Result | None = None) -> AttemptEnd:
+        cost = self._cost
+        return AttemptEnd(status, reason, result, cost.get("work_ms"), cost.get("memory_mb"), self._load)
+
+    @contextmanager
+    def _leaving_nothing_behind(self) -> Iterator[None]:
+        """Whatever ends the attempt early, leave neither connection nor operation behind."""
+        try:
+            yield
+        except RemoteError:  # replies are in step; the operation has ended, but may still be there
+            if self.handle is not None:
+                self.services.cleanup.close_later(self.pool, self.connection, self.handle)
+            elif self.connection is not None:
+                self.pool.put(self.connection)
+            raise
+        except BaseException:
+            if self.connection is not None:
+                self.pool.drop(self.connection)
+            if self.handle is not None:
+                self.services.cleanup.cancel(self.pool, self.handle)
+            raise
+
+    def _connect(self) -> None:
+        began_ms = self.loop.now()
+        self.connection = self.pool.take(self.order.submission.database)
+        wait_us = int((self.loop.now() - began_ms) * 1000.0)
+        self.services.connection_wait_us.record_value(max(1, wait_us))
+
+    def _enter_database(self) -> None:
+        """Take the connection's session to the statement's database."""
+        connection, wanted = self.connection, self.order.submission.database
+        if not wanted or connection.database == wanted:
+            return
+        self._is_database_sent = True
+        connection.prepare_close()
+        reply = connection.call(
+            "ExecuteStatement",
+            hs2.TExecuteStatementReq(
+                sessionHandle=connection.session, statement=f"USE `{wanted}`", confOverlay={}, runAsync=False
+            ),
+        )
+        connection.database, connection.operation_to_close = wanted, reply.operationHandle
+
+    def _execute(self) -> Result:
+        order, connection = self.order, self.connection
+        submission = order.submission
+        if submission.arguments is not None:
+            return self._call_metadata(submission.method, submission.arguments)
+        self.known_grant = self.grant()
+        overlay = {
+            **submission.overlay,
+            "fennelwind.attempt": f"{order.query}.{order.number}",
+            **self.known_grant,
+        }
+        request = hs2.TExecuteStatementReq(
+            sessionHandle=connection.session,
+            statement=submission.statement,
+            confOverlay=overlay,
+            runAsync=True,
+        )
+        self._may_have_run = True
+        connection.prepare_close()
+        reply = connection.call("ExecuteStatement", request)
+        self.handle = reply.operationHandle
+        if self.handle is None:
+            raise Malformed("an operation without a handle")
+        self.services.update_grant(self)  # it may have changed while the call was on its way
+        self._wait()
+        result = self._fetch() if self.handle.hasResultSet else Result()
+        self._finish(result)
+        return result
+
+    def _call_metadata(self, method: str, arguments: Structure) -> Result:
+        """Make a metadata call; its operation has ended when it is answered."""
+        request = copy(arguments)
+        request.sessionHandle = self.connection.session
+        self._may_have_run = True
+        self.connection.prepare_close()
+        reply = self.connection.call(method, request)
+        self._read_hints(reply.status)
+        self.handle = reply.operationHandle
+        if self.handle is None:
+            raise Malformed("an operation without a handle")
+        result = self._fetch()
+        self._finish(result)
+        return result
+
+    def _finish(self, result: Result) -> None:
+        """Return the connection, unless rows still flow over it."""
+        if result.stream is None:
+            self.services.cleanup.close_later(self.pool, self.connection, self.handle)
+
+    def _wait(self) -> None:
+        """Wait until the operation has finished. Raises `RemoteError` if it ended otherwise."""
+        pause_ms = MIN_POLL_MS
+        request = hs2.TGetOperationStatusReq(operationHandle=self.handle, getProgressUpdate=True)
+        while True:
+            sent_ms = self.loop.now()
+            reply = self.connection.call("GetOperationStatus", request)
+            self._read_hints(reply.status)
+            state = reply.operationState
+            if state == hs2.FINISHED:
+                if reply.hasResultSet is not None:
+                    self.handle.hasResultSet = reply.hasResultSet
+                return
+            if state not in (hs2.INITIALIZED, hs2.RUNNING, hs2.PENDING):
+                raise _operation_error(reply)
+            self._report_progress(reply)
+            if self.loop.now() - sent_ms < MIN_POLL_MS:  # the engine has no long poll
+                self.loop.sleep(pause_ms)
+                pause_ms = min(pause_ms * 2, MAX_POLL_MS)
+
+    def _read_hints(self, status: Structure | None) -> None:
+        if status is not None and status.infoMessages:
+            self._load = self.services.load(status) or self._load
+            self._cost = hints.read(status.infoMessages).get(hints.COST, self._cost)
+
+    def _report_progress(self, reply: Structure) -> None:
+        progress = reply.progressUpdateResponse
+        if progress is not None and progress.progressedPercentage is not None:
+            self.order.on_note(DONE, min(max(progress.progressedPercentage, 0.0), 1.0))
+        note = hints.read(reply.status.infoMessages).get(hints.NOTE)
+        if note and note.get("sort") in (SPILLS, WAITS):
+            self.order.on_note(int(note["sort"]), note.get("value", 0.0))
+
+    def _fetch(self) -> Result:
+        """Fetch the schema and the pages, the first one together with the schema; a large rest will flow."""
+        connection, settings = self.connection, self.services.settings
+        received_before = connection.received_bytes
+        request = hs2.TFetchResultsReq(
+            operationHandle=self.handle, orientation=hs2.FETCH_NEXT, maxRows=settings.page_rows, fetchType=0
+        )
+        schema_sent = connection.prepare("GetResultSetMetadata", hs2.TGetResultSetMetadataReq(self.handle))
+        page_sent = connection.send("FetchResults", request)
+        try:
+            schema = connection.reply(schema_sent).schema
+        except RemoteError:
+            with suppress(RemoteError):  # the page's reply follows, and must not meet the next call
+                connection.reply(page_sent)
+            raise
+        pages = []
+        while True:
+            reply = connection.reply(page_sent)
+            if reply.results is not None:
+                row_count(reply.results)  # what is malformed has to be found before its query is served
+                pages.append(reply.results)
+            if not reply.hasMoreRows:
+                return Result(schema, tuple(pages))
+            if connection.received_bytes - received_before > settings.max_result_bytes:
+                return Result(schema, tuple(pages), stream=self._stream())
+            page_sent = connection.send("FetchResults", request)
+
+    def _stream(self) -> RowStream:
+        """Let the rest of the rows flow. Raises `RemoteError` where they may not."""
+        settings = self.services.settings
+        if self.order.submission.request:  # several clients may wait for it, each at its own pace
+            raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
+        if not can_stream(self.pool.streams, settings.max_links):
+            raise RemoteError(f"{self.pool.streams} large answers flow already")
+        services = self.services
+        return RowStream(
+            services.loop,
+            services.cleanup,
+            services.stream_counts,
+            self.pool,
+            self.connection,
+            self.handle,
+            settings.page_rows,
+        )
+
+
+def _status_for_client(status: Structure) -> Structure:
+    """Return an engine's error in its own words, without its load figures."""
+    return hs2.TStatus(
+        statusCode=hs2.ERROR,
+        infoMessages=hints.others(status.infoMessages) or None,
+        sqlState=status.sqlState,
+        errorCode=status.errorCode,
+        errorMessage=status.errorMessage,
+    )
+
+
+def _operation_error(reply: Structure) -> RemoteError:
+    """Return the error of an operation that has ended without success."""
+    return RemoteError(
+        f"operation state {reply.operationState}: {reply.errorMessage}",
+        hs2.TStatus(
+            statusCode=hs2.ERROR,
+            infoMessages=reply.status.infoMessages,
+            sqlState=reply.sqlState,
+            errorCode=reply.errorCode,
+            errorMessage=reply.errorMessage,
+        ),
+    )
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -1,23 +1,24 @@
-"""The link to discovery: lists of engines and their changes, as lines of JSON.
+"""The subscription to discovery: lists of engines and their changes, as lines of JSON.
 
-The controller asks `{"subscribe": INDEX}`; discovery answers with the whole list, then with changes as they
-come: `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`. An engine is `{"engine":
+The controller asks `{"subscribe": INDEX}`; discovery answers with the complete list, then with changes as
+they come: `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`. An engine is `{"engine":
 "HOST:PORT", "state": "ready" | "draining" | "gone", "zone": NAME, "kind": NAME, "cell": N, "weight": X,
 "launched_ms": T}`, with times on discovery's own clock; only their differences to `now_ms` are used. A line
-that can't be used breaks the subscription: an incomplete view must not pass for a whole one.
+that can't be used breaks the subscription: an incomplete view must not pass for a complete one.
 """
 
 import json
 from collections.abc import Callable
+from typing import Any
 
 from fennelwind import policy
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset, Task, parse_address
 
-LINE_MOST = 4 * 1024 * 1024  # bytes of one line; some 20,000 engines
-CONNECT_MS = 2000.0  # ms to connect, and to get the first list
-AGAIN_FIRST_MS, AGAIN_MOST_MS = 250.0, 2000.0  # ms between tries, doubled each time, half of it drawn
-STATES = ("ready", "draining", "gone")
+MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; some 20,000 engines
+CONNECT_TIMEOUT_MS = 2000.0  # ms to connect, and to get the first list
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0  # ms between attempts, doubled each time, half of it jitter
+FORMS = (policy.ListForm.FULL, policy.ListForm.DELTA)
 
 
 class DiscoveryError(FennelwindError, ValueError):
@@ -30,55 +31,66 @@
     )
 
 
-class Lives:
-    """Times of engines' starts, put on the controller's clock once a life so that they stay comparable."""
+class StartTimes:
+    """Times of engines' starts, put on the controller's clock once a start so that they stay comparable."""
 
     def __init__(self) -> None:
         self._known: dict[str, tuple[float, float]] = {}
 
-    def local(self, engine: str, launched: float, told_now: float, now: float) -> float:
+    def local(self, engine: str, started_ms: float, remote_now_ms: float, now_ms: float) -> float:
         """Return a start on the controller's clock, in ms; 0 means long ago."""
-        if not launched:
+        if not started_ms:
             return 0.0
         known = self._known.get(engine)
-        if known is None or known[0] != launched:
-            known = self._known[engine] = launched, now - max(told_now - launched, 0.0) or -1.0
+        if known is None or known[0] != started_ms:
+            local_ms = now_ms - max(remote_now_ms - started_ms, 0.0) or -1.0
+            known = self._known[engine] = started_ms, local_ms
         return known[1]
 
 
 def read_list(
-    line: bytes, zones: tuple[str, ...], kinds: tuple[str, ...], lives: Lives, now: float
+    line: bytes, zones: tuple[str, ...], kinds: tuple[str, ...], start_times: StartTimes, now_ms: float
 ) -> policy.EngineListUpdate:
-    """Turn a line into the module's event. Raises `DiscoveryError`."""
+    """Turn a line into an event of the policy. Raises `DiscoveryError`."""
     try:
-        told = json.loads(line)
-        form = told["form"]
-        if form not in ("full", "delta"):
+        message = json.loads(line)
+        form = message["form"]
+        if form not in FORMS:
             raise DiscoveryError(f"form {form!r}")
-        entries = []
-        for e in told["engines"]:
-            engine, state = str(parse_address(e["engine"])), e["state"]
-            if state not in STATES:
-                raise DiscoveryError(f"{engine}: state {state!r}")
-            launched = lives.local(engine, float(e.get("launched_ms", 0.0)), float(told["now_ms"]), now)
-            entries.append(
-                policy.EngineEndpoint(
-                    engine,
-                    state,
-                    zones.index(e["zone"]) if "zone" in e else 0,
-                    kinds.index(e["kind"]),
-                    int(e.get("cell", 0)),
-                    float(e.get("weight", 1.0)),
-                    launched,
-                )
-            )
+        engines = tuple(
+            _read_engine(message, fields, zones, kinds, start_times, now_ms) for fields in message["engines"]
+        )
     except (ValueError, KeyError, TypeError, AttributeError) as exc:
-        raise DiscoveryError(f"{type(exc).__name__}: {exc}") from None
-    return policy.EngineListUpdate(form, tuple(entries))
+        raise DiscoveryError(f"{type(exc).__name__}: {exc}") from exc
+    return policy.EngineListUpdate(policy.ListForm(form), engines)
+
+
+def _read_engine(
+    message: dict[str, Any],
+    fields: dict[str, Any],
+    zones: tuple[str, ...],
+    kinds: tuple[str, ...],
+    start_times: StartTimes,
+    now_ms: float,
+) -> policy.EngineEndpoint:
+    engine, state = str(parse_address(fields["engine"])), fields["state"]
+    if state not in tuple(policy.EngineState):
+        raise DiscoveryError(f"{engine}: state {state!r}")
+    remote_started_ms = float(fields.get("launched_ms", 0.0))
+    started_ms = start_times.local(engine, remote_started_ms, float(message["now_ms"]), now_ms)
+    return policy.EngineEndpoint(
+        engine,
+        policy.EngineState(state),
+        zones.index(fields["zone"]) if "zone" in fields else 0,
+        kinds.index(fields["kind"]),
+        int(fields.get("cell", 0)),
+        float(fields.get("weight", 1.0)),
+        started_ms,
+    )
 
 
-class DiscoveryLink:
-    """Keeps a subscription; told lists go to `post`, as does each failure."""
+class DiscoveryClient:
+    """Keeps a subscription; lists go to `post`, as does each failure."""
 
     def __init__(
         self,
@@ -90,62 +102,65 @@
         kinds: tuple[str, ...],
         post: Callable[[policy.EngineListUpdate], None],
         seed: int,
-        said: Callable[[str], None],
+        report: Callable[[str], None],
     ) -> None:
-        self.loop, self.address, self.pushed, self.post, self.said = loop, address, pushed, post, said
-        self.zones, self.kinds, self.lives = zones, kinds, Lives()
+        self.loop, self.address, self.pushed, self.post, self.report = loop, address, pushed, post, report
+        self.zones, self.kinds, self.start_times = zones, kinds, StartTimes()
         self.lists = self.failures = 0
         self._task: Task | None = None
-        self._draw = seed & 0xFFFF
+        self._jitter = seed & 0xFFFF
 
     def start(self) -> None:
         """Subscribe and stay subscribed, where lists are pushed."""
         if self.pushed:
-            self._task = self.loop.spawn(self._stay, name="discovery")
+            self._task = self.loop.spawn(self._stay_subscribed, name="discovery")
 
-    def ask(self) -> None:
+    def request(self) -> None:
         """Subscribe once, where lists have to be asked for; a failure is an event."""
         if not self.pushed and (self._task is None or self._task.done):
-            self._task = self.loop.spawn(self._once, name="discovery")
+            self._task = self.loop.spawn(self._subscribe, name="discovery")
 
-    def _stay(self) -> None:
-        pause = AGAIN_FIRST_MS
+    def _stay_subscribed(self) -> None:
+        backoff_ms = MIN_BACKOFF_MS
         while True:
-            before = self.lists
-            self._once()
-            pause = AGAIN_FIRST_MS if self.lists > before else min(pause * 2, AGAIN_MOST_MS)
-            self._draw = (self._draw * 25173 + 13849) & 0xFFFF  # spreads controllers that lost it together
-            self.loop.sleep(pause * (0.5 + self._draw / 0x20000))
-
-    def _once(self) -> None:
+            lists_before = self.lists
+            self._subscribe()
+            made_progress = self.lists > lists_before
+            backoff_ms = MIN_BACKOFF_MS if made_progress else min(backoff_ms * 2, MAX_BACKOFF_MS)
+            self._jitter = (
+                self._jitter * 25173 + 13849
+            ) & 0xFFFF  # spreads controllers that lost it together
+            self.loop.sleep(backoff_ms * (0.5 + self._jitter / 0x20000))
+
+    def _subscribe(self) -> None:
         """Subscribe and hand lists on until the subscription breaks."""
         stream = None
         try:
-            with self.loop.deadline(CONNECT_MS):
+            with self.loop.deadline(CONNECT_TIMEOUT_MS):
                 stream = self.loop.connect(self.address)
                 stream.write(b'{"subscribe": 0}\n')
-                buf = self._line(stream, bytearray())
+                buffer = self._read_line(stream, bytearray())
             while True:
-                line, _, rest = bytes(buf).partition(b"\n")
-                event = read_list(line, self.zones, self.kinds, self.lives, self.loop.now())
+                line, _, rest = bytes(buffer).partition(b"\n")
+                event = read_list(line, self.zones, self.kinds, self.start_times, self.loop.now())
                 self.lists += 1
                 self.post(event)
-                buf = self._line(stream, bytearray(rest))
+                buffer = self._read_line(stream, bytearray(rest))
         except (OSError, DeadlineExceeded, DiscoveryError) as exc:
             self.failures += 1
-            self.said(f"discovery at {self.address}: {type(exc).__name__}: {exc}")
-            self.post(policy.EngineListUpdate("failed"))
+            self.report(f"discovery at {self.address}: {type(exc).__name__}: {exc}")
+            self.post(policy.EngineListUpdate(policy.ListForm.FAILED))
         finally:
             if stream is not None:
                 stream.close()
 
-    def _line(self, stream: Stream, buf: bytearray) -> bytearray:
-        """Read on until a whole line is there."""
-        while b"\n" not in buf:
-            if len(buf) > LINE_MOST:
-                raise DiscoveryError(f"a line of over {LINE_MOST} bytes")
+    def _read_line(self, stream: Stream, buffer: bytearray) -> bytearray:
+        """Read on until a complete line is there. Raises `DiscoveryError`, `StreamReset`."""
+        while b"\n" not in buffer:
+            if len(buffer) > MAX_LINE_BYTES:
+                raise DiscoveryError(f"a line of over {MAX_LINE_BYTES} bytes")
             data = stream.read()
             if not data:
                 raise StreamReset("closed by discovery")
-            buf += data
-        return buf
+            buffer += data
+        return buffer
--- /dev/null
+++ b/fennelwind/engines/engine_client.py
@@ -0,0 +1,118 @@
+"""The controller's way to all engines: a pool of connections for each, attempts, grants and health checks.
+
+The driver calls it as `dispatch.types.Engines`. It owns the pools; what a restart of the controller loses
+here is ended by the engines' own time-outs.
+"""
+
+import ssl
+
+from hdrh.histogram import HdrHistogram
+
+from fennelwind.config import settings_pb2 as pb
+from fennelwind.dispatch.types import AttemptEnd, Order
+from fennelwind.engines.attempt import Attempt
+from fennelwind.engines.connection import RemoteError
+from fennelwind.engines.connection_pool import ConnectionPool, PoolExhaustedError
+from fennelwind.engines.grant_updates import GrantUpdates
+from fennelwind.engines.operation_cleanup import OperationCleanup
+from fennelwind.engines.row_stream import StreamCounts
+from fennelwind.loop import DeadlineExceeded, Loop, parse_address
+from fennelwind.policy import AttemptStatus
+from fennelwind.thrift import hints
+from fennelwind.thrift import hiveserver2 as hs2
+from fennelwind.thrift.codec import Malformed, Structure
+
+MAX_WAIT_US = 60_000_000  # microseconds; the longest wait for a connection that the histogram tells apart
+HEALTH_CHECK_TIMEOUT_MS = 1000.0  # ms that a health check may take
+
+
+class EngineClient:
+    """The connections to all engines."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        settings: pb.EngineLinks,
+        report_fields: tuple[str, ...],
+        tls: ssl.SSLContext | None = None,
+    ) -> None:
+        self.loop, self.settings, self.tls = loop, settings, tls
+        self.report_fields = frozenset(report_fields)
+        self.pools: dict[str, ConnectionPool] = {}
+        self.connection_wait_us = HdrHistogram(1, MAX_WAIT_US, 2)  # until an attempt had its connection
+        self.stream_counts = StreamCounts()
+        self.cleanup = OperationCleanup(loop)
+        self.grant_updates = GrantUpdates(loop)
+        self._attempts: dict[int, list[Attempt]] = {}  # under way, by query
+
+    def start(self) -> None:
+        """Start closing connections that are idle for too long."""
+        self.loop.spawn(self._close_expired, name="engines: close expired")
+
+    def attempt(self, engine: str, order: Order) -> AttemptEnd:
+        """Make an attempt and wait for its end."""
+        attempt = Attempt(self, self.pool(engine), order)
+        self._attempts.setdefault(order.query, []).append(attempt)
+        try:
+            return attempt.run()
+        finally:
+            attempt.is_over = True
+            remaining = self._attempts[order.query]
+            remaining.remove(attempt)
+            if not remaining:
+                del self._attempts[order.query]
+
+    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+        """Send a query's new grant to the engines at which attempts of it are under way."""
+        for attempt in self._attempts.get(query, ()):
+            attempt.order.memory_mb, attempt.order.priority = memory_mb, priority
+            if attempt.handle is not None:
+                self.update_grant(attempt)
+
+    def update_grant(self, attempt: Attempt) -> None:
+        """Send an engine the grant of an attempt that is under way there, if it knows another one."""
+        self.grant_updates.send(attempt)
+
+    def probe(self, engine: str) -> AttemptEnd:
+        """Check an engine's health: ask for its name, over a connection as any other."""
+        pool = self.pool(engine)
+        try:
+            with self.loop.deadline(HEALTH_CHECK_TIMEOUT_MS):
+                connection = pool.take()
+                try:
+                    request = hs2.TGetInfoReq(connection.session, hs2.CLI_SERVER_NAME)
+                    reply = connection.call("GetInfo", request)
+                except BaseException:
+                    pool.drop(connection)
+                    raise
+        except DeadlineExceeded:
+            return AttemptEnd(AttemptStatus.TIMEOUT, "no answer to a health check")
+        except (OSError, PoolExhaustedError) as exc:
+            return AttemptEnd(AttemptStatus.CONNECT_FAILED, str(exc))
+        except (Malformed, RemoteError) as exc:
+            return AttemptEnd(AttemptStatus.ERROR, str(exc))
+        pool.put(connection)
+        return AttemptEnd(AttemptStatus.OK, load=self.load(reply.status))
+
+    def pool(self, engine: str) -> ConnectionPool:
+        """Return the connections to an engine."""
+        pool = self.pools.get(engine)
+        if pool is None:
+            address = parse_address(engine)
+            pool = self.pools[engine] = ConnectionPool(self.loop, address, self.settings, self.tls)
+        return pool
+
+    def load(self, status: Structure) -> dict[str, float]:
+        """Return the load figures among a status's hints that the settings name."""
+        if not status.infoMessages:
+            return {}
+        figures = hints.read(status.infoMessages).get(hints.LOAD, {})
+        return {key: value for key, value in figures.items() if key in self.report_fields}
+
+    def _close_expired(self) -> None:
+        while True:
+            self.loop.sleep(self.settings.idle_ms / 2)
+            for engine, pool in list(self.pools.items()):
+                pool.close_expired()
+                if not pool.count:
+                    del self.pools[engine]
--- a/fennelwind/engines/statement_status.py
+++ b/fennelwind/engines/statement_status.py
@@ -1,17 +1,18 @@
-"""What an engine's word on a statement means; without I/O.
+"""What an engine's error status on a statement means; without I/O.
 
-Three things have to be told apart, or decisions go wrong: an engine that turned the statement away unseen
-(it never ran, another may take it), one that failed with it (it may have run, another might do better), and
-a statement that is itself at fault. The last is an answer: it would fail anywhere, so it is neither tried
-again nor held against the engine, and its client gets the engine's own words.
+Three things have to be told apart, or decisions go wrong: an engine that rejected the statement unseen (it
+never ran, another may take it), one that failed with it (it may have run, another might do better), and a
+statement that is itself at fault. The last is an answer: it would fail anywhere, so it is neither retried nor
+counted against the engine, and its client gets the engine's own words.
 """
 
 from collections.abc import Sequence
+from enum import Enum, auto
 
 from fennelwind.thrift import hints
 
-# Classes of SQLSTATE (SQL:2016 part 2, 24.1) that speak of the statement and not of who ran it.
-STATEMENTS_OWN = {
+# Classes of SQLSTATE (SQL:2016 part 2, 24.1) that are about the statement and not about who ran it.
+STATEMENT_ERROR_CLASSES = {
     "07",  # dynamic SQL error
     "0A",  # feature not supported
     "21",  # cardinality violation
@@ -23,26 +24,20 @@
     "42",  # syntax error or access rule violation
     "44",  # with check option violation
 }
-ANSWER, TURNED_AWAY, FAULT = "answer", "turned away", "fault"
 
 
-def verdict(sql_state: str | None, messages: Sequence[str] | None) -> str:
-    """Return what an error status means: `ANSWER`, `TURNED_AWAY` or `FAULT`."""
+class StatementStatus(Enum):
+    """What an error status means for the attempt."""
+
+    STATEMENT_ERROR = auto()  # the statement's own fault: an answer
+    REJECTED = auto()  # the engine never ran it
+    ENGINE_ERROR = auto()  # it may have run
+
+
+def classify(sql_state: str | None, messages: Sequence[str] | None) -> StatementStatus:
+    """Return what an error status with this SQLSTATE and these info messages means."""
     if hints.NOT_RUN in hints.read(messages):
-        return TURNED_AWAY
-    if sql_state is not None and len(sql_state) == 5 and sql_state[:2] in STATEMENTS_OWN:
-        return ANSWER
-    return FAULT
-
-
-def choose_link(idle: Sequence[str], wanted: str) -> int | None:
-    """Return which idle link to use, given the database that each stands in; None: open one.
-
-    The one used last that stands in the wanted database, else the one used last, which `USE` can take
-    there. A link that was taken elsewhere can't find back to the engine's own first database, as nobody
-    here knows its name.
-    """
-    for i in range(len(idle) - 1, -1, -1):
-        if idle[i] == wanted:
-            return i
-    return len(idle) - 1 if idle and wanted else None
+        return StatementStatus.REJECTED
+    if sql_state is not None and len(sql_state) == 5 and sql_state[:2] in STATEMENT_ERROR_CLASSES:
+        return StatementStatus.STATEMENT_ERROR
+    return StatementStatus.ENGINE_ERROR
--- a/fennelwind/observability/metrics.py
+++ b/fennelwind/observability/metrics.py
@@ -33,7 +33,7 @@
     def collect(self) -> Iterator[Metric]:
         """Return all metrics as they are now."""
         yield from self._queries()
-        yield from self._links()
+        yield from self._connections_to_engines()
         yield from self._fronts()
         yield from self._council()
 
@@ -73,9 +73,9 @@
             engines.add_metric([state], count)
         yield engines
 
-    def _links(self) -> Iterator[Metric]:
-        links, sessions = self.program.links, len(self.program.service.sessions)
-        waits = links.waits
+    def _connections_to_engines(self) -> Iterator[Metric]:
+        client, sessions = self.program.engine_client, len(self.program.service.sessions)
+        waits = client.connection_wait_us
         wait = Summary("fennelwind_link_wait_seconds", "Time until an attempt had its link.")
         count = waits.get_total_count()
         wait.add_metric([], count, waits.get_mean_value() * count / 1e6)
@@ -88,10 +88,10 @@
         for quantile in QUANTILES:
             marks.add_metric([str(quantile)], waits.get_value_at_percentile(100 * quantile) / 1e6)
         yield marks
-        open_ = sum(pool.count for pool in links.pools.values())
+        open_ = sum(pool.count for pool in client.pools.values())
         by_state = Gauge("fennelwind_links", "Links to engines, each with a session.", labels=["state"])
-        idle = sum(len(pool.idle) for pool in links.pools.values())
-        streams = sum(pool.streams for pool in links.pools.values())
+        idle = sum(len(pool.idle) for pool in client.pools.values())
+        streams = sum(pool.streams for pool in client.pools.values())
         for state, value in (("idle", idle), ("streams", streams), ("busy", open_ - idle - streams)):
             by_state.add_metric([state], value)
         yield by_state
@@ -101,12 +101,12 @@
             open_ / sessions if sessions else 0.0,
         )
         for name, help_, value in (
-            ("operations_reaped", "Operations left behind at engines and closed.", links.reaped),
-            ("operations_unreaped", "Those that could not be reached.", links.unreaped),
-            ("streams_begun", "Large answers that flowed.", links.streams_begun),
-            ("streams_lost", "Large answers that ended early.", links.streams_lost),
-            ("terms_told", "New terms told to engines.", links.told),
-            ("terms_untold", "New terms that could not be told.", links.untold),
+            ("operations_reaped", "Operations left behind at engines and closed.", client.cleanup.cancelled),
+            ("operations_unreaped", "Those that could not be reached.", client.cleanup.unreachable),
+            ("streams_begun", "Large answers that flowed.", client.stream_counts.begun),
+            ("streams_lost", "Large answers that ended early.", client.stream_counts.lost),
+            ("terms_told", "New terms told to engines.", client.grant_updates.sent),
+            ("terms_untold", "New terms that could not be told.", client.grant_updates.dropped),
         ):
             yield Count(f"fennelwind_{name}", help_, value)
 
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -24,7 +24,7 @@
 from fennelwind.emulators.engine import Engine
 from fennelwind.emulators.model import Machine
 from fennelwind.emulators.shelves import Content, Shelf
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.schema_compatibility.state_machine import ContractMachine
@@ -520,7 +520,7 @@
 
     def publish(self, name: str, columns: str, version: int = 0, back: str = "", seconds: int = 60) -> Told:
         """Have a table's schema changed by a controller; wait for its answer."""
-        link = Link(self.loop, self.front(name), SASL, "orders-load")
+        link = EngineConnection(self.loop, self.front(name), SASL, "orders-load")
         overlay = {
             "fennelwind.publisher": "orders-load",
             "fennelwind.schema.sales.orders": columns,
--- a/tests/cluster/test_clearance_processes.py
+++ b/tests/cluster/test_clearance_processes.py
@@ -22,7 +22,7 @@
 from fennelwind.emulators.engine import Engine
 from fennelwind.emulators.model import Machine
 from fennelwind.emulators.shelves import Content, Shelf
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.errors import FennelwindError
 from fennelwind.leases.state_machine import LeaseMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
@@ -152,7 +152,7 @@
             try:
                 with self.loop.deadline(20_000.0):
                     if link is None:
-                        link = Link(self.loop, self.listens(name), "sasl", "ann")
+                        link = EngineConnection(self.loop, self.listens(name), "sasl", "ann")
                         link.open()
                     shard = next(shards)
                     handle = execute(link, f"select {name} reads {shard}", **{"fennelwind.shards": shard})
--- a/tests/cluster/test_gate.py
+++ b/tests/cluster/test_gate.py
@@ -8,7 +8,7 @@
 from fennelwind.cli.program import Program
 from fennelwind.cluster import schema_gate as gate_module
 from fennelwind.cluster.schema_rollout import shape
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
@@ -64,11 +64,11 @@
 
     def session(self, configuration=None):
         """Open a session; return its link and what it was told."""
-        link = Link(self.host, self.fleet.program.address, "sasl", "ann")
+        link = EngineConnection(self.host, self.fleet.program.address, "sasl", "ann")
         link.stream = self.host.connect(link.address)
-        link.stream.write(bytes(link.side.outgoing))
-        link.side.outgoing.clear()
-        while not link.side.ready:
+        link.stream.write(bytes(link.protocol.outgoing))
+        link.protocol.outgoing.clear()
+        while not link.protocol.ready:
             link._receive()
         reply = link.call("OpenSession", hs2.TOpenSessionReq(client_protocol=9, configuration=configuration))
         link.session = reply.sessionHandle
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -17,7 +17,7 @@
 from fennelwind import policy
 from fennelwind.dispatch.driver import Driver, Silent
 from fennelwind.dispatch.types import AttemptEnd, Order, Result, Submission
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, SimLoop, StreamReset
 from fennelwind.thrift import hints, messages
@@ -565,7 +565,7 @@
                 except OSError:
                     loop.sleep(5)
             assert outcome(lambda: execute(client, "select 1")) == "served"
-            far = fleet.program.links.attempt(
+            far = fleet.program.engine_client.attempt(
                 "127.0.0.1:9", Order(1, 0, Submission(0, "x", 9e9), 9e9, 0.0, 1, lambda *_: None)
             )
             assert far.status == "moot"  # our own trouble says nothing of an engine
@@ -786,7 +786,7 @@
         client = fleet.client()
         execute(client, "build", work=1000, asynchronous=True, **{"standin.threads": "4"})
         fleet.loop.sleep(20)
-        driver, links = fleet.program.driver, fleet.program.links
+        driver, engine_client = fleet.program.driver, fleet.program.engine_client
         for priority in (3, 0, 2, 2):
             driver._carry_out(policy.SetGrant(1, 0.0, priority))
         fleet.loop.sleep(50)
@@ -796,10 +796,11 @@
             engine.faults.hang = True
         driver._carry_out(policy.SetGrant(1, 0.0, 1))
         fleet.loop.sleep(1500)
-        assert (links.telling, links.told, links.untold) == (0, len(told), 1)
+        updates = engine_client.grant_updates
+        assert (updates.running, updates.sent, updates.dropped) == (0, len(told), 1)
         client.drop()
         fleet.loop.sleep(100)
-        assert links._out == {}
+        assert engine_client._attempts == {}
 
     play(main)
 
@@ -956,7 +957,7 @@
                         client.call("CloseOperation", hs2.TCloseOperationReq(handle))
                 client.drop()
             fleet.loop.sleep(12_000)
-            return len(fleet.loop.tasks), len(fleet.loop.timers), len(fleet.program.links.pools)
+            return len(fleet.loop.tasks), len(fleet.loop.timers), len(fleet.program.engine_client.pools)
 
         first = round_of_queries()
         for _ in range(5):
--- a/tests/dispatch/test_hard_cases.py
+++ b/tests/dispatch/test_hard_cases.py
@@ -4,7 +4,7 @@
 from fleet import execute, fetch, ids, outcome
 from test_controller import ledger, play
 
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.loop import StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
--- a/tests/dispatch/test_thousand.py
+++ b/tests/dispatch/test_thousand.py
@@ -14,7 +14,7 @@
 from fleet import Fleet, execute, fetch, ids, status
 from test_service import ask
 
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.loop import DeadlineExceeded, RealLoop, SimLoop
 from fennelwind.thrift import hiveserver2 as hs2
 
--- a/tests/engines/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -10,7 +10,7 @@
 from fennelwind import policy
 from fennelwind.dispatch.types import Order, Submission
 from fennelwind.emulators.discovery import Discovery, Listed
-from fennelwind.engines.discovery import DiscoveryError, DiscoveryLink, Lives, read_list
+from fennelwind.engines.discovery import DiscoveryClient, DiscoveryError, StartTimes, read_list
 from fennelwind.loop import Address, SimLoop
 from fennelwind.thrift import hints
 
@@ -36,18 +36,18 @@
 
 
 def test_lists_become_the_modules_events():
-    event = read_list(line(entry(), form="delta"), ZONES, KINDS, Lives(), 100.0)
+    event = read_list(line(entry(), form="delta"), ZONES, KINDS, StartTimes(), 100.0)
     assert event == policy.EngineListUpdate(
         "delta", (policy.EngineEndpoint("10.0.0.1:5", "ready", 1, 1, 3, 2.0, 0.0),)
     )
 
 
 def test_a_start_is_put_on_our_clock_once_and_a_restart_differs():
-    lives = Lives()
+    start_times = StartTimes()
 
     def start(at, now, mine):
         raw = line(entry(launched_ms=at), now=now)
-        return read_list(raw, ZONES, KINDS, lives, mine).engines[0].started_ms
+        return read_list(raw, ZONES, KINDS, start_times, mine).engines[0].started_ms
 
     told = [start(4000.0, 5000.0, 100.0), start(4000.0, 6000.0, 1130.0), start(7000.0, 8000.0, 3100.0)]
     assert told == [-900.0, -900.0, 2100.0]
@@ -71,7 +71,7 @@
 )
 def test_lines_that_are_no_list_are_refused_whole(raw):
     with pytest.raises(DiscoveryError):
-        read_list(raw, ZONES, KINDS, Lives(), 0.0)
+        read_list(raw, ZONES, KINDS, StartTimes(), 0.0)
 
 
 def test_a_subscription_follows_changes_and_comes_back_after_a_break():
@@ -81,7 +81,7 @@
         discovery = Discovery(loop, Address("127.0.0.1", 0))
         discovery.listed["10.0.0.1:5"] = Listed("10.0.0.1:5", zone="a", kind="k")
         discovery.start()
-        link = DiscoveryLink(
+        link = DiscoveryClient(
             loop,
             discovery.address,
             pushed=True,
@@ -89,7 +89,7 @@
             kinds=KINDS,
             post=events.append,
             seed=3,
-            said=lambda text: None,
+            report=lambda text: None,
         )
         link.start()
         loop.sleep(100)
@@ -131,7 +131,7 @@
         order = Order(
             1, 0, submission, 9e9, 0.0, 1, lambda sort, value: notes.append((sort, round(value, 2)))
         )
-        return fleet.program.links.attempt(fleet.engines[0].name, order)
+        return fleet.program.engine_client.attempt(fleet.engines[0].name, order)
 
     end = loop.run(main)
     assert end.status == "ok" and end.work_ms == 350.0
@@ -145,7 +145,7 @@
 
     def main():
         fleet = Fleet(loop, engines=1, change=lambda t: t.replace("max_links: 50", "max_links: 3"))
-        links, engine = fleet.program.links, fleet.engines[0].name
+        client, engine = fleet.program.engine_client, fleet.engines[0].name
 
         def go():
             order = Order(
@@ -157,16 +157,16 @@
                 1,
                 lambda *_: None,
             )
-            return links.attempt(engine, order).status
+            return client.attempt(engine, order).status
 
         tasks = [loop.spawn(go) for _ in range(5)]
         ends = sorted(task.join() for task in tasks)
         assert ends == ["full", "full", "ok", "ok", "ok"]
-        assert links.pool(engine).count == 3
+        assert client.pool(engine).count == 3
         loop.sleep(200)
         assert not fleet.engines[0]._operations  # closed, though no statement came after
         loop.sleep(20_000)
-        assert not links.pools
+        assert not client.pools
 
     loop.run(main)
 
@@ -317,7 +317,7 @@
 
     def main():
         fleet = Fleet(loop)
-        links = fleet.program.links
+        client = fleet.program.engine_client
         silent = loop.listen(Address("127.0.0.1", 0))
         strange = loop.listen(Address("127.0.0.1", 0))
 
@@ -327,7 +327,7 @@
         loop.spawn(answer_nonsense)
         fleet.engines[1].crash()
         ends = [
-            links.probe(name)
+            client.probe(name)
             for name in (
                 fleet.engines[0].name,
                 fleet.engines[1].name,
--- a/tests/engines/test_streams.py
+++ b/tests/engines/test_streams.py
@@ -6,7 +6,7 @@
 
 from fennelwind.dispatch.types import Result
 from fennelwind.engines import row_stream
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.frontends.hiveserver2.rows import Reader
 from fennelwind.loop import StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
@@ -24,8 +24,8 @@
     return [len(e._operations) for e in fleet.engines]
 
 
-def links(fleet):
-    return fleet.program.links
+def engine_client(fleet):
+    return fleet.program.engine_client
 
 
 def test_a_large_answer_flows_whole_and_leaves_nothing_behind():
@@ -33,7 +33,7 @@
         client = fleet.client()
         handle = execute(client, "select 1", rows=ROWS)
         got, more = [], True
-        assert ledger(fleet).counts[0]["served"] == 1 and links(fleet).streams_begun == 1
+        assert ledger(fleet).counts[0]["served"] == 1 and engine_client(fleet).stream_counts.begun == 1
         while more:
             page = fetch(client, handle, most=700)
             assert page.results.startRowOffset == len(got)
@@ -44,8 +44,8 @@
         assert got == list(range(ROWS)) and ids(fetch(client, handle)) == []
         assert outcome(lambda: fetch(client, handle, 5, hs2.FETCH_FIRST)) == "HYC00"
         fleet.loop.sleep(500)
-        assert at_engines(fleet) == [0, 0] and links(fleet).streams_lost == 0
-        assert [p.streams for p in links(fleet).pools.values()] == [0]
+        assert at_engines(fleet) == [0, 0] and engine_client(fleet).stream_counts.lost == 0
+        assert [p.streams for p in engine_client(fleet).pools.values()] == [0]
         assert outcome(lambda: execute(client, "select 1")) == "served"
 
     play(main, change=small)
@@ -65,7 +65,7 @@
 
 @pytest.mark.parametrize("fault", ["crash", "cut", "hang"])
 def test_a_stream_ends_in_a_clear_failure_when_its_engine_does_and_runs_nowhere_else(fault, monkeypatch):
-    monkeypatch.setattr(row_stream, "PAGE_MS", 300.0)
+    monkeypatch.setattr(row_stream, "PAGE_TIMEOUT_MS", 300.0)
 
     def main(fleet):
         client = fleet.client()
@@ -86,7 +86,9 @@
         assert lost.value.status.sqlState == "08S01" and got == list(range(len(got))) and 0 < len(got) < ROWS
         assert outcome(lambda: fetch(client, handle)) == "08S01"
         assert sum(e.counts.statements for e in fleet.engines) == 1
-        assert links(fleet).streams_lost == 1 and [p.streams for p in links(fleet).pools.values()] == [0]
+        assert engine_client(fleet).stream_counts.lost == 1 and [
+            p.streams for p in engine_client(fleet).pools.values()
+        ] == [0]
         assert ledger(fleet).counts[0] == {"taken": 1, "served": 1}
 
     play(main, change=small)
@@ -94,7 +96,7 @@
 
 @pytest.mark.parametrize("how", ["close", "session", "drop", "idle"])
 def test_a_client_that_reads_no_further_frees_the_link_and_the_engines_operation(how, monkeypatch):
-    monkeypatch.setattr(row_stream, "IDLE_MS", 2000.0)
+    monkeypatch.setattr(row_stream, "IDLE_TIMEOUT_MS", 2000.0)
 
     def main(fleet):
         client = fleet.client()
@@ -113,7 +115,7 @@
                 while True:
                     fetch(client, handle)
         fleet.loop.sleep(100)
-        assert at_engines(fleet) == [0, 0] and not any(p.streams for p in links(fleet).pools.values())
+        assert at_engines(fleet) == [0, 0] and not any(p.streams for p in engine_client(fleet).pools.values())
 
     play(main, change=small)
 
@@ -132,24 +134,28 @@
         driver._ended = too_late
         assert outcome(lambda: execute(client, "select 1", rows=ROWS)) == "HY008"
         fleet.loop.sleep(100)
-        assert at_engines(fleet) == [0, 0] and [p.streams for p in links(fleet).pools.values()] == [0]
+        assert at_engines(fleet) == [0, 0] and [p.streams for p in engine_client(fleet).pools.values()] == [0]
 
     play(main, change=small)
 
 
 def test_an_engine_lost_as_its_answer_begins_to_flow_costs_an_attempt_and_not_the_answer(monkeypatch):
-    sent = row_stream.RowStream._ask
+    sent = row_stream.RowStream._request_page
 
     def lost_once(stream):
-        monkeypatch.setattr(row_stream.RowStream, "_ask", sent)
+        monkeypatch.setattr(row_stream.RowStream, "_request_page", sent)
         raise StreamReset("planted")
 
     def main(fleet):
-        monkeypatch.setattr(row_stream.RowStream, "_ask", lost_once)
+        monkeypatch.setattr(row_stream.RowStream, "_request_page", lost_once)
         client = fleet.client()
         assert ids(fetch(client, execute(client, "select 1", rows=ROWS)))[:2] == [0, 1]
         assert [a[3] for a in fleet.seen.attempts] == ["reset", "ok"]
-        assert sum(p.streams for p in links(fleet).pools.values()) == 1 == links(fleet).streams_begun
+        assert (
+            sum(p.streams for p in engine_client(fleet).pools.values())
+            == 1
+            == engine_client(fleet).stream_counts.begun
+        )
 
     play(main, change=small)
 
@@ -164,7 +170,7 @@
         client = fleet.client()
         assert outcome(lambda: execute(client, "load 1")) == "HYT00"
         engine._GetResultSetMetadata = told
-        (pool,) = links(fleet).pools.values()
+        (pool,) = engine_client(fleet).pools.values()
         before = list(pool.idle)
         assert outcome(lambda: execute(client, "load 2")) == "served"
         assert [a[3] for a in fleet.seen.attempts] == ["error", "ok"]
@@ -177,7 +183,9 @@
     def main(fleet):
         clients = [fleet.client() for _ in range(6)]
         seen = [outcome(lambda c=c: execute(c, "select 1", rows=ROWS)) for c in clients]
-        assert seen.count("served") == 4 and links(fleet).streams_begun == 4  # two at each engine
+        assert (
+            seen.count("served") == 4 and engine_client(fleet).stream_counts.begun == 4
+        )  # two at each engine
         assert outcome(lambda: execute(clients[0], "select 1")) == "served"
 
     play(main, change=lambda text: small(text).replace("max_links: 50", "max_links: 4"))
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -10,7 +10,7 @@
 from test_controller import IMPYLA, empty, ledger, play
 
 from fennelwind.config.users import UsersError, load_users
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.frontends.hiveserver2 import authentication
 from fennelwind.limits import login_throttle
 from fennelwind.limits.login_throttle import Logins
@@ -187,8 +187,8 @@
         for user, password in (("ann", "bo word"), ("nobody", "ann word"), ("", "")):
             with pytest.raises(StreamReset, match="401"):
                 HttpClient(fleet.loop, address, user, password)
-            link = Link(fleet.loop, fleet.program.address, "sasl", user)
-            link.side = type(link.side)("sasl", user, password)
+            link = EngineConnection(fleet.loop, fleet.program.address, "sasl", user)
+            link.protocol = type(link.protocol)("sasl", user, password)
             with pytest.raises(Malformed, match="wrong"):
                 link.open()
         with pytest.raises(StreamReset):
@@ -238,9 +238,9 @@
 
 def test_a_client_that_goes_before_it_hears_that_its_login_failed_harms_nobody(users):
     def main(fleet):
-        link = Link(fleet.loop, fleet.program.address, "sasl", "ann")
+        link = EngineConnection(fleet.loop, fleet.program.address, "sasl", "ann")
         stream = fleet.loop.connect(fleet.program.address)
-        stream.write(bytes(link.side.outgoing))
+        stream.write(bytes(link.protocol.outgoing))
         stream.abort()
         fleet.loop.sleep(10_000)
         assert fleet.program.front.malformed + fleet.program.front.cut == 1
--- a/tests/frontends/test_service.py
+++ b/tests/frontends/test_service.py
@@ -6,7 +6,7 @@
 from fleet import execute, fetch, outcome, status
 from test_controller import ledger, play
 
-from fennelwind.engines.connection_pool import RemoteError
+from fennelwind.engines.connection import RemoteError
 from fennelwind.frontends.hiveserver2 import rows
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
@@ -76,7 +76,7 @@
         client, seen = fleet.client(), []
         for _ in range(12):
             seen.append(outcome(lambda: ask(client, "GetTables")))
-            assert fleet.program.links.probe(fleet.engines[0].name).status == "ok"
+            assert fleet.program.engine_client.probe(fleet.engines[0].name).status == "ok"
         assert seen[4:] == ["served"] * 8
         assert len([a for a in fleet.seen.attempts if a[3] != "ok"]) <= 4
 
@@ -138,7 +138,7 @@
             execute(c, "build", work=100, asynchronous=True, **{"fennelwind.request": "r"}) for c in clients
         ]
         told = [
-            c.side.call("GetQueryId", hs2.make("TGetQueryIdReq", operationHandle=h))
+            c.protocol.call("GetQueryId", hs2.make("TGetQueryIdReq", operationHandle=h))
             for c, h in zip(clients, handles, strict=True)
         ]
         ids = []
--- a/tests/leases/test_fences.py
+++ b/tests/leases/test_fences.py
@@ -3,7 +3,7 @@
 import pytest
 from fleet import Fleet, execute, outcome, status
 
-from fennelwind.engines.connection_pool import Link
+from fennelwind.engines.connection import EngineConnection
 from fennelwind.loop import SimLoop
 from fennelwind.thrift import hiveserver2 as hs2
 
@@ -17,7 +17,7 @@
 
         def main():
             engine = Fleet(loop, engines=1).engines[0]
-            link = Link(loop, engine.address, "sasl", "ann")
+            link = EngineConnection(loop, engine.address, "sasl", "ann")
             link.open()
             test(loop, engine, link)
 
@@ -53,7 +53,7 @@
         sent(link, "moves:5")
         engine.crash()
         engine.start(cold=True)
-        link = Link(loop, engine.address, "sasl", "ann")
+        link = EngineConnection(loop, engine.address, "sasl", "ann")
         link.open()
         assert outcome(lambda: sent(link, "moves:4")) == "42501"
 
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -5,7 +5,8 @@
 import pytest
 
 from fennelwind.dispatch.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
-from fennelwind.engines import statement_status
+from fennelwind.engines.connection_pool import choose_idle
+from fennelwind.engines.statement_status import StatementStatus, classify
 from fennelwind.limits.admission import Admission, Bounds, Share
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.recovery import request_coalescing
@@ -202,26 +203,26 @@
 @pytest.mark.parametrize(
     ("state", "said", "meaning"),
     [
-        ("42000", [], statement_status.ANSWER),
-        ("42S02", None, statement_status.ANSWER),
-        ("22012", [], statement_status.ANSWER),
-        ("23505", [], statement_status.ANSWER),
-        ("3F000", [], statement_status.ANSWER),
-        ("08S01", [], statement_status.FAULT),
-        ("HY000", [], statement_status.FAULT),
-        ("53000", [], statement_status.FAULT),
-        ("40001", [], statement_status.FAULT),
-        ("XX000", [], statement_status.FAULT),
-        (None, None, statement_status.FAULT),
-        ("", [], statement_status.FAULT),
-        ("42", [], statement_status.FAULT),
-        ("42S02extra", [], statement_status.FAULT),
-        ("42000", [hints.write(hints.NOT_RUN)], statement_status.TURNED_AWAY),
-        (None, [hints.write(hints.NOT_RUN)], statement_status.TURNED_AWAY),
+        ("42000", [], StatementStatus.STATEMENT_ERROR),
+        ("42S02", None, StatementStatus.STATEMENT_ERROR),
+        ("22012", [], StatementStatus.STATEMENT_ERROR),
+        ("23505", [], StatementStatus.STATEMENT_ERROR),
+        ("3F000", [], StatementStatus.STATEMENT_ERROR),
+        ("08S01", [], StatementStatus.ENGINE_ERROR),
+        ("HY000", [], StatementStatus.ENGINE_ERROR),
+        ("53000", [], StatementStatus.ENGINE_ERROR),
+        ("40001", [], StatementStatus.ENGINE_ERROR),
+        ("XX000", [], StatementStatus.ENGINE_ERROR),
+        (None, None, StatementStatus.ENGINE_ERROR),
+        ("", [], StatementStatus.ENGINE_ERROR),
+        ("42", [], StatementStatus.ENGINE_ERROR),
+        ("42S02extra", [], StatementStatus.ENGINE_ERROR),
+        ("42000", [hints.write(hints.NOT_RUN)], StatementStatus.REJECTED),
+        (None, [hints.write(hints.NOT_RUN)], StatementStatus.REJECTED),
     ],
 )
 def test_an_engines_error_is_an_answer_a_turning_away_or_a_fault(state, said, meaning):
-    assert statement_status.verdict(state, said) == meaning
+    assert classify(state, said) == meaning
 
 
 @pytest.mark.parametrize(
@@ -238,7 +239,7 @@
     ],
 )
 def test_links_are_chosen_by_where_they_stand(idle, wanted, chosen):
-    assert statement_status.choose_link(idle, wanted) == chosen
+    assert choose_idle(idle, wanted) == chosen
 
 
 # Repeats of requests.
--- a/tests/loop/test_tls.py
+++ b/tests/loop/test_tls.py
@@ -10,7 +10,7 @@
 
 from fennelwind import client, config
 from fennelwind.config.tls import client_context, server_context
-from fennelwind.engines.connection_pool import Link
+from fennelwind.engines.connection import EngineConnection
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset, TlsStream
 from fennelwind.thrift.codec import Malformed
 
@@ -43,7 +43,9 @@
 
 
 def link(fleet, folder):
-    made = Link(fleet.loop, fleet.program.address, "sasl", "ann", client_context(folder / "ca.pem"))
+    made = EngineConnection(
+        fleet.loop, fleet.program.address, "sasl", "ann", client_context(folder / "ca.pem")
+    )
     made.open()
     return made
 
@@ -57,7 +59,9 @@
         for _ in range(3):
             assert len(ids(fetch(there, execute(there, "select 1", rows=900)))) == 900
         if kind is SimLoop:  # on sockets a link may be closing its last operation when the next one begins
-            assert all(p.count == 1 for p in fleet.program.links.pools.values())  # links are used again
+            assert all(
+                p.count == 1 for p in fleet.program.engine_client.pools.values()
+            )  # links are used again
         stream = TlsStream(
             loop,
             loop.connect(fleet.program.http.listener.address),
@@ -80,7 +84,7 @@
             fleet.client()
         OTHER.cert_pem.write_to_path(tls["folder"] / "other.pem")
         others = client_context(tls["folder"] / "other.pem")
-        strange = Link(loop, fleet.program.address, "sasl", "ann", others)
+        strange = EngineConnection(loop, fleet.program.address, "sasl", "ann", others)
         with pytest.raises(StreamReset, match="TLS"):
             strange.open()
         loop.sleep(100)
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -9,7 +9,7 @@
 from fennelwind.cli.program import Program
 from fennelwind.emulators.engine import Engine
 from fennelwind.emulators.model import Machine
-from fennelwind.engines.connection_pool import Link, RemoteError
+from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.loop import Address, StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.messages import CALL, read_message, write_message
@@ -158,7 +158,7 @@
     def client(self, transport="sasl", user="ann"):
         if transport == "http":
             return HttpClient(self.loop, self.program.http.listener.address, user)
-        link = Link(self.loop, self.program.address, transport, user)
+        link = EngineConnection(self.loop, self.program.address, transport, user)
         link.open()
         return link
 
