--- a/fennelwind/benchmarks/spread.py
+++ b/fennelwind/benchmarks/spread.py
@@ -6,7 +6,7 @@
 from random import Random
 
 from fennelwind import policy
-from fennelwind.load_balancing.load_advisor import Advisor
+from fennelwind.load_balancing.load_advisor import LoadAdvisor
 from fennelwind.policy.gateway import Gateway
 
 CONTROLLERS, QUERIES, ROUNDS = 200, 3000, 3
@@ -32,7 +32,7 @@
         allows_concurrent_attempts=True,
         max_attempts=3,
     )
-    gateway, advisor = Gateway(settings, seed), Advisor(settings, seed, IDLE_MS) if news else None
+    gateway, advisor = Gateway(settings, seed), LoadAdvisor(settings, seed, IDLE_MS) if news else None
     listed = policy.EngineListUpdate(
         "full", tuple(policy.EngineEndpoint(f"s-{n:08x}", zone=n % 2) for n in range(engines))
     )
@@ -43,7 +43,7 @@
         if advisor is not None:
             for event in events:
                 advisor.take(event, now)
-            given.insert(0, advisor.picture(now))
+            given.insert(0, advisor.advice(now))
         for action in gateway.step(now, given):
             if isinstance(action, policy.StartAttempt):
                 out.append((now + TOOK_MS, action.query, action.engine))
@@ -70,12 +70,12 @@
     )
     tracemalloc.start()
     try:
-        advisor = Advisor(settings, 1, IDLE_MS)
+        advisor = LoadAdvisor(settings, 1, IDLE_MS)
         entries = tuple(policy.EngineEndpoint(f"s-{n:08x}", zone=n % 2) for n in range(engines))
         advisor.take(policy.EngineListUpdate("full", entries), 0.0)
         for entry in entries:
             advisor.take(policy.AttemptEnded(0, 0, entry.engine, "ok", 1.0, True, load={"cpu": 0.5}), 0.0)
-        advisor.picture(0.0)
+        advisor.advice(0.0)
         return tracemalloc.get_traced_memory()[0] / 1000.0
     finally:
         tracemalloc.stop()
--- a/fennelwind/cli/main.py
+++ b/fennelwind/cli/main.py
@@ -122,11 +122,11 @@
         ledger, driver = program.driver.ledger, program.driver
         observer.log.info(
             "closed",
-            balanced=ledger.balanced(),
-            open=ledger.open,
-            second_answers=ledger.second,
-            overdue=ledger.overdue,
-            forgotten=driver.forgotten,
+            balanced=ledger.is_balanced(),
+            open=ledger.open_count,
+            second_answers=ledger.duplicate_answers,
+            overdue=ledger.late_answers,
+            forgotten=driver.unanswered_by_policy,
             step_errors=driver.step_errors,
         )
 
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -7,7 +7,8 @@
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.config.tls import TlsError, server_context
 from fennelwind.config.users import UsersError, load_users
-from fennelwind.dispatch.driver import Driver, Observer
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.observer import Observer
 from fennelwind.dispatch.types import Router
 from fennelwind.engines.connection_pool import EngineLinks
 from fennelwind.engines.discovery import DiscoveryLink
@@ -53,7 +54,7 @@
                 kinds=settings.kinds,
                 post=self.driver.post,
                 seed=seed,
-                said=observer.said,
+                said=observer.logged,
             )
         self.service = Service(loop, settings, self.driver)
         self.keeper = self._keeper(seed) if settings.council is not None else None
@@ -175,7 +176,7 @@
         ]
         router = self.driver.router
         book = router.opened
-        book.route_copies, book.route_tables = self.driver.copies, self.driver.quiet
+        book.route_copies, book.route_tables = self.driver.update_replicas, self.driver.update_quiesced
 
         def launched() -> dict[str, float]:
             return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
--- /dev/null
+++ b/fennelwind/dispatch/attempts.py
@@ -0,0 +1,253 @@
+"""Attempts: each that the policy starts becomes a task, and its end an event for the policy.
+
+The driver calls `AttemptRunner.start` and `cancel`. Whatever happens to the task, `finish` reports just one
+end: it records the end in the ledger, gives the query's final answer if the attempt succeeded, and posts
+`AttemptEnded`. An exception in the connection layer ends its attempt as an error, and is reported.
+"""
+
+from collections import Counter
+from dataclasses import dataclass
+from typing import Protocol
+
+from fennelwind import policy
+from fennelwind.dispatch.ledger import AttemptRecord, Entry, Ledger
+from fennelwind.dispatch.observer import Observer
+from fennelwind.dispatch.types import (
+    NEVER_RAN,
+    Answer,
+    AnswerKind,
+    AttemptEnd,
+    AttemptRequest,
+    Engines,
+    Router,
+)
+from fennelwind.limits.retry_budget import RetryBudget
+from fennelwind.load_balancing.load_advisor import LoadAdvisor
+from fennelwind.loop import Cancelled, Loop, Task
+from fennelwind.policy import AttemptStatus, Idempotency, ProgressKind
+
+SQLSTATE_NO_TABLE = "42S02"  # of a table or partition that does not exist, as Hive reports it
+# Ends of attempts whose statement may still run at its engine.
+OUTCOME_UNKNOWN = (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED)
+# ms after an attempt's deadline by which its engine has ended it: by its own time-out, or as an orphan.
+ENGINE_CLEANUP_MS = 10_000.0
+
+
+class AttemptOwner(Protocol):
+    """What the runner needs of the driver."""
+
+    def post(self, event: policy.Event) -> None:
+        """Hand an event to the policy in the next turn."""
+
+    def post_list(self, update: policy.EngineListUpdate) -> None:
+        """Hand a list that the router has already rewritten to the policy in the next turn."""
+
+    def finalize(self, entry: Entry, answer: Answer) -> bool:
+        """Give a final answer; return whether it is the first."""
+
+
+@dataclass(slots=True, eq=False)
+class RunningAttempt(AttemptRequest):
+    """An attempt that has its task, as the connection layer gets it."""
+
+    entry: Entry
+    runner: "AttemptRunner"
+
+    def report_progress(self, kind: ProgressKind, value: float) -> None:
+        """Pass progress on to the policy."""
+        if kind == ProgressKind.SHARE_DONE:
+            self.entry.share_done = value
+        self.runner.owner.post(policy.AttemptProgress(self.query, self.number, kind, value))
+
+    def reason_not_to_start(self) -> str:
+        """Return why the attempt may not start now, "" if it may, and then does."""
+        return self.runner.reason_not_to_start(self.entry, self.number, self.deadline_ms)
+
+
+class AttemptRunner:
+    """The attempts of one controller."""
+
+    def __init__(
+        self,
+        loop: Loop,
+        settings: policy.Settings,
+        engines: Engines,
+        observer: Observer,
+        ledger: Ledger,
+        owner: AttemptOwner,
+        advisor: LoadAdvisor | None,
+        router: Router | None,
+    ) -> None:
+        self.loop, self.settings, self.engines, self.observer = loop, settings, engines, observer
+        self.ledger, self.owner, self.advisor, self.router = ledger, owner, advisor, router
+        self.tasks: dict[tuple[int, int], Task] = {}  # by query and number of the attempt
+        self.ends: Counter[str] = Counter()
+        self.retry_budget = RetryBudget(
+            settings.retry_budget_free,
+            settings.retry_budget_share,
+            settings.retry_budget_window_ms,
+            settings.resolution_ms,
+        )
+
+    def start(self, entry: Entry, engine: str, timeout_ms: float) -> None:
+        """Start an attempt; a time-out of 0 means until the answer is due."""
+        now = self.loop.now()
+        number = self.ledger.start_attempt(entry)
+        if (
+            entry.answer is not None
+            or now >= entry.answer_deadline_ms
+            or number >= self.settings.max_attempts
+        ):
+            end = AttemptEnd(AttemptStatus.NOT_STARTED, "the query had ended")
+            self.finish(entry, number, engine, now, end)
+            return
+        deadline = entry.answer_deadline_ms
+        if timeout_ms:
+            deadline = min(deadline, now + timeout_ms)
+        entry.attempt_records.append(AttemptRecord(now))
+        request = RunningAttempt(
+            entry.query,
+            number,
+            entry.submission,
+            deadline,
+            entry.granted_memory_mb,
+            entry.granted_priority,
+            entry,
+            self,
+        )
+        self.tasks[entry.query, number] = self.loop.spawn(
+            self._run, entry, number, engine, request, name=f"query {entry.query} attempt {number}"
+        )
+        if self.advisor is not None:
+            self.advisor.sent(engine, self.settings.classes[entry.submission.class_index].threads)
+
+    def cancel(self, query: int, number: int) -> None:
+        """Cancel an attempt's task, if it still runs."""
+        task = self.tasks.get((query, number))
+        if task is not None:
+            task.cancel()
+
+    def _run(self, entry: Entry, number: int, engine: str, request: AttemptRequest) -> None:
+        started_ms, has_broken = self.loop.now(), False
+        try:
+            end = self._attempt(entry, engine, request)
+        except Cancelled:
+            end = AttemptEnd(AttemptStatus.CANCELLED, "called off")
+        except Exception as exc:  # the statement may have been sent before it
+            self.observer.failed(f"attempt at {engine}", exc)
+            end, has_broken = AttemptEnd(AttemptStatus.ERROR, f"{type(exc).__name__}: {exc}"), True
+        if self.router is not None:
+            may_go_on = has_broken or end.status in OUTCOME_UNKNOWN
+            self._notify_router(self.router, entry, number, end, request.deadline_ms if may_go_on else 0.0)
+        self.finish(entry, number, engine, started_ms, end)
+
+    def _attempt(self, entry: Entry, engine: str, request: AttemptRequest) -> AttemptEnd:
+        router = self.router
+        if router is None:
+            return self.engines.attempt(engine, request)
+        if entry.answer is not None:  # the router has forgotten what it reads
+            return AttemptEnd(AttemptStatus.NOT_STARTED, "the query had ended")
+        if not router.may_send(entry.query, engine):
+            return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine holds no valid replica any more")
+        router.begins(entry.query, request.number, engine)
+        end = self.engines.attempt(engine, request)
+        return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
+
+    def reason_not_to_start(self, entry: Entry, number: int, deadline_ms: float) -> str:
+        """Return why an attempt may not start now, "" if it may, and then does.
+
+        The policy's decision holds for its moment; the connection may come up much later. So whoever makes
+        the attempt calls this right before its first byte leaves, and an attempt stopped here never ran.
+        """
+        now = self.loop.now()
+        if entry.answer is not None:
+            return "the query had ended"
+        if now >= deadline_ms:
+            return "its time was up"
+        query_class = self.settings.classes[entry.submission.class_index]
+        if len(entry.open_attempts) > 1 and (
+            query_class.idempotency == Idempotency.NON_IDEMPOTENT
+            or not self.settings.allows_concurrent_attempts
+        ):
+            return "another attempt is running"
+        if self._may_run_twice(entry, number, query_class, now):
+            if query_class.idempotency == Idempotency.NON_IDEMPOTENT:
+                return "an earlier attempt may have run"
+            return "its repeats are not dropped any more"
+        if number and not self.retry_budget.try_start(now):
+            return "the retry budget is used up"
+        return ""
+
+    def _may_run_twice(self, entry: Entry, number: int, query_class: policy.QueryClass, now: float) -> bool:
+        """Return whether the query may have run before and no engine would drop the repeat."""
+        if query_class.idempotency == Idempotency.IDEMPOTENT:
+            return False
+        earlier = entry.attempt_records[:number]
+        first_unresolved = next((record for record in earlier if record.status not in NEVER_RAN), None)
+        if first_unresolved is None:
+            return False
+        if query_class.idempotency == Idempotency.NON_IDEMPOTENT:
+            return True
+        window_end_ms = first_unresolved.started_ms + query_class.deduplication_window_ms
+        return now + self.settings.resolution_ms >= window_end_ms
+
+    def _redirect_if_replica_missing(
+        self, router: Router, entry: Entry, number: int, engine: str, end: AttemptEnd
+    ) -> AttemptEnd:
+        """Return the end as not started where the engine lacks what others are known to have."""
+        error = end.result.error if end.result is not None else None
+        if error is None or error.sqlState != SQLSTATE_NO_TABLE:
+            return end
+        if number + 1 >= self.settings.max_attempts:
+            return end  # no other engine would be tried
+        updates = router.missed(entry.query, engine)
+        if updates is None:
+            return end
+        for update in updates:
+            self.owner.post_list(update)
+        return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine has no replica, whatever the log says")
+
+    def _notify_router(
+        self, router: Router, entry: Entry, number: int, end: AttemptEnd, deadline_ms: float
+    ) -> None:
+        """Report an attempt's end; `deadline_ms` is its deadline if its engine may go on, else 0."""
+        stream = end.result.stream if end.result is not None else None
+        if stream is not None:
+            stream.on_end = lambda: router.over(entry.query, number)
+        else:
+            router.over(entry.query, number, deadline_ms + ENGINE_CLEANUP_MS if deadline_ms else 0.0)
+
+    def finish(self, entry: Entry, number: int, engine: str, started_ms: float, end: AttemptEnd) -> None:
+        """Record an attempt's end, once; answer its query if it succeeded; report it to the policy."""
+        self.tasks.pop((entry.query, number), None)
+        if not self.ledger.end_attempt(entry, number):
+            return
+        now = self.loop.now()
+        self.ends[end.status] += 1
+        if number < len(entry.attempt_records):
+            record = entry.attempt_records[number]
+            record.ended_ms, record.status = now, end.status
+        if end.status == AttemptStatus.OK:
+            self._deliver(entry, end, now)
+        self.observer.attempted(entry, number, engine, end, now - started_ms)
+        self.owner.post(
+            policy.AttemptEnded(
+                query=entry.query,
+                attempt=number,
+                engine=engine,
+                status=end.status,
+                took_ms=now - started_ms,
+                is_final=entry.answer is not None,
+                measured_work_ms=end.work_ms,
+                measured_memory_mb=end.memory_mb,
+                load=end.load,
+            )
+        )
+
+    def _deliver(self, entry: Entry, end: AttemptEnd, now: float) -> None:
+        if entry.answer is None:
+            self.retry_budget.count_served(now, entry.received_ms)
+            self.owner.finalize(entry, Answer(AnswerKind.SERVED, result=end.result))
+        elif end.result is not None:
+            # The query was answered in this turn, or its client has disconnected: nobody reads the result.
+            end.result.close()
--- a/fennelwind/dispatch/ledger.py
+++ b/fennelwind/dispatch/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: every query taken gets exactly one final answer, whoever offers it and however often.
+"""The ledger: every query gets exactly one final answer, whoever offers it and however often.
 
-It has no I/O and no clock. A query's end passes `settle` and nothing else; the first answer holds, a later
-one is counted and dropped. What the counts are by class, `Ledger.counts` tells.
+It has no I/O and no clock; times are in ms. Every final answer passes `Ledger.finalize` and nothing else: the
+first answer holds, a later one is counted and dropped. `Ledger.counts` has the number of answers by class.
 """
 
 from collections import Counter
@@ -9,105 +9,108 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-from fennelwind.dispatch.types import FAILED, LEFT, REFUSED, SERVED, Answer, Submission
+from fennelwind.dispatch.types import Answer, AnswerKind, Submission
+from fennelwind.policy import AttemptStatus
+
+TAKEN = "taken"  # key of `Ledger.counts` for all queries received, beside the kinds of answers
 
 
 @dataclass(slots=True, eq=False)
-class Try:
+class AttemptRecord:
     """An attempt as its client may know of it."""
 
-    began_ms: float
+    started_ms: float
     ended_ms: float | None = None
-    status: str = ""  # one of the module's outcomes, when it has ended
+    status: AttemptStatus | None = None  # None while it runs
 
 
 @dataclass(slots=True, eq=False)
 class Entry:
-    """A query from its coming in to its last attempt's end."""
+    """A query from its arrival to the end of its last attempt."""
 
     query: int
     submission: Submission
-    taken_ms: float
-    due_ms: float  # when its final answer has to be on its way
+    received_ms: float
+    answer_deadline_ms: float  # when its final answer has to be on its way
     on_answer: Callable[["Entry"], None]
     answer: Answer | None = None
     answered_ms: float = 0.0
     attempts: int = 0
-    out: set[int] = field(default_factory=set)  # attempts without an outcome
-    memory_mb: float = 0.0  # terms of its next attempts
-    priority: int = 1
-    tries: list[Try] = field(default_factory=list)  # by number; as many as attempts are allowed
-    done: float = 0.0  # share done of the attempt that last told
-    owner: "Entry | None" = None  # the entry whose query it waits for, if that is not its own
-    hidden: bool = False  # it runs for askings that are entries of their own, and is not counted
-    watch: Any = None  # a timer that is cancelled with the final answer
+    open_attempts: set[int] = field(default_factory=set)  # numbers of attempts that have not ended
+    granted_memory_mb: float = 0.0  # grant of its next attempts
+    granted_priority: int = 1
+    attempt_records: list[AttemptRecord] = field(default_factory=list)  # by number
+    share_done: float = 0.0  # of the attempt that reported progress last
+    executing_entry: "Entry | None" = None  # the entry that runs the query for it, if it does not itself
+    is_internal: bool = False  # it runs the query for entries of clients, and is not counted
+    deadline_timer: Any = None  # cancelled with the final answer
 
 
 class Ledger:
-    """Queries that are open, or have attempts out."""
+    """The queries without a final answer, and those that have attempts still running."""
 
     def __init__(self, classes: int) -> None:
         self.entries: dict[int, Entry] = {}
-        self.open = 0  # without a final answer
+        self.open_count = 0  # queries without a final answer
         self.counts: list[Counter[str]] = [Counter() for _ in range(classes)]
-        self.second = 0  # answers offered after the final one
-        self.overdue = 0  # final answers given after they were due
-        self._last = 0
+        self.duplicate_answers = 0  # answers offered after the final one
+        self.late_answers = 0  # final answers given after the client's deadline
+        self._last_query = 0
 
-    def take(
+    def register(
         self,
         submission: Submission,
         now: float,
-        due_ms: float,
+        answer_deadline_ms: float,
         on_answer: Callable[[Entry], None],
-        hidden: bool = False,
+        is_internal: bool = False,
     ) -> Entry:
         """Enter a query; from now on it is owed a final answer."""
-        self._last += 1
-        entry = Entry(self._last, submission, now, due_ms, on_answer)
+        self._last_query += 1
+        entry = Entry(self._last_query, submission, now, answer_deadline_ms, on_answer)
         self.entries[entry.query] = entry
-        entry.hidden = hidden
-        if not hidden:
-            self.counts[submission.cls]["taken"] += 1
-            self.open += 1
+        entry.is_internal = is_internal
+        if not is_internal:
+            self.counts[submission.class_index][TAKEN] += 1
+            self.open_count += 1
         return entry
 
-    def settle(self, entry: Entry, answer: Answer, now: float) -> bool:
-        """Give the final answer; tell whether it is the first. The receiver is called once, by the first."""
+    def finalize(self, entry: Entry, answer: Answer, now: float) -> bool:
+        """Give the final answer, and call its receiver; return False if the query was answered before."""
         if entry.answer is not None:
-            self.second += answer.kind != LEFT
+            self.duplicate_answers += answer.kind != AnswerKind.CANCELLED
             return False
         entry.answer, entry.answered_ms = answer, now
-        if not entry.hidden:
-            self.open -= 1
-            self.counts[entry.submission.cls][answer.kind] += 1
-            self.overdue += now > entry.submission.deadline_ms
-        if entry.watch is not None:
-            entry.watch.cancel()
-        self._drop(entry)
+        if not entry.is_internal:
+            self.open_count -= 1
+            self.counts[entry.submission.class_index][answer.kind] += 1
+            self.late_answers += now > entry.submission.deadline_ms
+        if entry.deadline_timer is not None:
+            entry.deadline_timer.cancel()
+        self._remove_if_finished(entry)
         entry.on_answer(entry)
         return True
 
-    def started(self, entry: Entry) -> int:
+    def start_attempt(self, entry: Entry) -> int:
         """Count a further attempt; return its number."""
         number = entry.attempts
         entry.attempts += 1
-        entry.out.add(number)
+        entry.open_attempts.add(number)
         return number
 
-    def ended(self, entry: Entry, number: int) -> bool:
-        """Note an attempt's outcome; tell whether it is the first one."""
-        if number not in entry.out:
+    def end_attempt(self, entry: Entry, number: int) -> bool:
+        """Note an attempt's end; return False if it had ended before."""
+        if number not in entry.open_attempts:
             return False
-        entry.out.discard(number)
-        self._drop(entry)
+        entry.open_attempts.discard(number)
+        self._remove_if_finished(entry)
         return True
 
-    def balanced(self) -> bool:
-        """Tell whether every query taken is answered, left or open: the books agree."""
-        ended = sum(c[kind] for c in self.counts for kind in (SERVED, REFUSED, FAILED, LEFT))
-        return sum(c["taken"] for c in self.counts) == ended + self.open
+    def is_balanced(self) -> bool:
+        """Return whether each query received is either answered or open."""
+        answered = sum(count[kind] for count in self.counts for kind in AnswerKind)
+        return sum(count[TAKEN] for count in self.counts) == answered + self.open_count
 
-    def _drop(self, entry: Entry) -> None:
-        if entry.answer is not None and not entry.out:
+    def _remove_if_finished(self, entry: Entry) -> None:
+        if entry.answer is not None and not entry.open_attempts:
             self.entries.pop(entry.query, None)
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -1,38 +1,49 @@
-"""What passes between fronts, core and engine links. Times are in ms of the loop's clock."""
+"""Messages between frontends, dispatch and connections to engines. Times are in ms of the loop's clock."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
+from enum import StrEnum
 from typing import Any, Protocol
 
-DONE, SPILLS, WAITS = 1, 2, 3  # sorts of notes: share done, MB spilled, it waits
-NEVER_RAN = frozenset(("full", "connect_failed", "moot"))  # outcomes that prove an attempt did nothing
-SERVED, REFUSED, FAILED, LEFT = "served", "refused", "failed", "left"
+from fennelwind.policy import AttemptStatus, ProgressKind
+
+# Ends of attempts which prove that the statement never ran at the engine.
+NEVER_RAN = frozenset((AttemptStatus.OVERLOADED, AttemptStatus.CONNECT_FAILED, AttemptStatus.NOT_STARTED))
+
+
+class AnswerKind(StrEnum):
+    """What a final answer says."""
+
+    SERVED = "served"
+    REJECTED = "refused"  # it never ran: a retry is harmless
+    FAILED = "failed"  # it may have run
+    CANCELLED = "left"  # its client disconnected or cancelled it; nobody receives this answer
 
 
 @dataclass(slots=True, frozen=True)
 class Submission:
-    """A query as a front hands it in."""
+    """A query as a frontend submits it."""
 
-    cls: int
-    statement: str | bytes  # bytes where the engine's protocol hands it on unread
-    deadline_ms: float  # the client gives up then
+    class_index: int
+    statement: str | bytes  # bytes where the engine's protocol passes it on unparsed
+    deadline_ms: float  # the client times out then
     user: str = ""
     tenant: int = 0
     key: str | None = None
-    work_ms: float | None = None  # estimate of the work of all its threads
-    memory_mb: float = 0.0  # estimate; 0: none
-    tables: int | None = None
-    repeat: bool = False
+    estimated_work_ms: float | None = None  # estimate of the work of all its threads
+    estimated_memory_mb: float = 0.0  # estimate; 0: none
+    table_group: int | None = None
+    is_client_retry: bool = False
     overlay: dict[str, str] = field(default_factory=dict)  # configuration that goes to the engine
-    database: str = ""  # where the statement is to run; "": the engine's own first one
-    request: str = ""  # its client's name for it, by which repeats are known; "": none
+    database: str = ""  # where the statement is to run; "": the engine's default database
+    request_id: str = ""  # chosen by the client; the same id marks a repeated request; "": none
     method: str = "ExecuteStatement"  # or a metadata call, as the service names it
     arguments: Any = None  # a metadata call's request
-    shards: tuple[str, ...] = ()  # that it reads, where copies of them are known
-    engine_id: str = ""  # the query's name and class as engines are told them, where they are told any
+    shards: tuple[str, ...] = ()  # shards that it reads, where their replica locations are known
+    engine_id: str = ""  # the query's id and class as engines receive them, where they receive any
     engine_class: str = ""
-    idempotency_key: str = ""  # its client's, for engines that drop repeats by it
-    # When an attempt may begin at the earliest: what its client has sent may not be read whole until then.
+    idempotency_key: str = ""  # chosen by the client, for engines that drop repeats by it
+    # Earliest start of an attempt, in ms. It moves while more of the client's bytes arrive: thus a function.
     begins_from: Callable[[], float] = lambda: 0.0
 
 
@@ -49,16 +60,16 @@
     stream: Any = None  # further pages, still at the engine
 
     def close(self) -> None:
-        """Let go of what is still at the engine."""
+        """Release what is still at the engine."""
         if self.stream is not None:
             self.stream.close()
 
 
 @dataclass(slots=True, frozen=True)
 class Answer:
-    """A final answer: served, refused (a further try is harmless), failed, or left by the client."""
+    """The final answer of a query."""
 
-    kind: str
+    kind: AnswerKind
     reason: str = ""
     retry_after_ms: float = 0.0
     result: Result | None = None
@@ -66,9 +77,9 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnd:
-    """How an attempt ended; `status` is one of the module's outcomes."""
+    """How an attempt or a health check ended, with what the engine reported of cost and load."""
 
-    status: str
+    status: AttemptStatus
     reason: str = ""
     result: Result | None = None
     work_ms: float | None = None
@@ -76,61 +87,69 @@
     load: dict[str, float] = field(default_factory=dict)
 
 
-@dataclass(slots=True)
-class Order:
-    """An attempt to be made at an engine."""
+@dataclass(slots=True, eq=False)
+class AttemptRequest:
+    """An attempt to be made at an engine.
+
+    The connection layer makes the attempt and calls the two methods; the dispatcher overrides them.
+    """
 
     query: int
     number: int
     submission: Submission
     deadline_ms: float
-    memory_mb: float  # grant; 0 leaves it to the engine
+    memory_mb: float  # memory grant; 0 leaves it to the engine
     priority: int
-    on_note: Callable[[int, float], None]
-    barred: Callable[[], str] = lambda: ""  # why it may not begin now; asked right before its first byte
+
+    def report_progress(self, kind: ProgressKind, value: float) -> None:
+        """Take progress that the engine reported."""
+
+    def reason_not_to_start(self) -> str:
+        """Return why the attempt may not start now, "" if it may; call it right before its first byte."""
+        return ""
 
 
 class Router(Protocol):
-    """What the driver needs where queries go by copies of shards (`shards.routing`)."""
+    """What dispatch needs where queries are routed by replica locations of shards (`shards.routing`)."""
 
-    classes: int  # of the settings; the module has more of them
+    classes: int  # of the settings; the policy has more of them
 
     def listed(self, event: Any) -> Any:
-        """Return a list of engines as the module is to be told it."""
+        """Return the list of engines as the policy is to get it."""
 
     def arrives(self, query: int, cls: int, shards: tuple[str, ...]) -> tuple[int, list[Any]]:
-        """Return the class by which the module gets a query, and the lists that go ahead of it."""
+        """Return the class index by which the policy gets a query, and the lists that precede it."""
 
     def seen(self, places: Any) -> list[Any]:
-        """Take a newer view of the copies; return the lists that the module is to be told."""
+        """Take newer replica locations; return the lists that the policy is to get."""
 
     def quieted(self, quiet: Any) -> list[Any]:
-        """Take a newer view of engines that get no query of some tables."""
+        """Take newer engines that get no query of some tables; return the lists that the policy is to get."""
 
     def may_send(self, query: int, engine: str) -> bool:
-        """Tell whether an engine holds what the query reads."""
+        """Return whether an engine holds what the query reads."""
 
     def missed(self, query: int, engine: str) -> list[Any] | None:
-        """Take an engine's word that it lacks what a query reads; None: that is the query's answer."""
+        """Note that an engine lacks what a query reads; None: that is the query's answer."""
 
     def begins(self, query: int, number: int, engine: str) -> None:
-        """An attempt is about to be sent, in the turn in which it was found that it may."""
+        """Note that an attempt is about to be sent, in the turn in which `may_send` allowed it."""
 
     def over(self, query: int, number: int, until: float = 0.0) -> None:
-        """An attempt has ended; with `until`, its engine may run it on until then at the longest."""
+        """Note the end of an attempt; with `until` (ms), its engine may run it on until then at most."""
 
     def ended(self, query: int) -> None:
         """Forget a query."""
 
 
 class Engines(Protocol):
-    """What the driver needs of the links to engines."""
+    """What dispatch needs of the connections to engines."""
 
-    def attempt(self, engine: str, order: Order) -> AttemptEnd:
-        """Make an attempt and wait for its end; a cancelled task calls off what it can."""
+    def attempt(self, engine: str, request: AttemptRequest, /) -> AttemptEnd:
+        """Make an attempt and wait for its end; a cancelled task cancels what it can at the engine."""
 
     def terms(self, query: int, memory_mb: float, priority: int) -> None:
-        """Tell the engines at which attempts of a query are out of its new terms; none may be lost by it."""
+        """Send a query's new grant to the engines that run its attempts; none may be lost by it."""
 
     def probe(self, engine: str) -> AttemptEnd:
-        """Check an engine."""
+        """Check an engine's health."""
--- a/fennelwind/engines/connection_pool.py
+++ b/fennelwind/engines/connection_pool.py
@@ -22,7 +22,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.dispatch.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest, Result
 from fennelwind.engines.row_stream import RowStream, may_flow
 from fennelwind.engines.statement_status import ANSWER, FAULT, TURNED_AWAY, choose_link, verdict
 from fennelwind.errors import FennelwindError
@@ -37,6 +37,7 @@
     TlsStream,
     parse_address,
 )
+from fennelwind.policy import ProgressKind
 from fennelwind.thrift import hints, messages
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
@@ -267,7 +268,7 @@
         """Start what looks after idle links."""
         self.loop.spawn(self._sweep, name="links: sweep")
 
-    def attempt(self, engine: str, order: Order) -> AttemptEnd:
+    def attempt(self, engine: str, order: AttemptRequest) -> AttemptEnd:
         """Make an attempt and wait for its end."""
         attempt = _Attempt(self, self.pool(engine), order)
         self._out.setdefault(order.query, []).append(attempt)
@@ -430,7 +431,7 @@
 class _Attempt:
     """One attempt on its way."""
 
-    def __init__(self, links: EngineLinks, pool: Pool, order: Order) -> None:
+    def __init__(self, links: EngineLinks, pool: Pool, order: AttemptRequest) -> None:
         self.links, self.pool, self.order, self.loop = links, pool, order, links.loop
         self.link: Link | None = None
         self.sent = False  # the statement may have reached the engine
@@ -455,7 +456,7 @@
                 self.link = self.pool.take(self.order.submission.database)
                 self.links.waits.record_value(max(1, int((self.loop.now() - began) * 1000.0)))
                 self._go_to_database()
-                barred = self.order.barred()
+                barred = self.order.reason_not_to_start()
                 if barred:
                     self.pool.put(self.link)
                     return self._end("moot", barred)
@@ -604,10 +605,12 @@
     def _note(self, reply: Structure) -> None:
         progress = reply.progressUpdateResponse
         if progress is not None and progress.progressedPercentage is not None:
-            self.order.on_note(DONE, min(max(progress.progressedPercentage, 0.0), 1.0))
+            self.order.report_progress(
+                ProgressKind.SHARE_DONE, min(max(progress.progressedPercentage, 0.0), 1.0)
+            )
         note = hints.read(reply.status.infoMessages).get(hints.NOTE)
-        if note and note.get("sort") in (SPILLS, WAITS):
-            self.order.on_note(int(note["sort"]), note.get("value", 0.0))
+        if note and note.get("sort") in (ProgressKind.SPILLING, ProgressKind.WAITING):
+            self.order.report_progress(ProgressKind(int(note["sort"])), note.get("value", 0.0))
 
     def _fetch(self) -> Result:
         """Fetch the schema and the pages, the first one together with the schema; a large rest will flow."""
@@ -633,7 +636,7 @@
             if not reply.hasMoreRows:
                 return Result(schema, tuple(pages))
             if link.received - before > settings.max_result_bytes:
-                if self.order.submission.request:  # several may wait for it, each at its own pace
+                if self.order.submission.request_id:  # several may wait for it, each at its own pace
                     raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
                 if not may_flow(self.pool.streams, settings.max_links):
                     raise RemoteError(f"{self.pool.streams} large answers flow already")
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -23,7 +23,7 @@
 from fennelwind.dispatch.driver import Driver
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.sessions import SessionError, SessionState
-from fennelwind.dispatch.types import FAILED, LEFT, REFUSED, SERVED, Answer, Result, Submission
+from fennelwind.dispatch.types import Answer, AnswerKind, Result, Submission
 from fennelwind.engines.row_stream import StreamLostError
 from fennelwind.errors import FennelwindError
 from fennelwind.frontends.hiveserver2.authentication import Door
@@ -54,7 +54,12 @@
     "GetPrimaryKeys": 8,
     "GetCrossReference": 8,
 }  # TOperationType
-STATES = {SERVED: hs2.FINISHED, REFUSED: hs2.FAILED, FAILED: hs2.FAILED, LEFT: hs2.CANCELED}
+STATES = {
+    AnswerKind.SERVED: hs2.FINISHED,
+    AnswerKind.REJECTED: hs2.FAILED,
+    AnswerKind.FAILED: hs2.FAILED,
+    AnswerKind.CANCELLED: hs2.CANCELED,
+}
 
 Pending = Callable[[], tuple[Structure, Entry | None]]  # waits, then gives the reply and what it answers
 
@@ -114,14 +119,14 @@
 def answer_status(entry: Entry) -> Structure:
     """Return the status that a query's final answer has for its client."""
     answer = entry.answer
-    if answer.kind == SERVED:
+    if answer.kind == AnswerKind.SERVED:
         return success() if answer.result.error is None else answer.result.error
-    if answer.kind == REFUSED:
+    if answer.kind == AnswerKind.REJECTED:
         wait = answer.retry_after_ms
         again = f"; try again after {wait:.0f} ms" if wait else "; try again"
         told = [hints.write(hints.REFUSED, retry_after_ms=wait)]
         return error(f"refused: {answer.reason}{again}", "53000", REFUSED_CODE, told)
-    if answer.kind == FAILED:
+    if answer.kind == AnswerKind.FAILED:
         text = f"failed: {answer.reason}; whether it ran is not known"
         return error(text, "HYT00", FAILED_CODE, [hints.write(hints.FAILED)])
     return error(f"cancelled: {answer.reason}", "HY008", CANCELLED_CODE)
@@ -129,19 +134,19 @@
 
 def runs(entry: Entry) -> Entry:
     """Return the entry whose attempts a query's client waits for."""
-    return entry.owner or entry
+    return entry.executing_entry or entry
 
 
 def log_lines(entry: Entry) -> list[str]:
     """Return what a client may know of its query: its attempts and its end, and no engine's address."""
     own = runs(entry)
     lines = [f"query {own.query} taken"]
-    for number, each in enumerate(own.tries):
-        lines.append(f"attempt {number} begun after {each.began_ms - own.taken_ms:.0f} ms")
+    for number, each in enumerate(own.attempt_records):
+        lines.append(f"attempt {number} begun after {each.started_ms - own.received_ms:.0f} ms")
         if each.ended_ms is not None:
-            lines.append(f"attempt {number}: {each.status} after {each.ended_ms - each.began_ms:.0f} ms")
+            lines.append(f"attempt {number}: {each.status} after {each.ended_ms - each.started_ms:.0f} ms")
     if entry.answer is not None:
-        took = entry.answered_ms - entry.taken_ms
+        took = entry.answered_ms - entry.received_ms
         reason = f", {entry.answer.reason}" if entry.answer.reason else ""
         lines.append(f"{entry.answer.kind} after {took:.0f} ms{reason}")
     return lines
@@ -151,7 +156,7 @@
     """Return the task status: JSON as Hive gives it, with a task for each attempt."""
     began, own = operation.started_wall_s * 1000.0 - operation.started_ms, runs(entry)
     told = []
-    for number, each in enumerate(own.tries):
+    for number, each in enumerate(own.attempt_records):
         over = each.ended_ms is not None
         told.append(
             {
@@ -159,7 +164,7 @@
                 "taskType": "ATTEMPT",
                 "name": "ATTEMPT",
                 "taskState": "FINISHED" if over else "RUNNING",
-                "beginTime": int(began + each.began_ms),
+                "beginTime": int(began + each.started_ms),
                 "endTime": int(began + each.ended_ms) if over else None,
                 "returnValue": (0 if each.status == "ok" else 1) if over else None,
                 "errorMsg": each.status if over and each.status != "ok" else None,
@@ -173,8 +178,8 @@
     own = runs(entry)
     return hs2.TProgressUpdateResp(
         headerNames=["ATTEMPTS", "DONE"],
-        rows=[[str(own.attempts), f"{own.done:.0%}"]],
-        progressedPercentage=own.done,
+        rows=[[str(own.attempts), f"{own.share_done:.0%}"]],
+        progressedPercentage=own.share_done,
         status=0,
         footerSummary="",  # TJobExecutionStatus.IN_PROGRESS
         startTime=int(operation.started_wall_s * 1000),
@@ -328,7 +333,7 @@
         handle = operation.handle
         if own:  # it concerned the session alone, and is done
             now = self.loop.now()
-            done = Answer(SERVED, result=Result())
+            done = Answer(AnswerKind.SERVED, result=Result())
             operation.entry = Entry(0, submission, now, now, operation.ended.set, done)
             operation.ended.set(operation.entry)
         else:
@@ -377,7 +382,7 @@
         give_up = self.settings.module.classes[cls].client_timeout_ms
         operation.entry = self.driver.submit(
             Submission(
-                cls=cls,
+                class_index=cls,
                 statement=method,
                 deadline_ms=self.loop.now() + give_up,
                 user=session.user,
@@ -429,7 +434,7 @@
                 )
             told = answer_status(entry)
             ok = told.statusCode == hs2.SUCCESS
-            state = STATES[answer.kind] if ok or answer.kind != SERVED else hs2.FAILED
+            state = STATES[answer.kind] if ok or answer.kind != AnswerKind.SERVED else hs2.FAILED
             return hs2.TGetOperationStatusResp(
                 status=hs2.TStatus(
                     statusCode=hs2.SUCCESS_WITH_INFO if told.infoMessages else hs2.SUCCESS,
@@ -511,7 +516,7 @@
 
     def _CancelOperation(self, request: Structure, user: str, mine: dict[bytes, None]) -> Structure:  # noqa: N802
         _, operation = self._operation(request.operationHandle)
-        self.driver.leave(operation.entry, "by its client")
+        self.driver.cancel(operation.entry, "by its client")
         return hs2.make("TCancelOperationResp", status=success())
 
     def _CloseOperation(self, request: Structure, user: str, mine: dict[bytes, None]) -> Structure:  # noqa: N802
@@ -588,7 +593,7 @@
     def _close(self, session: Session, operation: Operation, reason: str) -> None:
         session.operations.pop(operation.handle.operationId.guid, None)
         self.operations.pop(operation.handle.operationId.guid, None)
-        self.driver.leave(operation.entry, reason)
+        self.driver.cancel(operation.entry, reason)
         answer = operation.entry.answer
         if answer is not None and answer.result is not None:
             answer.result.close()
@@ -619,18 +624,18 @@
         work = number(said, "work_ms", 0.0)
         tables = number(said, "tables", -1.0)
         return Submission(
-            cls=cls,
+            class_index=cls,
             statement=statement,
             deadline_ms=self.loop.now() + min(timeout, TIMEOUT_MOST_MS),
             user=session.user,
             tenant=self.settings.tenants_by_user.get(session.user, 0),
             key=said.get(OWN + "key") or None,
-            work_ms=work or None,
-            memory_mb=number(said, "memory_mb", 0.0),
-            tables=int(tables) if tables >= 0 else None,
-            repeat=said.get(OWN + "repeat") == "true",
+            estimated_work_ms=work or None,
+            estimated_memory_mb=number(said, "memory_mb", 0.0),
+            table_group=int(tables) if tables >= 0 else None,
+            is_client_retry=said.get(OWN + "repeat") == "true",
             database=session.state.database,
-            request=said.get(OWN + "request", ""),
+            request_id=said.get(OWN + "request", ""),
             shards=shards(said),
             overlay={key: value for key, value in said.items() if not key.startswith(OWN)},
         )
--- a/fennelwind/limits/retry_budget.py
+++ b/fennelwind/limits/retry_budget.py
@@ -1,40 +1,41 @@
-"""The budget of further attempts, counted when they begin. No I/O; times in ms of the caller's clock.
+"""The retry budget, counted when attempts start. No I/O; times in ms of the caller's clock.
 
-The module keeps it by its decisions. An attempt may begin later than it was decided on, and what the rule
-counts is what is sent: further attempts of a window against the queries taken in it. Of those only the served
-ones are sure to count, as requests of bad clients do not.
+The policy keeps the budget by its decisions. An attempt may start later than it was decided on, and what the
+rule counts is what is sent: retries of a window against the queries taken in it. Of those only the served
+ones are sure to count, as requests of misbehaving clients do not.
 """
 
 from collections import deque
 
 
-class AttemptBudget:
-    """`free` and `share` of the queries taken and served, in any window of `window_ms`; 0: no budget."""
+class RetryBudget:
+    """Allows `free` retries plus `share` of the served queries in any window; a window of 0: no budget."""
 
-    def __init__(self, free: float, share: float, window_ms: float, tick_ms: float) -> None:
-        self.free, self.share, self.window_ms, self.tick_ms = free, share, window_ms, tick_ms
-        self._taken: deque[float] = deque()
-        self._further: deque[float] = deque()
+    def __init__(self, free: float, share: float, window_ms: float, resolution_ms: float) -> None:
+        self.free, self.share, self.window_ms, self.resolution_ms = free, share, window_ms, resolution_ms
+        self._received_ms: deque[float] = deque()  # of the served queries
+        self._retries_ms: deque[float] = deque()
 
-    def served(self, now: float, taken_ms: float) -> None:
-        """Count a query that is served, by the time at which it was taken."""
+    def count_served(self, now: float, received_ms: float) -> None:
+        """Count a query that is served, by the time at which it was received."""
         if self.window_ms:
-            self._forget(now)
-            self._taken.append(taken_ms)
+            self._expire(now)
+            self._received_ms.append(received_ms)
 
-    def begins(self, now: float) -> bool:
-        """Tell whether a further attempt may begin, and count it if so."""
+    def try_start(self, now: float) -> bool:
+        """Return whether a retry may start, and count it if so."""
         if not self.window_ms:
             return True
-        self._forget(now)
-        # A query that is about to leave the window may have left it for whoever counts.
-        taken = sum(at >= now - self.window_ms + self.tick_ms for at in self._taken)
-        if len(self._further) + 1 > self.free + self.share * taken:
+        self._expire(now)
+        # A query that is about to leave the window may have left it for whoever else counts.
+        oldest_ms = now - self.window_ms + self.resolution_ms
+        served = sum(received_ms >= oldest_ms for received_ms in self._received_ms)
+        if len(self._retries_ms) + 1 > self.free + self.share * served:
             return False
-        self._further.append(now)
+        self._retries_ms.append(now)
         return True
 
-    def _forget(self, now: float) -> None:
-        for times in (self._taken, self._further):
+    def _expire(self, now: float) -> None:
+        for times in (self._received_ms, self._retries_ms):
             while times and times[0] < now - self.window_ms:
                 times.popleft()
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -20,12 +20,12 @@
 DOUBT = 0.5  # of the standard deviation, by which each controller sees an executor higher or lower
 
 
-def acts(settings: policy.Settings) -> bool:
+def is_useful(settings: policy.Settings) -> bool:
     """Tell whether news of the whole load is to be had and own counts tell too little of it."""
     return settings.gateway_count >= LITTLE and any(name in settings.report_fields for name in SHARES)
 
 
-class Advisor:
+class LoadAdvisor:
     """Keeps one controller's view of the fleet's load."""
 
     def __init__(self, settings: policy.Settings, seed: int, idle_ms: float) -> None:
@@ -55,7 +55,7 @@
         if engine == self.trial:
             self.trial = ""
 
-    def picture(self, now: float) -> policy.LoadAdvice:
+    def advice(self, now: float) -> policy.LoadAdvice:
         """Return the executors to lean to and their loads, as they are taken to be now."""
         near, far = self.order = self.order or self._ranked()
         names = subsetting.choose(
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -15,7 +15,7 @@
 from contextlib import suppress
 from typing import TYPE_CHECKING
 
-from fennelwind.dispatch.types import AttemptEnd, Order, Result
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest, Result
 from fennelwind.loop.scheduler import Cancelled, DeadlineExceeded, Waiter
 from fennelwind.loop.streams import ConnectFailed, LocalConnectFailure, StreamReset
 from fennelwind.node.http1 import Malformed, Response
@@ -61,7 +61,7 @@
 class Attempt:
     """One attempt, in the task that the driver gave it."""
 
-    def __init__(self, links: "Executors", host: "Host", order: Order) -> None:
+    def __init__(self, links: "Executors", host: "Host", order: AttemptRequest) -> None:
         self.links, self.loop, self.host, self.order = links, links.loop, host, order
         self.name = order.submission.engine_id
         self.posted = False  # it may have arrived
@@ -171,7 +171,7 @@
             return "nothing new is to be sent to the executor any more"
         if any(other.host is self.host and other.posted for other in self.links.out(self.order.query)):
             return "it is under way at the executor already"  # two answers to one id could be mixed up
-        return self.order.barred()
+        return self.order.reason_not_to_start()
 
     def _post(self) -> bytes:
         order, submission = self.order, self.order.submission
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -9,7 +9,7 @@
 from collections.abc import Iterator
 from contextlib import contextmanager, suppress
 
-from fennelwind.dispatch.types import AttemptEnd, Order
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest
 from fennelwind.loop.scheduler import DeadlineExceeded, Loop, Waiter
 from fennelwind.loop.streams import Address, ConnectFailed, Stream, StreamReset
 from fennelwind.node.attempt import Attempt, request
@@ -140,7 +140,7 @@
 
     # The core's view.
 
-    def attempt(self, engine: str, order: Order) -> AttemptEnd:
+    def attempt(self, engine: str, order: AttemptRequest) -> AttemptEnd:
         """Make an attempt and wait for its end."""
         host = self.hosts.get(engine)
         if host is None:
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -12,7 +12,7 @@
 
 from fennelwind.dispatch.driver import Driver
 from fennelwind.dispatch.ledger import Entry
-from fennelwind.dispatch.types import LEFT, REFUSED, SERVED, Submission
+from fennelwind.dispatch.types import AnswerKind, Submission
 from fennelwind.limits.connection_slots import Places
 from fennelwind.loop.scheduler import DeadlineExceeded, Loop
 from fennelwind.loop.streams import Listener, PushStream, StreamReset
@@ -127,7 +127,7 @@
         if message.method == "isWell":
             self.send(msgrpc.result(message.number, [self.front.well, {}]), None)
         elif len(self.open) >= OPEN_MOST or self.unread_bytes > UNREAD_MOST:
-            self.refuse(message.number, self.front.driver.longest_wait_ms)
+            self.refuse(message.number, self.front.driver.max_retry_after_ms)
         else:
             self._request(message)
 
@@ -138,7 +138,7 @@
             entry = self.open.pop(number, None) if type(number) is int else None
             if entry is not None:
                 self._let_go(entry)
-                self.front.driver.leave(entry, "its client has withdrawn it")
+                self.front.driver.cancel(entry, "its client has withdrawn it")
 
     def _request(self, message: msgrpc.Message) -> None:
         front = self.front
@@ -157,14 +157,14 @@
                 self.close()
             return
         submission = Submission(
-            cls=asked.cls,
+            class_index=asked.cls,
             statement=asked.statement,
             deadline_ms=min(now, self.stream.unseen_since_ms) + asked.wait_ms,
             tenant=asked.tenant,
-            work_ms=asked.work_ms,
-            memory_mb=asked.memory_mb,
-            tables=asked.tables,
-            repeat=asked.repeat,
+            estimated_work_ms=asked.work_ms,
+            estimated_memory_mb=asked.memory_mb,
+            table_group=asked.tables,
+            is_client_retry=asked.repeat,
             engine_id=asked.name,
             engine_class=message.method,
             idempotency_key=asked.idempotency_key,
@@ -198,18 +198,18 @@
     def answer(self, number: int, entry: Entry) -> None:
         """Give a query's final answer."""
         answer = entry.answer
-        if self.closed or answer.kind == LEFT:
+        if self.closed or answer.kind == AnswerKind.CANCELLED:
             return
-        if answer.kind == SERVED:
+        if answer.kind == AnswerKind.SERVED:
             self.send(msgrpc.result(number, [b"".join(answer.result.pages), {}]), entry)
-        elif answer.kind == REFUSED:
+        elif answer.kind == AnswerKind.REJECTED:
             self.refuse(number, answer.retry_after_ms, entry)
         else:
             self.send(msgrpc.error(number, "Failed", {"m": answer.reason[:200]}), entry)
 
     def refuse(self, number: int, wait_ms: float, entry: Entry | None = None) -> None:
         """Answer that a further try is harmless, and when, where clients are to be told that."""
-        wait_ms = min(wait_ms, self.front.driver.longest_wait_ms)
+        wait_ms = min(wait_ms, self.front.driver.max_retry_after_ms)
         fields = {"w": str(int(wait_ms))} if wait_ms >= 1.0 else {}
         self.send(msgrpc.error(number, "Shed", fields), entry)
 
@@ -272,7 +272,7 @@
         self.ending = True
         self._drop_partial()
         for entry in list(self.open.values()):
-            self.front.driver.give_up(entry, "its connection is being closed")
+            self.front.driver.abandon(entry, "its connection is being closed")
         if not self.unread:
             self.shut()
 
@@ -296,7 +296,7 @@
         self.front.places.left(self)
         for entry in list(self.open.values()):
             self.front.names.discard(entry.submission.engine_id)
-            self.front.driver.leave(entry, "its client has closed the connection")
+            self.front.driver.cancel(entry, "its client has closed the connection")
         self.open.clear()
         self.unread.clear()
 
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -10,10 +10,10 @@
 
 from fennelwind.dispatch.driver import Driver
 from fennelwind.dispatch.ledger import Entry
-from fennelwind.dispatch.types import SERVED, AttemptEnd
+from fennelwind.dispatch.types import AnswerKind, AttemptEnd
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.limits.log_rate_limit import RateLimit
-from fennelwind.load_balancing.load_advisor import Advisor, acts
+from fennelwind.load_balancing.load_advisor import LoadAdvisor, is_useful
 from fennelwind.loop.real import HANGUP, INTERRUPT, TERMINATE, RealLoop
 from fennelwind.loop.scheduler import Loop, Once
 from fennelwind.loop.syscall_retry import retried
@@ -62,11 +62,11 @@
     def answered(self, entry: Entry) -> None:
         """Write of a query that was not served."""
         answer = entry.answer
-        if answer.kind != SERVED:
+        if answer.kind != AnswerKind.SERVED:
             self.write(
                 answer.kind,
-                f"query {entry.query} of class {entry.submission.cls} after "
-                f"{entry.answered_ms - entry.taken_ms:.0f} ms: {answer.reason}",
+                f"query {entry.query} of class {entry.submission.class_index} after "
+                f"{entry.answered_ms - entry.received_ms:.0f} ms: {answer.reason}",
             )
 
     def attempted(self, entry: Entry, number: int, engine: str, end: AttemptEnd, took_ms: float) -> None:
@@ -77,7 +77,7 @@
                 f"query {entry.query} attempt {number} at {engine} after {took_ms:.0f} ms: {end.reason}",
             )
 
-    def said(self, text: str) -> None:
+    def logged(self, text: str) -> None:
         """Write a note."""
         self.write("note", text)
 
@@ -109,7 +109,7 @@
             seed=config.seed,
             max_open=config.most_open,
             margin=AnswerMargin(MARGIN_LEAST_MS, MARGIN_MOST_MS),
-            advisor=Advisor(settings, config.seed, config.idle_ms) if acts(settings) else None,
+            advisor=LoadAdvisor(settings, config.seed, config.idle_ms) if is_useful(settings) else None,
         )
         self.channel = Channel(
             loop,
@@ -118,7 +118,7 @@
             zones=config.zones,
             kinds=config.kinds,
             post=self.driver.post,
-            said=log.said,
+            said=log.logged,
         )
         self.front: Front | None = None
 
@@ -134,7 +134,7 @@
             int(self.config.sockets * CLIENTS_PART),
             int(self.config.sockets * LINGERING_PART),
         )
-        self.front.said = self.log.said
+        self.front.said = self.log.logged
         self.links.start()
         self.channel.start()
         self.front.start()
@@ -165,7 +165,7 @@
                 self.log.write(
                     "state",
                     (
-                        f"{self.driver.ledger.open} open, {len(self.front.places)} clients, "
+                        f"{self.driver.ledger.open_count} open, {len(self.front.places)} clients, "
                         f"{self.links.count} connections {dict(self.links.counts)}, margin "
                         f"{self.driver.margin.ms:.0f} ms, view differed in {differed} of {looks} looks; "
                         f"{'; '.join(map(str, rows))}"
@@ -182,9 +182,9 @@
         longest = max(cls.client_timeout_ms for cls in self.config.settings.classes)
         schedule = ShutdownSchedule.from_signal(self.loop.now(), longest)
         self.loop.sleep(max(0.0, schedule.serve_until - self.loop.now()))
-        self.driver.closing = True
+        self.driver.is_closing = True
         front.finish(schedule.give_up_at)
-        while ledger.open and self.loop.now() < schedule.give_up_at:
+        while ledger.open_count and self.loop.now() < schedule.give_up_at:
             self.loop.sleep(LEAVE_LOOK_MS)
         self.driver.close()
         deleted = self.loop.now() + LAST_DELETES_MS
@@ -192,8 +192,8 @@
         self.loop.sleep(max(0.0, min(deleted, schedule.end_at) - self.loop.now()))
         self.log.write(
             "closed",
-            f"books agree: {ledger.balanced()}; open {ledger.open}, second answers "
-            f"{ledger.second}, forgotten {self.driver.forgotten}, step errors "
+            f"books agree: {ledger.is_balanced()}; open {ledger.open_count}, second answers "
+            f"{ledger.duplicate_answers}, forgotten {self.driver.unanswered_by_policy}, step errors "
             f"{self.driver.step_errors}, latest timer {self.loop.worst_delay_ms:.0f} ms; "
             f"clients {dict(self.front.counts)}; executors {dict(self.links.counts)}; "
             f"channel {dict(self.channel.counts)}",
--- a/fennelwind/observability/logs.py
+++ b/fennelwind/observability/logs.py
@@ -8,7 +8,7 @@
 import structlog
 
 from fennelwind.dispatch.ledger import Entry
-from fennelwind.dispatch.types import SERVED, AttemptEnd
+from fennelwind.dispatch.types import AnswerKind, AttemptEnd
 from fennelwind.limits.log_rate_limit import RateLimit
 from fennelwind.loop.nonblocking_writer import Outlet
 
@@ -88,7 +88,7 @@
         """Log a final answer: each one on request, else those that are not served."""
         answer = entry.answer
         if not self.every_answer:
-            if answer.kind == SERVED:
+            if answer.kind == AnswerKind.SERVED:
                 return
             dropped = self.limit.allow(answer.kind)
             if dropped is None:
@@ -96,11 +96,11 @@
             more = {"dropped": dropped} if dropped else {}
         else:
             more = {}
-        took = entry.answered_ms - entry.taken_ms
+        took = entry.answered_ms - entry.received_ms
         self.log.info(
             "answer",
             query=entry.query,
-            query_class=self.classes[entry.submission.cls],
+            query_class=self.classes[entry.submission.class_index],
             kind=answer.kind,
             user=entry.submission.user,
             took_ms=round(took, 1),
@@ -122,7 +122,7 @@
                 took_ms=round(took_ms, 1),
             )
 
-    def said(self, text: str) -> None:
+    def logged(self, text: str) -> None:
         """Log a line of the module's or of discovery's."""
         self._limited("note", text=text[:TEXT_MOST])
 
--- a/fennelwind/observability/metrics.py
+++ b/fennelwind/observability/metrics.py
@@ -45,26 +45,26 @@
                 ends.add_metric([name, end], count)
         yield ends
         attempts = Count("fennelwind_attempts", "Attempts by how they ended.", labels=["end"])
-        for end, count in driver.attempt_ends.items():
+        for end, count in driver.attempts.ends.items():
             attempts.add_metric([end], count)
         yield attempts
-        yield Gauge("fennelwind_queries_open", "Queries without a final answer.", driver.ledger.open)
+        yield Gauge("fennelwind_queries_open", "Queries without a final answer.", driver.ledger.open_count)
         yield Gauge(
             "fennelwind_answer_margin_seconds", "How early final answers leave.", driver.margin.ms / 1000.0
         )
         for name, help_, value in (
-            ("requests_joined", "Askings that joined an open request.", driver.repeats.joined),
+            ("requests_joined", "Askings that joined an open request.", driver.shared.coalescer.joined),
             (
                 "answers_second",
                 "Answers offered after the final one; anything but 0 is a fault.",
-                driver.ledger.second,
+                driver.ledger.duplicate_answers,
             ),
             (
                 "answers_overdue",
                 "Final answers given too late; anything but 0 is a fault.",
-                driver.ledger.overdue,
+                driver.ledger.late_answers,
             ),
-            ("turned_away", "Queries refused as too many were open.", driver.turned_away),
+            ("turned_away", "Queries refused as too many were open.", driver.rejected_at_capacity),
         ):
             yield Count(f"fennelwind_{name}", help_, value)
         states = Counter(e.entry.state for e in driver.gateway.engines.values())
@@ -175,7 +175,9 @@
     def healthy(self) -> bool:
         """Tell whether queries are taken and an engine is ready."""
         driver = self.program.driver
-        return not driver.closing and any(e.entry.state == "ready" for e in driver.gateway.engines.values())
+        return not driver.is_closing and any(
+            e.entry.state == "ready" for e in driver.gateway.engines.values()
+        )
 
     def _accept(self) -> None:
         while True:
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -1,107 +1,124 @@
-"""Repeats by clients: the same request while it is still open joins it in place of running again.
-
-A client that lost patience or its connection asks again. If it names the request (`fennelwind.request`) and
-says the same statement as the same user, and the class may be repeated at all, the second asking joins what
-is open: one query runs, each asking gets its answer, each in its own time. So a herd of repeats costs
-engines nothing.
-
-- A joined asking ends with the query, or failed when its own time is up first.
-- When the client that asked first leaves, the query goes on as long as somebody waits for it.
-- A query runs in the time of who asked first. If that was too short, those who joined with more time go on
-with a new one, where the class allows (`goes_on`).
-- Whatever ended is forgotten: a later repeat is a new query, judged by the effect rules.
-- Classes that must not run twice join too: a join runs nothing. A repeat that comes after the end of one is
-not known to be one here; its client was told that it failed, and that whether it ran is not known.
+"""Request coalescing: a repeat of a request that is still open joins it instead of running again.
+
+A client that timed out or lost its connection retries. If it names the request (`fennelwind.request`) and
+sends the same statement as the same user, the retry joins the open request: one query is executed, and each
+client gets its answer within its own deadline. So a storm of retries costs the engines nothing.
+
+- A joined entry ends with the query, or earlier when its own deadline passes.
+- When the client that came first disconnects, the query runs on as long as another entry waits for it.
+- A query runs within the deadline of the entry that started it. If that was too short, the entries with more
+  time continue with a new query, where the class allows it (`should_run_again`).
+- An ended request is forgotten: a later repeat is a new query, subject to the class's idempotency.
+- Non-idempotent classes join too, as a join executes nothing. A repeat after the end is not recognised; its
+  client was told that the query failed, and that its outcome is unknown.
+
+No I/O. The dispatcher's `SharedExecutions` is the only caller.
 """
 
-from collections.abc import Mapping
+from collections.abc import Hashable, Mapping
 from dataclasses import dataclass, field
 from hashlib import blake2b
+from typing import Generic, TypeVar
+
+MAX_REQUESTS = 50_000  # open requests that are tracked; beyond it requests run on their own, counted
+MAX_WAITERS = 100  # entries that wait for one query; beyond it they are rejected
+FINGERPRINT_BYTES = 16
+LENGTH_BYTES = 8  # of the length before each part of a fingerprint, so that parts can't run together
 
-MOST = 50_000  # open requests that are known; beyond it requests run on their own, counted
-JOINED_MOST = 100  # askings that wait for one query; beyond it they are refused
+EntryT = TypeVar("EntryT", bound=Hashable)
 
 
 @dataclass(slots=True, eq=False)
-class Request:
-    """An open request: the query that runs for it, and who waits."""
+class SharedRequest(Generic[EntryT]):
+    """An open request: the entry that executes its query, and the entries that wait for it."""
 
-    name: bytes
-    owner: object  # what runs
-    waiting: dict[object, None] = field(default_factory=dict)  # askings without an answer, in order
+    fingerprint: bytes
+    executing: EntryT
+    waiting: dict[EntryT, None] = field(default_factory=dict)  # entries without an answer, in order
 
 
-def request_name(
+def request_fingerprint(
     user: str,
     tenant: int,
-    cls: int,
-    request: str,
+    class_index: int,
+    request_id: str,
     statement: str,
     database: str = "",
     configuration: Mapping[str, str] | None = None,
 ) -> bytes:
-    """Return the name under which a request is known; what would give other rows never meets it."""
-    digest = blake2b(digest_size=16)
-    said = [part for pair in sorted((configuration or {}).items()) for part in pair]
-    for part in (user, str(tenant), str(cls), request, statement, database, *said):
-        raw = part.encode("utf-8", "surrogateescape")
-        digest.update(len(raw).to_bytes(8, "big"))
-        digest.update(raw)
+    """Return the key of a request; requests that could give different rows never share one."""
+    digest = blake2b(digest_size=FINGERPRINT_BYTES)
+    settings = [part for pair in sorted((configuration or {}).items()) for part in pair]
+    for part in (user, str(tenant), str(class_index), request_id, statement, database, *settings):
+        encoded = part.encode("utf-8", "surrogateescape")
+        digest.update(len(encoded).to_bytes(LENGTH_BYTES, "big"))
+        digest.update(encoded)
     return digest.digest()
 
 
-def goes_on(refused: bool, failed: bool, safe: bool, ran_until_ms: float, due_ms: float) -> bool:
-    """Tell whether who joined a query that ended so is to wait for a new one, having more time than it had.
+def should_run_again(
+    *,
+    is_rejected: bool,
+    is_failed: bool,
+    is_idempotent: bool,
+    execution_deadline_ms: float,
+    answer_deadline_ms: float,
+) -> bool:
+    """Return whether an entry waits for a new query after the one it had joined ended without a result.
 
-    A refused query never ran. A failed one may have, so only a safe class goes on.
+    Only an entry with more time than the query had does. A rejected query never ran; a failed one may have,
+    so only an idempotent class runs again.
     """
-    return due_ms > ran_until_ms and (refused or failed and safe)
+    has_more_time = answer_deadline_ms > execution_deadline_ms
+    return has_more_time and (is_rejected or is_failed and is_idempotent)
 
 
-class Repeats:
-    """The open requests that have a name."""
+class RequestCoalescer(Generic[EntryT]):
+    """The open requests that clients have named."""
 
     def __init__(self) -> None:
-        self._open: dict[bytes, Request] = {}
-        self._by_owner: dict[object, Request] = {}
-        self.joined = self.unknown = self.full = 0
+        self._by_fingerprint: dict[bytes, SharedRequest[EntryT]] = {}
+        self._by_executing: dict[EntryT, SharedRequest[EntryT]] = {}
+        self.joined = 0  # entries that joined an open request
+        self.untracked = 0  # requests that ran on their own, as `MAX_REQUESTS` were open
+        self.rejected = 0  # entries rejected, as `MAX_WAITERS` waited already
 
     def __len__(self) -> int:
-        return len(self._open)
+        return len(self._by_fingerprint)
 
-    def find(self, name: bytes) -> Request | None:
-        """Return the open request of that name."""
-        return self._open.get(name)
+    def find(self, fingerprint: bytes) -> SharedRequest[EntryT] | None:
+        """Return the open request with that fingerprint."""
+        return self._by_fingerprint.get(fingerprint)
 
-    def begin(self, name: bytes, owner: object, asking: object) -> Request | None:
-        """Note that a query runs for a request; None if too many are known."""
-        if len(self._open) >= MOST:
-            self.unknown += 1
+    def track(self, fingerprint: bytes, executing: EntryT, waiting: EntryT) -> SharedRequest[EntryT] | None:
+        """Track a request and its first waiting entry; None if too many requests are open."""
+        if len(self._by_fingerprint) >= MAX_REQUESTS:
+            self.untracked += 1
             return None
-        request = Request(name, owner, {asking: None})
-        self._open[name] = self._by_owner[owner] = request
+        request = SharedRequest(fingerprint, executing, {waiting: None})
+        self._by_fingerprint[fingerprint] = self._by_executing[executing] = request
         return request
 
-    def join(self, request: Request, asking: object) -> bool:
-        """Let an asking wait for the request; False: too many do."""
-        if len(request.waiting) >= JOINED_MOST:
-            self.full += 1
+    def join(self, request: SharedRequest[EntryT], entry: EntryT) -> bool:
+        """Let an entry wait for the request; return False if too many do."""
+        if len(request.waiting) >= MAX_WAITERS:
+            self.rejected += 1
             return False
-        request.waiting[asking] = None
+        request.waiting[entry] = None
         self.joined += 1
         return True
 
-    def leave(self, request: Request, asking: object) -> bool:
-        """Let an asking wait no more; tell whether nobody is left, so that the query may be called off."""
-        request.waiting.pop(asking, None)
+    def leave(self, request: SharedRequest[EntryT], entry: EntryT) -> bool:
+        """Let an entry wait no longer; return whether none is left, so that the query may be cancelled."""
+        request.waiting.pop(entry, None)
         return not request.waiting
 
-    def end(self, owner: object) -> tuple[bytes, list[object]]:
-        """Forget a request whose query has ended; return its name and who still waits, in order."""
-        request = self._by_owner.pop(owner, None)
+    def forget(self, executing: EntryT) -> tuple[bytes, list[EntryT]]:
+        """Forget the request whose query has ended; return its fingerprint and who still waits, in order."""
+        request = self._by_executing.pop(executing, None)
         if request is None:
             return b"", []
-        del self._open[request.name]
+        del self._by_fingerprint[request.fingerprint]
         waiting = list(request.waiting)
         request.waiting.clear()
-        return request.name, waiting
+        return request.fingerprint, waiting
--- a/fennelwind/testbed/virtual.py
+++ b/fennelwind/testbed/virtual.py
@@ -65,7 +65,7 @@
     def write(self, sort: str, text: str, most: int = 0) -> None:
         """Drop a line."""
 
-    def said(self, text: str) -> None:
+    def logged(self, text: str) -> None:
         """Drop a note."""
 
     def answered(self, entry: Entry) -> None:
@@ -144,10 +144,16 @@
         if self.host is None or self.host.dead:
             return
         driver, stopped = self.node.driver, self.number in self.fleet.plan.stopped
-        if not driver.ledger.balanced() or driver.step_errors or driver.forgotten and not stopped:
+        if (
+            not driver.ledger.is_balanced()
+            or driver.step_errors
+            or driver.unanswered_by_policy
+            and not stopped
+        ):
             self.fleet.log.broke.append(
-                f"n{self.number}: books agree {driver.ledger.balanced()}, step errors {driver.step_errors}, "
-                f"forgotten {driver.forgotten}"
+                f"n{self.number}: books agree {driver.ledger.is_balanced()}, "
+                f"step errors {driver.step_errors}, "
+                f"forgotten {driver.unanswered_by_policy}"
             )
         self.fleet.note(Process(self.fleet.clock(), self.number, why))
         self.host.kill()
--- a/tests/audit/test_audit.py
+++ b/tests/audit/test_audit.py
@@ -21,7 +21,12 @@
     assert sum(c["taken"] for c in day.classes.values()) == day.day.tally.asked > 300
     assert sum(c["unanswered"] for c in day.classes.values()) == 0
     driver = day.program.driver
-    assert (driver.ledger.second, driver.ledger.overdue, driver.forgotten, driver.step_errors) == (0, 0, 0, 0)
+    assert (
+        driver.ledger.duplicate_answers,
+        driver.ledger.late_answers,
+        driver.unanswered_by_policy,
+        driver.step_errors,
+    ) == (0, 0, 0, 0)
 
 
 def test_the_same_seed_gives_the_same_bytes_on_every_wire():
@@ -75,21 +80,21 @@
 
     def both(program):
         tamper(program)
-        program.driver._barred = lambda *_: ""
+        program.driver.attempts.reason_not_to_start = lambda *_: ""
 
     both.stopped = tamper
     return both
 
 
 def two_copies(program):
-    send = program.driver._send
+    send = program.driver._start_attempt
 
     def twice(entry, query, engine, timeout):
         send(entry, query, engine, timeout)
         if query % 10 == 0:
             send(entry, query, engine, timeout)
 
-    program.driver._send = twice
+    program.driver._start_attempt = twice
 
 
 def hide_drains(program):
--- a/tests/cli/test_cli.py
+++ b/tests/cli/test_cli.py
@@ -14,7 +14,7 @@
 from fennelwind.cli.main import main
 from fennelwind.cli.output import table
 from fennelwind.dispatch.ledger import Ledger
-from fennelwind.dispatch.types import REFUSED, SERVED, Answer, AttemptEnd, Submission
+from fennelwind.dispatch.types import Answer, AnswerKind, AttemptEnd, Submission
 from fennelwind.observability import LogObserver, configure
 
 COMMAND = [sys.executable, "-m", "fennelwind.cli.main"]
@@ -148,16 +148,16 @@
     ledger = Ledger(1)
 
     def end(kind):
-        entry = ledger.take(Submission(0, "x", 100.0), 0.0, 90.0, lambda e: None)
-        ledger.settle(entry, Answer(kind, "why"), 5.0)
+        entry = ledger.register(Submission(0, "x", 100.0), 0.0, 90.0, lambda e: None)
+        ledger.finalize(entry, Answer(kind, "why"), 5.0)
         observer.answered(entry)
         observer.attempted(entry, 0, "e:1", AttemptEnd("reset", "cut"), 3.0)
 
     for _ in range(200):
-        end(REFUSED)
-    end(SERVED)
+        end(AnswerKind.REJECTED)
+    end(AnswerKind.SERVED)
     now[0] = 10_000.0
-    end(REFUSED)
+    end(AnswerKind.REJECTED)
     lines = [json.loads(line) for line in capsys.readouterr().err.splitlines()]
     answers = [line for line in lines if line["event"] == "answer"]
     assert len(answers) == 21 and answers[-1]["dropped"] == 180
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -15,8 +15,9 @@
 from fleet import Fleet, execute, fetch, ids, outcome, status
 
 from fennelwind import policy
-from fennelwind.dispatch.driver import Driver, Silent
-from fennelwind.dispatch.types import AttemptEnd, Order, Result, Submission
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.observer import SilentObserver
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest, Result, Submission
 from fennelwind.engines.connection_pool import RemoteError
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, SimLoop, StreamReset
@@ -65,7 +66,12 @@
 def empty(fleet):
     """Tell whether nothing is left of any query."""
     driver = fleet.program.driver
-    held = driver.ledger.entries, driver.gateway.queries, driver._tasks, fleet.program.service.operations
+    held = (
+        driver.ledger.entries,
+        driver.gateway.queries,
+        driver.attempts.tasks,
+        fleet.program.service.operations,
+    )
     return not any(held)
 
 
@@ -130,7 +136,7 @@
         other.call("CancelOperation", hs2.TCancelOperationReq(handle))
         seen = status(other, handle)
         assert (seen.operationState, seen.sqlState) == (hs2.CANCELED, "HY008")
-        assert ledger(fleet).balanced()
+        assert ledger(fleet).is_balanced()
 
     play(main)
 
@@ -199,7 +205,7 @@
             handle = execute(client, "select 1", rows=i + 1)
             assert ids(fetch(client, handle)) == list(range(i + 1))
             client.call("CloseOperation", hs2.TCloseOperationReq(handle))
-        assert ledger(fleet).second == 0
+        assert ledger(fleet).duplicate_answers == 0
 
     play(main)
 
@@ -302,7 +308,7 @@
             client.drop()
         fleet.loop.sleep(100)
         assert ends == {hs2.CANCELED, hs2.FINISHED}
-        assert ledger(fleet).balanced() and empty(fleet)
+        assert ledger(fleet).is_balanced() and empty(fleet)
         assert sum(len(e._operations) for e in fleet.engines) == 0  # nothing is left behind at engines
 
     play(main)
@@ -367,7 +373,7 @@
         began = fleet.loop.now()
         assert outcome(lambda: execute(clients[5], "select 1")) == "53000"
         assert fleet.loop.now() - began < 5.0
-        assert fleet.program.driver.turned_away == 1
+        assert fleet.program.driver.rejected_at_capacity == 1
 
     play(main, max_open=5)
 
@@ -496,7 +502,7 @@
             raw(fleet, call[:cut]).close()
         fleet.loop.sleep(100)
         assert not fleet.program.front.connections and not fleet.program.service.sessions
-        assert ledger(fleet).open == 0
+        assert ledger(fleet).open_count == 0
 
     play(main)
 
@@ -566,7 +572,7 @@
                     loop.sleep(5)
             assert outcome(lambda: execute(client, "select 1")) == "served"
             far = fleet.program.links.attempt(
-                "127.0.0.1:9", Order(1, 0, Submission(0, "x", 9e9), 9e9, 0.0, 1, lambda *_: None)
+                "127.0.0.1:9", AttemptRequest(1, 0, Submission(0, "x", 9e9), 9e9, 0.0, 1)
             )
             assert far.status == "moot"  # our own trouble says nothing of an engine
         finally:
@@ -593,7 +599,7 @@
         for client in clients:
             client.drop()
         fleet.loop.sleep(500)
-        assert ledger(fleet).balanced() and empty(fleet)
+        assert ledger(fleet).is_balanced() and empty(fleet)
 
     play(main, limit=200_000, change=lambda text: text.replace("idle_ms: 60000", "idle_ms: 600000"))
 
@@ -608,7 +614,7 @@
         fleet.program.close()
         fleet.loop.sleep(50)
         assert seen == ["HYT00"] * 4  # sent, so they may have run
-        assert ledger(fleet).balanced() and ledger(fleet).open == 0
+        assert ledger(fleet).is_balanced() and ledger(fleet).open_count == 0
 
     play(main)
 
@@ -630,7 +636,7 @@
         began = loop.now()
         assert outcome(lambda: execute(client, "select 1", timeout=1)) == "53000"  # it was never sent
         assert loop.now() - began < 1000
-        assert fleet.program.driver.forgotten == 1
+        assert fleet.program.driver.unanswered_by_policy == 1
         assert [where for where, _ in fleet.seen.failures] == ["module"]
 
     loop.run(main)
@@ -703,7 +709,7 @@
             loop,
             settings,
             Dice(loop, seed),
-            Silent(),
+            SilentObserver(),
             seed=seed,
             max_open=150,
             margin=AnswerMargin(20.0, 20.0),
@@ -717,18 +723,18 @@
             c = random.randrange(4)
             give_up = settings.classes[c].client_timeout_ms * random.choice([1.0, 1.0, 0.1, 0.02])
             entry = driver.submit(
-                Submission(c, "x", loop.now() + give_up, key=random.choice("klm"), work_ms=50.0),
+                Submission(c, "x", loop.now() + give_up, key=random.choice("klm"), estimated_work_ms=50.0),
                 lambda e: answers.setdefault(e, []).append((e.answer.kind, loop.now())),
             )
             entries.append(entry)
             if random.random() < 0.1:
-                loop.after(random.uniform(0, 200), lambda e=entry: driver.leave(e, "left"))
+                loop.after(random.uniform(0, 200), lambda e=entry: driver.cancel(e, "left"))
         loop.sleep(10_000)
         assert all(len(answers[e]) == 1 for e in entries)
         assert all(answers[e][0][1] <= e.submission.deadline_ms for e in entries)
         assert {a[0][0] for a in answers.values()} == {"served", "refused", "failed", "left"}
-        assert driver.ledger.balanced() and not driver.ledger.entries and not driver.gateway.queries
-        assert driver.forgotten == driver.step_errors == 0
+        assert driver.ledger.is_balanced() and not driver.ledger.entries and not driver.gateway.queries
+        assert driver.unanswered_by_policy == driver.step_errors == 0
 
     loop.run(main)
 
@@ -752,7 +758,7 @@
         assert outcome(lambda: execute(client, "select 1", **{"standin.sqlstate": "XX000"})) == "53000"
         assert len(fleet.seen.attempts) > 14  # this one speaks of the engine, and others are tried
         fleet.loop.sleep(3000)
-        assert not ledger(fleet).entries and not fleet.program.driver._tasks
+        assert not ledger(fleet).entries and not fleet.program.driver.attempts.tasks
 
     play(main)
 
@@ -834,10 +840,14 @@
         assert ids(fetch(second, two)) == [0, 1, 2, 3]
         fleet.loop.sleep(500)
         assert sum(e.counts.statements for e in fleet.engines) == 2
-        assert fleet.program.driver.repeats.joined == 1
+        assert fleet.program.driver.shared.coalescer.joined == 1
         counts = ledger(fleet).counts[1]
         assert (counts["taken"], counts["left"], counts["served"]) == (3, 1, 2)
-        assert one != two and not len(fleet.program.driver.repeats) and not fleet.program.driver._asked_for
+        assert (
+            one != two
+            and not len(fleet.program.driver.shared.coalescer)
+            and not fleet.program.driver.shared.waiting_for
+        )
 
     play(main)
 
@@ -872,7 +882,7 @@
             assert seen.sqlState == "HYT00" and 1000 * i + 900 < fleet.loop.now() - at <= 1000 * (1 + i)
         fleet.loop.sleep(500)
         assert not any(e._running for e in fleet.engines)
-        assert not ledger(fleet).entries and not len(fleet.program.driver.repeats)
+        assert not ledger(fleet).entries and not len(fleet.program.driver.shared.coalescer)
 
     play(main)
 
--- a/tests/dispatch/test_hard_cases.py
+++ b/tests/dispatch/test_hard_cases.py
@@ -36,7 +36,7 @@
         ends = [end for end, _ in took]
         assert len(ends) == 500 and set(ends) <= {"served", "53000"}
         assert ends.count("served") > 200 and max(ms for _, ms in took) < 3000
-        assert ledger(fleet).counts[0]["taken"] == 500 and ledger(fleet).balanced()
+        assert ledger(fleet).counts[0]["taken"] == 500 and ledger(fleet).is_balanced()
 
     play(main, change=roomy, engines=4)
 
@@ -73,8 +73,8 @@
                 == "53000"
             )
             assert fleet.loop.now() - at < 5
-        assert not fleet.seen.attempts and ledger(fleet).balanced()
-        assert fleet.program.driver.forgotten == 0
+        assert not fleet.seen.attempts and ledger(fleet).is_balanced()
+        assert fleet.program.driver.unanswered_by_policy == 0
 
     play(main)
 
--- a/tests/dispatch/test_thousand.py
+++ b/tests/dispatch/test_thousand.py
@@ -75,7 +75,7 @@
             engine.faults.lose = False
         loop.sleep(3000)
         driver = fleet.program.driver
-        self.rest = driver.ledger.entries, driver._tasks, driver.gateway.queries
+        self.rest = driver.ledger.entries, driver.attempts.tasks, driver.gateway.queries
         fleet.program.close()
 
     def _watch(self, engine):
@@ -178,8 +178,12 @@
     assert not late
     ledger = day.fleet.program.driver.ledger
     unseen = REQUESTS - sum(c["taken"] for c in ledger.counts)  # their clients went before they were read
-    assert ledger.balanced() and 0 <= unseen <= ends["left"] / 4
-    assert (ledger.second, ledger.overdue, day.fleet.program.driver.forgotten) == (0, 0, 0)
+    assert ledger.is_balanced() and 0 <= unseen <= ends["left"] / 4
+    assert (ledger.duplicate_answers, ledger.late_answers, day.fleet.program.driver.unanswered_by_policy) == (
+        0,
+        0,
+        0,
+    )
     assert not any(day.rest)
     twice = [s for s, count in day.ran.items() if count > 1 and s.startswith("load")]
     assert not twice
@@ -225,6 +229,6 @@
     ends = Counter(end for _, end, _ in day.ends.values())
     assert len(day.ends) == REQUESTS and broken == []  # how long each took is the machine's
     ledger = day.fleet.program.driver.ledger
-    assert ledger.balanced() and ledger.second == 0 and not any(day.rest)
+    assert ledger.is_balanced() and ledger.duplicate_answers == 0 and not any(day.rest)
     assert ends["served"] > 0  # how many is the machine's as well
     assert not [s for s, count in day.ran.items() if count > 1 and s.startswith("load")]
--- a/tests/engines/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -8,7 +8,7 @@
 from fleet import Fleet
 
 from fennelwind import policy
-from fennelwind.dispatch.types import Order, Submission
+from fennelwind.dispatch.types import AttemptRequest, Submission
 from fennelwind.emulators.discovery import Discovery, Listed
 from fennelwind.engines.discovery import DiscoveryError, DiscoveryLink, Lives, read_list
 from fennelwind.loop import Address, SimLoop
@@ -125,13 +125,15 @@
 def test_loads_costs_and_notes_reach_the_module():
     loop, notes = SimLoop(1), []
 
+    class RecordingAttempt(AttemptRequest):
+        def report_progress(self, kind, value):
+            notes.append((kind, round(value, 2)))
+
     def main():
         fleet = Fleet(loop, engines=1, note=100)
         submission = Submission(0, "select 1", 9e9, overlay={"standin.work_ms": "350"})
-        order = Order(
-            1, 0, submission, 9e9, 0.0, 1, lambda sort, value: notes.append((sort, round(value, 2)))
-        )
-        return fleet.program.links.attempt(fleet.engines[0].name, order)
+        request = RecordingAttempt(1, 0, submission, 9e9, 0.0, 1)
+        return fleet.program.links.attempt(fleet.engines[0].name, request)
 
     end = loop.run(main)
     assert end.status == "ok" and end.work_ms == 350.0
@@ -148,14 +150,13 @@
         links, engine = fleet.program.links, fleet.engines[0].name
 
         def go():
-            order = Order(
+            order = AttemptRequest(
                 1,
                 0,
                 Submission(0, "select 1", 9e9, overlay={"standin.work_ms": "50"}),
                 loop.now() + 900,
                 0.0,
                 1,
-                lambda *_: None,
             )
             return links.attempt(engine, order).status
 
--- a/tests/engines/test_streams.py
+++ b/tests/engines/test_streams.py
@@ -122,14 +122,14 @@
     def main(fleet):
         client = fleet.client()
         driver = fleet.program.driver
-        carry = driver._ended
+        carry = driver.attempts.finish
 
         def too_late(entry, number, engine, sent, end):
             if end.result is not None:
-                driver.leave(entry, "it went the moment before")
+                driver.cancel(entry, "it went the moment before")
             carry(entry, number, engine, sent, end)
 
-        driver._ended = too_late
+        driver.attempts.finish = too_late
         assert outcome(lambda: execute(client, "select 1", rows=ROWS)) == "HY008"
         fleet.loop.sleep(100)
         assert at_engines(fleet) == [0, 0] and [p.streams for p in links(fleet).pools.values()] == [0]
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -9,7 +9,7 @@
 from fennelwind.limits.admission import Admission, Bounds, Share
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.recovery import request_coalescing
-from fennelwind.recovery.request_coalescing import Repeats, request_name
+from fennelwind.recovery.request_coalescing import RequestCoalescer, request_fingerprint
 from fennelwind.thrift import hints
 
 # The margin of answers.
@@ -245,7 +245,7 @@
 
 
 @pytest.mark.parametrize(
-    ("refused", "failed", "safe", "due", "then"),
+    ("is_rejected", "is_failed", "is_idempotent", "deadline_ms", "runs_again"),
     [
         (True, False, False, 11.0, True),
         (True, False, False, 10.0, False),
@@ -255,8 +255,17 @@
         (False, True, True, 9.0, False),
     ],
 )
-def test_who_has_more_time_goes_on_where_the_class_allows(refused, failed, safe, due, then):
-    assert request_coalescing.goes_on(refused, failed, safe, 10.0, due) is then
+def test_an_entry_with_more_time_runs_again_where_the_class_allows(
+    is_rejected, is_failed, is_idempotent, deadline_ms, runs_again
+):
+    found = request_coalescing.should_run_again(
+        is_rejected=is_rejected,
+        is_failed=is_failed,
+        is_idempotent=is_idempotent,
+        execution_deadline_ms=10.0,
+        answer_deadline_ms=deadline_ms,
+    )
+    assert found is runs_again
 
 
 def test_requests_of_other_users_tenants_classes_and_statements_never_meet():
@@ -277,28 +286,30 @@
         (*parts, "", {"a": "2"}),
         (*parts, "a", {"1": ""}),
     ]
-    names = [request_name(*each) for each in (parts, *others)]
-    assert len(set(names)) == len(names) and names[0] == request_name(*parts)
-    assert request_name(*parts, "", {"a": "1", "b": "2"}) == request_name(*parts, "", {"b": "2", "a": "1"})
+    names = [request_fingerprint(*each) for each in (parts, *others)]
+    assert len(set(names)) == len(names) and names[0] == request_fingerprint(*parts)
+    assert request_fingerprint(*parts, "", {"a": "1", "b": "2"}) == request_fingerprint(
+        *parts, "", {"b": "2", "a": "1"}
+    )
 
 
 def test_who_joins_gets_the_end_in_order_and_the_last_to_leave_ends_it():
-    known = Repeats()
-    request = known.begin(b"n", "query", "first")
+    known = RequestCoalescer()
+    request = known.track(b"n", "query", "first")
     assert known.find(b"n") is request
     assert known.join(request, "second") and known.join(request, "third")
     assert not known.leave(request, "first")
-    assert known.end("query") == (b"n", ["second", "third"])
-    assert known.find(b"n") is None and known.end("query") == (b"", []) and not len(known)
-    again = known.begin(b"n", "query 2", "first")
+    assert known.forget("query") == (b"n", ["second", "third"])
+    assert known.find(b"n") is None and known.forget("query") == (b"", []) and not len(known)
+    again = known.track(b"n", "query 2", "first")
     assert known.leave(again, "first") and known.joined == 2
 
 
 def test_requests_and_those_who_wait_for_one_are_bounded(monkeypatch):
-    monkeypatch.setattr(request_coalescing, "MOST", 2)
-    monkeypatch.setattr(request_coalescing, "JOINED_MOST", 3)
-    known = Repeats()
-    one = known.begin(b"1", 1, "a")
-    known.begin(b"2", 2, "a")
-    assert known.begin(b"3", 3, "a") is None and known.unknown == 1
-    assert known.join(one, "b") and known.join(one, "c") and not known.join(one, "d") and known.full == 1
+    monkeypatch.setattr(request_coalescing, "MAX_REQUESTS", 2)
+    monkeypatch.setattr(request_coalescing, "MAX_WAITERS", 3)
+    known = RequestCoalescer()
+    one = known.track(b"1", 1, "a")
+    known.track(b"2", 2, "a")
+    assert known.track(b"3", 3, "a") is None and known.untracked == 1
+    assert known.join(one, "b") and known.join(one, "c") and not known.join(one, "d") and known.rejected == 1
--- a/tests/load_balancing/test_spread.py
+++ b/tests/load_balancing/test_spread.py
@@ -12,7 +12,7 @@
 from fennelwind import policy
 from fennelwind.audit.fleet import audit, put_together
 from fennelwind.load_balancing import load_advisor, load_estimate, subsetting
-from fennelwind.load_balancing.load_advisor import Advisor, acts
+from fennelwind.load_balancing.load_advisor import LoadAdvisor, is_useful
 from fennelwind.testbed import dayfile
 from fennelwind.testbed.facts import facts_of
 from fennelwind.testbed.figures import figures
@@ -32,7 +32,7 @@
     told = settings(
         gateway_count=40, gateway_index=me, report_fields=("cpu", "x1"), kind_cores=(8, 16), **more
     )
-    a = Advisor(told, seed, 15000.0)
+    a = LoadAdvisor(told, seed, 15000.0)
     a.take(policy.EngineListUpdate("full", entries(near) + entries(far, 1, near)), 0.0)
     return a
 
@@ -158,18 +158,18 @@
     quiet, busy = advised(), advised()
     for n in range(100):
         busy.take(policy.QueryArrived(n, 1, 1e6), 50.0 * n)
-    assert len(quiet.picture(5000.0).loads) == subsetting.LEAST + 3
-    assert len(busy.picture(5000.0).loads) == 30  # all there are
-    assert len(busy.picture(65_000.0).loads) == subsetting.LEAST + 3  # and gives them up again
+    assert len(quiet.advice(5000.0).loads) == subsetting.LEAST + 3
+    assert len(busy.advice(5000.0).loads) == 30  # all there are
+    assert len(busy.advice(65_000.0).loads) == subsetting.LEAST + 3  # and gives them up again
 
 
 # The advisor.
 
 
 def test_it_acts_only_where_own_counts_tell_too_little_and_shares_are_told():
-    assert acts(FLEET)
-    assert not acts(settings(gateway_count=load_advisor.LITTLE - 1, report_fields=("cpu",)))
-    assert not acts(settings(gateway_count=200, report_fields=("active", "x0")))
+    assert is_useful(FLEET)
+    assert not is_useful(settings(gateway_count=load_advisor.LITTLE - 1, report_fields=("cpu",)))
+    assert not is_useful(settings(gateway_count=200, report_fields=("active", "x0")))
 
 
 def test_who_drains_or_goes_is_not_leaned_to_and_a_new_life_starts_unknown():
@@ -181,20 +181,20 @@
         ),
         1.0,
     )
-    assert set(a.picture(1.0).loads) == {"s1", "s3"}
+    assert set(a.advice(1.0).loads) == {"s1", "s3"}
     a.take(policy.EngineListUpdate("delta", (policy.EngineEndpoint("s1", started_ms=500.0),)), 2.0)
     assert math.isinf(a.estimate.age("s1", 2.0))
     a.take(policy.EngineListUpdate("failed"), 3.0)
-    assert set(a.picture(3.0).loads) == {"s1", "s3"}
+    assert set(a.advice(3.0).loads) == {"s1", "s3"}
     a.take(policy.EngineListUpdate("full", ()), 4.0)
-    assert a.picture(4.0).loads == {} and not a.leaning and not a.estimate.told
+    assert a.advice(4.0).loads == {} and not a.leaning and not a.estimate.told
 
 
 def test_another_zone_has_to_be_emptier():
     a = advised(near=8, far=8)
     for n in range(16):
         a.take(answer(f"s{n}", cpu=0.5 + n / 1000, x1=0.0), 0.0)
-    loads = a.picture(0.0).loads
+    loads = a.advice(0.0).loads
     assert max(loads[n] for n in loads if int(n[1:]) < 8) < min(loads[n] for n in loads if int(n[1:]) >= 8)
 
 
@@ -203,7 +203,7 @@
         a = advised(me, near=12, far=0, seed=seed)
         for n in range(12):
             a.take(answer(f"s{n}", cpu=0.5, x1=0.0), 0.0)
-        return list(a.picture(300.0).loads.items())
+        return list(a.advice(300.0).loads.items())
 
     views = [view(me, me) for me in range(40)]
     assert view(3, 3) == views[3]
@@ -217,7 +217,7 @@
         for n in range(20):
             a.take(policy.QueryArrived(n, 0, 1e6), 500.0 * n)
             asked += 1
-            first, load = next(iter(a.picture(500.0 * n).loads.items()))
+            first, load = next(iter(a.advice(500.0 * n).loads.items()))
             if a.trial:
                 assert (first, load) == (a.trial, 0.0)
                 tried.add(first)
@@ -348,7 +348,7 @@
         return figures(plan, story, outcome.sightings)["uneven"]
 
     with_news = play()
-    monkeypatch.setattr("fennelwind.node.lifecycle.acts", lambda settings: False)
+    monkeypatch.setattr("fennelwind.node.lifecycle.is_useful", lambda settings: False)
     assert with_news < 0.85 * play()
 
 
@@ -356,7 +356,7 @@
     def broken(self, now):
         raise RuntimeError("planted")
 
-    monkeypatch.setattr(Advisor, "picture", broken)
+    monkeypatch.setattr(LoadAdvisor, "advice", broken)
     plan = make_plan(fleet_day(executors=8, seconds=2.0), 5)
     outcome = Virtual(plan).play()
     story = put_together(outcome.sightings)
--- a/tests/node/test_crossings_attempt.py
+++ b/tests/node/test_crossings_attempt.py
@@ -118,7 +118,7 @@
 
     def end(self):
         """Wait until nothing is open or under way, and look whether anything broke."""
-        self.until(lambda: not self.node.driver.ledger.open and not self.node.links._out)
+        self.until(lambda: not self.node.driver.ledger.open_count and not self.node.links._out)
         assert not self.log.broke
 
     @property
@@ -144,7 +144,7 @@
         number = client.ask(name(1), "scene-build", 5000)
         stage.until(lambda: stage.dials)
         go_away(client, leave, number)
-        stage.until(lambda: not stage.node.driver.ledger.open)
+        stage.until(lambda: not stage.node.driver.ledger.open_count)
         stage.let()
         stage.end()
         assert not stage.ran and stage.log.ends == ["cancelled" if cancel else "moot"]
--- a/tests/node/test_crossings_front.py
+++ b/tests/node/test_crossings_front.py
@@ -179,7 +179,7 @@
         sock.sendall(request(3, 2))  # by a client that has seen the end
         sock.close()
         until(loop, lambda: not node.front.lingering)
-        assert not executor.calls and node.driver.ledger.balanced() and not node.driver.ledger.entries
+        assert not executor.calls and node.driver.ledger.is_balanced() and not node.driver.ledger.entries
 
     real(main)
 
@@ -431,7 +431,7 @@
         loop.sleep(900.0)
         whole = request(2, 50)
         slow.stream.write(whole[:30])
-        until(loop, lambda: node.driver.closing and not node.driver.ledger.open)
+        until(loop, lambda: node.driver.is_closing and not node.driver.ledger.open_count)
         assert len(node.front.places) == 2
         loop.sleep(1000.0)
         assert not ending.done
@@ -478,7 +478,7 @@
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 2500.0
         ending = loop.spawn(node.leave)
-        until(loop, lambda: node.driver.closing)
+        until(loop, lambda: node.driver.is_closing)
         late = client.ask(name(1), "scene-build", 4000)
         resting.number = 1
         rested = resting.ask(name(2), "scene-build", 4000)
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -32,9 +32,9 @@
 def settled(node):
     """What must hold of a controller that has nothing to do."""
     ledger = node.driver.ledger
-    assert ledger.balanced() and not ledger.entries and not ledger.second
-    assert not node.front.names and not node.driver.gateway.queries and not node.driver._tasks
-    assert not node.log.broke and not node.driver.step_errors and not node.driver.forgotten
+    assert ledger.is_balanced() and not ledger.entries and not ledger.duplicate_answers
+    assert not node.front.names and not node.driver.gateway.queries and not node.driver.attempts.tasks
+    assert not node.log.broke and not node.driver.step_errors and not node.driver.unanswered_by_policy
 
 
 def test_a_query_is_served_whole_and_told_on_unchanged():
@@ -688,7 +688,7 @@
                         len(links._deleting),
                         len(node.front.places),
                         len(node.front.names),
-                        len(node.driver._tasks),
+                        len(node.driver.attempts.tasks),
                         len(gateway.expiry) < 50,
                         len(loop.tasks) < 30,
                     )
--- a/tests/observability/test_metrics.py
+++ b/tests/observability/test_metrics.py
@@ -60,7 +60,7 @@
     def main(fleet):
         fleet.loop.sleep(50)
         assert get(fleet, "/health")[0] == 200
-        fleet.program.driver.closing = True
+        fleet.program.driver.is_closing = True
         assert get(fleet, "/health")[0] == 503
 
     play(main, change=served)
--- a/tests/support/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -778,7 +778,7 @@
             "entries": driver.ledger.entries,
             "names": node.front.names,
             "queries": driver.gateway.queries,
-            "tasks": driver._tasks,
+            "tasks": driver.attempts.tasks,
             "deletes": links._deleting,
             "out": links._out,
             "clients": [one for one in self.loop.held.values() if isinstance(one, Caller)],
@@ -790,7 +790,7 @@
 
     def _books(self):
         node, at = self.node, self.loop.now()
-        if not node.driver.ledger.balanced():
+        if not node.driver.ledger.is_balanced():
             self.record.fault("left over", at, "the books don't agree")
         if node.log.broke or node.driver.step_errors:
             self.record.fault("broke", at, f"{node.driver.step_errors} steps, {node.log.broke[:2]}")
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -54,7 +54,7 @@
     def attempted(self, entry, number, engine, end, took_ms):
         self.attempts.append((entry.query, number, engine, end.status))
 
-    def said(self, text):
+    def logged(self, text):
         self.texts.append(text)
 
     def council(self, what, facts):
--- a/tests/support/hunt.py
+++ b/tests/support/hunt.py
@@ -54,7 +54,7 @@
     """Play a day; return what was wrong with it, or None."""
     day = SimDay(seed, script(seed))
     driver = day.program.driver
-    counts = driver.ledger.second, driver.forgotten, driver.step_errors
+    counts = driver.ledger.duplicate_answers, driver.unanswered_by_policy, driver.step_errors
     if day.broken or day.errors or day.left != ({}, {}) or any(counts) or day.day.falls:
         return seed, day.broken, day.errors[:3], counts, day.day.falls
     return None
--- a/tests/support/nodes.py
+++ b/tests/support/nodes.py
@@ -115,7 +115,7 @@
     def write(self, sort, text, most=0):
         self.lines.append((sort, text))
 
-    def said(self, text):
+    def logged(self, text):
         self.lines.append(("note", text))
 
     def answered(self, entry):
--- a/tests/support/simday.py
+++ b/tests/support/simday.py
@@ -7,7 +7,7 @@
 from fennelwind.audit.rules import served_share
 from fennelwind.cli.demo import DATA
 from fennelwind.cli.program import Program
-from fennelwind.dispatch.driver import Silent
+from fennelwind.dispatch.observer import SilentObserver
 from fennelwind.emulators import script_pb2 as sc
 from fennelwind.emulators.day import Day
 from fennelwind.loop import SimLoop
@@ -49,7 +49,7 @@
             self.day.start()
             settings.discovery.address = str(self.day.discovery.address)
             controller = config.read(text_format.MessageToString(settings))
-            self.program = Program(loop, controller, Silent(), seed)
+            self.program = Program(loop, controller, SilentObserver(), seed)
             tamper(self.program)
             self.program.start()
             loop.sleep(200)
--- a/tests/testbed/test_rig.py
+++ b/tests/testbed/test_rig.py
@@ -14,7 +14,7 @@
 from fennelwind.audit.observations import Asked, Broken, Process
 from fennelwind.cli.main import main as cli
 from fennelwind.config.text import SettingsError
-from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.attempts import AttemptRunner
 from fennelwind.node import attempt
 from fennelwind.node.frontend import Connection
 from fennelwind.policy.gateway import Gateway
@@ -238,7 +238,7 @@
     monkeypatch.setattr(Gateway, "_may_go_on", lambda self, query: len(query.attempts) < 3)
     _, _, _, verdicts = played(errors)
     assert verdicts["effects"].checks and not verdicts["effects"].breaks  # the driver lets none of them begin
-    monkeypatch.setattr(Driver, "_barred", lambda self, entry, number, deadline: "")
+    monkeypatch.setattr(AttemptRunner, "reason_not_to_start", lambda self, entry, number, deadline: "")
     _, _, _, verdicts = played(errors)
     assert any("sent again after it may have run" in text for text in verdicts["effects"].breaks)
 
@@ -267,7 +267,7 @@
 
 def test_an_exception_in_a_controller_is_told(monkeypatch):
     calls = []
-    monkeypatch.setattr(Driver, "_ended", _breaks_once(Driver._ended, calls))
+    monkeypatch.setattr(AttemptRunner, "finish", _breaks_once(AttemptRunner.finish, calls))
     _, outcome, _, _ = played(day(controllers=2, executors=2, seconds=2.0))
     assert any("ZeroDivisionError" in text for text in outcome.broke)
 
