--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -217,7 +217,7 @@
             return f"users are as before: {exc} ({exc.code}: {exc.advice})"
         except OSError as exc:
             return f"users are as before: {exc}"
-        door.logins.forget()
+        door.logins.forget_verified()
         return f"{len(door.users)} users"
 
     def _subscribe(self) -> None:
--- a/fennelwind/frontends/hiveserver2/authentication.py
+++ b/fennelwind/frontends/hiveserver2/authentication.py
@@ -12,7 +12,7 @@
 from argon2.exceptions import InvalidHashError, VerificationError
 
 from fennelwind.config.users import User
-from fennelwind.limits.login_throttle import Logins
+from fennelwind.limits.login_throttle import LoginThrottle
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 
 CHECKS_MOST = 64  # checks that may be under way or in line; further logins are turned away
@@ -32,7 +32,7 @@
     """Who may come in. Without users everybody is believed."""
 
     def __init__(self, loop: Loop, users: dict[str, User] | None) -> None:
-        self.loop, self.users, self.logins = loop, users, Logins()
+        self.loop, self.users, self.logins = loop, users, LoginThrottle()
         self._key = loop.token(32)
         # Checked for unknown users, so that they take as long; it costs a third of a second and 64 MiB.
         self._nobody = PasswordHasher().hash("nobody's") if users is not None else ""
@@ -45,7 +45,7 @@
             return True
         raw = user.encode("utf-8", "surrogateescape"), password.encode("utf-8", "surrogateescape")
         proof = blake2b(len(raw[0]).to_bytes(4, "big") + raw[0] + raw[1], key=self._key).digest()
-        if self.logins.known(proof, self.loop.now()) and user in self.users:
+        if self.logins.is_verified(proof, self.loop.now()) and user in self.users:
             return True
         delay = self.logins.delay_ms(user, address, self.loop.now())
         if delay:
@@ -54,7 +54,7 @@
         hashed = self._nobody if there is None else there.hash
         right = self._check(proof, hashed, password) and there is not None
         if right:
-            self.logins.passed(user, address, proof, self.loop.now())
+            self.logins.succeeded(user, address, proof, self.loop.now())
         else:
             self.logins.failed(user, address, self.loop.now())
         return right
--- a/fennelwind/frontends/hiveserver2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -82,7 +82,7 @@
         message, end = read_message(body)
         if end != len(body) or message.type not in (messages.CALL, messages.ONEWAY):
             raise Malformed("a body that is not one call")
-        wait = self.front.service.admission.spend(user, len(body), self.loop.now())
+        wait = self.front.service.admission.consume_bytes(user, len(body), self.loop.now())
         if wait:
             self.loop.sleep(wait)
         self.requests += 1
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -61,7 +61,7 @@
                 stream = self.listener.accept()
             except StreamReset:
                 return
-            if self.service.admission.connections.take(stream.peer.host) is not None:
+            if self.service.admission.connections.acquire(stream.peer.host) is not None:
                 self.turned_away += 1
                 stream.abort()
                 continue
@@ -90,7 +90,7 @@
     def left(self, connection: Any) -> None:
         """Note that a connection has ended."""
         self.connections.pop(connection, None)
-        self.service.admission.connections.give_back(connection.stream.peer.host)
+        self.service.admission.connections.release(connection.stream.peer.host)
 
 
 class Connection:
@@ -144,7 +144,7 @@
             if not self.side.waiting:
                 self.partial_since = self.heard
             self._take(self.side.receive(data))
-            wait = self.front.service.admission.spend(self.user, len(data), self.heard)
+            wait = self.front.service.admission.consume_bytes(self.user, len(data), self.heard)
             if wait:
                 self.loop.sleep(wait)
 
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -28,7 +28,7 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.frontends.hiveserver2.authentication import Door
 from fennelwind.frontends.hiveserver2.rows import Reader, by_rows, text_page
-from fennelwind.limits.admission import Admission, Bounds
+from fennelwind.limits.admission import Admission, AdmissionLimits
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
@@ -198,7 +198,7 @@
         self.idled = self.forgotten = 0  # sessions and operations that nobody used for too long
         bounds = settings.file.listener
         self.admission = Admission(
-            Bounds(
+            AdmissionLimits(
                 bounds.max_connections,
                 bounds.max_connections_per_address,
                 bounds.max_sessions,
@@ -251,7 +251,7 @@
     def end(self, session: Session, reason: str) -> None:
         """End a session with all its operations."""
         if self.sessions.pop(session.handle.sessionId.guid, None) is not None:
-            self.admission.sessions.give_back(session.user)
+            self.admission.sessions.release(session.user)
             if session.subscriber is not None:
                 self.gate.leave(session.subscriber)
         for operation in list(session.operations.values()):
@@ -269,7 +269,7 @@
         who = request.username or user
         if self.door.users is not None:
             who = user  # nobody may be somebody else
-        against = self.admission.sessions.take(who)
+        against = self.admission.sessions.acquire(who)
         if against is not None:
             raise BadRequestError(against, "53300")
         handle = hs2.TSessionHandle(hs2.THandleIdentifier(self.loop.token(16), self.loop.token(16)))
@@ -280,7 +280,7 @@
                     session.state.configuration(None), protocol, session.state.database
                 )
             except FennelwindError as exc:
-                self.admission.sessions.give_back(who)
+                self.admission.sessions.release(who)
                 raise BadRequestError(f"{exc} ({exc.code}: {exc.advice})", "22023") from None
         session.bound = mine is not NOT_BOUND
         self.sessions[handle.sessionId.guid] = session
--- a/fennelwind/limits/__init__.py
+++ b/fennelwind/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits that subsystems around the module need; without I/O, given time and events, as the module is."""
+"""Limits around the policy: connections, bytes, logins, log lines, retries. No I/O."""
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -1,111 +1,136 @@
-"""Who of a front's clients keeps his place: whom to close for room, and who has had it for too long. No I/O.
+"""Connection slots of a frontend: whom to close for a new connection, and who has been inactive for too long.
 
-A client is unheard until his first whole message has come, busy while an answer is owed to him or not yet
-taken, else idle; apart from that half a message of his may have come. All times are ms of the caller's
-clock. Unheard and idle ones stand in the order in which they came to be so: nobody is searched for.
+A connection is new until its first complete message has come, busy while an answer is owed or not yet read,
+else idle; apart from that, part of a message may have come. All times are in ms of the caller's clock. New
+and idle connections are kept in the order in which they became so: nothing has to be searched.
 
-The order for room: first who has said nothing for `MUTE_MS`; then who was answered longest ago, as his
-client sends again what crosses the close; last who has just come, since a first request that crosses the
-close is lost to its client. Busy ones are never closed, nor are those of whom the caller knows better.
+When a slot is needed, first goes who has sent nothing for `MUTE_TIMEOUT_MS`; then who was answered longest
+ago, as that client resends what crosses the close; last who has just connected, since a first request that
+crosses the close is lost to its client. Busy ones are never closed, nor are those that the caller spares.
+
+No I/O: the frontend reports what happens to its connections, asks, and closes.
 """
 
 from collections.abc import Callable, Hashable, Iterator
+from enum import StrEnum
 from itertools import islice
+from typing import Generic, NamedTuple, TypeVar
+
+MUTE_TIMEOUT_MS = 400.0  # ms; a usual client's first request follows its connecting by a few ms
+SILENT_TIMEOUT_MS = (
+    1800.0  # ms without a complete first message, or with part of one; the platform allows 3 s
+)
+IDLE_TIMEOUT_MS = 8000.0  # ms without anything owed; usual clients close after 4 s
+MAX_SPARED = 8  # connections looked at in one search for a slot
+
+ConnectionT = TypeVar("ConnectionT", bound=Hashable)
+
+
+class CloseReason(StrEnum):
+    """Why a connection is to be closed; part of the names of the frontend's counters."""
+
+    MUTE = "mute"  # for a slot: it has sent nothing since it connected
+    IDLE = "idle"  # for a slot, or overdue: nothing is owed to it
+    NEW = "new"  # for a slot: it has just connected
+    HALF_SENT = "half_sent"  # overdue: part of a message came, and no more
+    SILENT = "silent"  # overdue: no complete message came
+
+
+class CloseCandidate(NamedTuple, Generic[ConnectionT]):
+    """A connection to close."""
 
-MUTE_MS = 400.0  # ms; a usual client's first request follows its connecting by a few ms
-SILENT_MS = 1800.0  # ms without a first message, or with one half sent; 3 s are what the platform allows
-IDLE_MS = 8000.0  # ms without anything owed; usual clients close after 4 s
-SPARED_MOST = 8  # clients looked at in one search for room
+    connection: ConnectionT
+    reason: CloseReason
 
 
-class Places:
-    """The places of one front."""
+class ConnectionSlots(Generic[ConnectionT]):
+    """The connections of one frontend, by what they wait for."""
 
-    def __init__(self, most: int) -> None:
-        self.most = most
-        self.busy: set[Hashable] = set()
-        self.unheard: dict[Hashable, float] = {}  # since when
-        self.idle: dict[Hashable, float] = {}
-        self.half: dict[Hashable, float] = {}  # since when half a message is there
+    def __init__(self, limit: int) -> None:
+        self.limit = limit
+        self.busy: set[ConnectionT] = set()
+        self.new_since_ms: dict[ConnectionT, float] = {}
+        self.idle_since_ms: dict[ConnectionT, float] = {}
+        self.partial_since_ms: dict[ConnectionT, float] = {}  # those of which part of a message has come
 
     def __len__(self) -> int:
-        return len(self.busy) + len(self.unheard) + len(self.idle)
-
-    def __iter__(self) -> Iterator[Hashable]:
-        return iter([*self.busy, *self.unheard, *self.idle])
-
-    def came(self, who: Hashable, now: float) -> None:
-        """Note a new client."""
-        self.unheard[who] = now
-
-    def heard(self, who: Hashable, now: float) -> None:
-        """Note a whole message of a client's."""
-        self.unheard.pop(who, None)
-        if who not in self.busy:
-            self.idle.pop(who, None)
-            self.idle[who] = now
-
-    def owes(self, who: Hashable) -> None:
-        """Note that an answer is owed to a client."""
-        self.unheard.pop(who, None)
-        self.idle.pop(who, None)
-        self.busy.add(who)
-
-    def owes_nothing(self, who: Hashable, now: float) -> None:
-        """Note that a client has got all that was owed to him."""
-        if who in self.busy:
-            self.busy.discard(who)
-            self.idle[who] = now
-
-    def sent(self, who: Hashable, now: float, half: bool) -> None:
-        """Note that something has come from a client, with or without half a message at its end."""
-        if half:
-            self.half.setdefault(who, now)
+        return len(self.busy) + len(self.new_since_ms) + len(self.idle_since_ms)
+
+    def __iter__(self) -> Iterator[ConnectionT]:
+        return iter([*self.busy, *self.new_since_ms, *self.idle_since_ms])
+
+    def add(self, connection: ConnectionT, now: float) -> None:
+        """Note a new connection."""
+        self.new_since_ms[connection] = now
+
+    def message_received(self, connection: ConnectionT, now: float) -> None:
+        """Note a complete message."""
+        self.new_since_ms.pop(connection, None)
+        if connection not in self.busy:
+            self.idle_since_ms.pop(connection, None)
+            self.idle_since_ms[connection] = now
+
+    def mark_busy(self, connection: ConnectionT) -> None:
+        """Note that an answer is owed to a connection."""
+        self.new_since_ms.pop(connection, None)
+        self.idle_since_ms.pop(connection, None)
+        self.busy.add(connection)
+
+    def mark_idle(self, connection: ConnectionT, now: float) -> None:
+        """Note that a connection has got all that was owed to it."""
+        if connection in self.busy:
+            self.busy.discard(connection)
+            self.idle_since_ms[connection] = now
+
+    def bytes_received(self, connection: ConnectionT, now: float, has_partial_message: bool) -> None:
+        """Note that bytes have come, with or without part of a message at their end."""
+        if has_partial_message:
+            self.partial_since_ms.setdefault(connection, now)
         else:
-            self.half.pop(who, None)
+            self.partial_since_ms.pop(connection, None)
 
-    def left(self, who: Hashable) -> None:
-        """Note that a client has gone, or was closed."""
-        self.busy.discard(who)
-        for table in (self.unheard, self.idle, self.half):
-            table.pop(who, None)
+    def remove(self, connection: ConnectionT) -> None:
+        """Note that a connection has ended."""
+        self.busy.discard(connection)
+        for since_ms in (self.new_since_ms, self.idle_since_ms, self.partial_since_ms):
+            since_ms.pop(connection, None)
 
-    def for_room(
-        self, now: float, spared: Callable[[Hashable], bool] = lambda _: False
-    ) -> tuple[Hashable, str] | None:
-        """Return whom to close so that another has a place, and why; None if there is nobody.
+    def choose_to_close(
+        self, now: float, is_spared: Callable[[ConnectionT], bool] = lambda _: False
+    ) -> CloseCandidate[ConnectionT] | None:
+        """Return whom to close so that another gets a slot; None if there is nobody.
 
-        `spared` tells who is not as idle as it seems here; it is asked of few.
+        `is_spared` knows who is not as inactive as it seems here; it is called for few.
         """
-        for who, why in islice(self._by_need(now), SPARED_MOST):
-            if not spared(who):
-                return who, why
+        for candidate in islice(self._by_preference(now), MAX_SPARED):
+            if not is_spared(candidate.connection):
+                return candidate
         return None
 
-    def _by_need(self, now: float) -> Iterator[tuple[Hashable, str]]:
-        for who, since in self.unheard.items():
-            if now - since <= MUTE_MS:
+    def _by_preference(self, now: float) -> Iterator[CloseCandidate[ConnectionT]]:
+        for connection, since_ms in self.new_since_ms.items():
+            if now - since_ms <= MUTE_TIMEOUT_MS:
                 break
-            yield who, "mute"
-        for who in self.idle:
-            if who not in self.half:
-                yield who, "idle"
-        for who, since in self.unheard.items():
-            if now - since <= MUTE_MS:
-                yield who, "new"
-
-    def overdue(self, now: float) -> Iterator[tuple[Hashable, str]]:
-        """Yield who is to be closed by now, and why; the caller may close them as they come."""
-        for table, most, why in (
-            (self.half, SILENT_MS, "half_sent"),
-            (self.unheard, SILENT_MS, "silent"),
-            (self.idle, IDLE_MS, "idle"),
+            yield CloseCandidate(connection, CloseReason.MUTE)
+        for connection in self.idle_since_ms:
+            if connection not in self.partial_since_ms:
+                yield CloseCandidate(connection, CloseReason.IDLE)
+        for connection, since_ms in self.new_since_ms.items():
+            if now - since_ms <= MUTE_TIMEOUT_MS:
+                yield CloseCandidate(connection, CloseReason.NEW)
+
+    def overdue(self, now: float) -> Iterator[CloseCandidate[ConnectionT]]:
+        """Yield who is to be closed by now; the caller may close them as they come."""
+        for since_ms_by_connection, timeout_ms, reason in (
+            (self.partial_since_ms, SILENT_TIMEOUT_MS, CloseReason.HALF_SENT),
+            (self.new_since_ms, SILENT_TIMEOUT_MS, CloseReason.SILENT),
+            (self.idle_since_ms, IDLE_TIMEOUT_MS, CloseReason.IDLE),
         ):
-            ripe = []
-            for who, since in table.items():
-                if now - since <= most:
+            timed_out = []
+            for connection, since_ms in since_ms_by_connection.items():
+                if now - since_ms <= timeout_ms:
                     break  # those behind came later
-                ripe.append(who)
-            for who in ripe:
-                if who not in self.busy and who in table:
-                    yield who, why
+                timed_out.append(connection)
+            for connection in timed_out:
+                if connection not in self.busy and connection in since_ms_by_connection:
+                    yield CloseCandidate(connection, reason)
--- a/fennelwind/limits/log_rate_limit.py
+++ b/fennelwind/limits/log_rate_limit.py
@@ -1,24 +1,42 @@
-"""How many log lines of one sort are written, where clients or engines could flood them. No I/O."""
+"""Limits the log lines of one event, where clients or engines could flood the log. No I/O; times in ms.
+
+The logs of the controller and of the platform's node call it before each line that a peer can cause.
+"""
 
 from collections.abc import Callable
+from dataclasses import dataclass
+
+from fennelwind.limits.token_bucket import TokenBucket
+
+BURST_LINES = 20.0  # lines of one event that may come at once; enough to see what goes on
+LINES_PER_S = 5.0  # lines of one event a second over time
+
+
+@dataclass(slots=True)
+class _EventLimit:
+    """The lines of one event."""
 
-BURST, PER_S = 20.0, 5.0  # lines of one sort at once, and a second over time; enough to see what goes on
+    bucket: TokenBucket
+    dropped: int = 0  # lines since the last one that was written
 
 
 class RateLimit:
-    """A bucket of lines for each sort; what does not fit is counted and told with the next line."""
+    """A token bucket for each event; a line without a token is dropped and counted."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
-        self._buckets: dict[str, tuple[float, float, int]] = {}  # lines left, when that was, lines dropped
+        self._limits: dict[str, _EventLimit] = {}
 
-    def allow(self, sort: str) -> int | None:
+    def allow(self, event: str) -> int | None:
         """Return how many lines were dropped before this one; None if it is dropped too."""
         now = self.now()
-        left, at, dropped = self._buckets.get(sort, (BURST, now, 0))
-        left = min(BURST, left + (now - at) / 1000.0 * PER_S)
-        if left < 1.0:
-            self._buckets[sort] = left, now, dropped + 1
+        limit = self._limits.get(event)
+        if limit is None:
+            limit = self._limits[event] = _EventLimit(TokenBucket(BURST_LINES, LINES_PER_S, BURST_LINES, now))
+        limit.bucket.refill(now)
+        if limit.bucket.tokens < 1.0:
+            limit.dropped += 1
             return None
-        self._buckets[sort] = left - 1.0, now, 0
+        limit.bucket.tokens -= 1.0
+        dropped, limit.dropped = limit.dropped, 0
         return dropped
--- /dev/null
+++ b/fennelwind/limits/token_bucket.py
@@ -0,0 +1,22 @@
+"""A token bucket, for what is limited by a rate with bursts. No I/O; times in ms of the caller's clock."""
+
+from dataclasses import dataclass
+
+
+@dataclass(slots=True)
+class TokenBucket:
+    """Holds up to `capacity` tokens and gains `rate_per_s` of them; the caller takes what it needs.
+
+    The level may fall below 0: a debt that has to be paid before anything is left again.
+    """
+
+    capacity: float
+    rate_per_s: float
+    tokens: float
+    updated_ms: float
+
+    def refill(self, now: float) -> None:
+        """Add the tokens gained since the last call."""
+        gained = (now - self.updated_ms) / 1000.0 * self.rate_per_s
+        self.tokens = min(self.capacity, self.tokens + gained)
+        self.updated_ms = now
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -13,7 +13,7 @@
 from fennelwind.dispatch.driver import Driver
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.dispatch.types import AnswerKind, Submission
-from fennelwind.limits.connection_slots import Places
+from fennelwind.limits.connection_slots import ConnectionSlots
 from fennelwind.loop.scheduler import DeadlineExceeded, Loop
 from fennelwind.loop.streams import Listener, PushStream, StreamReset
 from fennelwind.node import msgrpc
@@ -110,7 +110,7 @@
 
     def _count_partial(self) -> None:
         under_way = self.reader.under_way()
-        self.front.places.sent(self, self.front.loop.now(), under_way > 0)
+        self.front.places.bytes_received(self, self.front.loop.now(), under_way > 0)
         self.front.partial += under_way - self.partial
         self.partial = under_way
         if self.front.partial > PARTIAL_MOST:
@@ -123,7 +123,7 @@
         if message.number <= self.last:
             raise msgrpc.Malformed("message ids do not rise")
         self.last = message.number
-        self.front.places.heard(self, self.front.loop.now())
+        self.front.places.message_received(self, self.front.loop.now())
         if message.method == "isWell":
             self.send(msgrpc.result(message.number, [self.front.well, {}]), None)
         elif len(self.open) >= OPEN_MOST or self.unread_bytes > UNREAD_MOST:
@@ -181,7 +181,7 @@
         entry = front.driver.submit(submission, answered)
         if entry.answer is None:
             self.open[number] = entry
-            front.places.owes(self)
+            front.places.mark_busy(self)
 
     def _let_go(self, entry: Entry) -> None:
         self.front.names.discard(entry.submission.engine_id)
@@ -193,7 +193,7 @@
 
     def _rest(self) -> None:
         if not self.owed():
-            self.front.places.owes_nothing(self, self.front.loop.now())
+            self.front.places.mark_idle(self, self.front.loop.now())
 
     def answer(self, number: int, entry: Entry) -> None:
         """Give a query's final answer."""
@@ -233,7 +233,7 @@
             self.shut()
             return
         self.unread.append((raw, entry))
-        self.front.places.owes(self)
+        self.front.places.mark_busy(self)
         self.unread_bytes += len(raw)
         if not self.writing:
             self.writing = True
@@ -279,7 +279,7 @@
     def _drop_partial(self) -> None:
         self.front.partial -= self.partial
         self.partial, self.reader = 0, msgrpc.Reader()
-        self.front.places.sent(self, self.front.loop.now(), False)
+        self.front.places.bytes_received(self, self.front.loop.now(), False)
 
     def shut(self) -> None:
         """Close in order, though some of its answers may not be taken yet."""
@@ -293,7 +293,7 @@
             return
         self.ending = self.closed = True
         self._drop_partial()
-        self.front.places.left(self)
+        self.front.places.remove(self)
         for entry in list(self.open.values()):
             self.front.names.discard(entry.submission.engine_id)
             self.front.driver.cancel(entry, "its client has closed the connection")
@@ -314,7 +314,7 @@
         lingering_most: int,
     ) -> None:
         self.loop, self.listener, self.driver, self.config = loop, listener, driver, config
-        self.places = Places(most)
+        self.places: ConnectionSlots[Connection] = ConnectionSlots(most)
         self.lingering: dict[Connection, float] = {}  # closed by us, since when
         self.lingering_most = lingering_most
         self.names: set[str] = set()  # ids of open requests
@@ -346,17 +346,17 @@
 
     def _admit(self, stream: PushStream) -> None:
         self.counts["accepted"] += 1
-        if len(self.places) >= self.places.most and not self._make_room():
+        if len(self.places) >= self.places.limit and not self._make_room():
             self.counts["turned_away"] += 1
             stream.close()
             return
         connection = Connection(self, stream)
-        self.places.came(connection, self.loop.now())
+        self.places.add(connection, self.loop.now())
         self.loop.spawn(connection.run, name="client")
 
     def _make_room(self) -> bool:
         """Close who needs his place least; False if none may be closed."""
-        chosen = self.places.for_room(self.loop.now(), self._about_to_be_heard)
+        chosen = self.places.choose_to_close(self.loop.now(), self._about_to_be_heard)
         if chosen is None:
             return False
         self.counts[f"closed_for_room_{chosen[1]}"] += 1
@@ -365,7 +365,7 @@
 
     def _about_to_be_heard(self, connection: Connection) -> bool:
         """Tell whether the beginning of a message has come that is not read yet."""
-        return connection not in self.places.half and connection.stream.waiting()
+        return connection not in self.places.partial_since_ms and connection.stream.waiting()
 
     def _sweep(self) -> None:
         while True:
@@ -387,7 +387,7 @@
     def shed_partial(self) -> None:
         """Close who has sent most of what is half sent, first of those who are owed nothing."""
         while self.partial > PARTIAL_MOST:
-            most = max(self.places.half, key=lambda one: (not one.owed(), one.partial))
+            most = max(self.places.partial_since_ms, key=lambda one: (not one.owed(), one.partial))
             self.counts["half_sent_most"] += 1
             most.close()
 
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -13,7 +13,7 @@
 from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.frontends.hiveserver2 import authentication
 from fennelwind.limits import login_throttle
-from fennelwind.limits.login_throttle import Logins
+from fennelwind.limits.login_throttle import LoginThrottle
 from fennelwind.loop import RealLoop, StreamReset
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
@@ -331,20 +331,22 @@
 
 
 def test_logins_are_counted_by_user_and_address_and_bounded(monkeypatch):
-    known = Logins()
+    throttle = LoginThrottle()
     for count in range(12):
-        known.failed(f"user {count}", "desk", 0.0)
-    assert known.delay_ms("new", "desk", 0.0) == login_throttle.MOST_MS  # one who tries many names
-    assert known.delay_ms("user 1", "elsewhere", 0.0) == login_throttle.FIRST_MS
-    assert known.delay_ms("new", "elsewhere", 0.0) == 0.0
-    assert known.delay_ms("new", "desk", login_throttle.FORGIVEN_MS) == 0.0
-    known.passed("user 1", "desk", b"p", 0.0)
-    assert known.delay_ms("user 1", "desk", 0.0) == 0.0
-    assert known.known(b"p", 10.0) and not known.known(b"p", login_throttle.REMEMBERED_MS)
-    known.forget()
-    assert not known.known(b"p", 10.0)
-    monkeypatch.setattr(login_throttle, "ENTRIES_MOST", 10)
+        throttle.failed(f"user {count}", "desk", 0.0)
+    assert throttle.delay_ms("new", "desk", 0.0) == login_throttle.MAX_DELAY_MS  # one who tries many names
+    assert throttle.delay_ms("user 1", "elsewhere", 0.0) == login_throttle.MIN_DELAY_MS
+    assert throttle.delay_ms("new", "elsewhere", 0.0) == 0.0
+    assert throttle.delay_ms("new", "desk", login_throttle.FAILURE_EXPIRY_MS) == 0.0
+    throttle.succeeded("user 1", "desk", b"p", 0.0)
+    assert throttle.delay_ms("user 1", "desk", 0.0) == 0.0
+    assert throttle.is_verified(b"p", 10.0) and not throttle.is_verified(
+        b"p", login_throttle.SUCCESS_EXPIRY_MS
+    )
+    throttle.forget_verified()
+    assert not throttle.is_verified(b"p", 10.0)
+    monkeypatch.setattr(login_throttle, "MAX_ENTRIES", 10)
     for i in range(50):
-        known.failed(f"u{i}", f"a{i}", 0.0)
-        known.passed("x", "y", b"%d" % i, 0.0)
-    assert len(known._wrong) == 10 == len(known._right)
+        throttle.failed(f"u{i}", f"a{i}", 0.0)
+        throttle.succeeded("x", "y", b"%d" % i, 0.0)
+    assert len(throttle._failures) == 10 == len(throttle._verified_until_ms)
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -6,7 +6,7 @@
 
 from fennelwind.dispatch.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
 from fennelwind.engines import statement_status
-from fennelwind.limits.admission import Admission, Bounds, Share
+from fennelwind.limits.admission import Admission, AdmissionLimits, SharedLimit
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.recovery import request_coalescing
 from fennelwind.recovery.request_coalescing import RequestCoalescer, request_fingerprint
@@ -56,43 +56,43 @@
 
 
 def test_a_holder_has_a_bound_of_its_own_and_the_whole_has_one():
-    share = Share("sessions", 10, 6)
-    assert [share.take("ann") for _ in range(6)] == [None] * 6
-    assert share.take("ann") == "ann has 6 sessions open, which is the limit for one"
-    assert [share.take("bo") for _ in range(4)] == [None] * 4
-    assert share.take("cy") == "10 sessions are open, which is the limit"
-    share.give_back("ann")
-    assert share.take("cy") is None and share.refused == 2
+    limit = SharedLimit("sessions", 10, 6)
+    assert [limit.acquire("ann") for _ in range(6)] == [None] * 6
+    assert limit.acquire("ann") == "ann has 6 sessions open, which is the limit for one"
+    assert [limit.acquire("bo") for _ in range(4)] == [None] * 4
+    assert limit.acquire("cy") == "10 sessions are open, which is the limit"
+    limit.release("ann")
+    assert limit.acquire("cy") is None and limit.rejected == 2
     for holder, count in (("ann", 5), ("bo", 4), ("cy", 1)):
         for _ in range(count):
-            share.give_back(holder)
-    assert share.total == 0 and not share.held
+            limit.release(holder)
+    assert limit.total == 0 and not limit.in_use
 
 
 def test_when_the_whole_is_nearly_used_up_those_who_hold_least_come_first():
-    share = Share("connections", 100, 90)
-    assert all(share.take("herd") is None for _ in range(80))
-    assert share.take("herd") == "80 connections are open, and herd has 80 of them"
-    assert all(share.take(f"other {i}") is None for i in range(20))
-    alone = Share("connections", 100, 100)  # behind a proxy all come from one address
-    assert all(alone.take("proxy") is None for _ in range(100))
+    limit = SharedLimit("connections", 100, 90)
+    assert all(limit.acquire("herd") is None for _ in range(80))
+    assert limit.acquire("herd") == "80 connections are open, and herd has 80 of them"
+    assert all(limit.acquire(f"other {i}") is None for i in range(20))
+    alone = SharedLimit("connections", 100, 100)  # behind a proxy all come from one address
+    assert all(alone.acquire("proxy") is None for _ in range(100))
 
 
 def test_bytes_over_a_users_rate_delay_that_user_alone():
-    limits = Admission(Bounds(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
-    assert limits.spend("ann", 2000, 0.0) == 0.0  # two seconds' worth may come at once
-    assert limits.spend("ann", 500, 0.0) == 500.0
-    assert limits.spend("bo", 500, 0.0) == 0.0
-    assert limits.spend("ann", 100, 1000.0) == 0.0  # 500 back, 100 spent: 400 left
-    assert limits.spend("ann", 1_000_000, 1000.0) == 5000.0 and limits.delayed == 2
-    assert Admission(Bounds(1, 1, 1, 1, 0.0)).spend("ann", 10**12, 0.0) == 0.0
+    limits = Admission(AdmissionLimits(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
+    assert limits.consume_bytes("ann", 2000, 0.0) == 0.0  # two seconds' worth may come at once
+    assert limits.consume_bytes("ann", 500, 0.0) == 500.0
+    assert limits.consume_bytes("bo", 500, 0.0) == 0.0
+    assert limits.consume_bytes("ann", 100, 1000.0) == 0.0  # 500 back, 100 spent: 400 left
+    assert limits.consume_bytes("ann", 1_000_000, 1000.0) == 5000.0 and limits.delayed == 2
+    assert Admission(AdmissionLimits(1, 1, 1, 1, 0.0)).consume_bytes("ann", 10**12, 0.0) == 0.0
 
 
 def test_users_who_were_quiet_for_long_are_forgotten():
-    limits = Admission(Bounds(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
+    limits = Admission(AdmissionLimits(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
     for i in range(500):
-        limits.spend(f"user {i}", 10, float(i))
-    limits.spend("late", 10, 200_000.0)
+        limits.consume_bytes(f"user {i}", 10, float(i))
+    limits.consume_bytes("late", 10, 200_000.0)
     assert list(limits._buckets) == ["late"]
 
 
--- a/tests/node/test_crossings_front.py
+++ b/tests/node/test_crossings_front.py
@@ -170,7 +170,7 @@
         sock = connect(loop, node)
         sock.sendall(is_well(1))
         connection = only(loop, node)
-        until(loop, lambda: connection in node.front.places.idle)
+        until(loop, lambda: connection in node.front.places.idle_since_ms)
         sock.sendall(request(2, 1))
         connection.close()  # in the turn in which the bytes came
         assert connection.stream.waiting()
@@ -196,7 +196,7 @@
         if why == "room":
             assert not node.front._make_room()
         else:
-            monkeypatch.setattr(connection_slots, f"{why.upper()}_MS", -1.0)
+            monkeypatch.setattr(connection_slots, f"{why.upper()}_TIMEOUT_MS", -1.0)
             overdue = list(node.front.places.overdue(loop.now()))
             assert overdue == [(connection, why)]
             node.front.close_overdue()
@@ -794,7 +794,7 @@
     def main(loop):
         node = start(loop, [], sockets=sockets)
         front = node.front
-        rest = sockets - front.places.most - front.lingering_most - node.links.most
+        rest = sockets - front.places.limit - front.lingering_most - node.links.most
         assert rest >= 3 + 2 + 1 + 1 + 1 + 1 + 6  # standard streams, wake pipe, listener, channel, the
         # connection just accepted, a file of settings; and six more
         assert front.lingering_most >= 7
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -444,7 +444,7 @@
     def main(loop):
         Executor(loop, 1)
         node = start(loop, [instance("s-1", 1)], sockets=40)
-        most = node.front.places.most
+        most = node.front.places.limit
         idle = [Client(loop) for _ in range(most)]
         for k, client in enumerate(idle):
             assert client.answer(client.ask(name(k)))[0] is None
@@ -801,22 +801,22 @@
         Executor(loop, 1)
         node = start(loop, [instance("s-1", 1)], sockets=100)
         front, places = node.front, node.front.places
-        clients = [Client(loop) for _ in range(places.most)]
+        clients = [Client(loop) for _ in range(places.limit)]
         for k, client in enumerate(clients[:-2]):
             assert client.answer(client.ask(name(k)))[0] is None
-        assert all(each.reader._unpacker is None for each in places.idle)
-        assert len(places.idle) == places.most - 2 and len(places.unheard) == 2
+        assert all(each.reader._unpacker is None for each in places.idle_since_ms)
+        assert len(places.idle_since_ms) == places.limit - 2 and len(places.new_since_ms) == 2
         number = clients[0].ask(name(500), "scene-build", 5000)
         loop.sleep(5.0)
-        oldest = next(iter(places.idle))
-        assert len(places.idle) == places.most - 3 and clients[1].stream.peer == LISTEN
+        oldest = next(iter(places.idle_since_ms))
+        assert len(places.idle_since_ms) == places.limit - 3 and clients[1].stream.peer == LISTEN
         clients[-2].stream.close()
         clients[-1].stream.close()
         loop.sleep(10.0)
-        assert not places.unheard
+        assert not places.new_since_ms
         extra = [Client(loop) for _ in range(3)]
         loop.sleep(10.0)
-        assert oldest.closed and front.counts["closed_for_room_idle"] == 1 and len(places.unheard) == 3
+        assert oldest.closed and front.counts["closed_for_room_idle"] == 1 and len(places.new_since_ms) == 3
         assert clients[0].answer(number)[0] is None and extra
         loop.sleep(20000.0)
         assert not len(places)
