--- a/fennelwind/load_balancing/__init__.py
+++ b/fennelwind/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""How one of many controllers spreads load of which it sees little."""
+"""Load balancing by one of many controllers, which sees only a small part of the fleet's load itself."""
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -1,8 +1,8 @@
-"""What the module is told of whole loads, from its own events and actions. No I/O, no clock; times in ms.
+"""The load advisor: tells the policy of the fleet's load, from the policy's own events and actions.
 
-The advisor reads what the driver hands to the module and what the module decides, and adds one event: the
-executors to lean to, in order, each with the load that it is taken to have. It decides nothing on its own:
-bounds, cold budgets, drains and placement stay the module's.
+The driver passes it each event and each attempt that starts, and it adds one event to each step: the
+executors to prefer, in order, each with the load that it is taken to have. It decides nothing itself:
+concurrency limits, slow start, drains and placement stay with the policy. No I/O, no clock; times in ms.
 """
 
 import math
@@ -10,112 +10,135 @@
 
 from fennelwind import policy
 from fennelwind.load_balancing import subsetting
-from fennelwind.load_balancing.load_estimate import SHARES, Estimate
+from fennelwind.load_balancing.load_estimate import UTILIZATION_FIELDS, LoadEstimator
+from fennelwind.policy import EngineState, ListForm
 
-LITTLE = 16  # controllers; with fewer, own queries tell enough of the load, and each may lean to everyone
-RATE_MS = 5000.0  # ms over which own traffic is counted; a burst must not change the subset by itself
-AGAIN_PART = 1.0 / 3.0  # of the time for which idle connections are kept: own traffic comes back well before
-CROSS = 0.3  # load that another zone must be emptier by; crossing costs time and is priced
-TRIAL = 0.04  # of the narrowest queries go to an executor without news, so that none is left idle unseen
-DOUBT = 0.5  # of the standard deviation, by which each controller sees an executor higher or lower
+MIN_CONTROLLERS = 16  # with fewer, own queries show enough of the load, and each may use every executor
+RATE_WINDOW_MS = 5000.0  # ms over which own traffic is counted; a burst must not change the subset by itself
+# Share of the time for which idle connections are kept, within which own traffic reuses them.
+CONNECTION_REUSE_SHARE = 1.0 / 3.0
+REMOTE_ZONE_LOAD = 0.3  # load by which an executor of another zone must be emptier; crossing costs time
+# Share of the narrowest queries that go to an executor without recent reports, so that none idles unseen.
+EXPLORATION_SHARE = 0.04
+# Standard deviations by which each controller sees an executor higher or lower than others do, so that not
+# all controllers choose the same one at once.
+BIAS_DEVIATIONS = 0.5
 
 
 def is_useful(settings: policy.Settings) -> bool:
-    """Tell whether news of the whole load is to be had and own counts tell too little of it."""
-    return settings.gateway_count >= LITTLE and any(name in settings.report_fields for name in SHARES)
+    """Return whether executors report their load, and own queries show too little of it."""
+    reports_load = any(name in settings.report_fields for name in UTILIZATION_FIELDS)
+    return settings.gateway_count >= MIN_CONTROLLERS and reports_load
 
 
 class LoadAdvisor:
     """Keeps one controller's view of the fleet's load."""
 
     def __init__(self, settings: policy.Settings, seed: int, idle_ms: float) -> None:
-        self.set, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
-        self.estimate = Estimate()
-        self.entries: dict[str, policy.EngineEndpoint] = {}
-        self.leaning: dict[str, float] = {}  # place of each in its doubt: fixed, so that views stay apart
-        self.order: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
-        self.rate, self.rate_at = 0.0, -math.inf  # queries a second
-        self.trial = ""  # the executor that the next narrow query tries
-        self.narrow = min(cls.threads for cls in settings.classes)
+        self.settings, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
+        self.estimator = LoadEstimator()
+        self.endpoints: dict[str, policy.EngineEndpoint] = {}
+        self.biases: dict[str, float] = {}  # by executor, in standard deviations; fixed, so that views differ
+        self.rate_per_s, self.rate_updated_ms = 0.0, -math.inf  # own queries
+        self.explored = ""  # the executor without reports that the next narrow query goes to
+        self.min_threads = min(query_class.threads for query_class in settings.classes)
+        self._ranking: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
 
     def take(self, event: policy.Event, now: float) -> None:
-        """Take one of the module's events."""
+        """Take one of the policy's events."""
         match event:
             case policy.EngineListUpdate():
-                self._list(event)
+                self._take_list(event)
             case policy.QueryArrived():
-                self._arrival(event, now)
-            case policy.AttemptEnded(engine=engine, load=load) if load and engine in self.entries:
-                entry = self.entries[engine]
-                self.estimate.news(engine, entry.zone, load, self._cores(entry), now)
+                self._take_arrival(event, now)
+            case policy.AttemptEnded(engine=engine, load=load) if load and engine in self.endpoints:
+                endpoint = self.endpoints[engine]
+                self.estimator.add_report(engine, endpoint.zone, load, self._cores(endpoint), now)
 
     def sent(self, engine: str, threads: int) -> None:
-        """Count a query that was sent."""
-        self.estimate.sent(engine, threads)
-        if engine == self.trial:
-            self.trial = ""
+        """Count an attempt that was sent."""
+        self.estimator.sent(engine, threads)
+        if engine == self.explored:
+            self.explored = ""
 
     def advice(self, now: float) -> policy.LoadAdvice:
-        """Return the executors to lean to and their loads, as they are taken to be now."""
-        near, far = self.order = self.order or self._ranked()
-        names = subsetting.choose(
-            near, far, subsetting.size(self._rate(now), self.idle_ms * AGAIN_PART / 1000.0)
-        )
-        loads = {name: self._seen(name, now) for name in names}
-        if self.trial in self.entries and self.entries[self.trial].state == "ready":
-            loads = {self.trial: 0.0} | {name: load for name, load in loads.items() if name != self.trial}
+        """Return the executors to prefer and their loads, as they are taken to be now."""
+        local, remote = self._ranking = self._ranking or self._rank_ready()
+        reuse_interval_s = self.idle_ms * CONNECTION_REUSE_SHARE / 1000.0
+        size = subsetting.subset_size(self._decayed_rate_per_s(now), reuse_interval_s)
+        names = subsetting.choose(local, remote, size)
+        loads = {name: self._apparent_load(name, now) for name in names}
+        if self.explored in self.endpoints and self.endpoints[self.explored].state == EngineState.READY:
+            others = {name: load for name, load in loads.items() if name != self.explored}
+            loads = {self.explored: 0.0} | others
         return policy.LoadAdvice(loads)
 
-    def _cores(self, entry: policy.EngineEndpoint) -> int:
-        kinds = self.set.kind_cores
-        return kinds[entry.kind] if 0 <= entry.kind < len(kinds) else 1
+    def _cores(self, endpoint: policy.EngineEndpoint) -> int:
+        cores = self.settings.kind_cores
+        return cores[endpoint.kind] if 0 <= endpoint.kind < len(cores) else 1
 
-    def _list(self, event: policy.EngineListUpdate) -> None:
-        if event.form == "failed":
+    def _take_list(self, update: policy.EngineListUpdate) -> None:
+        if update.form == ListForm.FAILED:
+            return
+        listed = {endpoint.engine: endpoint for endpoint in update.engines}
+        if update.form != ListForm.DELTA:
+            for name in [name for name in self.endpoints if name not in listed]:
+                self._remove(name)
+        for name, endpoint in listed.items():
+            self._take_endpoint(name, endpoint)
+        self._ranking = None
+
+    def _take_endpoint(self, name: str, endpoint: policy.EngineEndpoint) -> None:
+        if endpoint.state == EngineState.REMOVED:
+            self._remove(name)
             return
-        seen = {entry.engine: entry for entry in event.engines}
-        if event.form != "delta":
-            for name in [name for name in self.entries if name not in seen]:
-                self._drop(name)
-        for name, entry in seen.items():
-            if entry.state == "gone":
-                self._drop(name)
-                continue
-            known = self.entries.get(name)
-            if known is None or known.started_ms != entry.started_ms:
-                self._drop(name)
-                self.leaning[name] = max(-1.0, min(1.0, self.random.gauss(0.0, 1.0)))
-            self.entries[name] = entry
-        self.order = None
-
-    def _drop(self, name: str) -> None:
-        self.entries.pop(name, None)
-        self.leaning.pop(name, None)
-        self.estimate.forget(name)
-
-    def _ranked(self) -> tuple[list[str], list[str]]:
-        def place(entry: policy.EngineEndpoint) -> float:
-            return subsetting.rank(self.set.gateway_index, entry.engine, self._cores(entry))
-
-        ready = sorted((e for e in self.entries.values() if e.state == "ready"), key=place)
+        known = self.endpoints.get(name)
+        if known is None or known.started_ms != endpoint.started_ms:
+            self._remove(name)
+            self.biases[name] = max(-1.0, min(1.0, self.random.gauss(0.0, 1.0)))
+        self.endpoints[name] = endpoint
+
+    def _remove(self, name: str) -> None:
+        self.endpoints.pop(name, None)
+        self.biases.pop(name, None)
+        self.estimator.forget(name)
+
+    def _rank_ready(self) -> tuple[list[str], list[str]]:
+        """Return the ready executors of the own zone and of others, each by rank."""
+
+        def rank(endpoint: policy.EngineEndpoint) -> float:
+            return subsetting.rank(self.settings.gateway_index, endpoint.engine, self._cores(endpoint))
+
+        ready = [endpoint for endpoint in self.endpoints.values() if endpoint.state == EngineState.READY]
+        ready.sort(key=rank)
         return (
-            [e.engine for e in ready if e.zone == self.set.zone],
-            [e.engine for e in ready if e.zone != self.set.zone],
+            [endpoint.engine for endpoint in ready if endpoint.zone == self.settings.zone],
+            [endpoint.engine for endpoint in ready if endpoint.zone != self.settings.zone],
         )
 
-    def _rate(self, now: float) -> float:
-        return self.rate * math.exp(-max(now - self.rate_at, 0.0) / RATE_MS)
-
-    def _arrival(self, event: policy.QueryArrived, now: float) -> None:
-        self.rate, self.rate_at = self._rate(now) + 1000.0 / RATE_MS, now
-        cls = self.set.classes[min(max(event.class_index, 0), len(self.set.classes) - 1)]
-        self.trial = ""
-        if cls.threads == self.narrow and self.random.random() < TRIAL:
-            ready = [name for name, entry in sorted(self.entries.items()) if entry.state == "ready"]
-            some = self.random.sample(ready, min(2, len(ready)))
-            self.trial = max(some, key=lambda name: self.estimate.age(name, now), default="")
-
-    def _seen(self, name: str, now: float) -> float:
-        entry = self.entries[name]
-        load, doubt = self.estimate.load(name, entry.zone, self._cores(entry), now)
-        return max(0.0, load + DOUBT * doubt * self.leaning[name]) + CROSS * (entry.zone != self.set.zone)
+    def _decayed_rate_per_s(self, now: float) -> float:
+        return self.rate_per_s * math.exp(-max(now - self.rate_updated_ms, 0.0) / RATE_WINDOW_MS)
+
+    def _take_arrival(self, event: policy.QueryArrived, now: float) -> None:
+        self.rate_per_s = self._decayed_rate_per_s(now) + 1000.0 / RATE_WINDOW_MS
+        self.rate_updated_ms = now
+        last_class = len(self.settings.classes) - 1
+        query_class = self.settings.classes[min(max(event.class_index, 0), last_class)]
+        self.explored = ""
+        if query_class.threads == self.min_threads and self.random.random() < EXPLORATION_SHARE:
+            self.explored = self._choose_to_explore(now)
+
+    def _choose_to_explore(self, now: float) -> str:
+        """Return the one of two random ready executors whose report is older; "" if none is ready."""
+        ready = [
+            name for name, endpoint in sorted(self.endpoints.items()) if endpoint.state == EngineState.READY
+        ]
+        sample = self.random.sample(ready, min(2, len(ready)))
+        return max(sample, key=lambda name: self.estimator.age_ms(name, now), default="")
+
+    def _apparent_load(self, name: str, now: float) -> float:
+        """Return an executor's load as this controller sees it: with its bias, and the price of the zone."""
+        endpoint = self.endpoints[name]
+        load, deviation = self.estimator.estimate(name, endpoint.zone, self._cores(endpoint), now)
+        biased = max(0.0, load + BIAS_DEVIATIONS * deviation * self.biases[name])
+        return biased + REMOTE_ZONE_LOAD * (endpoint.zone != self.settings.zone)
--- a/fennelwind/load_balancing/load_estimate.py
+++ b/fennelwind/load_balancing/load_estimate.py
@@ -1,105 +1,126 @@
-"""What reports tell of the whole load of each executor. No I/O, no clock; times in ms, loads over capacity.
+"""Estimates each executor's load from load reports. No I/O, no clock; times in ms, loads over capacity.
 
 A report is old when it comes, a little noisy, and knows nothing of what was sent since. So a load fades from
-what was told towards the mean of its zone, own queries sent since are added, and what is left uncertain is
-told as a standard deviation.
+the reported one towards the mean of its zone, own queries sent since are added, and what remains uncertain is
+given as a standard deviation. `load_advisor` is the only caller.
 """
 
 import math
 from dataclasses import dataclass
+from typing import NamedTuple
 
-SHARES = ("cpu", "x1")  # fields that tell a busy share: of cores, of disks; the busiest one is the load
-FADE_MS = 1500.0  # ms in which a report loses all but 1/e of its say; queries take about a second
-NOISE = 0.07  # of a report, standard deviation; platforms state 0.03 to 0.10
-TOLD_MOST = 2.0  # times capacity; a share that is told larger is no better known
-MEAN_PART = 0.15  # part of a new report in its zone's mean and variance: some 7 reports
-UNKNOWN, SPREAD = 0.5, 0.25  # load and its standard deviation before anything was told
-STUCK_SAME, STUCK_MS = 4, 3000.0  # reports in a row and ms; noise never repeats a figure for so long
+UTILIZATION_FIELDS = ("cpu", "x1")  # busy share of cores and of disks; the busiest one is the load
+QUEUE_FIELD = "waiting"  # threads that wait at the executor
+FADE_MS = 1500.0  # ms in which a report loses all but 1/e of its weight; queries take about a second
+REPORT_NOISE = 0.07  # standard deviation of a report; platforms state 0.03 to 0.10
+MAX_LOAD = 2.0  # over capacity; a larger reported load is no better known
+ZONE_SMOOTHING = 0.15  # weight of a new report in its zone's mean and variance: some 7 reports
+UNKNOWN_LOAD = 0.5  # load before any report, and its standard deviation
+UNKNOWN_DEVIATION = 0.25
+STUCK_REPORTS = 4  # equal reports in a row from which a field is taken to be stuck
+STUCK_MS = 3000.0  # ms that they span at least; noise never repeats a value for so long
+
+
+class LoadEstimate(NamedTuple):
+    """The load of one executor over its capacity, and its standard deviation."""
+
+    load: float
+    deviation: float
 
 
 @dataclass(slots=True)
-class Told:
+class LoadReport:
     """The last report of an executor."""
 
     load: float
-    at: float
-    sent: float = 0.0  # threads of own queries sent there since
-    same: int = 1  # reports in a row that told the same
-    since: float = 0.0  # when the first of them came
+    received_ms: float
+    sent_threads: float = 0.0  # threads of own queries sent there since
+    equal_reports: int = 1  # reports in a row with the same load
+    equal_since_ms: float = 0.0  # when the first of them came
 
-    def stuck(self) -> bool:
-        """Tell whether the field is taken to have stopped moving."""
-        return self.same >= STUCK_SAME and self.at - self.since >= STUCK_MS
+    def is_stuck(self) -> bool:
+        """Return whether the field is taken to have stopped moving."""
+        span_ms = self.received_ms - self.equal_since_ms
+        return self.equal_reports >= STUCK_REPORTS and span_ms >= STUCK_MS
 
 
 @dataclass(slots=True)
-class Zone:
-    """What is usual in a zone."""
+class ZoneLoad:
+    """The usual load of a zone's executors."""
 
     mean: float
-    variance: float = SPREAD**2
+    variance: float = UNKNOWN_DEVIATION**2
+
+    def add(self, load: float) -> None:
+        """Count a reported load."""
+        difference = load - self.mean
+        self.mean += difference * ZONE_SMOOTHING
+        self.variance += (difference * difference - self.variance) * ZONE_SMOOTHING
 
 
-def load_of(report: dict[str, float], cores: int) -> float | None:
-    """Return the load that a report tells, None if it has no field of known meaning or no usable figure."""
-    shares = [report[name] for name in SHARES if name in report and math.isfinite(report[name])]
-    if not shares or min(shares) < 0.0:
+def reported_load(report: dict[str, float], cores: int) -> float | None:
+    """Return the load that a report states, None if it has no known field or no usable value."""
+    utilizations = [report[name] for name in UTILIZATION_FIELDS if name in report]
+    utilizations = [value for value in utilizations if math.isfinite(value)]
+    if not utilizations or min(utilizations) < 0.0:
         return None
-    waiting = report.get("waiting", 0.0)
-    held = waiting / cores if math.isfinite(waiting) and waiting > 0.0 else 0.0
-    return min(max(shares) + held, TOLD_MOST)
+    queued = report.get(QUEUE_FIELD, 0.0)
+    queued_load = queued / cores if math.isfinite(queued) and queued > 0.0 else 0.0
+    return min(max(utilizations) + queued_load, MAX_LOAD)
 
 
-class Estimate:
+class LoadEstimator:
     """The loads of all executors, as far as they are known."""
 
     def __init__(self) -> None:
-        self.told: dict[str, Told] = {}
-        self.zones: dict[int, Zone] = {}
+        self.reports: dict[str, LoadReport] = {}
+        self.zones: dict[int, ZoneLoad] = {}
 
     def forget(self, engine: str) -> None:
-        """Drop what an earlier life told."""
-        self.told.pop(engine, None)
+        """Drop the reports of an executor that was removed or has restarted."""
+        self.reports.pop(engine, None)
 
-    def news(self, engine: str, zone: int, report: dict[str, float], cores: int, now: float) -> None:
-        """Take a report; one that tells nothing usable changes nothing."""
-        load = load_of(report, cores)
+    def add_report(self, engine: str, zone: int, report: dict[str, float], cores: int, now: float) -> None:
+        """Take a report; one without a usable load changes nothing."""
+        load = reported_load(report, cores)
         if load is None:
             return
-        before, fresh = self.told.get(engine), Told(load, now, since=now)
-        if before is not None and before.load == load:
-            fresh.same, fresh.since = before.same + 1, before.since
-        self.told[engine] = fresh
-        if fresh.stuck():
-            return  # it would draw its whole zone's mean towards a figure that means nothing
-        usual = self.zones.get(zone)
-        if usual is None:
-            self.zones[zone] = Zone(load)
-            return
-        off = load - usual.mean
-        usual.mean += off * MEAN_PART
-        usual.variance += (off * off - usual.variance) * MEAN_PART
+        previous, latest = self.reports.get(engine), LoadReport(load, now, equal_since_ms=now)
+        if previous is not None and previous.load == load:
+            latest.equal_reports = previous.equal_reports + 1
+            latest.equal_since_ms = previous.equal_since_ms
+        self.reports[engine] = latest
+        if latest.is_stuck():
+            return  # it would draw its whole zone's mean towards a value that means nothing
+        zone_load = self.zones.get(zone)
+        if zone_load is None:
+            self.zones[zone] = ZoneLoad(load)
+        else:
+            zone_load.add(load)
 
     def sent(self, engine: str, threads: float) -> None:
-        """Count threads that a report of before knows nothing of."""
-        told = self.told.get(engine)
-        if told is not None:
-            told.sent += threads
-
-    def age(self, engine: str, now: float) -> float:
-        """Return how old the last usable report is; infinite without one."""
-        told = self.told.get(engine)
-        return now - told.at if told is not None and not told.stuck() else math.inf
-
-    def load(self, engine: str, zone: int, cores: int, now: float) -> tuple[float, float]:
-        """Return an executor's load and its standard deviation."""
-        usual = self.zones.get(zone)
-        if usual is None:  # nothing of this zone is known: as the busiest one that is, so that none is rushed
-            mean = max((known.mean for known in self.zones.values()), default=UNKNOWN)
-            usual = Zone(mean)
-        age = self.age(engine, now)
-        if math.isinf(age):
-            return usual.mean, math.sqrt(usual.variance)
-        told, keep = self.told[engine], math.exp(-max(age, 0.0) / FADE_MS)
-        load = told.load * keep + usual.mean * (1.0 - keep) + told.sent / cores * keep
-        return load, math.sqrt(NOISE**2 * keep + usual.variance * (1.0 - keep * keep))
+        """Count threads that the last report does not include."""
+        report = self.reports.get(engine)
+        if report is not None:
+            report.sent_threads += threads
+
+    def age_ms(self, engine: str, now: float) -> float:
+        """Return the age of the last usable report; infinite without one."""
+        report = self.reports.get(engine)
+        return now - report.received_ms if report is not None and not report.is_stuck() else math.inf
+
+    def estimate(self, engine: str, zone: int, cores: int, now: float) -> LoadEstimate:
+        """Return an executor's load as it is taken to be now."""
+        zone_load = self.zones.get(zone) or self._busiest_zone()
+        age_ms = self.age_ms(engine, now)
+        if math.isinf(age_ms):
+            return LoadEstimate(zone_load.mean, math.sqrt(zone_load.variance))
+        report, weight = self.reports[engine], math.exp(-max(age_ms, 0.0) / FADE_MS)
+        load = report.load * weight + zone_load.mean * (1.0 - weight) + report.sent_threads / cores * weight
+        variance = REPORT_NOISE**2 * weight + zone_load.variance * (1.0 - weight * weight)
+        return LoadEstimate(load, math.sqrt(variance))
+
+    def _busiest_zone(self) -> ZoneLoad:
+        """Return the load of a zone without reports: as the busiest known, so that none is overrun."""
+        mean = max((zone_load.mean for zone_load in self.zones.values()), default=UNKNOWN_LOAD)
+        return ZoneLoad(mean)
--- a/tests/load_balancing/test_spread.py
+++ b/tests/load_balancing/test_spread.py
@@ -45,8 +45,8 @@
 
 
 def test_the_busiest_resource_is_the_load():
-    assert load_estimate.load_of({"cpu": 0.2, "x1": 0.9}, 8) == 0.9
-    assert load_estimate.load_of({"cpu": 0.5, "waiting": 4.0}, 8) == 1.0
+    assert load_estimate.reported_load({"cpu": 0.2, "x1": 0.9}, 8) == 0.9
+    assert load_estimate.reported_load({"cpu": 0.5, "waiting": 4.0}, 8) == 1.0
 
 
 @pytest.mark.parametrize(
@@ -54,53 +54,53 @@
     [{}, {"x0": 0.3}, {"active": 3.0}, {"cpu": math.nan}, {"cpu": math.inf}, {"cpu": -0.1}, {"waiting": 2.0}],
 )
 def test_a_report_that_tells_no_share_changes_nothing(report):
-    known = load_estimate.Estimate()
-    known.news("a", 0, report, 8, 0.0)
-    assert known.load("a", 0, 8, 1.0) == (load_estimate.UNKNOWN, load_estimate.SPREAD)
-    assert math.isinf(known.age("a", 1.0))
+    estimator = load_estimate.LoadEstimator()
+    estimator.add_report("a", 0, report, 8, 0.0)
+    assert estimator.estimate("a", 0, 8, 1.0) == (load_estimate.UNKNOWN_LOAD, load_estimate.UNKNOWN_DEVIATION)
+    assert math.isinf(estimator.age_ms("a", 1.0))
 
 
 def test_news_fades_towards_its_zone_and_own_queries_since_count():
-    known = load_estimate.Estimate()
+    estimator = load_estimate.LoadEstimator()
     for engine in "bcdefgh":
-        known.news(engine, 0, {"cpu": 0.8}, 8, 0.0)
-    known.news("a", 0, {"cpu": 0.1}, 8, 0.0)
-    usual = known.zones[0].mean
-    at_once, sure = known.load("a", 0, 8, 0.0)
-    later, doubt = known.load("a", 0, 8, 1500.0)
-    old, most = known.load("a", 0, 8, 60_000.0)
+        estimator.add_report(engine, 0, {"cpu": 0.8}, 8, 0.0)
+    estimator.add_report("a", 0, {"cpu": 0.1}, 8, 0.0)
+    usual = estimator.zones[0].mean
+    at_once, min_deviation = estimator.estimate("a", 0, 8, 0.0)
+    later, deviation = estimator.estimate("a", 0, 8, 1500.0)
+    old, max_deviation = estimator.estimate("a", 0, 8, 60_000.0)
     assert at_once == pytest.approx(0.1) and at_once < later < old == pytest.approx(usual)
-    assert sure < doubt < most
-    known.sent("a", 4)
-    assert known.load("a", 0, 8, 0.0)[0] == pytest.approx(0.6)
-    known.news("a", 0, {"cpu": 0.6}, 8, 10.0)  # the next report knows of them
-    assert known.load("a", 0, 8, 10.0)[0] == pytest.approx(0.6)
+    assert min_deviation < deviation < max_deviation
+    estimator.sent("a", 4)
+    assert estimator.estimate("a", 0, 8, 0.0)[0] == pytest.approx(0.6)
+    estimator.add_report("a", 0, {"cpu": 0.6}, 8, 10.0)  # the next report knows of them
+    assert estimator.estimate("a", 0, 8, 10.0)[0] == pytest.approx(0.6)
 
 
 def test_a_field_that_is_stuck_is_left_alone_until_it_moves():
-    known = load_estimate.Estimate()
+    estimator = load_estimate.LoadEstimator()
     for n in range(8):
-        known.news("b", 0, {"cpu": 0.8 + n / 100}, 8, 0.0)
+        estimator.add_report("b", 0, {"cpu": 0.8 + n / 100}, 8, 0.0)
     for n in range(5):
-        known.news("a", 0, {"cpu": 0.05}, 8, 1000.0 * n)
-    assert math.isinf(known.age("a", 4000.0))
-    assert known.load("a", 0, 8, 4000.0)[0] == known.zones[0].mean > 0.4
-    known.news("a", 0, {"cpu": 0.07}, 8, 4500.0)
-    assert known.load("a", 0, 8, 4500.0)[0] == pytest.approx(0.07)
+        estimator.add_report("a", 0, {"cpu": 0.05}, 8, 1000.0 * n)
+    assert math.isinf(estimator.age_ms("a", 4000.0))
+    assert estimator.estimate("a", 0, 8, 4000.0)[0] == estimator.zones[0].mean > 0.4
+    estimator.add_report("a", 0, {"cpu": 0.07}, 8, 4500.0)
+    assert estimator.estimate("a", 0, 8, 4500.0)[0] == pytest.approx(0.07)
 
 
 def test_many_answers_within_one_report_are_not_taken_for_a_stuck_field():
-    known = load_estimate.Estimate()
+    estimator = load_estimate.LoadEstimator()
     for n in range(30):
-        known.news("a", 0, {"cpu": 0.3}, 8, 30.0 * n)
-    assert known.load("a", 0, 8, 900.0)[0] == pytest.approx(0.3)
+        estimator.add_report("a", 0, {"cpu": 0.3}, 8, 30.0 * n)
+    assert estimator.estimate("a", 0, 8, 900.0)[0] == pytest.approx(0.3)
 
 
 def test_a_zone_without_news_is_taken_for_as_busy_as_the_busiest():
-    known = load_estimate.Estimate()
-    known.news("a", 0, {"cpu": 0.9}, 8, 0.0)
-    known.news("b", 1, {"cpu": 0.2}, 8, 0.0)
-    assert known.load("c", 2, 8, 0.0)[0] == 0.9
+    estimator = load_estimate.LoadEstimator()
+    estimator.add_report("a", 0, {"cpu": 0.9}, 8, 0.0)
+    estimator.add_report("b", 1, {"cpu": 0.2}, 8, 0.0)
+    assert estimator.estimate("c", 2, 8, 0.0)[0] == 0.9
 
 
 @given(
@@ -110,11 +110,11 @@
     )
 )
 def test_whatever_is_reported_a_load_is_a_bounded_figure(news):
-    known = load_estimate.Estimate()
+    estimator = load_estimate.LoadEstimator()
     for engine, value, now in news:
-        known.news(engine, 0, {"cpu": value, "x1": value, "waiting": value}, 8, now)
-        load, doubt = known.load("a", 0, 8, now)
-        assert 0.0 <= load <= load_estimate.TOLD_MOST and 0.0 <= doubt < 3.0
+        estimator.add_report(engine, 0, {"cpu": value, "x1": value, "waiting": value}, 8, now)
+        load, deviation = estimator.estimate("a", 0, 8, now)
+        assert 0.0 <= load <= load_estimate.MAX_LOAD and 0.0 <= deviation < 3.0
 
 
 # Subsets.
@@ -153,14 +153,14 @@
 
 
 def test_a_busy_controller_leans_to_more():
-    assert subsetting.size(0.0, 5.0) == subsetting.LEAST
-    assert subsetting.size(10.0, 5.0) == 50
+    assert subsetting.subset_size(0.0, 5.0) == subsetting.MIN_SUBSET
+    assert subsetting.subset_size(10.0, 5.0) == 50
     quiet, busy = advised(), advised()
     for n in range(100):
         busy.take(policy.QueryArrived(n, 1, 1e6), 50.0 * n)
-    assert len(quiet.advice(5000.0).loads) == subsetting.LEAST + 3
+    assert len(quiet.advice(5000.0).loads) == subsetting.MIN_SUBSET + 3
     assert len(busy.advice(5000.0).loads) == 30  # all there are
-    assert len(busy.advice(65_000.0).loads) == subsetting.LEAST + 3  # and gives them up again
+    assert len(busy.advice(65_000.0).loads) == subsetting.MIN_SUBSET + 3  # and gives them up again
 
 
 # The advisor.
@@ -168,7 +168,7 @@
 
 def test_it_acts_only_where_own_counts_tell_too_little_and_shares_are_told():
     assert is_useful(FLEET)
-    assert not is_useful(settings(gateway_count=load_advisor.LITTLE - 1, report_fields=("cpu",)))
+    assert not is_useful(settings(gateway_count=load_advisor.MIN_CONTROLLERS - 1, report_fields=("cpu",)))
     assert not is_useful(settings(gateway_count=200, report_fields=("active", "x0")))
 
 
@@ -183,11 +183,11 @@
     )
     assert set(a.advice(1.0).loads) == {"s1", "s3"}
     a.take(policy.EngineListUpdate("delta", (policy.EngineEndpoint("s1", started_ms=500.0),)), 2.0)
-    assert math.isinf(a.estimate.age("s1", 2.0))
+    assert math.isinf(a.estimator.age_ms("s1", 2.0))
     a.take(policy.EngineListUpdate("failed"), 3.0)
     assert set(a.advice(3.0).loads) == {"s1", "s3"}
     a.take(policy.EngineListUpdate("full", ()), 4.0)
-    assert a.advice(4.0).loads == {} and not a.leaning and not a.estimate.told
+    assert a.advice(4.0).loads == {} and not a.biases and not a.estimator.reports
 
 
 def test_another_zone_has_to_be_emptier():
@@ -218,11 +218,11 @@
             a.take(policy.QueryArrived(n, 0, 1e6), 500.0 * n)
             asked += 1
             first, load = next(iter(a.advice(500.0 * n).loads.items()))
-            if a.trial:
-                assert (first, load) == (a.trial, 0.0)
+            if a.explored:
+                assert (first, load) == (a.explored, 0.0)
                 tried.add(first)
                 a.sent(first, 1)
-                assert not a.trial
+                assert not a.explored
     assert len(tried) >= 15 and asked == 800  # 32 trials of 30 executors are to be expected
 
 
