--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -19,14 +19,14 @@
 from hdrh.histogram import HdrHistogram
 
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.dispatch.types import DONE, SPILLS, WAITS, AttemptEnd, Order, Result
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest, Result
 from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.engines.connection_pool import ConnectionPool, PoolExhaustedError
 from fennelwind.engines.operation_cleanup import OperationCleanup
 from fennelwind.engines.row_stream import RowStream, StreamCounts, can_stream
 from fennelwind.engines.statement_status import StatementStatus, classify
 from fennelwind.loop import DeadlineExceeded, LocalConnectFailure, Loop
-from fennelwind.policy import AttemptStatus
+from fennelwind.policy import AttemptStatus, ProgressKind
 from fennelwind.thrift import hints
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
@@ -54,8 +54,8 @@
 class Attempt:
     """One attempt under way."""
 
-    def __init__(self, services: AttemptServices, pool: ConnectionPool, order: Order) -> None:
-        self.services, self.pool, self.order, self.loop = services, pool, order, services.loop
+    def __init__(self, services: AttemptServices, pool: ConnectionPool, request: AttemptRequest) -> None:
+        self.services, self.pool, self.request, self.loop = services, pool, request, services.loop
         self.connection: EngineConnection | None = None
         self.handle: Structure | None = None
         self.is_over = False
@@ -68,21 +68,21 @@
 
     def grant(self) -> dict[str, str]:
         """Return the attempt's memory grant and priority, as settings of its session."""
-        grant = {"fennelwind.priority": str(self.order.priority)}
-        if self.order.memory_mb:
-            grant["fennelwind.memory_mb"] = f"{self.order.memory_mb:.6g}"
+        grant = {"fennelwind.priority": str(self.request.priority)}
+        if self.request.memory_mb:
+            grant["fennelwind.memory_mb"] = f"{self.request.memory_mb:.6g}"
         return grant
 
     def run(self) -> AttemptEnd:
         """Make the attempt and wait for its end. Raises only what cancels its task."""
         try:
-            with self._leaving_nothing_behind(), self.loop.deadline_at(self.order.deadline_ms):
+            with self._leaving_nothing_behind(), self.loop.deadline_at(self.request.deadline_ms):
                 self._connect()
                 self._enter_database()
-                barred = self.order.barred()
-                if barred:
+                reason = self.request.reason_not_to_start()
+                if reason:
                     self.pool.put(self.connection)
-                    return self._end(AttemptStatus.NOT_STARTED, barred)
+                    return self._end(AttemptStatus.NOT_STARTED, reason)
                 return self._end(AttemptStatus.OK, result=self._execute())
         except DeadlineExceeded as exc:
             if not self._may_have_run:
@@ -134,13 +134,13 @@
 
     def _connect(self) -> None:
         began_ms = self.loop.now()
-        self.connection = self.pool.take(self.order.submission.database)
+        self.connection = self.pool.take(self.request.submission.database)
         wait_us = int((self.loop.now() - began_ms) * 1000.0)
         self.services.connection_wait_us.record_value(max(1, wait_us))
 
     def _enter_database(self) -> None:
         """Take the connection's session to the statement's database."""
-        connection, wanted = self.connection, self.order.submission.database
+        connection, wanted = self.connection, self.request.submission.database
         if not wanted or connection.database == wanted:
             return
         self._is_database_sent = True
@@ -154,14 +154,14 @@
         connection.database, connection.operation_to_close = wanted, reply.operationHandle
 
     def _execute(self) -> Result:
-        order, connection = self.order, self.connection
-        submission = order.submission
+        attempt, connection = self.request, self.connection
+        submission = attempt.submission
         if submission.arguments is not None:
             return self._call_metadata(submission.method, submission.arguments)
         self.known_grant = self.grant()
         overlay = {
             **submission.overlay,
-            "fennelwind.attempt": f"{order.query}.{order.number}",
+            "fennelwind.attempt": f"{attempt.query}.{attempt.number}",
             **self.known_grant,
         }
         request = hs2.TExecuteStatementReq(
@@ -230,10 +230,11 @@
     def _report_progress(self, reply: Structure) -> None:
         progress = reply.progressUpdateResponse
         if progress is not None and progress.progressedPercentage is not None:
-            self.order.on_note(DONE, min(max(progress.progressedPercentage, 0.0), 1.0))
+            share_done = min(max(progress.progressedPercentage, 0.0), 1.0)
+            self.request.report_progress(ProgressKind.SHARE_DONE, share_done)
         note = hints.read(reply.status.infoMessages).get(hints.NOTE)
-        if note and note.get("sort") in (SPILLS, WAITS):
-            self.order.on_note(int(note["sort"]), note.get("value", 0.0))
+        if note and note.get("sort") in (ProgressKind.SPILLING, ProgressKind.WAITING):
+            self.request.report_progress(ProgressKind(int(note["sort"])), note.get("value", 0.0))
 
     def _fetch(self) -> Result:
         """Fetch the schema and the pages, the first one together with the schema; a large rest will flow."""
@@ -265,7 +266,7 @@
     def _stream(self) -> RowStream:
         """Let the rest of the rows flow. Raises `RemoteError` where they may not."""
         settings = self.services.settings
-        if self.order.submission.request:  # several clients may wait for it, each at its own pace
+        if self.request.submission.request_id:  # several clients may wait for it, each at its own pace
             raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
         if not can_stream(self.pool.streams, settings.max_links):
             raise RemoteError(f"{self.pool.streams} large answers flow already")
--- a/fennelwind/engines/engine_client.py
+++ b/fennelwind/engines/engine_client.py
@@ -9,7 +9,7 @@
 from hdrh.histogram import HdrHistogram
 
 from fennelwind.config import settings_pb2 as pb
-from fennelwind.dispatch.types import AttemptEnd, Order
+from fennelwind.dispatch.types import AttemptEnd, AttemptRequest
 from fennelwind.engines.attempt import Attempt
 from fennelwind.engines.connection import RemoteError
 from fennelwind.engines.connection_pool import ConnectionPool, PoolExhaustedError
@@ -49,23 +49,23 @@
         """Start closing connections that are idle for too long."""
         self.loop.spawn(self._close_expired, name="engines: close expired")
 
-    def attempt(self, engine: str, order: Order) -> AttemptEnd:
+    def attempt(self, engine: str, request: AttemptRequest) -> AttemptEnd:
         """Make an attempt and wait for its end."""
-        attempt = Attempt(self, self.pool(engine), order)
-        self._attempts.setdefault(order.query, []).append(attempt)
+        attempt = Attempt(self, self.pool(engine), request)
+        self._attempts.setdefault(request.query, []).append(attempt)
         try:
             return attempt.run()
         finally:
             attempt.is_over = True
-            remaining = self._attempts[order.query]
+            remaining = self._attempts[request.query]
             remaining.remove(attempt)
             if not remaining:
-                del self._attempts[order.query]
+                del self._attempts[request.query]
 
     def terms(self, query: int, memory_mb: float, priority: int) -> None:
         """Send a query's new grant to the engines at which attempts of it are under way."""
         for attempt in self._attempts.get(query, ()):
-            attempt.order.memory_mb, attempt.order.priority = memory_mb, priority
+            attempt.request.memory_mb, attempt.request.priority = memory_mb, priority
             if attempt.handle is not None:
                 self.update_grant(attempt)
 
--- a/tests/limits/test_limits.py
+++ b/tests/limits/test_limits.py
@@ -7,10 +7,10 @@
 from fennelwind.dispatch.sessions import SETTINGS_MOST, VALUE_MOST, SessionError, SessionState, bare
 from fennelwind.engines.connection_pool import choose_idle
 from fennelwind.engines.statement_status import StatementStatus, classify
-from fennelwind.limits.admission import Admission, Bounds, Share
+from fennelwind.limits.admission import Admission, AdmissionLimits, SharedLimit
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.recovery import request_coalescing
-from fennelwind.recovery.request_coalescing import Repeats, request_name
+from fennelwind.recovery.request_coalescing import RequestCoalescer, request_fingerprint
 from fennelwind.thrift import hints
 
 # The margin of answers.
@@ -57,43 +57,43 @@
 
 
 def test_a_holder_has_a_bound_of_its_own_and_the_whole_has_one():
-    share = Share("sessions", 10, 6)
-    assert [share.take("ann") for _ in range(6)] == [None] * 6
-    assert share.take("ann") == "ann has 6 sessions open, which is the limit for one"
-    assert [share.take("bo") for _ in range(4)] == [None] * 4
-    assert share.take("cy") == "10 sessions are open, which is the limit"
-    share.give_back("ann")
-    assert share.take("cy") is None and share.refused == 2
+    limit = SharedLimit("sessions", 10, 6)
+    assert [limit.acquire("ann") for _ in range(6)] == [None] * 6
+    assert limit.acquire("ann") == "ann has 6 sessions open, which is the limit for one"
+    assert [limit.acquire("bo") for _ in range(4)] == [None] * 4
+    assert limit.acquire("cy") == "10 sessions are open, which is the limit"
+    limit.release("ann")
+    assert limit.acquire("cy") is None and limit.rejected == 2
     for holder, count in (("ann", 5), ("bo", 4), ("cy", 1)):
         for _ in range(count):
-            share.give_back(holder)
-    assert share.total == 0 and not share.held
+            limit.release(holder)
+    assert limit.total == 0 and not limit.in_use
 
 
 def test_when_the_whole_is_nearly_used_up_those_who_hold_least_come_first():
-    share = Share("connections", 100, 90)
-    assert all(share.take("herd") is None for _ in range(80))
-    assert share.take("herd") == "80 connections are open, and herd has 80 of them"
-    assert all(share.take(f"other {i}") is None for i in range(20))
-    alone = Share("connections", 100, 100)  # behind a proxy all come from one address
-    assert all(alone.take("proxy") is None for _ in range(100))
+    limit = SharedLimit("connections", 100, 90)
+    assert all(limit.acquire("herd") is None for _ in range(80))
+    assert limit.acquire("herd") == "80 connections are open, and herd has 80 of them"
+    assert all(limit.acquire(f"other {i}") is None for i in range(20))
+    alone = SharedLimit("connections", 100, 100)  # behind a proxy all come from one address
+    assert all(alone.acquire("proxy") is None for _ in range(100))
 
 
 def test_bytes_over_a_users_rate_delay_that_user_alone():
-    limits = Admission(Bounds(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
-    assert limits.spend("ann", 2000, 0.0) == 0.0  # two seconds' worth may come at once
-    assert limits.spend("ann", 500, 0.0) == 500.0
-    assert limits.spend("bo", 500, 0.0) == 0.0
-    assert limits.spend("ann", 100, 1000.0) == 0.0  # 500 back, 100 spent: 400 left
-    assert limits.spend("ann", 1_000_000, 1000.0) == 5000.0 and limits.delayed == 2
-    assert Admission(Bounds(1, 1, 1, 1, 0.0)).spend("ann", 10**12, 0.0) == 0.0
+    limits = Admission(AdmissionLimits(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
+    assert limits.consume_bytes("ann", 2000, 0.0) == 0.0  # two seconds' worth may come at once
+    assert limits.consume_bytes("ann", 500, 0.0) == 500.0
+    assert limits.consume_bytes("bo", 500, 0.0) == 0.0
+    assert limits.consume_bytes("ann", 100, 1000.0) == 0.0  # 500 back, 100 spent: 400 left
+    assert limits.consume_bytes("ann", 1_000_000, 1000.0) == 5000.0 and limits.delayed == 2
+    assert Admission(AdmissionLimits(1, 1, 1, 1, 0.0)).consume_bytes("ann", 10**12, 0.0) == 0.0
 
 
 def test_users_who_were_quiet_for_long_are_forgotten():
-    limits = Admission(Bounds(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
+    limits = Admission(AdmissionLimits(1, 1, 1, 1, bytes_per_s_by_user=1000.0))
     for i in range(500):
-        limits.spend(f"user {i}", 10, float(i))
-    limits.spend("late", 10, 200_000.0)
+        limits.consume_bytes(f"user {i}", 10, float(i))
+    limits.consume_bytes("late", 10, 200_000.0)
     assert list(limits._buckets) == ["late"]
 
 
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize(
-    ("refused", "failed", "safe", "due", "then"),
+    ("is_rejected", "is_failed", "is_idempotent", "deadline_ms", "runs_again"),
     [
         (True, False, False, 11.0, True),
         (True, False, False, 10.0, False),
@@ -256,8 +256,17 @@
         (False, True, True, 9.0, False),
     ],
 )
-def test_who_has_more_time_goes_on_where_the_class_allows(refused, failed, safe, due, then):
-    assert request_coalescing.goes_on(refused, failed, safe, 10.0, due) is then
+def test_an_entry_with_more_time_runs_again_where_the_class_allows(
+    is_rejected, is_failed, is_idempotent, deadline_ms, runs_again
+):
+    found = request_coalescing.should_run_again(
+        is_rejected=is_rejected,
+        is_failed=is_failed,
+        is_idempotent=is_idempotent,
+        execution_deadline_ms=10.0,
+        answer_deadline_ms=deadline_ms,
+    )
+    assert found is runs_again
 
 
 def test_requests_of_other_users_tenants_classes_and_statements_never_meet():
@@ -278,28 +287,30 @@
         (*parts, "", {"a": "2"}),
         (*parts, "a", {"1": ""}),
     ]
-    names = [request_name(*each) for each in (parts, *others)]
-    assert len(set(names)) == len(names) and names[0] == request_name(*parts)
-    assert request_name(*parts, "", {"a": "1", "b": "2"}) == request_name(*parts, "", {"b": "2", "a": "1"})
+    names = [request_fingerprint(*each) for each in (parts, *others)]
+    assert len(set(names)) == len(names) and names[0] == request_fingerprint(*parts)
+    assert request_fingerprint(*parts, "", {"a": "1", "b": "2"}) == request_fingerprint(
+        *parts, "", {"b": "2", "a": "1"}
+    )
 
 
 def test_who_joins_gets_the_end_in_order_and_the_last_to_leave_ends_it():
-    known = Repeats()
-    request = known.begin(b"n", "query", "first")
+    known = RequestCoalescer()
+    request = known.track(b"n", "query", "first")
     assert known.find(b"n") is request
     assert known.join(request, "second") and known.join(request, "third")
     assert not known.leave(request, "first")
-    assert known.end("query") == (b"n", ["second", "third"])
-    assert known.find(b"n") is None and known.end("query") == (b"", []) and not len(known)
-    again = known.begin(b"n", "query 2", "first")
+    assert known.forget("query") == (b"n", ["second", "third"])
+    assert known.find(b"n") is None and known.forget("query") == (b"", []) and not len(known)
+    again = known.track(b"n", "query 2", "first")
     assert known.leave(again, "first") and known.joined == 2
 
 
 def test_requests_and_those_who_wait_for_one_are_bounded(monkeypatch):
-    monkeypatch.setattr(request_coalescing, "MOST", 2)
-    monkeypatch.setattr(request_coalescing, "JOINED_MOST", 3)
-    known = Repeats()
-    one = known.begin(b"1", 1, "a")
-    known.begin(b"2", 2, "a")
-    assert known.begin(b"3", 3, "a") is None and known.unknown == 1
-    assert known.join(one, "b") and known.join(one, "c") and not known.join(one, "d") and known.full == 1
+    monkeypatch.setattr(request_coalescing, "MAX_REQUESTS", 2)
+    monkeypatch.setattr(request_coalescing, "MAX_WAITERS", 3)
+    known = RequestCoalescer()
+    one = known.track(b"1", 1, "a")
+    known.track(b"2", 2, "a")
+    assert known.track(b"3", 3, "a") is None and known.untracked == 1
+    assert known.join(one, "b") and known.join(one, "c") and not known.join(one, "d") and known.rejected == 1
--- a/tests/node/test_crossings_front.py
+++ b/tests/node/test_crossings_front.py
@@ -170,7 +170,7 @@
         sock = connect(loop, node)
         sock.sendall(is_well(1))
         connection = only(loop, node)
-        until(loop, lambda: connection in node.front.places.idle)
+        until(loop, lambda: connection in node.front.places.idle_since_ms)
         sock.sendall(request(2, 1))
         connection.close()  # in the turn in which the bytes came
         assert connection.stream.waiting()
@@ -179,7 +179,7 @@
         sock.sendall(request(3, 2))  # by a client that has seen the end
         sock.close()
         until(loop, lambda: not node.front.lingering)
-        assert not executor.calls and node.driver.ledger.balanced() and not node.driver.ledger.entries
+        assert not executor.calls and node.driver.ledger.is_balanced() and not node.driver.ledger.entries
 
     real(main)
 
@@ -196,7 +196,7 @@
         if why == "room":
             assert not node.front._make_room()
         else:
-            monkeypatch.setattr(connection_slots, f"{why.upper()}_MS", -1.0)
+            monkeypatch.setattr(connection_slots, f"{why.upper()}_TIMEOUT_MS", -1.0)
             overdue = list(node.front.places.overdue(loop.now()))
             assert overdue == [(connection, why)]
             node.front.close_overdue()
@@ -431,7 +431,7 @@
         loop.sleep(900.0)
         whole = request(2, 50)
         slow.stream.write(whole[:30])
-        until(loop, lambda: node.driver.closing and not node.driver.ledger.open)
+        until(loop, lambda: node.driver.is_closing and not node.driver.ledger.open_count)
         assert len(node.front.places) == 2
         loop.sleep(1000.0)
         assert not ending.done
@@ -478,7 +478,7 @@
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 2500.0
         ending = loop.spawn(node.leave)
-        until(loop, lambda: node.driver.closing)
+        until(loop, lambda: node.driver.is_closing)
         late = client.ask(name(1), "scene-build", 4000)
         resting.number = 1
         rested = resting.ask(name(2), "scene-build", 4000)
@@ -794,7 +794,7 @@
     def main(loop):
         node = start(loop, [], sockets=sockets)
         front = node.front
-        rest = sockets - front.places.most - front.lingering_most - node.links.most
+        rest = sockets - front.places.limit - front.lingering_most - node.links.most
         assert rest >= 3 + 2 + 1 + 1 + 1 + 1 + 6  # standard streams, wake pipe, listener, channel, the
         # connection just accepted, a file of settings; and six more
         assert front.lingering_most >= 7
