--- a/fennelwind/cluster/running_work.py
+++ b/fennelwind/cluster/running_work.py
@@ -6,7 +6,7 @@
 from typing import Generic, TypeVar
 
 from fennelwind.cluster.wakeup import Bell
-from fennelwind.leases.errors import TaskNotHeld
+from fennelwind.leases.errors import LeaseNotHeldError
 from fennelwind.loop import DeadlineExceeded, Loop, Task
 
 Event = TypeVar("Event")
@@ -20,7 +20,7 @@
         self._events: deque[Event] = deque()
         self._bell = Bell(loop)
         self._tasks: set[Task] = set()
-        self._broken: TaskNotHeld | None = None
+        self._broken: LeaseNotHeldError | None = None
 
     def post(self, event: Event) -> None:
         """Have an event told in the next turn."""
@@ -33,7 +33,7 @@
         def run() -> None:
             try:
                 call(*args)
-            except TaskNotHeld as exc:  # another may hold it by now: nothing is said of what came of it
+            except LeaseNotHeldError as exc:  # another may hold it by now: nothing is said of what came of it
                 self._broken = exc
                 self._bell.ring()
             finally:
@@ -50,7 +50,7 @@
         return events
 
     def wait(self, until: float) -> None:
-        """Wait for an event until the time (ms). Raises `TaskNotHeld` where a task found the lease short."""
+        """Wait for an event until the time (ms). Raises `LeaseNotHeldError` where a task did."""
         if self._broken is not None:
             raise self._broken
         if not self._events:
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -6,7 +6,7 @@
 from fennelwind.cluster.engine_statements import Statements
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.identity import Place
-from fennelwind.cluster.leased_tasks import Tasks
+from fennelwind.cluster.leased_tasks import LeasedTasks
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.quiescence import Clearances
 from fennelwind.cluster.raft_client import Asker
@@ -51,7 +51,7 @@
         self.loop, self.place, self.said = loop, place, said
         self.member = self._member(seed, disk, Record([*machines(), *more], level)) if place.member else None
         self.asker = Asker(loop, place.fleet, place.me, place.members, f"asker {seed}", self._wrong)
-        self.tasks = Tasks(loop, self.asker, place.me, seed, said)
+        self.tasks = LeasedTasks(loop, self.asker, place.me, seed, said)
         self.gate: Gate | None = None
         self.changes: Changes | None = None
         self.moves: Moves | None = None
@@ -153,7 +153,7 @@
 
     def gauges(self) -> list[tuple[str, str, float]]:
         """Return names, meanings and values of what is worth a graph."""
-        held = len(self.tasks.holder.held(self.loop.now()))
+        held = len(self.tasks.lease_client.held_tasks(self.loop.now()))
         told = [("leases_held", "Leases of tasks held here.", held)]
         if self.copies is not None:
             told.append(
@@ -209,7 +209,7 @@
     def hand_over(self) -> None:
         """Give leases and the lead to others, within the stated time."""
         within = self.place.handover_ms
-        self.tasks.leave(within * LEAVE_PART)
+        self.tasks.hand_over_all(within * LEAVE_PART)
         if self.member is not None:
             self.member.hand_over(within * (1.0 - LEAVE_PART))
 
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -17,13 +17,13 @@
 from fennelwind.cluster import gate_pb2
 from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
-from fennelwind.cluster.leased_tasks import Held, Tasks
+from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
 from fennelwind.cluster.quiescence import Clearances
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS
 from fennelwind.errors import FennelwindError
-from fennelwind.leases.errors import TaskNotHeld
+from fennelwind.leases.errors import LeaseNotHeldError
 from fennelwind.loop import Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
 from fennelwind.schema_compatibility import contracts_pb2 as pb
@@ -83,7 +83,7 @@
         self,
         loop: Loop,
         asker: Asker,
-        tasks: Tasks,
+        tasks: LeasedTasks,
         statements: Statements,
         engines: Callable[[], Iterable[str]],
         said: Callable[[str, dict], None],
@@ -134,13 +134,13 @@
         now = {change.table: change.number for change in told.open}
         for table in sorted(set(self._wanted) - set(now)):
             del self._wanted[table]
-            self.tasks.unwant(TASK + table)
+            self.tasks.remove(TASK + table)
         for table in sorted(now):
             if self._wanted.get(table) != now[table]:  # also where one has ended and the next came at once
-                self.tasks.want(TASK + table, partial(self._run, table), TERM_MS, "change of its schema")
+                self.tasks.add(TASK + table, partial(self._run, table), TERM_MS, "change of its schema")
             self._wanted[table] = now[table]
 
-    def _run(self, table: str, held: Held) -> bool:
+    def _run(self, table: str, held: HeldLease) -> bool:
         """Carry the table's changes out under its lease; true when none is left."""
         done = 0
         while self._wanted.get(table, done) != done:
@@ -148,7 +148,7 @@
             self._carry_out(table, done, held)
         return True
 
-    def _carry_out(self, table: str, number: int, held: Held) -> None:
+    def _carry_out(self, table: str, number: int, held: HeldLease) -> None:
         if not list(self.engines()):  # to who knows none, all seem gone
             raise ChangeGivenUp(
                 f"change {number} of {table}: no engine is known here", table=table, number=number
@@ -157,7 +157,7 @@
         try:
             seen = self.asker.read(CONTRACTS, query, within_ms=ASK_MS)
         except CouncilError as exc:  # called again while the lease is held
-            raise TaskNotHeld(f"{held.name}: {exc}", task=held.name) from None
+            raise LeaseNotHeldError(f"{held.name}: {exc}", task=held.name) from None
         told = gate_pb2.ChangeTold.FromString(seen.state)
         if not told.under_way:
             return
@@ -175,21 +175,23 @@
 class _Carrying:
     """One change, under one fence."""
 
-    def __init__(self, changes: Changes, held: Held, change: Underway, old: Schema | None, seen: int) -> None:
+    def __init__(
+        self, changes: Changes, held: HeldLease, change: Underway, old: Schema | None, seen: int
+    ) -> None:
         # By engine: an entry at which it was quiet, and has been since. What was so at `seen` is, as only
         # the holder of the lease can let queries go there again.
         self._quiet_since = dict.fromkeys(change.quiet, seen)
         self._drains: dict[str, int] = {}  # by engine: the token of what it is to be cleared for
         self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
         patience = rollout.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
-        self.carrier = Carrier(change, old, held.fence, patience)
+        self.carrier = Carrier(change, old, held.fencing_token, patience)
         self.hands: Hands[rollout.Event] = Hands(self.loop, held.name)
         self._running: dict[str, Statement] = {}  # the last statement for each engine
         # One that the last holder noted as gone may be back: then it is told of as returned.
         self._there = {name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY}
 
     def run(self) -> rollout.Over:
-        """Carry it out to its end here. Raises `TaskNotHeld` where too little of the lease is left."""
+        """Carry it out to its end here. Raises `LeaseNotHeldError` where too little of the lease is left."""
         try:
             while True:
                 self._look_around()
@@ -265,10 +267,10 @@
             self.loop.sleep(HEAR_MS)
 
     def _statement(self, action: rollout.Run) -> None:
-        with self.held.act(STATEMENT_MS) as act:
+        with self.held.operation(STATEMENT_MS) as act:
             statement = self._running[action.engine] = self.changes.statements.to(action.engine)
             how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_MS)
-            act.open = how == LOST
+            act.is_outcome_unknown = how == LOST
         if how != OK:
             self.changes.said(
                 "statement " + how,
@@ -284,7 +286,7 @@
 
     def _look(self, action: rollout.Look) -> None:
         parts = ".".join(quoted(part) for part in self.change.table.split("."))
-        with self.held.act(STATEMENT_MS):
+        with self.held.operation(STATEMENT_MS):
             statement = self.changes.statements.to(action.engine)
             how, rows = statement.run(f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_MS, rows=True)
         if how == OK:
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -13,13 +13,13 @@
 from fennelwind.cluster import gate_pb2
 from fennelwind.cluster.engine_statements import FAILED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
-from fennelwind.cluster.leased_tasks import Held, Tasks
+from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
 from fennelwind.cluster.quiescence import Clearances
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS, SHARDS
 from fennelwind.engines.connection_pool import RemoteError
-from fennelwind.leases.errors import TaskNotHeld
+from fennelwind.leases.errors import LeaseNotHeldError
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
 from fennelwind.quiescence.acknowledgements import WISHES_MOST
@@ -108,7 +108,7 @@
         self,
         loop: Loop,
         asker: Asker,
-        tasks: Tasks,
+        tasks: LeasedTasks,
         statements: Statements,
         homes: Callable[[], Iterable[Home]],
         staging: str,
@@ -135,13 +135,13 @@
 
     def start(self) -> None:
         """Want the lease from now on."""
-        self.tasks.want(LEASE, self._run, TERM_MS, "moves of shards")
+        self.tasks.add(LEASE, self._run, TERM_MS, "moves of shards")
 
     def close(self) -> None:
         """Want it no more."""
-        self.tasks.unwant(LEASE)
+        self.tasks.remove(LEASE)
 
-    def _run(self, held: Held) -> bool:
+    def _run(self, held: HeldLease) -> bool:
         """Carry moves out until the lease goes; never over for the fleet."""
         _Carrying(self, held).run()
         return False
@@ -150,9 +150,9 @@
 class _Carrying:
     """One time that the lease is held."""
 
-    def __init__(self, moves: Moves, held: Held) -> None:
+    def __init__(self, moves: Moves, held: HeldLease) -> None:
         self.moves, self.loop, self.held, self.asker = moves, moves.loop, held, moves.asker
-        self.carrier = api.Carrier(held.fence, 0, moves.staging, moves.bounds, moves.timing)
+        self.carrier = api.Carrier(held.fencing_token, 0, moves.staging, moves.bounds, moves.timing)
         self.machine: ShardMachine | None = None
         self.index = 0  # up to which the record is seen
         self.stood_at = -1  # where the record here stands while others go on; -1: it does not
@@ -167,13 +167,13 @@
         self._statements: dict[int, Task] = {}
 
     def run(self) -> None:
-        """Carry moves out. Raises `TaskNotHeld` where too little of the lease is left."""
+        """Carry moves out. Raises `LeaseNotHeldError` where too little of the lease is left."""
         try:
             self._look()
             self._declare()
             for part in (self._watch, self._news, self._hear, *[self._list] * LISTS_AT_ONCE):
                 self.hands.spawn(part)
-            while not self.held.stop.ready:
+            while not self.held.stop_requested.ready:
                 wake = self.loop.now() + NEWS_MS
                 for action in self.carrier.step(self.loop.now(), self.hands.events()):
                     match action:
@@ -188,7 +188,9 @@
                         case api.Wake(at):
                             wake = min(wake, at)
                         case api.Over():
-                            raise TaskNotHeld(f"{self.held.name}: another holds it", task=self.held.name)
+                            raise LeaseNotHeldError(
+                                f"{self.held.name}: another holds it", task=self.held.name
+                            )
                 self.hands.wait(wake)
         finally:
             self.hands.close()
@@ -366,10 +368,10 @@
         self.starts.put(None)
         after = 0.0
         try:
-            with self.held.act(LOOK_MS) as act:
+            with self.held.operation(LOOK_MS) as act:
                 how = statement.send(action.statement, action.overlay, LOOK_MS)
-                act.open = how == LOST
-                after = LOOK_MS if act.open else 0.0
+                act.is_outcome_unknown = how == LOST
+                after = LOOK_MS if act.is_outcome_unknown else 0.0
         finally:
             self.loop.after(after, self.starts.get)
         return how
@@ -452,8 +454,8 @@
 
     def _asked(self, engine: str, text: str) -> tuple[str, list[tuple[str, ...]], str]:
         statement: Statement = self.moves.statements.to(engine)
-        with self.held.act(LOOK_MS):
+        with self.held.operation(LOOK_MS):
             how, rows = statement.run(
-                text, migration_statements.overlay(self.held.fence, LOOK_MS), LOOK_MS, rows=True
+                text, migration_statements.overlay(self.held.fencing_token, LOOK_MS), LOOK_MS, rows=True
             )
         return how, rows, statement.state
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -5,7 +5,8 @@
 from fennelwind.cluster.applied_state import whole_state
 from fennelwind.cluster.schema_queries import asked
 from fennelwind.leases import leases_pb2
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.quiescence.registered_controllers import RollMachine
 from fennelwind.raft.state_machine import Machine
 from fennelwind.schema_compatibility.state_machine import ContractMachine
@@ -16,7 +17,7 @@
 
 def machines() -> list[Machine]:
     """Return the machines, empty."""
-    return [LeaseMachine(), ContractMachine(), ShardMachine(), RollMachine()]
+    return [LeaseStateMachine(), ContractMachine(), ShardMachine(), RollMachine()]
 
 
 def answer(machine: Machine, query: bytes) -> bytes:
@@ -32,7 +33,9 @@
             who = leases_pb2.Who.FromString(query)
         except DecodeError:
             return b""
-        return leases_pb2.LeaseAnswer(offers=machine.offers(Life(who.name, who.life))).SerializeToString()
+        return leases_pb2.LeaseAnswer(
+            offers=machine.offers(ControllerIncarnation(who.name, who.life))
+        ).SerializeToString()
     if machine.name == CONTRACTS and query:
         try:
             return asked(machine, query)
--- a/fennelwind/leases/errors.py
+++ b/fennelwind/leases/errors.py
@@ -1,4 +1,4 @@
-"""What of leases reaches an operator."""
+"""Errors of leases and fencing that reach an operator."""
 
 from fennelwind.errors import FennelwindError
 
@@ -7,18 +7,18 @@
     """The root of what can go wrong with leases."""
 
 
-class OlderFence(LeaseError):
-    """A resource was shown a fence that is older than one it has seen."""
+class StaleFencingTokenError(LeaseError):
+    """A resource was shown a fencing token that is older than one it has seen."""
 
     code = "leases-older-fence"
     advice = (
-        "Nothing has to be done: an act of a controller that no longer holds the task was refused, as "
-        "it should be. If it comes often, look for controllers that stand still for long."
+        "Nothing has to be done: an operation of a controller that no longer holds the lease was rejected, "
+        "as it should be. If it comes often, look for controllers that stand still for long."
     )
 
 
-class FencesFull(LeaseError):
-    """A resource remembers as many tasks' fences as it may; a further task's act is refused."""
+class TooManyFencedTasksError(LeaseError):
+    """A resource remembers tokens of as many tasks as it may; another task's operation is rejected."""
 
     code = "leases-fences-full"
     advice = (
@@ -27,8 +27,8 @@
     )
 
 
-class LeaseRefused(LeaseError):
-    """The record refuses a lease for what was asked, so asking again alone will not help."""
+class LeaseRejectedError(LeaseError):
+    """The replicated log rejects a lease request for its content, so a retry alone will not help."""
 
     code = "leases-refused"
     advice = (
@@ -37,18 +37,18 @@
     )
 
 
-class TaskNotHeld(LeaseError):
-    """An act was to begin without the lease, or with too little of it left."""
+class LeaseNotHeldError(LeaseError):
+    """An operation was to begin without the lease, or with too little of it left."""
 
     code = "leases-not-held"
     advice = (
-        "Nothing has to be done if another controller holds the task. If nobody does for long, look "
-        "whether the record has a leader and whether this controller's clock runs at its proper pace."
+        "Nothing has to be done if another controller holds the lease. If nobody does for long, look "
+        "whether the Raft group has a leader and whether this controller's clock runs at its proper pace."
     )
 
 
-class ActTooLong(LeaseError):
-    """An act was to begin that is longer than its lease can ever allow."""
+class OperationTooLongError(LeaseError):
+    """An operation was to begin that is longer than its lease can ever allow."""
 
     code = "leases-act-too-long"
-    advice = "Give the task a longer term, or cut the act into shorter ones."
+    advice = "Give the task a longer lease term, or cut the operation into shorter ones."
--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -1,146 +1,181 @@
-"""What each act of a task passes, and what a resource does with the fence that it is shown.
-
-How long a holder may count on a lease. It is granted on the record for T ms of the record's clock, at a
-moment that is not before the one at which its holder first asked, t0 on the holder's own clock. Each clock
-runs at a pace between 1 - d and 1 + d of true time, d the stated drift. The record's clock measures T in no
-less than T / (1 + d) of true time; over leaders it only loses time. The holder's measures H in no more than
-H / (1 - d). So with H = T (1 - d) / (1 + d), less what both clocks round, the holder has stopped counting on
-it at t0 + H before the record lets it lapse.
-
-How long an act may last. It begins only if all of its stated time, and a pause of the process as long as the
-stated one, fit into what is left, and goes on only while that pause still does. A process that stands still
-for longer, between a check and what it does then, is out of what a clock can prove: there the fence decides,
-and a resource that checks no fence has no more than the stated pause.
+"""Fencing: the check ahead of each operation of a leased task, and the check at the resource it acts on.
+
+How long a holder may count on a lease. It is granted on the replicated log for T ms of the log's clock, at a
+moment that is not before the one at which its holder first requested it, t0 on the holder's own clock. Each
+clock runs at a pace between 1 - d and 1 + d of true time, d the stated drift. The log's clock measures T in
+no less than T / (1 + d) of true time; over changes of leader it only loses time. The holder's measures H in
+no more than H / (1 - d). So with H = T (1 - d) / (1 + d), less what both clocks round, the holder has stopped
+counting on it at t0 + H before it expires on the log.
+
+How long an operation may last. It begins only if all of its stated time, and a pause of the process as long
+as the stated one, fit into what is left, and continues only while that pause still does. A process that
+stands still for longer, between a check and its effect, is out of what a clock can prove: there the fencing
+token decides, and a resource that checks no token has no more protection than the stated pause.
 """
 
 import math
 from dataclasses import dataclass
 
-from fennelwind.leases.errors import ActTooLong, FencesFull, OlderFence, TaskNotHeld
+from fennelwind.leases.errors import (
+    LeaseNotHeldError,
+    OperationTooLongError,
+    StaleFencingTokenError,
+    TooManyFencedTasksError,
+)
 
-DRIFT = 0.2  # part of true time by which a clock runs fast or slow at most; quartz keeps 0.0001
-ROUNDING_MS = 2.0  # ms that the record's clock in whole ms, at grant and at lapse, may be off
-PAUSE_MS = 250.0  # ms that a process stands still, or a call under way takes, between a check and its effect
-ACTS_MOST = 64  # acts of one task at a time
-FENCES_MOST = 10_000  # tasks whose fence a resource remembers
+MAX_CLOCK_DRIFT = 0.2  # part of true time by which a clock runs fast or slow at most; quartz keeps 0.0001
+CLOCK_ROUNDING_MS = 2.0  # ms that the log's clock in whole ms, at grant and at expiry, may be off
+MAX_PAUSE_MS = 250.0  # ms that a process stands still, or a call takes, between a check and its effect
+MAX_OPERATIONS = 64  # operations of one task at a time
+MAX_FENCED_TASKS = 10_000  # tasks whose fencing token a resource remembers
 
 
-def usable_ms(term_ms: float, drift: float = DRIFT) -> float:
-    """Return for how many ms of its own clock, from before it asked, a holder may count on a lease."""
-    return max(0.0, math.floor(term_ms * (1.0 - drift) / (1.0 + drift)) - ROUNDING_MS)
+def usable_lease_ms(term_ms: float, max_drift: float = MAX_CLOCK_DRIFT) -> float:
+    """Return for how many ms of its own clock, from its request on, a holder may count on a lease."""
+    return max(0.0, math.floor(term_ms * (1.0 - max_drift) / (1.0 + max_drift)) - CLOCK_ROUNDING_MS)
 
 
 @dataclass(slots=True, frozen=True)
-class Act:
-    """One act of a task that has begun; its fence goes with all that it asks of others."""
+class FencedOperation:
+    """One operation of a task that has begun; its fencing token goes with every request it makes."""
 
     number: int
-    fence: int
-    ends_by: float  # on the holder's clock
-
-
-class Guard:
-    """Stands before the acts of one task on one controller. Times in ms on that controller's clock."""
-
-    def __init__(self, task: str, pause_ms: float = PAUSE_MS) -> None:
-        self.task, self.pause_ms = task, pause_ms
-        self.fence = 0  # 0: not held
-        self.until = -math.inf  # the lease may be counted on until then
-        self.usable = 0.0  # ms that a fresh lease gives
-        self.acts: dict[int, Act] = {}  # that have begun and not ended
-        self._numbers = 0
-
-    # The holder's side.
-
-    def allow(self, fence: int, until: float, usable: float) -> None:
-        """Let acts pass under this fence until then."""
-        if fence == self.fence:
-            until = max(until, self.until)
-        self.fence, self.until, self.usable = fence, until, usable
-
-    def close(self) -> None:
-        """Let no act pass or go on."""
-        self.fence, self.until = 0, -math.inf
-
-    def tidy(self, now: float) -> None:
-        """Forget acts that are out of their time; the last call of each has had the pause to take effect."""
-        for act in [act for act in self.acts.values() if act.ends_by + self.pause_ms < now]:
-            del self.acts[act.number]
-
-    def stop(self) -> None:
-        """Let no further act pass; those that have begun may end in their time."""
-        self.usable = 0.0
-
-    # The task's side.
-
-    def begin(self, now: float, act_ms: float) -> Act:
-        """Begin an act of at most so long. Raises `TaskNotHeld`, `ActTooLong`."""
-        self.tidy(now)
-        wanted = act_ms + self.pause_ms
-        if not self.fence or not self.usable or now + wanted > self.until:
-            if self.fence and 0.0 < self.usable < wanted:
-                raise ActTooLong(
-                    f"an act of {act_ms:.0f} ms does not fit into the lease of {self.task}",
-                    task=self.task,
-                    act_ms=act_ms,
-                    usable_ms=self.usable - self.pause_ms,
-                )
-            left = max(0.0, self.until - now) if self.fence else 0.0
-            raise TaskNotHeld(
-                f"{self.task} is not held for another {wanted:.0f} ms",
+    fencing_token: int
+    deadline_ms: float  # on the holder's clock
+
+
+class FencingGuard:
+    """Checks the operations of one task on one controller. Times in ms on that controller's clock."""
+
+    def __init__(self, task: str, max_pause_ms: float = MAX_PAUSE_MS) -> None:
+        self.task = task
+        self.max_pause_ms = max_pause_ms
+        self.fencing_token = 0  # 0: the lease is not held
+        self.valid_until_ms = -math.inf  # the lease may be counted on until then
+        self.operation_budget_ms = 0.0  # ms that a fresh lease gives; 0: no operation may begin
+        self.operations: dict[int, FencedOperation] = {}  # that have begun and not ended, by number
+        self._last_number = 0
+
+    # Called by the lease client.
+
+    def grant(self, fencing_token: int, valid_until_ms: float, operation_budget_ms: float) -> None:
+        """Allow operations under this token until then. A renewal never shortens the lease."""
+        if fencing_token == self.fencing_token:
+            valid_until_ms = max(valid_until_ms, self.valid_until_ms)
+        self.fencing_token = fencing_token
+        self.valid_until_ms = valid_until_ms
+        self.operation_budget_ms = operation_budget_ms
+
+    def revoke(self) -> None:
+        """Let no operation begin or continue."""
+        self.fencing_token = 0
+        self.valid_until_ms = -math.inf
+
+    def remove_expired(self, now_ms: float) -> None:
+        """Drop operations past their deadline; the last call of each has had the pause to take effect."""
+        expired = [
+            operation
+            for operation in self.operations.values()
+            if operation.deadline_ms + self.max_pause_ms < now_ms
+        ]
+        for operation in expired:
+            del self.operations[operation.number]
+
+    def stop_new_operations(self) -> None:
+        """Let no further operation begin; those that have begun may end in their time."""
+        self.operation_budget_ms = 0.0
+
+    # Called by the task.
+
+    def begin(self, now_ms: float, operation_ms: float) -> FencedOperation:
+        """Begin an operation of at most `operation_ms`.
+
+        Raises:
+            LeaseNotHeldError: the lease is not held, too little of it is left, or too many operations run.
+            OperationTooLongError: not even a fresh lease would be long enough.
+
+        """
+        self.remove_expired(now_ms)
+        self._check_time_left(now_ms, operation_ms)
+        if len(self.operations) >= MAX_OPERATIONS:
+            raise LeaseNotHeldError(
+                f"{len(self.operations)} operations of {self.task} are under way",
                 task=self.task,
-                left_ms=left,
-                wanted_ms=wanted,
+                left_ms=self.valid_until_ms - now_ms,
+                wanted_ms=operation_ms + self.max_pause_ms,
             )
-        if len(self.acts) >= ACTS_MOST:
-            raise TaskNotHeld(
-                f"{len(self.acts)} acts of {self.task} are under way",
+        self._last_number += 1
+        operation = FencedOperation(self._last_number, self.fencing_token, now_ms + operation_ms)
+        self.operations[operation.number] = operation
+        return operation
+
+    def _check_time_left(self, now_ms: float, operation_ms: float) -> None:
+        wanted_ms = operation_ms + self.max_pause_ms
+        if self.fencing_token and self.operation_budget_ms and now_ms + wanted_ms <= self.valid_until_ms:
+            return
+        if self.fencing_token and 0.0 < self.operation_budget_ms < wanted_ms:
+            raise OperationTooLongError(
+                f"an operation of {operation_ms:.0f} ms does not fit into the lease of {self.task}",
                 task=self.task,
-                left_ms=self.until - now,
-                wanted_ms=wanted,
+                operation_ms=operation_ms,
+                usable_ms=self.operation_budget_ms - self.max_pause_ms,
             )
-        self._numbers += 1
-        act = self.acts[self._numbers] = Act(self._numbers, self.fence, now + act_ms)
-        return act
+        raise LeaseNotHeldError(
+            f"{self.task} is not held for another {wanted_ms:.0f} ms",
+            task=self.task,
+            left_ms=max(0.0, self.valid_until_ms - now_ms) if self.fencing_token else 0.0,
+            wanted_ms=wanted_ms,
+        )
 
-    def may_go_on(self, now: float, act: Act) -> bool:
-        """Tell whether the act may take its next step; asked ahead of each, and after each wait."""
+    def may_continue(self, now_ms: float, operation: FencedOperation) -> bool:
+        """Tell whether the operation may take its next step; called ahead of each, and after each wait."""
         return (
-            act.number in self.acts
-            and act.fence == self.fence
-            and now <= act.ends_by
-            and now + self.pause_ms <= self.until
+            operation.number in self.operations
+            and operation.fencing_token == self.fencing_token
+            and now_ms <= operation.deadline_ms
+            and now_ms + self.max_pause_ms <= self.valid_until_ms
         )
 
-    def end(self, act: Act) -> None:
-        """The act is over, and nothing of it can take effect any more.
+    def end(self, operation: FencedOperation) -> None:
+        """Note that the operation is over, and nothing of it can take effect any more.
 
-        One whose last call brought no answer is not ended here; its time ends it.
+        One whose last call brought no answer is not ended here; its deadline ends it.
         """
-        self.acts.pop(act.number, None)
+        self.operations.pop(operation.number, None)
 
 
-class Fenced:
-    """The other side of an act: a resource that remembers the highest fence of each task."""
+class FencedResource:
+    """The resource that operations act on: it remembers the highest fencing token of each task."""
 
     def __init__(self) -> None:
-        self.fences: dict[str, int] = {}
-        self.refused = 0
-
-    def show(self, task: str, fence: int) -> None:
-        """Take a fence that an act shows. Raises `OlderFence`, `FencesFull`."""
-        seen = self.fences.get(task)
-        if seen is None and len(self.fences) >= FENCES_MOST:
-            self.refused += 1
-            raise FencesFull(f"fences of {FENCES_MOST} tasks are known; {task} is another", task=task)
-        if seen is not None and fence < seen:
-            self.refused += 1
-            raise OlderFence(
-                f"fence {fence} of {task} is older than {seen}", task=task, fence=fence, seen=seen
+        self.highest_tokens: dict[str, int] = {}
+        self.rejected_count = 0
+
+    def check(self, task: str, fencing_token: int) -> None:
+        """Accept or reject the fencing token that an operation shows.
+
+        Raises:
+            StaleFencingTokenError: a later holder of the task has been here.
+            TooManyFencedTasksError: the task is new, and no further one can be remembered.
+
+        """
+        highest = self.highest_tokens.get(task)
+        if highest is None and len(self.highest_tokens) >= MAX_FENCED_TASKS:
+            self.rejected_count += 1
+            raise TooManyFencedTasksError(
+                f"fencing tokens of {MAX_FENCED_TASKS} tasks are known; {task} is another", task=task
+            )
+        if highest is not None and fencing_token < highest:
+            self.rejected_count += 1
+            raise StaleFencingTokenError(
+                f"fencing token {fencing_token} of {task} is older than {highest}",
+                task=task,
+                fencing_token=fencing_token,
+                highest_token=highest,
             )
-        self.fences[task] = fence
+        self.highest_tokens[task] = fencing_token
 
 
-def told(task: str, fence: int) -> str:
-    """Return what goes into a statement's overlay as `fennelwind.fence`."""
-    return f"{task}:{fence}"
+def format_fencing_token(task: str, fencing_token: int) -> str:
+    """Return the value of `fennelwind.fence` in a statement's configuration overlay."""
+    return f"{task}:{fencing_token}"
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -1,556 +1,562 @@
-"""One controller's leases: what it wants, holds and asks; `step(now, events) -> actions`, without I/O.
+"""The leases of one controller: which it wants, holds and requests; `step(now, events) -> actions`, no I/O.
 
-Times are ms on the controller's own clock, which never goes back. All that is due is asked in one command,
-one command at a time. A lease counts from the moment at which its command was first sent, never from the
-answer; an answer that comes late still counts from its own command. Whatever is unsure is not held.
+`cluster.leased_tasks` calls it. Times are ms on the controller's own clock, which never goes back. All that
+is due is requested in one command, one command at a time. A lease counts from the moment at which its command
+was first sent, never from the answer; an answer that comes late still counts from its own command. Whatever
+is unsure is not held.
 """
 
 import math
 from dataclasses import dataclass, field
+from enum import StrEnum
 from random import Random
 
 from google.protobuf.message import DecodeError
 
 from fennelwind.leases import leases_pb2 as pb
-from fennelwind.leases.errors import LeaseRefused
-from fennelwind.leases.fencing import DRIFT, PAUSE_MS, Guard, usable_ms
-from fennelwind.leases.state_machine import ASKS_MOST, HEARD_MS, Life
-
-TERM_MS = 10_000  # ms; a task is taken over within some 10 s, and a holder renews every 3.3 s
-RENEW_PART = 3.0  # a lease is renewed when this part of its term is over: two more tries fit in
-GATHER_PART = 12.0  # what falls due within the term over this goes along
-ANSWER_MS = 1000.0  # ms for which an answer is waited for; a change of leader takes some 600
-ANSWER_PART = 10.0  # and no longer than the shortest term over this
-AGAIN_MS, AGAIN_MOST_MS = 50.0, 2000.0  # ms between tries: first and at most, doubled each time
-AGAIN_DOUBLINGS = 6  # beyond it the wait is at its most anyway
-WORD_PART = 3.0  # who waits says a word three times within the time after which it is forgotten
-REFUSED_MS, REFUSED_MOST_MS = 5000.0, 60_000.0  # ms before a task that the record refused is asked for again
-COMMANDS_MOST = 8  # commands without an answer that are remembered
-BATCH_MOST = 96 * 1024  # bytes of one command; the record takes 256 KiB
-LEAVE_TRIES = 5  # commands to leave before the controller ends without an answer; then its leases lapse
-
-
-# What happens.
-
-
-@dataclass(slots=True, frozen=True)
-class Want:
-    """The controller would do this task."""
-
-    task: str
-    term_ms: int = TERM_MS
-    purpose: str = ""
-
-
-@dataclass(slots=True, frozen=True)
-class Unwant:
-    """It would no longer; a lease is handed over when its acts have ended."""
-
-    task: str
-
-
-@dataclass(slots=True, frozen=True)
-class Offered:
-    """A watch says that these tasks are offered to it."""
-
-    tasks: tuple[str, ...]
-
-
-@dataclass(slots=True, frozen=True)
-class Answered:
-    """The command's result has come; `body` is a `LeaseAnswer`, None: refused, lost or unreadable."""
-
-    token: int
-    body: bytes | None
-    again_ms: float = 0.0  # a time to come back that came with a refusal
-
-
-@dataclass(slots=True, frozen=True)
-class Progress:
-    """The task has got this far; it goes along with the next renewal."""
-
-    task: str
-    checkpoint: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class Failed:
-    """The controller can't do the task: its disk is full, it is cut off from the engines."""
-
-    task: str
-
-
-@dataclass(slots=True, frozen=True)
-class Finished:
-    """The task is over for the whole fleet: the record forgets it."""
-
-    task: str
-
-
-@dataclass(slots=True, frozen=True)
-class Terminate:
-    """The controller is going to end: all is handed over at once, or when its acts have ended."""
-
-
-@dataclass(slots=True, frozen=True)
-class Woken:
-    """The time that `Timer` named has come, an act has ended, or nothing in particular."""
-
-
-Event = Want | Unwant | Offered | Answered | Progress | Failed | Finished | Terminate | Woken
-
-
-# What is to be done.
-
-
-@dataclass(slots=True, frozen=True)
-class Ask:
-    """A `LeaseCommand` for the record. The carrier may send it more than once, as one client's one number."""
-
-    token: int
-    body: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class Gained:
-    """The task is this controller's to do, through its guard."""
-
-    task: str
-    fence: int
-    checkpoint: bytes
-
-
-@dataclass(slots=True, frozen=True)
-class Stop:
-    """The task has to come to an end here: no act begins any more, those under way should end soon."""
-
-    task: str
-    fence: int
-
-
-@dataclass(slots=True, frozen=True)
-class Lost:
-    """The task is not, or no longer surely, this controller's."""
-
-    task: str
-    fence: int
-    why: str  # "lapsed", "taken", "given"
-
-
-@dataclass(slots=True, frozen=True)
-class Refused:
-    """The record refuses a task for what was asked; it is asked for again much later."""
-
-    task: str
-    refusal: str
-
-    @property
-    def error(self) -> LeaseRefused:
-        """What an operator is told."""
-        return LeaseRefused(
-            f"the record refuses {self.task}: {self.refusal}", task=self.task, refusal=self.refusal
-        )
-
-
-@dataclass(slots=True, frozen=True)
-class Left:
-    """All is handed over, or was tried often enough: the controller may end."""
-
-    told: bool  # the record has answered
-
-
-@dataclass(slots=True, frozen=True)
-class Timer:
-    """`Woken` is wanted at this time; the last one counts."""
-
-    at: float
-
-
-Action = Ask | Gained | Stop | Lost | Refused | Left | Timer
-
-
-WANTING, WAITING, HELD, ENDING = "wanting", "waiting", "held", "ending"
+from fennelwind.leases.fencing import MAX_CLOCK_DRIFT, MAX_PAUSE_MS, FencingGuard, usable_lease_ms
+from fennelwind.leases.lease_events import (
+    DEFAULT_TERM_MS,
+    AcquireLease,
+    Action,
+    CommandAnswered,
+    Event,
+    LeaseAcquired,
+    LeaseLost,
+    LeaseRejected,
+    LeasesOffered,
+    LossReason,
+    ReleaseLease,
+    SaveCheckpoint,
+    SendCommand,
+    SetTimer,
+    Shutdown,
+    ShutdownComplete,
+    StopTask,
+    TaskFailed,
+    TaskFinished,
+    Wakeup,
+)
+from fennelwind.leases.state_machine import MAX_REQUESTS_PER_COMMAND, WAITER_TIMEOUT_MS, ControllerIncarnation
+
+RENEWAL_TERM_DIVISOR = 3.0  # a lease is renewed when this part of its term is over: two retries fit in
+BATCHING_TERM_DIVISOR = 12.0  # renewals that fall due within the term over this go along
+ANSWER_TIMEOUT_MS = 1000.0  # ms for which an answer is waited for; a change of leader takes some 600
+ANSWER_TERM_DIVISOR = 10.0  # and no longer than the shortest term over this
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 2000.0  # ms between attempts: first and at most, doubled each time
+MAX_BACKOFF_DOUBLINGS = 6  # beyond it the wait is at its maximum anyway
+KEEPALIVE_DIVISOR = 3.0  # who waits sends a command three times within the time after which it is forgotten
+MIN_REJECTED_BACKOFF_MS = 5000.0  # ms before a task whose lease was rejected is requested again
+MAX_REJECTED_BACKOFF_MS = 60_000.0  # ms
+MAX_REJECTED_DOUBLINGS = 8  # beyond it the wait is at its maximum anyway
+MAX_UNANSWERED_COMMANDS = 8  # commands without an answer that are remembered
+MAX_COMMAND_BYTES = 96 * 1024  # bytes of one command; the replicated log takes 256 KiB
+MAX_SHUTDOWN_ATTEMPTS = 5  # commands before the controller ends without an answer; then its leases expire
+
+
+class LeasePhase(StrEnum):
+    """How this controller stands to the lease of a task that it wants, or still has."""
+
+    WANTED = "wanting"  # to be requested, or requested without an answer
+    QUEUED = "waiting"  # another holds it, and this controller waits for it
+    HELD = "held"
+    RELEASING = "ending"  # no operation begins any more; given up when those under way have ended
+
+
+class ReleaseKind(StrEnum):
+    """How a lease in phase `RELEASING` is given up."""
+
+    NONE = ""
+    HAND_OVER = "hand"  # to the next who waits
+    REBALANCE = "spare"  # to one who waits and holds fewer, if that is still so
+    FAILED = "fail"  # this controller can't run the task
+    FORGET = "forget"  # the task is over
+    LEAVE_QUEUE = "queue"  # it is not held; the controller waits no longer
 
 
 @dataclass(slots=True)
-class _Task:
+class _TaskLease:
     term_ms: int
     purpose: str
-    guard: Guard
-    phase: str = WANTING
+    guard: FencingGuard
+    phase: LeasePhase = LeasePhase.WANTED
     epoch: int = 0  # counts up where an answer under way must no longer give the lease
-    ask_at: float = -math.inf  # when it is due to be asked for, renewed, or given up
-    renew_at: float = math.inf  # when it is due to be renewed, though it is ending
-    fence: int = 0
-    checkpoint: bytes | None = None  # to go along with what is asked next
-    ending: str = ""  # how: "hand", "spare", "fail", "forget"; "queue": it waits no longer
-    wanted: bool = True
-    offered: bool = False  # while its place in the queue was being asked for
-    refusals: int = 0
+    request_at_ms: float = -math.inf  # when it is due to be requested, renewed, or given up
+    renew_at_ms: float = math.inf  # when it is due to be renewed, though it is releasing
+    fencing_token: int = 0  # 0: not held
+    checkpoint: bytes | None = None  # to go along with the next request
+    release: ReleaseKind = ReleaseKind.NONE
+    is_wanted: bool = True
+    is_offered: bool = False  # while its place in the queue was being requested
+    rejections: int = 0
+
+    @property
+    def has_operations(self) -> bool:
+        """Whether operations under the lease are under way."""
+        return bool(self.fencing_token and self.guard.operations)
 
 
 @dataclass(slots=True)
-class _Sent:
-    at: float
-    epochs: dict[str, int] = field(default_factory=dict)  # of tasks asked about, in order
+class _SentCommand:
+    sent_at_ms: float
+    epochs: dict[str, int] = field(default_factory=dict)  # of the tasks that it names, in order
     checkpoints: dict[str, bytes] = field(default_factory=dict)  # that go along
-    leave: bool = False
-
-
-class Holder:
-    """What one controller holds, in one life."""
-
-    def __init__(self, me: Life, seed: int, drift: float = DRIFT, pause_ms: float = PAUSE_MS) -> None:
-        self.me, self.drift, self.pause_ms = me, drift, pause_ms
-        self._random = Random(f"leases {seed} {me.name}")
-        self._tasks: dict[str, _Task] = {}
-        self._sent: dict[int, _Sent] = {}
-        self._token = 0
-        self._out: int | None = None  # the command whose answer is waited for
-        self._tries = 0  # commands in a row that brought no answer
-        self._not_before = -math.inf  # the next command
-        self._word_at = math.inf  # a word is due, so that its places in queues are kept
-        self._leaving = self._left = False
-        self._leaves = 0
+    is_shutdown: bool = False
+
+
+class LeaseClient:
+    """The leases of one controller in one incarnation."""
+
+    def __init__(
+        self,
+        identity: ControllerIncarnation,
+        seed: int,
+        max_drift: float = MAX_CLOCK_DRIFT,
+        max_pause_ms: float = MAX_PAUSE_MS,
+    ) -> None:
+        self.identity = identity
+        self.max_drift = max_drift
+        self.max_pause_ms = max_pause_ms
+        self._random = Random(f"leases {seed} {identity.name}")
+        self._leases: dict[str, _TaskLease] = {}
+        self._sent: dict[int, _SentCommand] = {}
+        self._last_request_id = 0
+        self._awaited: int | None = None  # the command whose answer is waited for
+        self._failed_attempts = 0  # commands in a row that brought no answer
+        self._backoff_until_ms = -math.inf  # the next command goes out no earlier
+        self._keepalive_at_ms = math.inf  # a command is due then, so that its places in queues are kept
+        self._is_shutting_down = False
+        self._is_shut_down = False
+        self._shutdown_attempts = 0
         self._actions: list[Action] = []
 
     # Reading.
 
-    def guard(self, task: str) -> Guard:
+    def guard(self, task: str) -> FencingGuard:
         """Return the guard of a task that is wanted."""
-        return self._tasks[task].guard
-
-    def held(self, now: float) -> list[str]:
-        """Return the tasks that are surely held."""
-        return sorted(n for n, t in self._tasks.items() if t.guard.fence and now < t.guard.until)
+        return self._leases[task].guard
+
+    def held_tasks(self, now_ms: float) -> list[str]:
+        """Return the tasks whose leases are surely held."""
+        return sorted(
+            name
+            for name, lease in self._leases.items()
+            if lease.guard.fencing_token and now_ms < lease.guard.valid_until_ms
+        )
 
     # Stepping.
 
-    def step(self, now: float, events: list[Event]) -> list[Action]:
+    def step(self, now_ms: float, events: list[Event]) -> list[Action]:
         """Take what happened; return what is to be done."""
         self._actions = []
         for event in events:
-            self._take(now, event)
-        for task in self._tasks.values():
-            task.guard.tidy(now)
-        self._lapse(now)
-        self._ask(now)
-        if not self._left:
-            at = self._next(now)
-            if at < math.inf:
-                self._actions.append(Timer(at))
+            self._handle(now_ms, event)
+        for lease in self._leases.values():
+            lease.guard.remove_expired(now_ms)
+        self._expire(now_ms)
+        self._request_due(now_ms)
+        if not self._is_shut_down:
+            at_ms = self._next_due_ms(now_ms)
+            if at_ms < math.inf:
+                self._actions.append(SetTimer(at_ms))
         return self._actions
 
-    def _take(self, now: float, event: Event) -> None:
+    def _handle(self, now_ms: float, event: Event) -> None:
         match event:
-            case Answered():
-                self._answered(now, event)
-                return
-            case Terminate():
-                self._leaving = True
-                self._unanswered()
-                self._not_before = -math.inf  # nothing is waited for
-                for name in sorted(self._tasks):
-                    self._unwant(name)
-                return
-            case Want() if not self._leaving:
-                task = self._tasks.get(event.task)
-                if task is None:
-                    self._tasks[event.task] = _Task(
-                        event.term_ms, event.purpose, Guard(event.task, self.pause_ms)
-                    )
-                else:
-                    task.term_ms, task.purpose, task.wanted = event.term_ms, event.purpose, True
-                return
-            case Offered():
+            case CommandAnswered():
+                self._on_answer(now_ms, event)
+            case Shutdown():
+                self._begin_shutdown()
+            case AcquireLease():
+                if not self._is_shutting_down:
+                    self._acquire(event)
+            case LeasesOffered():
                 for name in event.tasks:
-                    self._confirm(name)
-                return
-        task = self._tasks.get(event.task) if not isinstance(event, Want | Woken) else None
-        if task is None:
-            return
+                    self._request_offered(name)
+            case Wakeup():
+                pass
+            case _:
+                lease = self._leases.get(event.task)
+                if lease is not None:
+                    self._handle_task_event(lease, event)
+
+    def _handle_task_event(
+        self, lease: _TaskLease, event: ReleaseLease | SaveCheckpoint | TaskFailed | TaskFinished
+    ) -> None:
         match event:
-            case Unwant():
-                self._unwant(event.task)
-            case Progress():
-                task.checkpoint = event.checkpoint
-            case Failed() if task.phase == HELD:
-                self._end(event.task, task, "fail")
-            case Finished() if task.phase == HELD:
-                task.wanted = False
-                self._end(event.task, task, "forget")
-
-    def _confirm(self, name: str) -> None:
-        task = self._tasks.get(name)
-        if task is not None and task.phase == WAITING:
-            task.phase, task.ask_at = WANTING, -math.inf
-        elif task is not None and task.phase == WANTING:
-            task.offered = True  # the answer under way may be older than the offer
-
-    def _unwant(self, name: str) -> None:
-        task = self._tasks[name]
-        task.wanted = False
-        if task.fence and task.phase != ENDING:
-            self._end(name, task, "hand")
-        elif task.phase == ENDING and task.ending == "spare":
-            task.ending = "hand"
-        elif task.phase != ENDING:
-            task.epoch += 1
-            task.phase, task.ending, task.ask_at = ENDING, "queue", -math.inf
-
-    def _end(self, name: str, task: _Task, how: str) -> None:
-        """Begin to give a lease up: no act begins; it is told when those under way have ended."""
-        task.phase, task.ending, task.ask_at = ENDING, how, -math.inf
-        task.guard.stop()
-        self._actions.append(Stop(name, task.fence))
-
-    def _lose(self, name: str, task: _Task, why: str) -> None:
-        self._actions.append(Lost(name, task.fence, why))
-        task.guard.close()
-        task.fence, task.checkpoint, task.ending = 0, None, ""
-        task.epoch += 1
-        task.phase, task.ask_at = WANTING, -math.inf
-        if not task.wanted:
-            del self._tasks[name]
-
-    def _lapse(self, now: float) -> None:
-        for name, task in sorted(self._tasks.items()):
-            if task.fence and now >= task.guard.until:
-                self._lose(name, task, "lapsed")
+            case ReleaseLease():
+                self._release(event.task)
+            case SaveCheckpoint():
+                lease.checkpoint = event.checkpoint
+            case TaskFailed() if lease.phase == LeasePhase.HELD:
+                self._begin_release(event.task, lease, ReleaseKind.FAILED)
+            case TaskFinished() if lease.phase == LeasePhase.HELD:
+                lease.is_wanted = False
+                self._begin_release(event.task, lease, ReleaseKind.FORGET)
+
+    def _begin_shutdown(self) -> None:
+        self._is_shutting_down = True
+        self._stop_awaiting()
+        self._backoff_until_ms = -math.inf  # nothing is waited for
+        for name in sorted(self._leases):
+            self._release(name)
+
+    def _acquire(self, event: AcquireLease) -> None:
+        lease = self._leases.get(event.task)
+        if lease is None:
+            guard = FencingGuard(event.task, self.max_pause_ms)
+            self._leases[event.task] = _TaskLease(event.term_ms, event.purpose, guard)
+            return
+        lease.term_ms = event.term_ms
+        lease.purpose = event.purpose
+        lease.is_wanted = True
+
+    def _request_offered(self, name: str) -> None:
+        lease = self._leases.get(name)
+        if lease is None:
+            return
+        if lease.phase == LeasePhase.QUEUED:
+            lease.phase = LeasePhase.WANTED
+            lease.request_at_ms = -math.inf
+        elif lease.phase == LeasePhase.WANTED:
+            lease.is_offered = True  # the answer under way may be older than the offer
+
+    def _release(self, name: str) -> None:
+        lease = self._leases[name]
+        lease.is_wanted = False
+        if lease.fencing_token and lease.phase != LeasePhase.RELEASING:
+            self._begin_release(name, lease, ReleaseKind.HAND_OVER)
+        elif lease.phase == LeasePhase.RELEASING and lease.release == ReleaseKind.REBALANCE:
+            lease.release = ReleaseKind.HAND_OVER
+        elif lease.phase != LeasePhase.RELEASING:
+            lease.epoch += 1
+            lease.phase = LeasePhase.RELEASING
+            lease.release = ReleaseKind.LEAVE_QUEUE
+            lease.request_at_ms = -math.inf
+
+    def _begin_release(self, name: str, lease: _TaskLease, kind: ReleaseKind) -> None:
+        """Let no operation begin; the lease is given up when those under way have ended."""
+        lease.phase = LeasePhase.RELEASING
+        lease.release = kind
+        lease.request_at_ms = -math.inf
+        lease.guard.stop_new_operations()
+        self._actions.append(StopTask(name, lease.fencing_token))
+
+    def _lose(self, name: str, lease: _TaskLease, reason: LossReason) -> None:
+        self._actions.append(LeaseLost(name, lease.fencing_token, reason))
+        lease.guard.revoke()
+        lease.fencing_token = 0
+        lease.checkpoint = None
+        lease.release = ReleaseKind.NONE
+        lease.epoch += 1
+        lease.phase = LeasePhase.WANTED
+        lease.request_at_ms = -math.inf
+        if not lease.is_wanted:
+            del self._leases[name]
+
+    def _expire(self, now_ms: float) -> None:
+        for name, lease in sorted(self._leases.items()):
+            if lease.fencing_token and now_ms >= lease.guard.valid_until_ms:
+                self._lose(name, lease, LossReason.EXPIRED)
 
     # Answers.
 
-    def _answered(self, now: float, event: Answered) -> None:
-        sent, answer, current = self._sent.get(event.token), _read(event.body), event.token == self._out
+    def _on_answer(self, now_ms: float, event: CommandAnswered) -> None:
+        sent = self._sent.get(event.request_id)
         if sent is None:
             return
-        if current and answer is None:
-            self._unanswered()
-            self._later(now, event.again_ms)
+        answer = _parse_answer(event.body)
+        is_awaited = event.request_id == self._awaited
         if answer is None:
+            if is_awaited:
+                self._stop_awaiting()
+                self._back_off(now_ms, event.retry_after_ms)
             return
-        del self._sent[event.token]
-        if current:
-            self._out, self._tries, self._not_before = None, 0, -math.inf
-        if sent.leave and not answer.refusal:
-            self._finish(True)
-            return
-        if answer.refusal:
-            for name in sent.epochs:
-                if name in self._tasks:
-                    self._refused(now, name, self._tasks[name], answer.refusal)
-            return
-        self._word_at = now + HEARD_MS * (1.0 - self.drift) / WORD_PART
-        for (name, epoch), told in zip(sent.epochs.items(), answer.told, strict=False):
-            task = self._tasks.get(name)
-            if task is not None and task.epoch == epoch:
-                self._told(now, sent, name, task, told)
+        del self._sent[event.request_id]
+        if is_awaited:
+            self._awaited = None
+            self._failed_attempts = 0
+            self._backoff_until_ms = -math.inf
+        if sent.is_shutdown and not answer.refusal:
+            self._finish_shutdown(is_confirmed=True)
+        elif answer.refusal:
+            self._on_command_rejected(now_ms, sent, answer.refusal)
+        else:
+            self._on_command_applied(now_ms, sent, answer, is_awaited)
+
+    def _on_command_rejected(self, now_ms: float, sent: _SentCommand, refusal: int) -> None:
+        for name in sent.epochs:
+            if name in self._leases:
+                self._on_rejected(now_ms, name, self._leases[name], refusal)
+
+    def _on_command_applied(
+        self, now_ms: float, sent: _SentCommand, answer: pb.LeaseAnswer, is_awaited: bool
+    ) -> None:
+        self._keepalive_at_ms = now_ms + WAITER_TIMEOUT_MS * (1.0 - self.max_drift) / KEEPALIVE_DIVISOR
+        for (name, epoch), result in zip(sent.epochs.items(), answer.told, strict=False):
+            lease = self._leases.get(name)
+            if lease is not None and lease.epoch == epoch:
+                self._on_task_answer(now_ms, sent, name, lease, result)
         for name in answer.offers:
-            self._confirm(name)
-        waiting = [name for name, task in self._tasks.items() if task.phase == WAITING]
-        if current and len(waiting) != answer.waits:  # a place was lost, or one is kept that is not wanted
-            for name in waiting:
-                self._confirm(name)
-
-    def _told(self, now: float, sent: _Sent, name: str, task: _Task, told: pb.Told) -> None:
+            self._request_offered(name)
+        queued = [name for name, lease in self._leases.items() if lease.phase == LeasePhase.QUEUED]
+        if is_awaited and len(queued) != answer.waits:  # a place was lost, or an unwanted one is kept
+            for name in queued:
+                self._request_offered(name)
+
+    def _on_task_answer(
+        self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
+    ) -> None:
         is_of_a_queue = (
-            told.state == pb.Told.WAITING
-            or told.state == pb.Told.FREE
-            and told.refusal not in (pb.NONE, pb.NOT_HOLDER)
+            result.state == pb.Told.WAITING
+            or result.state == pb.Told.FREE
+            and result.refusal not in (pb.NONE, pb.NOT_HOLDER)
         )
-        if task.fence and is_of_a_queue:
-            return  # a late answer to an ask from before it was gained
-        if told.refusal and told.refusal != pb.NOT_HOLDER and not (task.fence and told.state == pb.Told.HELD):
-            self._refused(now, name, task, told.refusal)
-        elif told.state == pb.Told.HELD and told.term_ms:
-            self._holds(now, sent, name, task, told)
-        elif told.refusal and told.state == pb.Told.HELD:  # still held; what went along is refused
-            self._actions.append(Refused(name, pb.Refusal.Name(told.refusal)))
-            task.checkpoint, task.ask_at = None, -math.inf
-        elif task.fence and told.refusal:
-            self._lose(name, task, "taken")
-        elif task.phase == ENDING:
-            if task.fence:
-                self._lose(name, task, "given")
-            elif not task.wanted:
-                del self._tasks[name]
-            else:
-                task.phase, task.ask_at = WANTING, -math.inf
-        elif told.state == pb.Told.WAITING:
-            task.phase, task.refusals, task.ask_at = WAITING, 0, math.inf
-            if task.offered:
-                self._confirm(name)
-            task.offered = False
-
-    def _holds(self, now: float, sent: _Sent, name: str, task: _Task, told: pb.Told) -> None:
-        usable = usable_ms(told.term_ms, self.drift)
-        until = sent.at + usable
-        if told.fence < task.fence:
+        if lease.fencing_token and is_of_a_queue:
+            return  # a late answer to a request from before the lease was granted
+        is_held = result.state == pb.Told.HELD
+        is_still_held = bool(lease.fencing_token) and is_held
+        if result.refusal and result.refusal != pb.NOT_HOLDER and not is_still_held:
+            self._on_rejected(now_ms, name, lease, result.refusal)
+        elif is_held and result.term_ms:
+            self._on_granted(now_ms, sent, name, lease, result)
+        elif result.refusal and is_held:  # what went along is rejected
+            self._actions.append(LeaseRejected(name, pb.Refusal.Name(result.refusal)))
+            lease.checkpoint = None
+            lease.request_at_ms = -math.inf
+        elif lease.fencing_token and result.refusal:
+            self._lose(name, lease, LossReason.TAKEN_OVER)
+        elif lease.phase == LeasePhase.RELEASING:
+            self._on_released(name, lease)
+        elif result.state == pb.Told.WAITING:
+            self._on_queued(name, lease)
+
+    def _on_released(self, name: str, lease: _TaskLease) -> None:
+        if lease.fencing_token:
+            self._lose(name, lease, LossReason.RELEASED)
+        elif not lease.is_wanted:
+            del self._leases[name]
+        else:
+            lease.phase = LeasePhase.WANTED
+            lease.request_at_ms = -math.inf
+
+    def _on_queued(self, name: str, lease: _TaskLease) -> None:
+        lease.phase = LeasePhase.QUEUED
+        lease.rejections = 0
+        lease.request_at_ms = math.inf
+        if lease.is_offered:
+            self._request_offered(name)
+        lease.is_offered = False
+
+    def _on_granted(
+        self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
+    ) -> None:
+        usable_ms = usable_lease_ms(result.term_ms, self.max_drift)
+        valid_until_ms = sent.sent_at_ms + usable_ms
+        if result.fence < lease.fencing_token:
             return
-        if task.fence and task.fence != told.fence:
-            self._lose(name, task, "taken")  # ended and begun anew: acts of the old fence are over
-            if name not in self._tasks:
+        if lease.fencing_token and lease.fencing_token != result.fence:
+            self._lose(name, lease, LossReason.TAKEN_OVER)  # operations of the old token are over
+            if name not in self._leases:
                 return
-        if now >= until and not task.fence:  # the answer came too late to count on
-            task.phase, task.ask_at = WANTING, -math.inf
+        if now_ms >= valid_until_ms and not lease.fencing_token:  # the answer came too late to count on
+            lease.phase = LeasePhase.WANTED
+            lease.request_at_ms = -math.inf
             return
-        fresh, task.offered = not task.fence, False
-        task.fence, task.refusals = told.fence, 0
-        task.renew_at = sent.at + told.term_ms / RENEW_PART
-        if task.checkpoint is sent.checkpoints.get(name):
-            task.checkpoint = None
-        if task.phase == ENDING and (task.ending != "spare" or told.spare):
-            task.guard.allow(told.fence, until, 0.0)
+        is_new = not lease.fencing_token
+        lease.is_offered = False
+        lease.fencing_token = result.fence
+        lease.rejections = 0
+        lease.renew_at_ms = sent.sent_at_ms + result.term_ms / RENEWAL_TERM_DIVISOR
+        if lease.checkpoint is sent.checkpoints.get(name):
+            lease.checkpoint = None
+        is_releasing = lease.phase == LeasePhase.RELEASING
+        if is_releasing and (lease.release != ReleaseKind.REBALANCE or result.spare):
+            lease.guard.grant(result.fence, valid_until_ms, 0.0)
             return
-        was_ending = task.phase == ENDING  # the one who would have had it has got enough meanwhile
-        task.guard.allow(told.fence, until, usable)
-        task.phase, task.ending, task.ask_at = HELD, "", task.renew_at
-        if fresh or was_ending:
-            self._actions.append(Gained(name, told.fence, told.checkpoint))
-        elif told.spare:
-            self._end(name, task, "spare")
-
-    def _refused(self, now: float, name: str, task: _Task, refusal: int) -> None:
-        self._actions.append(Refused(name, pb.Refusal.Name(refusal)))
-        wait = min(REFUSED_MS * 2 ** min(task.refusals, 8), REFUSED_MOST_MS)
-        task.refusals += 1
-        task.ask_at = now + wait * (0.5 + self._random.random() / 2)
-        if task.phase == ENDING and not task.fence and not task.wanted:
-            del self._tasks[name]
-
-    # Asking.
-
-    def _later(self, now: float, again_ms: float = 0.0) -> None:
-        grown = AGAIN_MS * 2 ** min(self._tries, AGAIN_DOUBLINGS)
-        wait = min(grown, AGAIN_MOST_MS, self._shortest() / ANSWER_PART)
-        self._tries += 1
-        self._not_before = now + max(wait, min(again_ms, AGAIN_MOST_MS)) * (0.5 + self._random.random() / 2)
-
-    def _shortest(self) -> float:
-        return min((task.term_ms for task in self._tasks.values()), default=TERM_MS)
-
-    def _answer_ms(self) -> float:
-        return min(ANSWER_MS, self._shortest() / ANSWER_PART)
-
-    def _due_at(self, task: _Task) -> float:
-        if task.phase == ENDING and task.fence and task.guard.acts:
-            over = max(act.ends_by for act in task.guard.acts.values()) + task.guard.pause_ms
-            return min(task.renew_at, math.nextafter(over, math.inf))
-        return task.ask_at
-
-    def _busy(self) -> bool:
-        return any(task.fence and task.guard.acts for task in self._tasks.values())
-
-    def _word_due(self) -> float:
-        return self._word_at if any(task.phase == WAITING for task in self._tasks.values()) else math.inf
-
-    def _ask(self, now: float) -> None:
-        if self._left:
+        # A lease that was being rebalanced is kept where nobody with fewer leases waits any more.
+        lease.guard.grant(result.fence, valid_until_ms, usable_ms)
+        lease.phase = LeasePhase.HELD
+        lease.release = ReleaseKind.NONE
+        lease.request_at_ms = lease.renew_at_ms
+        if is_new or is_releasing:
+            self._actions.append(LeaseAcquired(name, result.fence, result.checkpoint))
+        elif result.spare:
+            self._begin_release(name, lease, ReleaseKind.REBALANCE)
+
+    def _on_rejected(self, now_ms: float, name: str, lease: _TaskLease, refusal: int) -> None:
+        self._actions.append(LeaseRejected(name, pb.Refusal.Name(refusal)))
+        doublings = min(lease.rejections, MAX_REJECTED_DOUBLINGS)
+        backoff_ms = min(MIN_REJECTED_BACKOFF_MS * 2**doublings, MAX_REJECTED_BACKOFF_MS)
+        lease.rejections += 1
+        lease.request_at_ms = now_ms + backoff_ms * self._jitter()
+        if lease.phase == LeasePhase.RELEASING and not lease.fencing_token and not lease.is_wanted:
+            del self._leases[name]
+
+    # Requests.
+
+    def _jitter(self) -> float:
+        """Draw a factor between a half and one: two hundred controllers do not retry together."""
+        return 0.5 + self._random.random() / 2
+
+    def _back_off(self, now_ms: float, retry_after_ms: float = 0.0) -> None:
+        grown_ms = MIN_BACKOFF_MS * 2 ** min(self._failed_attempts, MAX_BACKOFF_DOUBLINGS)
+        backoff_ms = min(grown_ms, MAX_BACKOFF_MS, self._shortest_term_ms() / ANSWER_TERM_DIVISOR)
+        self._failed_attempts += 1
+        wait_ms = max(backoff_ms, min(retry_after_ms, MAX_BACKOFF_MS))
+        self._backoff_until_ms = now_ms + wait_ms * self._jitter()
+
+    def _shortest_term_ms(self) -> float:
+        return min((lease.term_ms for lease in self._leases.values()), default=DEFAULT_TERM_MS)
+
+    def _answer_timeout_ms(self) -> float:
+        return min(ANSWER_TIMEOUT_MS, self._shortest_term_ms() / ANSWER_TERM_DIVISOR)
+
+    def _due_at_ms(self, lease: _TaskLease) -> float:
+        if lease.phase == LeasePhase.RELEASING and lease.has_operations:
+            last_deadline_ms = max(operation.deadline_ms for operation in lease.guard.operations.values())
+            ended_ms = last_deadline_ms + lease.guard.max_pause_ms
+            return min(lease.renew_at_ms, math.nextafter(ended_ms, math.inf))
+        return lease.request_at_ms
+
+    def _has_operations(self) -> bool:
+        return any(lease.has_operations for lease in self._leases.values())
+
+    def _keepalive_due_ms(self) -> float:
+        if any(lease.phase == LeasePhase.QUEUED for lease in self._leases.values()):
+            return self._keepalive_at_ms
+        return math.inf
+
+    def _request_due(self, now_ms: float) -> None:
+        if self._is_shut_down:
             return
-        if self._out is not None:
-            if now < self._sent[self._out].at + self._answer_ms():
+        if self._awaited is not None:
+            if now_ms < self._sent[self._awaited].sent_at_ms + self._answer_timeout_ms():
                 return
-            self._unanswered()
-            self._later(now)
-        if now < self._not_before:
+            self._stop_awaiting()
+            self._back_off(now_ms)
+        if now_ms < self._backoff_until_ms:
             return
-        if self._leaving and not self._busy():
-            self._leave(now)
+        if self._is_shutting_down and not self._has_operations():
+            self._request_shutdown(now_ms)
             return
-        due = [name for name, task in sorted(self._tasks.items()) if self._due_at(task) <= now]
-        if due:
-            due = [
-                name
-                for name, task in sorted(self._tasks.items())
-                if self._due_at(task) <= now
-                or task.phase == HELD
-                and task.ask_at - task.term_ms / GATHER_PART <= now
-            ]
-        elif now < self._word_due():
-            return
-        command, sent, size = pb.LeaseCommand(by=pb.Who(name=self.me.name, life=self.me.life)), _Sent(now), 0
-        for name in due:
-            task = self._tasks[name]
-            ask = self._asks(name, task)
-            size += ask.ByteSize()
-            if command.asks and (size > BATCH_MOST or len(command.asks) >= ASKS_MOST):
+        due = self._due_tasks(now_ms)
+        if due or now_ms >= self._keepalive_due_ms():
+            self._request(now_ms, due)
+
+    def _due_tasks(self, now_ms: float) -> list[str]:
+        """Return the tasks to request now: those due and, if there is one, those that will be due soon."""
+        leases = sorted(self._leases.items())
+        if not any(self._due_at_ms(lease) <= now_ms for _, lease in leases):
+            return []
+        return [
+            name
+            for name, lease in leases
+            if self._due_at_ms(lease) <= now_ms
+            or lease.phase == LeasePhase.HELD
+            and lease.request_at_ms - lease.term_ms / BATCHING_TERM_DIVISOR <= now_ms
+        ]
+
+    def _request(self, now_ms: float, tasks: list[str]) -> None:
+        command = self._new_command()
+        sent = _SentCommand(now_ms)
+        size_bytes = 0
+        for name in tasks:
+            lease = self._leases[name]
+            request = self._request_for(name, lease)
+            size_bytes += request.ByteSize()
+            is_full = size_bytes > MAX_COMMAND_BYTES or len(command.asks) >= MAX_REQUESTS_PER_COMMAND
+            if command.asks and is_full:
                 break
-            command.asks.append(ask)
-            if ask.WhichOneof("what") not in ("renew", "gain"):
-                task.epoch += 1  # an answer to what was asked before must not give the lease again
-            sent.epochs[name] = task.epoch
-            if task.checkpoint is not None:
-                sent.checkpoints[name] = task.checkpoint
-        self._send(now, command, sent)
-
-    def _unanswered(self) -> None:
-        """Wait no longer; a command on its way may still be done, so what it gives up is never taken back."""
-        for name in self._sent[self._out].epochs if self._out is not None else ():
-            task = self._tasks.get(name)
-            if task is not None and task.ending == "spare" and not task.guard.acts:
-                task.ending = "hand"
-        self._out = None
-
-    def _asks(self, name: str, task: _Task) -> pb.LeaseAsk:
-        fence, checkpoint = task.fence, task.checkpoint
-        if task.phase == HELD or task.phase == ENDING and task.fence and task.guard.acts:
-            return pb.LeaseAsk(task=name, renew=pb.Renew(fence=fence, checkpoint=checkpoint))
-        match task.phase, task.ending:
-            case ("ending", "hand"):
-                return pb.LeaseAsk(task=name, hand_over=pb.HandOver(fence=fence, checkpoint=checkpoint))
-            case ("ending", "spare"):
+            command.asks.append(request)
+            if request.WhichOneof("what") not in ("renew", "gain"):
+                lease.epoch += 1  # an answer to an earlier request must not give the lease again
+            sent.epochs[name] = lease.epoch
+            if lease.checkpoint is not None:
+                sent.checkpoints[name] = lease.checkpoint
+        self._send(command, sent)
+
+    def _stop_awaiting(self) -> None:
+        """Wait no longer. The command may still be applied, so what it gives up is never taken back."""
+        for name in self._sent[self._awaited].epochs if self._awaited is not None else ():
+            lease = self._leases.get(name)
+            if lease is not None and lease.release == ReleaseKind.REBALANCE and not lease.guard.operations:
+                lease.release = ReleaseKind.HAND_OVER
+        self._awaited = None
+
+    def _new_command(self, is_shutdown: bool = False) -> pb.LeaseCommand:
+        sender = pb.Who(name=self.identity.name, life=self.identity.incarnation)
+        return pb.LeaseCommand(by=sender, leave=is_shutdown)
+
+    def _request_for(self, name: str, lease: _TaskLease) -> pb.LeaseAsk:
+        token, checkpoint = lease.fencing_token, lease.checkpoint
+        must_renew = lease.phase == LeasePhase.HELD
+        if must_renew or lease.phase == LeasePhase.RELEASING and lease.has_operations:
+            return pb.LeaseAsk(task=name, renew=pb.Renew(fence=token, checkpoint=checkpoint))
+        if lease.phase != LeasePhase.RELEASING:
+            return pb.LeaseAsk(task=name, gain=pb.Gain(term_ms=lease.term_ms, purpose=lease.purpose))
+        match lease.release:
+            case ReleaseKind.HAND_OVER:
+                return pb.LeaseAsk(task=name, hand_over=pb.HandOver(fence=token, checkpoint=checkpoint))
+            case ReleaseKind.REBALANCE:
                 return pb.LeaseAsk(
-                    task=name, hand_over=pb.HandOver(fence=fence, checkpoint=checkpoint, only_spare=True)
+                    task=name, hand_over=pb.HandOver(fence=token, checkpoint=checkpoint, only_spare=True)
                 )
-            case ("ending", "fail"):
+            case ReleaseKind.FAILED:
                 return pb.LeaseAsk(
-                    task=name, give_up=pb.GiveUp(fence=fence, reason=pb.GiveUp.CANNOT, checkpoint=checkpoint)
+                    task=name, give_up=pb.GiveUp(fence=token, reason=pb.GiveUp.CANNOT, checkpoint=checkpoint)
                 )
-            case ("ending", "forget"):
-                return pb.LeaseAsk(task=name, forget=pb.Forget(fence=fence))
-            case ("ending", _):
+            case ReleaseKind.FORGET:
+                return pb.LeaseAsk(task=name, forget=pb.Forget(fence=token))
+            case _:
                 return pb.LeaseAsk(task=name, give_up=pb.GiveUp())
-        return pb.LeaseAsk(task=name, gain=pb.Gain(term_ms=task.term_ms, purpose=task.purpose))
 
-    def _leave(self, now: float) -> None:
-        if self._leaves >= LEAVE_TRIES:
-            self._finish(False)
+    def _request_shutdown(self, now_ms: float) -> None:
+        if self._shutdown_attempts >= MAX_SHUTDOWN_ATTEMPTS:
+            self._finish_shutdown(is_confirmed=False)
             return
-        self._leaves += 1
-        command = pb.LeaseCommand(by=pb.Who(name=self.me.name, life=self.me.life), leave=True)
-        for name, task in sorted(self._tasks.items()):
-            if task.fence and task.checkpoint is not None and command.ByteSize() < BATCH_MOST:
-                command.asks.append(self._asks(name, task))
-        self._send(now, command, _Sent(now, leave=True))
-
-    def _finish(self, told: bool) -> None:
-        for name, task in sorted(self._tasks.items()):
-            if task.fence:
-                self._actions.append(Lost(name, task.fence, "given"))
-            task.guard.close()
-        self._tasks.clear()
-        self._left = True
-        self._actions.append(Left(told))
-
-    def _send(self, now: float, command: pb.LeaseCommand, sent: _Sent) -> None:
-        self._token += 1
-        self._out, self._sent[self._token] = self._token, sent
-        while len(self._sent) > COMMANDS_MOST:
+        self._shutdown_attempts += 1
+        command = self._new_command(is_shutdown=True)
+        for name, lease in sorted(self._leases.items()):
+            has_checkpoint = lease.fencing_token and lease.checkpoint is not None
+            if has_checkpoint and command.ByteSize() < MAX_COMMAND_BYTES:
+                command.asks.append(self._request_for(name, lease))
+        self._send(command, _SentCommand(now_ms, is_shutdown=True))
+
+    def _finish_shutdown(self, is_confirmed: bool) -> None:
+        for name, lease in sorted(self._leases.items()):
+            if lease.fencing_token:
+                self._actions.append(LeaseLost(name, lease.fencing_token, LossReason.RELEASED))
+            lease.guard.revoke()
+        self._leases.clear()
+        self._is_shut_down = True
+        self._actions.append(ShutdownComplete(is_confirmed))
+
+    def _send(self, command: pb.LeaseCommand, sent: _SentCommand) -> None:
+        self._last_request_id += 1
+        self._awaited = self._last_request_id
+        self._sent[self._awaited] = sent
+        while len(self._sent) > MAX_UNANSWERED_COMMANDS:
             del self._sent[next(iter(self._sent))]
-        self._actions.append(Ask(self._token, command.SerializeToString(deterministic=True)))
+        body = command.SerializeToString(deterministic=True)
+        self._actions.append(SendCommand(self._awaited, body))
 
-    def _next(self, now: float) -> float:
+    def _next_due_ms(self, now_ms: float) -> float:
         """Return when something is to be done if nothing happens."""
-        lapses = min((task.guard.until for task in self._tasks.values() if task.fence), default=math.inf)
-        if self._out is not None:
-            return min(lapses, self._sent[self._out].at + self._answer_ms())
-        due = min((self._due_at(task) for task in self._tasks.values()), default=math.inf)
-        if self._leaving and not self._busy():
-            due = now
-        return min(lapses, max(min(due, self._word_due()), self._not_before, now))
+        expires_ms = min(
+            (lease.guard.valid_until_ms for lease in self._leases.values() if lease.fencing_token),
+            default=math.inf,
+        )
+        if self._awaited is not None:
+            return min(expires_ms, self._sent[self._awaited].sent_at_ms + self._answer_timeout_ms())
+        due_ms = min((self._due_at_ms(lease) for lease in self._leases.values()), default=math.inf)
+        if self._is_shutting_down and not self._has_operations():
+            due_ms = now_ms
+        request_ms = max(min(due_ms, self._keepalive_due_ms()), self._backoff_until_ms, now_ms)
+        return min(expires_ms, request_ms)
 
 
-def _read(body: bytes | None) -> pb.LeaseAnswer | None:
+def _parse_answer(body: bytes | None) -> pb.LeaseAnswer | None:
     try:
         return None if body is None else pb.LeaseAnswer.FromString(body)
     except DecodeError:
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -1,86 +1,52 @@
-"""Who holds which task of the fleet, until when on the record's clock, and who is next.
+"""The replicated state of leases: who holds which task, until when on the log's clock, and who is next.
 
-A fence is the record's index of the grant, so it rises over everything, whatever is forgotten. A lease that
-frees is offered to one who waits and to nobody else; the offer counts only when it is confirmed, so that its
-holder can count its time from before it asked.
+A fencing token is the log index of the grant, so it rises over everything, whatever is forgotten. A lease
+that becomes free is offered to one who waits and to nobody else; the offer counts only when it is confirmed,
+so that its holder can count its time from before it sent its request.
 """
 
 import heapq
 from collections import Counter
-from dataclasses import dataclass, field
-from typing import NamedTuple
+from enum import StrEnum
 
 from google.protobuf.message import DecodeError
 
 from fennelwind.leases import leases_pb2 as pb
+from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
 from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
 
-ASKS_MOST = 512  # asks of one command; a controller wants some fifty tasks
-TASKS_MOST = 4096  # tasks; a thousand tables and the fleet's own, four times over
-WAITERS_MOST = 256  # who wait for one task; a fleet has two hundred controllers
-WAITS_MOST = 32_768  # who wait for all tasks; some 60 bytes each in a snapshot
-NAME_MOST = 256  # bytes of a task's or a controller's name
-LIFE_MOST = 32  # bytes of a life
-PURPOSE_MOST = 256  # bytes
-CHECKPOINT_MOST = 4096  # bytes of one task: a place to go on from, not the work itself
-CHECKPOINTS_MOST = 4 * 1024 * 1024  # bytes of all tasks, so that a snapshot stays small
-TERM_LEAST_MS, TERM_MOST_MS = 300, 600_000  # ms; shorter can't be renewed over an election, longer idles
-OFFER_PART = 2  # an offer stands for the term over this: a dead one at the head costs half a term
-HEARD_MS = 30_000  # ms without a word after which one waits no longer
-QUIET_MS = HEARD_MS // 2  # ms without a word after which others come first; a word comes every 8 to 12 s
-ASIDE_MS, ASIDE_MOST_MS = 2000, 120_000  # ms for which one that failed is passed over: first, and at most
-ASIDE_DOUBLINGS = 6  # 2 s to 128 s, which the bound cuts to 120 s
-ASIDES_MOST = 64  # remembered for one task; the one that ends first goes first
-SPARE_LEAST = 2  # leases more than one who waits has; with 1 the two would hand it to and fro
-
-
-class Life(NamedTuple):
-    """A controller in one of its lives."""
-
-    name: str
-    life: bytes
-
-
-@dataclass(slots=True)
-class _Waiter:
-    term_ms: int
-    purpose: str
-
-
-@dataclass(slots=True)
-class _Aside:
-    failures: int
-    until_ms: int
-
-
-@dataclass(slots=True)
-class _Task:
-    holder: Life | None = None  # or who is offered it
-    fence: int = 0  # 0: free or offered
-    term_ms: int = 0
-    until_ms: int = 0
-    purpose: str = ""
-    checkpoint: bytes = b""
-    revision: int = 0
-    waiters: dict[Life, _Waiter] = field(default_factory=dict)  # in the order in which they asked
-    asides: dict[str, _Aside] = field(default_factory=dict)  # by controller's name
-
-
-class View(NamedTuple):
-    """A task as anybody may see it."""
-
-    holder: str  # "": nobody
-    fence: int  # 0: nobody holds it; with a holder's name, it is offered
-    until_ms: int
-    purpose: str
-    checkpoint: bytes
-    revision: int
-    waiting: tuple[str, ...]
-    asides: dict[str, int]  # until when whom to pass over, by name
-
-
-class LeaseMachine:
-    """The machine of leases."""
+MAX_REQUESTS_PER_COMMAND = 512  # a controller wants some fifty tasks
+MAX_TASKS = 4096  # a thousand tables and the tasks of the controllers' own, four times over
+MAX_WAITERS_PER_TASK = 256  # there are two hundred controllers
+MAX_WAITERS = 32_768  # over all tasks; some 60 bytes each in a snapshot
+MAX_NAME_BYTES = 256  # of a task's or a controller's name
+MAX_INCARNATION_BYTES = 32
+MAX_PURPOSE_BYTES = 256
+MAX_CHECKPOINT_BYTES = 4096  # of one task: a place to continue from, not the work itself
+MAX_TOTAL_CHECKPOINT_BYTES = 4 * 1024 * 1024  # of all tasks, so that a snapshot stays small
+MIN_TERM_MS = 300  # ms; a shorter one can't be renewed over an election
+MAX_TERM_MS = 600_000  # ms; a longer one leaves a task idle for too long
+OFFER_TERM_DIVISOR = 2  # an offer stands for the term over this: a dead one at the head costs half a term
+WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
+WAITER_QUIET_MS = (
+    WAITER_TIMEOUT_MS // 2
+)  # ms without a command, which come every 8 to 12 s: others come first
+MIN_EXCLUSION_MS = 2000  # ms for which one that failed is passed over at first
+MAX_EXCLUSION_MS = 120_000  # ms for which it is at most
+MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum cuts to 120 s
+MAX_EXCLUSIONS_PER_TASK = 64  # the one that ends first goes first
+MIN_SURPLUS_LEASES = 2  # leases more than one who waits has; with 1 the two would hand it to and fro
+
+
+class _Deadline(StrEnum):
+    """What a deadline in the heap is of."""
+
+    WAITER = "heard"
+    TASK = "task"
+
+
+class LeaseStateMachine:
+    """The replicated state machine of leases; the Raft host applies its commands in log order."""
 
     name, kinds = "leases", ("fence",)
 
@@ -89,371 +55,429 @@
 
     def _clear(self) -> None:
         self.revision = 0  # index of the last change
-        self._tasks: dict[str, _Task] = {}
-        self._heard: dict[Life, int] = {}  # who waits for anything, and when it last said a word
-        # What follows is made from the above.
-        self._waits: Counter[Life] = Counter()
-        self._holds: Counter[str] = Counter()  # leases held by or offered to a controller, in whichever life
-        self._offers: dict[Life, dict[str, None]] = {}
-        self._kept = 0  # bytes of all checkpoints
-        self._heap: list[tuple[int, str, str, bytes]] = []  # when to look at what; may be early, never late
-        self._planned: dict[tuple[str, str, bytes], int] = {}
+        self._leases: dict[str, TaskLease] = {}
+        self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # of all who wait for anything
+        # What follows is derived from the above.
+        self._queued_count: Counter[ControllerIncarnation] = Counter()  # queues in which it waits
+        self._lease_count: Counter[str] = Counter()  # held by or offered to a controller, over incarnations
+        self._offers: dict[ControllerIncarnation, dict[str, None]] = {}
+        self._checkpoint_bytes = 0  # of all tasks
+        self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # may be early, never late
+        self._deadlines: dict[tuple[str, str, bytes], int] = {}
 
     # Reading.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return the fence of the task's present holder; 0: nobody holds it."""
-        task = self._tasks.get(key)
-        return task.fence if task is not None else 0
-
-    def view(self, name: str) -> View | None:
-        """Return how a task stands; None: nothing is known of it."""
-        task = self._tasks.get(name)
-        if task is None:
+        """Return the fencing token of the task's present holder; 0: nobody holds it."""
+        lease = self._leases.get(key)
+        return lease.fencing_token if lease is not None else 0
+
+    def view(self, name: str) -> LeaseView | None:
+        """Return how the lease of a task stands; None: nothing is known of it."""
+        lease = self._leases.get(name)
+        if lease is None:
             return None
-        return View(
-            task.holder.name if task.holder else "",
-            task.fence,
-            task.until_ms,
-            task.purpose,
-            task.checkpoint,
-            task.revision,
-            tuple(who.name for who in task.waiters),
-            {who: aside.until_ms for who, aside in sorted(task.asides.items())},
+        return LeaseView(
+            lease.holder_name,
+            lease.fencing_token,
+            lease.until_ms,
+            lease.purpose,
+            lease.checkpoint,
+            lease.revision,
+            tuple(waiter.name for waiter in lease.waiters),
+            {excluded: exclusion.until_ms for excluded, exclusion in sorted(lease.exclusions.items())},
         )
 
     def tasks(self) -> list[str]:
         """Return the names of all tasks."""
-        return sorted(self._tasks)
+        return sorted(self._leases)
 
-    def offers(self, who: Life) -> tuple[str, ...]:
-        """Return the tasks that are offered to a controller: what a watcher is told when it changes."""
-        return tuple(sorted(self._offers.get(who, ())))
+    def offers(self, owner: ControllerIncarnation) -> tuple[str, ...]:
+        """Return the tasks that are offered to a controller: a watcher is notified when it changes."""
+        return tuple(sorted(self._offers.get(owner, ())))
 
     # Commands.
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry out a `LeaseCommand`; return a `LeaseAnswer`."""
+        """Apply a `LeaseCommand`; return a `LeaseAnswer`. Raises `UnreadableCommand`."""
         try:
-            asked = pb.LeaseCommand.FromString(command)
+            parsed = pb.LeaseCommand.FromString(command)
         except DecodeError as exc:
             raise UnreadableCommand("not a command of leases") from exc
-        by = Life(asked.by.name, asked.by.life)
-        refusal = _refusal(asked)
+        sender = ControllerIncarnation(parsed.by.name, parsed.by.life)
+        refusal = _command_refusal(parsed)
         if refusal:
-            return pb.LeaseAnswer(refusal=refusal, revision=self.revision).SerializeToString(
-                deterministic=True
-            )
-        if by in self._heard:
-            self._heard[by] = at.clock_ms
-        answer = pb.LeaseAnswer(told=[self._ask(at, by, ask) for ask in asked.asks])
-        if asked.leave:
-            self._leave(at, by)
-        answer.offers.extend(self.offers(by))
-        answer.revision, answer.waits = self.revision, self._waits.get(by, 0)
+            rejected = pb.LeaseAnswer(refusal=refusal, revision=self.revision)
+            return rejected.SerializeToString(deterministic=True)
+        if sender in self._last_heard_ms:
+            self._last_heard_ms[sender] = at.clock_ms
+        answer = pb.LeaseAnswer(told=[self._apply_request(at, sender, request) for request in parsed.asks])
+        if parsed.leave:
+            self._release_all(at, sender)
+        answer.offers.extend(self.offers(sender))
+        answer.revision = self.revision
+        answer.waits = self._queued_count.get(sender, 0)
         return answer.SerializeToString(deterministic=True)
 
-    def _ask(self, at: At, by: Life, ask: pb.LeaseAsk) -> pb.Told:
-        name, what = ask.task, ask.WhichOneof("what")
-        if what is None:
+    def _apply_request(self, at: At, sender: ControllerIncarnation, request: pb.LeaseAsk) -> pb.Told:
+        name, kind = request.task, request.WhichOneof("what")
+        if kind is None:
             return pb.Told(refusal=pb.NOTHING_ASKED)
-        if not 0 < len(name.encode()) <= NAME_MOST:
+        if not 0 < len(name.encode()) <= MAX_NAME_BYTES:
             return pb.Told(refusal=pb.TOO_LARGE)
-        if what == "gain":
-            return self._gain(at, by, name, ask.gain)
-        told = getattr(ask, what)
-        task = self._tasks.get(name)
-        if what == "forget":
-            return self._forget(at, by, name, task, told.fence)
-        if what == "give_up" and not told.fence:
-            return self._wait_no_longer(at, by, name, task)
-        if task is None or task.holder != by or not task.fence or task.fence != told.fence:
-            holder = task.holder.name if task is not None and task.holder else ""
-            return pb.Told(refusal=pb.NOT_HOLDER, holder=holder)
-        if told.HasField("checkpoint"):
-            if len(told.checkpoint) > CHECKPOINT_MOST:
-                return self._held(task, pb.TOO_LARGE)
-            grown = len(told.checkpoint) - len(task.checkpoint)
-            if grown > 0 and self._kept + grown > CHECKPOINTS_MOST:
-                return self._held(task, pb.NO_ROOM)
-        if what == "hand_over" and told.to and not any(who.name == told.to for who in task.waiters):
-            return self._held(task, pb.NOT_WAITING)
-        if told.HasField("checkpoint"):
-            self._keep(task, told.checkpoint)
-        if what == "renew" or what == "hand_over" and told.only_spare and not self._spare(at, task):
-            return self._renewed(at, name, task)
-        if what == "give_up" and told.reason == pb.GiveUp.CANNOT:
-            self._failed(at, task, by.name)
-        self._free(at, name, task, told.to if what == "hand_over" else "")
-        return pb.Told(holder=task.holder.name if task.holder else "")
-
-    def _gain(self, at: At, by: Life, name: str, gain: pb.Gain) -> pb.Told:
-        if not TERM_LEAST_MS <= gain.term_ms <= TERM_MOST_MS:
+        if kind == "gain":
+            return self._acquire(at, sender, name, request.gain)
+        if kind == "forget":
+            return self._forget(at, sender, name, request.forget.fence)
+        if kind == "give_up" and not request.give_up.fence:
+            return self._leave_queue(at, sender, name)
+        return self._apply_holder_request(at, sender, name, kind, getattr(request, kind))
+
+    def _apply_holder_request(
+        self,
+        at: At,
+        sender: ControllerIncarnation,
+        name: str,
+        kind: str,
+        body: pb.Renew | pb.HandOver | pb.GiveUp,
+    ) -> pb.Told:
+        lease = self._leases.get(name)
+        if lease is None or not lease.is_held_by(sender, body.fence):
+            return pb.Told(refusal=pb.NOT_HOLDER, holder=lease.holder_name if lease is not None else "")
+        refusal = self._holder_refusal(lease, kind, body)
+        if refusal:
+            return self._reject_holder(lease, refusal)
+        if body.HasField("checkpoint"):
+            self._set_checkpoint(lease, body.checkpoint)
+        if kind == "renew" or kind == "hand_over" and body.only_spare and not self._has_surplus(at, lease):
+            return self._renew(at, name, lease)
+        if kind == "give_up" and body.reason == pb.GiveUp.CANNOT:
+            self._exclude(at, lease, sender.name)
+        self._release(at, name, lease, body.to if kind == "hand_over" else "")
+        return pb.Told(holder=lease.holder_name)
+
+    def _holder_refusal(
+        self, lease: TaskLease, kind: str, body: pb.Renew | pb.HandOver | pb.GiveUp
+    ) -> pb.Refusal:
+        if body.HasField("checkpoint"):
+            if len(body.checkpoint) > MAX_CHECKPOINT_BYTES:
+                return pb.TOO_LARGE
+            growth_bytes = len(body.checkpoint) - len(lease.checkpoint)
+            if growth_bytes > 0 and self._checkpoint_bytes + growth_bytes > MAX_TOTAL_CHECKPOINT_BYTES:
+                return pb.NO_ROOM
+        if kind == "hand_over" and body.to and not any(waiter.name == body.to for waiter in lease.waiters):
+            return pb.NOT_WAITING
+        return pb.NONE
+
+    def _acquire(self, at: At, sender: ControllerIncarnation, name: str, gain: pb.Gain) -> pb.Told:
+        if not MIN_TERM_MS <= gain.term_ms <= MAX_TERM_MS:
             return pb.Told(refusal=pb.BAD_TERM)
-        if len(gain.purpose.encode()) > PURPOSE_MOST:
+        if len(gain.purpose.encode()) > MAX_PURPOSE_BYTES:
             return pb.Told(refusal=pb.TOO_LARGE)
-        task = self._tasks.get(name)
-        if task is not None and task.holder == by:  # a new fence: no late command of the old one ends it
-            return self._grant(at, by, name, task, _Waiter(gain.term_ms, gain.purpose))
-        if task is None:
-            if len(self._tasks) >= TASKS_MOST:
+        requested = Waiter(gain.term_ms, gain.purpose)
+        lease = self._leases.get(name)
+        if (
+            lease is not None and lease.holder == sender
+        ):  # a new token: no late command of the old one ends it
+            return self._grant(at, sender, name, lease, requested)
+        if lease is None:
+            if len(self._leases) >= MAX_TASKS:
                 return pb.Told(refusal=pb.TOO_MANY_TASKS)
-            task = self._tasks[name] = _Task()
-        aside = task.asides.get(by.name)
-        if task.holder is None and (aside is None or aside.until_ms <= at.clock_ms):
-            return self._grant(at, by, name, task, _Waiter(gain.term_ms, gain.purpose))
-        if by not in task.waiters:
-            for who in [who for who in task.waiters if who.name == by.name]:
-                self._unqueue(at, name, task, who)  # an earlier life's place
-            if len(task.waiters) >= WAITERS_MOST or self._waits.total() >= WAITS_MOST:
-                return pb.Told(refusal=pb.TOO_MANY_WAITERS)
-            self._waits[by] += 1
-            self._heard[by] = at.clock_ms
-            self._plan("heard", by.name, by.life)
-            self._changed(at, name, task)
-        task.waiters[by] = _Waiter(gain.term_ms, gain.purpose)
-        self._plan("task", name)
+            lease = self._leases[name] = TaskLease()
+        if lease.holder is None and not lease.is_excluded(sender.name, at.clock_ms):
+            return self._grant(at, sender, name, lease, requested)
+        if sender not in lease.waiters and not self._add_waiter(at, sender, name, lease, requested):
+            return pb.Told(refusal=pb.TOO_MANY_WAITERS)
+        lease.waiters[sender] = requested
+        self._schedule(_Deadline.TASK, name)
         return pb.Told(
             state=pb.Told.WAITING,
-            ahead=list(task.waiters).index(by),
-            aside_ms=max(0, aside.until_ms - at.clock_ms) if aside is not None else 0,
-            holder=task.holder.name if task.holder else "",
+            ahead=list(lease.waiters).index(sender),
+            aside_ms=lease.excluded_for_ms(sender.name, at.clock_ms),
+            holder=lease.holder_name,
         )
 
-    def _grant(self, at: At, by: Life, name: str, task: _Task, wish: _Waiter) -> pb.Told:
-        if by in task.waiters:
-            self._unqueue(at, name, task, by)
-        if task.holder is None:
-            self._holds[by.name] += 1
-        self._offered(by, name, False)
-        kept = task.until_ms if task.fence else 0  # of its own lease; an offer's end is none
-        task.holder, task.fence, task.term_ms, task.purpose = by, at.index, wish.term_ms, wish.purpose
-        task.until_ms = max(kept, at.clock_ms + wish.term_ms)
-        self._changed(at, name, task)
+    def _add_waiter(
+        self, at: At, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
+    ) -> bool:
+        """Queue the sender in place of its earlier incarnation; tell whether there was a place."""
+        for waiter in [waiter for waiter in lease.waiters if waiter.name == sender.name]:
+            self._remove_waiter(lease, waiter)
+        if len(lease.waiters) >= MAX_WAITERS_PER_TASK or self._queued_count.total() >= MAX_WAITERS:
+            return False
+        self._queued_count[sender] += 1
+        self._last_heard_ms[sender] = at.clock_ms
+        self._schedule(_Deadline.WAITER, sender.name, sender.incarnation)
+        self._mark_changed(at, name, lease)
+        return True
+
+    def _grant(
+        self, at: At, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
+    ) -> pb.Told:
+        if sender in lease.waiters:
+            self._remove_waiter(lease, sender)
+        if lease.holder is None:
+            self._lease_count[sender.name] += 1
+        self._clear_offer(sender, name)
+        held_until_ms = lease.until_ms if lease.fencing_token else 0  # an offer's end does not count
+        lease.fencing_token = at.index
+        lease.holder = sender
+        lease.term_ms = requested.term_ms
+        lease.purpose = requested.purpose
+        lease.until_ms = max(held_until_ms, at.clock_ms + requested.term_ms)
+        self._mark_changed(at, name, lease)
         return pb.Told(
             state=pb.Told.HELD,
-            fence=task.fence,
-            term_ms=task.term_ms,
-            checkpoint=task.checkpoint,
-            spare=self._spare(at, task),
-            holder=by.name,
+            fence=lease.fencing_token,
+            term_ms=lease.term_ms,
+            checkpoint=lease.checkpoint,
+            spare=self._has_surplus(at, lease),
+            holder=sender.name,
         )
 
-    def _renewed(self, at: At, name: str, task: _Task) -> pb.Told:
-        task.until_ms = max(task.until_ms, at.clock_ms + task.term_ms)
-        self._plan("task", name)
+    def _renew(self, at: At, name: str, lease: TaskLease) -> pb.Told:
+        lease.until_ms = max(lease.until_ms, at.clock_ms + lease.term_ms)
+        self._schedule(_Deadline.TASK, name)
         return pb.Told(
             state=pb.Told.HELD,
-            fence=task.fence,
-            term_ms=task.term_ms,
-            spare=self._spare(at, task),
-            holder=task.holder.name,
+            fence=lease.fencing_token,
+            term_ms=lease.term_ms,
+            spare=self._has_surplus(at, lease),
+            holder=lease.holder_name,
         )
 
-    def _held(self, task: _Task, refusal: int) -> pb.Told:
-        """Refuse, and lengthen nothing: a term of 0 gives its holder no time."""
-        return pb.Told(refusal=refusal, state=pb.Told.HELD, fence=task.fence, holder=task.holder.name)
+    def _reject_holder(self, lease: TaskLease, refusal: pb.Refusal) -> pb.Told:
+        """Reject, and lengthen nothing: a term of 0 gives its holder no time."""
+        return pb.Told(
+            refusal=refusal, state=pb.Told.HELD, fence=lease.fencing_token, holder=lease.holder_name
+        )
 
-    def _forget(self, at: At, by: Life, name: str, task: _Task | None, fence: int) -> pb.Told:
-        if task is None:
+    def _forget(self, at: At, sender: ControllerIncarnation, name: str, fencing_token: int) -> pb.Told:
+        lease = self._leases.get(name)
+        if lease is None:
             return pb.Told()
-        mine = task.holder == by and task.fence and task.fence == fence
-        if task.holder is not None and not mine:
-            return pb.Told(refusal=pb.NOT_HOLDER, holder=task.holder.name)
-        for who in list(task.waiters):
-            self._unqueue(at, name, task, who)
-        self._release(name, task)
-        self._keep(task, b"")
-        task.asides.clear()
-        self._changed(at, name, task)
+        if lease.holder is not None and not lease.is_held_by(sender, fencing_token):
+            return pb.Told(refusal=pb.NOT_HOLDER, holder=lease.holder_name)
+        for waiter in list(lease.waiters):
+            self._remove_waiter(lease, waiter)
+        self._clear_holder(name, lease)
+        self._set_checkpoint(lease, b"")
+        lease.exclusions.clear()
+        self._mark_changed(at, name, lease)
         return pb.Told()
 
-    def _wait_no_longer(self, at: At, by: Life, name: str, task: _Task | None) -> pb.Told:
-        if task is not None and by in task.waiters:
-            self._unqueue(at, name, task, by)
-            self._changed(at, name, task)
-        elif task is not None and task.holder == by and not task.fence:
-            self._free(at, name, task)
+    def _leave_queue(self, at: At, sender: ControllerIncarnation, name: str) -> pb.Told:
+        lease = self._leases.get(name)
+        if lease is not None and sender in lease.waiters:
+            self._remove_waiter(lease, sender)
+            self._mark_changed(at, name, lease)
+        elif lease is not None and lease.holder == sender and not lease.fencing_token:
+            self._release(at, name, lease)
         return pb.Told()
 
-    def _leave(self, at: At, by: Life) -> None:
-        for name in sorted(self._tasks):
-            task = self._tasks[name]
-            if by in task.waiters:
-                self._unqueue(at, name, task, by)
-                self._changed(at, name, task)
-            elif task.holder == by:
-                self._free(at, name, task)
+    def _release_all(self, at: At, sender: ControllerIncarnation) -> None:
+        for name in sorted(self._leases):
+            lease = self._leases[name]
+            if sender in lease.waiters:
+                self._remove_waiter(lease, sender)
+                self._mark_changed(at, name, lease)
+            elif lease.holder == sender:
+                self._release(at, name, lease)
 
     # Time.
 
     def due(self) -> int | None:
-        """Return when a lease, an offer, a wait or a time aside ends next."""
-        while self._heap:
-            at, *rest = self._heap[0]
-            key = tuple(rest)
-            if self._planned.get(key) == at:
-                really = self._ends(*key)
-                if really == at:
-                    return at
-                del self._planned[key]
-                heapq.heappop(self._heap)
-                self._plan(*key)
+        """Return when a lease, an offer, a wait or an exclusion ends next."""
+        while self._deadline_heap:
+            at_ms, kind, name, incarnation = self._deadline_heap[0]
+            key = (kind, name, incarnation)
+            if self._deadlines.get(key) == at_ms:
+                if self._next_deadline_ms(*key) == at_ms:
+                    return at_ms
+                del self._deadlines[key]
+                heapq.heappop(self._deadline_heap)
+                self._schedule(*key)
             else:
-                heapq.heappop(self._heap)
+                heapq.heappop(self._deadline_heap)
         return None
 
     def pass_time(self, at: At) -> None:
-        """Let lapse what is due."""
-        while (due := self.due()) is not None and due <= at.clock_ms:
-            _, kind, name, life = self._heap[0]
-            if kind == "heard":
-                self._silent(at, Life(name, life))
+        """Let expire what is due."""
+        while (due_ms := self.due()) is not None and due_ms <= at.clock_ms:
+            _, kind, name, incarnation = self._deadline_heap[0]
+            if kind == _Deadline.WAITER:
+                self._drop_silent_waiter(at, ControllerIncarnation(name, incarnation))
             else:
-                self._lapse(at, name, self._tasks[name])
-
-    def _silent(self, at: At, who: Life) -> None:
-        for name in sorted(self._tasks):
-            if who in self._tasks[name].waiters:
-                self._unqueue(at, name, self._tasks[name], who)
-                self._changed(at, name, self._tasks[name])
-
-    def _lapse(self, at: At, name: str, task: _Task) -> None:
-        if task.holder is not None:
-            if task.fence:  # an offer may have been lost on its way; that is nothing against anybody
-                self._failed(at, task, task.holder.name)
-            self._free(at, name, task)
+                self._expire(at, name, self._leases[name])
+
+    def _drop_silent_waiter(self, at: At, waiter: ControllerIncarnation) -> None:
+        for name in sorted(self._leases):
+            lease = self._leases[name]
+            if waiter in lease.waiters:
+                self._remove_waiter(lease, waiter)
+                self._mark_changed(at, name, lease)
+
+    def _expire(self, at: At, name: str, lease: TaskLease) -> None:
+        if lease.holder is not None:
+            if lease.fencing_token:  # an offer may have been lost on its way, which is no failure
+                self._exclude(at, lease, lease.holder.name)
+            self._release(at, name, lease)
             return
-        over = [who for who, aside in task.asides.items() if aside.until_ms + ASIDE_MOST_MS <= at.clock_ms]
-        for who in over:
-            del task.asides[who]
-        self._offer(at, name, task)
-        self._changed(at, name, task)
-
-    def _ends(self, kind: str, name: str, life: bytes) -> int | None:
-        """Return when something happens next to a task, or to one who waits, if nothing is asked."""
-        if kind == "heard":
-            heard = self._heard.get(Life(name, life))
-            return None if heard is None else heard + HEARD_MS
-        task = self._tasks.get(name)
-        if task is None:
+        forgotten = [
+            excluded
+            for excluded, exclusion in lease.exclusions.items()
+            if exclusion.until_ms + MAX_EXCLUSION_MS <= at.clock_ms
+        ]
+        for excluded in forgotten:
+            del lease.exclusions[excluded]
+        self._offer(at, name, lease)
+        self._mark_changed(at, name, lease)
+
+    def _next_deadline_ms(self, kind: str, name: str, incarnation: bytes) -> int | None:
+        """Return when something expires next for a task or a waiter, if no command comes."""
+        if kind == _Deadline.WAITER:
+            heard_ms = self._last_heard_ms.get(ControllerIncarnation(name, incarnation))
+            return None if heard_ms is None else heard_ms + WAITER_TIMEOUT_MS
+        lease = self._leases.get(name)
+        if lease is None:
             return None
-        if task.holder is not None:
-            return task.until_ms
-        ends = [task.asides[who.name].until_ms if who.name in task.asides else 0 for who in task.waiters]
-        ends += [aside.until_ms + ASIDE_MOST_MS for aside in task.asides.values()]
-        return min(ends, default=None)
-
-    def _plan(self, kind: str, name: str, life: bytes = b"") -> None:
-        key, at = (kind, name, life), self._ends(kind, name, life)
-        planned = self._planned.get(key)
-        if at is not None and (planned is None or at < planned):
-            self._planned[key] = at
-            heapq.heappush(self._heap, (at, *key))
-
-    # What both bring about.
-
-    def _free(self, at: At, name: str, task: _Task, to: str = "") -> None:
-        self._release(name, task)
-        self._offer(at, name, task, to)
-        self._changed(at, name, task)
-
-    def _release(self, name: str, task: _Task) -> None:
-        if task.holder is not None:
-            self._holds[task.holder.name] -= 1
-            if not self._holds[task.holder.name]:
-                del self._holds[task.holder.name]
-            self._offered(task.holder, name, False)
-        task.holder, task.fence, task.term_ms, task.until_ms, task.purpose = None, 0, 0, 0, ""
-
-    def _offer(self, at: At, name: str, task: _Task, to: str = "") -> None:
-        """Offer a free lease to who is named, or said a word lately, holds fewest and asked first.
-
-        Not to one who is passed over.
+        if lease.holder is not None:
+            return lease.until_ms
+        exclusions = lease.exclusions
+        ends_ms = [
+            exclusions[waiter.name].until_ms if waiter.name in exclusions else 0 for waiter in lease.waiters
+        ]
+        ends_ms += [exclusion.until_ms + MAX_EXCLUSION_MS for exclusion in exclusions.values()]
+        return min(ends_ms, default=None)
+
+    def _schedule(self, kind: str, name: str, incarnation: bytes = b"") -> None:
+        key = (kind, name, incarnation)
+        at_ms = self._next_deadline_ms(*key)
+        scheduled_ms = self._deadlines.get(key)
+        if at_ms is not None and (scheduled_ms is None or at_ms < scheduled_ms):
+            self._deadlines[key] = at_ms
+            heapq.heappush(self._deadline_heap, (at_ms, *key))
+
+    # What both commands and time bring about.
+
+    def _release(self, at: At, name: str, lease: TaskLease, successor: str = "") -> None:
+        self._clear_holder(name, lease)
+        self._offer(at, name, lease, successor)
+        self._mark_changed(at, name, lease)
+
+    def _clear_holder(self, name: str, lease: TaskLease) -> None:
+        if lease.holder is not None:
+            self._lease_count[lease.holder.name] -= 1
+            if not self._lease_count[lease.holder.name]:
+                del self._lease_count[lease.holder.name]
+            self._clear_offer(lease.holder, name)
+        lease.holder = None
+        lease.fencing_token = 0
+        lease.term_ms = 0
+        lease.until_ms = 0
+        lease.purpose = ""
+
+    def _offer(self, at: At, name: str, lease: TaskLease, successor: str = "") -> None:
+        """Offer a free lease to the named successor, if there is one.
+
+        Else to one who is not excluded: heard lately before others, then with fewest leases, then first in
+        the queue.
         """
-        able = [who for who in task.waiters if self._able(at, task, who)]
-        if to:
-            able = [who for who in task.waiters if who.name == to]
-        if not able:
+        if successor:
+            candidates = [waiter for waiter in lease.waiters if waiter.name == successor]
+        else:
+            candidates = [waiter for waiter in lease.waiters if self._is_eligible(at, lease, waiter)]
+        if not candidates:
             return
-        who = min(
-            able, key=lambda who: (at.clock_ms - self._heard[who] > QUIET_MS, self._holds.get(who.name, 0))
+        chosen = min(
+            candidates,
+            key=lambda waiter: (
+                at.clock_ms - self._last_heard_ms[waiter] > WAITER_QUIET_MS,
+                self._lease_count.get(waiter.name, 0),
+            ),
         )
-        wish = task.waiters[who]
-        self._unqueue(at, name, task, who)
-        task.holder, task.term_ms, task.purpose = who, wish.term_ms, wish.purpose
-        task.until_ms = at.clock_ms + wish.term_ms // OFFER_PART
-        self._holds[who.name] += 1
-        self._offered(who, name, True)
-
-    def _able(self, at: At, task: _Task, who: Life) -> bool:
-        aside = task.asides.get(who.name)
-        return aside is None or aside.until_ms <= at.clock_ms
-
-    def _spare(self, at: At, task: _Task) -> bool:
-        mine = self._holds[task.holder.name]
-        return mine >= SPARE_LEAST and any(
-            mine - self._holds.get(who.name, 0) >= SPARE_LEAST and self._able(at, task, who)
-            for who in task.waiters
+        requested = lease.waiters[chosen]
+        self._remove_waiter(lease, chosen)
+        lease.holder = chosen
+        lease.term_ms = requested.term_ms
+        lease.purpose = requested.purpose
+        lease.until_ms = at.clock_ms + requested.term_ms // OFFER_TERM_DIVISOR
+        self._lease_count[chosen.name] += 1
+        self._offers.setdefault(chosen, {})[name] = None
+
+    def _is_eligible(self, at: At, lease: TaskLease, waiter: ControllerIncarnation) -> bool:
+        return not lease.is_excluded(waiter.name, at.clock_ms)
+
+    def _has_surplus(self, at: At, lease: TaskLease) -> bool:
+        """Tell whether one who waits and could run the task has clearly fewer leases than its holder."""
+        held_count = self._lease_count[lease.holder_name]
+        return held_count >= MIN_SURPLUS_LEASES and any(
+            held_count - self._lease_count.get(waiter.name, 0) >= MIN_SURPLUS_LEASES
+            and self._is_eligible(at, lease, waiter)
+            for waiter in lease.waiters
         )
 
-    def _failed(self, at: At, task: _Task, name: str) -> None:
-        aside = task.asides.setdefault(name, _Aside(0, 0))
-        if aside.until_ms + ASIDE_MOST_MS <= at.clock_ms:
-            aside.failures = 0
-        aside.until_ms = at.clock_ms + min(ASIDE_MS << aside.failures, ASIDE_MOST_MS)
-        aside.failures = min(aside.failures + 1, ASIDE_DOUBLINGS)
-        if len(task.asides) > ASIDES_MOST:
-            del task.asides[min(task.asides, key=lambda who: (task.asides[who].until_ms, who))]
-
-    def _unqueue(self, at: At, name: str, task: _Task, who: Life) -> None:
-        del task.waiters[who]
-        self._waits[who] -= 1
-        if not self._waits[who]:
-            del self._waits[who], self._heard[who]
-
-    def _offered(self, who: Life, name: str, is_offered: bool) -> None:
-        if is_offered:
-            self._offers.setdefault(who, {})[name] = None
-        elif name in self._offers.get(who, ()):
-            del self._offers[who][name]
-            if not self._offers[who]:
-                del self._offers[who]
-
-    def _keep(self, task: _Task, checkpoint: bytes) -> None:
-        self._kept += len(checkpoint) - len(task.checkpoint)
-        task.checkpoint = checkpoint
-
-    def _changed(self, at: At, name: str, task: _Task) -> None:
-        task.revision = self.revision = at.index
-        if task.holder is None and not (task.waiters or task.asides or task.checkpoint):
-            self._tasks.pop(name, None)
+    def _exclude(self, at: At, lease: TaskLease, name: str) -> None:
+        exclusion = lease.exclusions.setdefault(name, Exclusion(0, 0))
+        if exclusion.until_ms + MAX_EXCLUSION_MS <= at.clock_ms:
+            exclusion.failures = 0
+        excluded_ms = min(MIN_EXCLUSION_MS << exclusion.failures, MAX_EXCLUSION_MS)
+        exclusion.until_ms = at.clock_ms + excluded_ms
+        exclusion.failures = min(exclusion.failures + 1, MAX_EXCLUSION_DOUBLINGS)
+        if len(lease.exclusions) > MAX_EXCLUSIONS_PER_TASK:
+            first_to_end = min(
+                lease.exclusions, key=lambda excluded: (lease.exclusions[excluded].until_ms, excluded)
+            )
+            del lease.exclusions[first_to_end]
+
+    def _remove_waiter(self, lease: TaskLease, waiter: ControllerIncarnation) -> None:
+        del lease.waiters[waiter]
+        self._queued_count[waiter] -= 1
+        if not self._queued_count[waiter]:
+            del self._queued_count[waiter], self._last_heard_ms[waiter]
+
+    def _clear_offer(self, owner: ControllerIncarnation, name: str) -> None:
+        if name in self._offers.get(owner, ()):
+            del self._offers[owner][name]
+            if not self._offers[owner]:
+                del self._offers[owner]
+
+    def _set_checkpoint(self, lease: TaskLease, checkpoint: bytes) -> None:
+        self._checkpoint_bytes += len(checkpoint) - len(lease.checkpoint)
+        lease.checkpoint = checkpoint
+
+    def _mark_changed(self, at: At, name: str, lease: TaskLease) -> None:
+        lease.revision = self.revision = at.index
+        if lease.is_forgettable:
+            self._leases.pop(name, None)
         else:
-            self._plan("task", name)
+            self._schedule(_Deadline.TASK, name)
 
     # Snapshots.
 
     def snapshot(self) -> bytes:
         """Return all state; equal states give equal bytes."""
         state = pb.LeaseState(revision=self.revision)
-        for name, task in sorted(self._tasks.items()):
-            told = state.tasks.add(
+        for name, lease in sorted(self._leases.items()):
+            stored = state.tasks.add(
                 name=name,
-                fence=task.fence,
-                term_ms=task.term_ms,
-                until_ms=task.until_ms,
-                purpose=task.purpose,
-                checkpoint=task.checkpoint,
-                revision=task.revision,
+                fence=lease.fencing_token,
+                term_ms=lease.term_ms,
+                until_ms=lease.until_ms,
+                purpose=lease.purpose,
+                checkpoint=lease.checkpoint,
+                revision=lease.revision,
             )
-            if task.holder is not None:
-                told.holder.CopyFrom(_who(task.holder))
-            for who, wish in task.waiters.items():
-                told.waiters.add(who=_who(who), term_ms=wish.term_ms, purpose=wish.purpose)
-            for who, aside in sorted(task.asides.items()):
-                told.asides.add(name=who, failures=aside.failures, until_ms=aside.until_ms)
-        for who, at_ms in sorted(self._heard.items()):
-            state.heard.add(who=_who(who), at_ms=at_ms)
+            if lease.holder is not None:
+                stored.holder.CopyFrom(_to_message(lease.holder))
+            for waiter, requested in lease.waiters.items():
+                stored.waiters.add(
+                    who=_to_message(waiter), term_ms=requested.term_ms, purpose=requested.purpose
+                )
+            for excluded, exclusion in sorted(lease.exclusions.items()):
+                stored.asides.add(name=excluded, failures=exclusion.failures, until_ms=exclusion.until_ms)
+        for waiter, heard_ms in sorted(self._last_heard_ms.items()):
+            state.heard.add(who=_to_message(waiter), at_ms=heard_ms)
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
@@ -461,39 +485,55 @@
         state = pb.LeaseState.FromString(data)
         self._clear()
         self.revision = state.revision
-        for told in state.tasks:
-            holder = Life(told.holder.name, told.holder.life) if told.HasField("holder") else None
-            task = self._tasks[told.name] = _Task(
-                holder, told.fence, told.term_ms, told.until_ms, told.purpose, told.checkpoint, told.revision
-            )
-            for waiter in told.waiters:
-                who = Life(waiter.who.name, waiter.who.life)
-                task.waiters[who] = _Waiter(waiter.term_ms, waiter.purpose)
-                self._waits[who] += 1
-            task.asides = {aside.name: _Aside(aside.failures, aside.until_ms) for aside in told.asides}
-            self._kept += len(task.checkpoint)
-            if holder is not None:
-                self._holds[holder.name] += 1
-                if not task.fence:
-                    self._offered(holder, told.name, True)
+        for stored in state.tasks:
+            self._restore_lease(stored)
         for heard in state.heard:
-            self._heard[Life(heard.who.name, heard.who.life)] = heard.at_ms
-        for name in sorted(self._tasks):
-            self._plan("task", name)
-        for who in sorted(self._heard):
-            self._plan("heard", who.name, who.life)
+            self._last_heard_ms[_from_message(heard.who)] = heard.at_ms
+        for name in sorted(self._leases):
+            self._schedule(_Deadline.TASK, name)
+        for waiter in sorted(self._last_heard_ms):
+            self._schedule(_Deadline.WAITER, waiter.name, waiter.incarnation)
+
+    def _restore_lease(self, stored: pb.LeaseState.Task) -> None:
+        holder = _from_message(stored.holder) if stored.HasField("holder") else None
+        lease = self._leases[stored.name] = TaskLease(
+            holder,
+            stored.fence,
+            stored.term_ms,
+            stored.until_ms,
+            stored.purpose,
+            stored.checkpoint,
+            stored.revision,
+        )
+        for waiting in stored.waiters:
+            waiter = _from_message(waiting.who)
+            lease.waiters[waiter] = Waiter(waiting.term_ms, waiting.purpose)
+            self._queued_count[waiter] += 1
+        lease.exclusions = {
+            excluded.name: Exclusion(excluded.failures, excluded.until_ms) for excluded in stored.asides
+        }
+        self._checkpoint_bytes += len(lease.checkpoint)
+        if holder is not None:
+            self._lease_count[holder.name] += 1
+            if not lease.fencing_token:
+                self._offers.setdefault(holder, {})[stored.name] = None
+
+
+def _to_message(owner: ControllerIncarnation) -> pb.Who:
+    return pb.Who(name=owner.name, life=owner.incarnation)
 
 
-def _who(who: Life) -> pb.Who:
-    return pb.Who(name=who.name, life=who.life)
+def _from_message(owner: pb.Who) -> ControllerIncarnation:
+    return ControllerIncarnation(owner.name, owner.life)
 
 
-def _refusal(asked: pb.LeaseCommand) -> int:
-    """Return what is against a command as a whole."""
-    if len(asked.asks) > ASKS_MOST:
+def _command_refusal(command: pb.LeaseCommand) -> pb.Refusal:
+    """Return why a command is rejected as a whole; `NONE`: it is not."""
+    if len(command.asks) > MAX_REQUESTS_PER_COMMAND:
         return pb.TOO_MANY_ASKS
-    if not 0 < len(asked.by.name.encode()) <= NAME_MOST or len(asked.by.life) > LIFE_MOST:
+    has_name = 0 < len(command.by.name.encode()) <= MAX_NAME_BYTES
+    if not has_name or len(command.by.life) > MAX_INCARNATION_BYTES:
         return pb.TOO_LARGE
-    if len({ask.task for ask in asked.asks}) < len(asked.asks):
+    if len({request.task for request in command.asks}) < len(command.asks):
         return pb.NAMED_TWICE
     return pb.NONE
--- a/fennelwind/testbed/councilrig.py
+++ b/fennelwind/testbed/councilrig.py
@@ -12,8 +12,8 @@
 from pathlib import Path
 from typing import Any, NamedTuple
 
-from fennelwind.leases.errors import OlderFence
-from fennelwind.leases.fencing import Fenced
+from fennelwind.leases.errors import StaleFencingTokenError
+from fennelwind.leases.fencing import FencedResource
 from fennelwind.loop import Address, RealLoop, Stream, StreamReset
 from fennelwind.loop.sim_network import Path as Way
 from fennelwind.testbed.processes import LOCK_HOST, PORT_FIRST, PORT_LAST, Part, RigFailed
@@ -44,7 +44,7 @@
 
     def __init__(self, loop: RealLoop, address: Address, checks: bool = True) -> None:
         self.loop, self.checks = loop, checks
-        self.fenced = Fenced()
+        self.fenced = FencedResource()
         self.seen: list[Seen] = []
         self.listener = loop.listen(address)
 
@@ -76,8 +76,8 @@
         if not self.checks:
             return True
         try:
-            self.fenced.show(task, fence)
-        except OlderFence:
+            self.fenced.check(task, fence)
+        except StaleFencingTokenError:
             return False
         return True
 
--- a/fennelwind/testbed/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -17,7 +17,7 @@
 
 from fennelwind.cluster.errors import CommandRefused, CouncilError, CouncilLost, OutcomeUnknown
 from fennelwind.cluster.identity import Place
-from fennelwind.cluster.leased_tasks import Held
+from fennelwind.cluster.leased_tasks import HeldLease
 from fennelwind.cluster.runtime import Keeper
 from fennelwind.loop import RealLoop, Stream, parse_address
 from fennelwind.loop.real import TELL_WHERE
@@ -91,7 +91,7 @@
             self.loop.spawn(self._client, number, name=f"client {number}")
         task = self.spec.get("task")
         if task:
-            self.keeper.tasks.want(task["name"], self._act, task["term_ms"])
+            self.keeper.tasks.add(task["name"], self._act, task["term_ms"])
 
     # Clients.
 
@@ -123,21 +123,21 @@
 
     # The task.
 
-    def _act(self, held: Held) -> bool:
+    def _act(self, held: HeldLease) -> bool:
         task = self.spec["task"]
         with self.loop.deadline(RESOURCE_MS):
             stream = self.loop.connect(parse_address(self.spec["resource"]))
         try:
             for number in count():
-                if held.stop.ready:
+                if held.stop_requested.ready:
                     return False
-                with held.act(task["act_ms"]) as act:
+                with held.operation(task["act_ms"]) as act:
                     for step in range(task["steps"]):
                         if step:
                             self.loop.sleep(task["act_ms"] / (2.0 * task["steps"]))
                             act.check()
                         what = "begin" if not step else "end" if step == task["steps"] - 1 else "step"
-                        if not self._tell(stream, what, number, act.fence):
+                        if not self._tell(stream, what, number, act.fencing_token):
                             return False  # somebody with a later fence was there: the lease is over
                 self.loop.sleep(task["gap_ms"])
         finally:
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -25,7 +25,7 @@
 from fennelwind.emulators.model import Machine
 from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.engines.connection_pool import Link, RemoteError
-from fennelwind.leases.state_machine import LeaseMachine
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
@@ -427,7 +427,7 @@
 
     def holder_of(self, task: str) -> str:
         """Return who holds a lease now; "": nobody."""
-        view = self._machine(LeaseMachine()).view(task)
+        view = self._machine(LeaseStateMachine()).view(task)
         return view.holder if view is not None else ""
 
     def settled(self) -> bool:
--- a/tests/cluster/test_clearance_processes.py
+++ b/tests/cluster/test_clearance_processes.py
@@ -24,7 +24,7 @@
 from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.engines.connection_pool import Link, RemoteError
 from fennelwind.errors import FennelwindError
-from fennelwind.leases.state_machine import LeaseMachine
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
 from fennelwind.loop.sim_network import Path as Way
 from fennelwind.quiescence.registered_controllers import RollMachine
@@ -175,7 +175,7 @@
             self.loop.sleep(50.0)
 
     def machine(self, name):
-        made = {"roll": RollMachine, "shards": ShardMachine, "leases": LeaseMachine}[name]()
+        made = {"roll": RollMachine, "shards": ShardMachine, "leases": LeaseStateMachine}[name]()
         with suppress(FennelwindError):  # its level is not there yet
             made.restore(self.asker.read(name, within_ms=WAIT_MS).state)
         return made
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -221,7 +221,7 @@
 
     def main(council):
         for name in council.names:
-            council.keepers[name].tasks.want("sweep", sweep(name), term_ms=2000)
+            council.keepers[name].tasks.add("sweep", sweep(name), term_ms=2000)
         council.until(lambda: len(set(acts)) > 1)
         assert "a defect" in str(council.world.errors)
         council.world.errors.clear()
--- a/tests/leases/test_fences.py
+++ b/tests/leases/test_engine_fencing.py
@@ -1,4 +1,4 @@
-"""Stand-in engines refuse statements of an older fence."""
+"""Emulated engines reject statements with a stale fencing token."""
 
 import pytest
 from fleet import Fleet, execute, outcome, status
@@ -30,7 +30,7 @@
     return execute(link, "EXPORT TABLE t", **{"fennelwind.fence": fence}, **more)
 
 
-def test_an_older_fence_is_refused_and_a_newer_one_stops_what_runs(on_engine):
+def test_a_stale_fencing_token_is_rejected_and_a_newer_one_stops_running_statements(on_engine):
     def test(loop, engine, link):
         old = sent(link, "moves:5", work=500, asynchronous=True)
         other = sent(link, "a:b:5", work=500, asynchronous=True)
@@ -46,10 +46,10 @@
     on_engine(test)
 
 
-def test_fences_outlast_a_life_and_what_is_none_is_refused(on_engine):
+def test_fencing_tokens_outlast_a_restart_and_malformed_ones_are_rejected(on_engine):
     def test(loop, engine, link):
-        for said in ("moves", ":5", "moves:", "moves:-1"):
-            assert outcome(lambda said=said: sent(link, said)) == "22023"
+        for value in ("moves", ":5", "moves:", "moves:-1"):
+            assert outcome(lambda value=value: sent(link, value)) == "22023"
         sent(link, "moves:5")
         engine.crash()
         engine.start(cold=True)
--- a/tests/leases/test_lease_defects.py
+++ b/tests/leases/test_lease_defects.py
@@ -1,6 +1,6 @@
 """Defects planted in leases on purpose: each is found, by which proof and after how many seeds.
 
-python tests/test_lease_defects.py [--seeds 500] prints the table.
+python tests/leases/test_lease_defects.py [--seeds 500] prints the table.
 """
 
 import argparse
@@ -10,107 +10,128 @@
 import test_leases
 from lease_play import Leader, Play, Violation
 from planted import Line, broken, by_model, planted, row
-from test_leases import DRIFT_IGNORED, Leases
+from test_leases import IGNORED_DRIFT, Leases
 
-from fennelwind.leases.fencing import Fenced
-from fennelwind.leases.lease_client import Holder
-from fennelwind.leases.state_machine import LeaseMachine
+from fennelwind.leases.fencing import FencedResource
+from fennelwind.leases.lease_client import LeaseClient
+from fennelwind.leases.model import TaskLease
+from fennelwind.leases.state_machine import LeaseStateMachine
 
-SEEDS_MOST = 40  # played for one defect in the tests
-NEAR = {  # where the tests begin to play, as most seeds don't meet the defect; the table counts from 1
+MAX_SEEDS = 40  # played for one defect in the tests
+FIRST_SEEDS = {  # where the tests begin to play, as most seeds don't meet the defect; the table counts from 1
     "lease counted from the answer": 19,
     "drift ignored": 60,
-    "late answer gives what was handed over": 71,
+    "late answer grants what was handed over": 71,
     "no room for a pause between check and effect": 8,
-    "guard not asked after a pause": 25,
-    "fence counted by task, anew when forgotten": 37,
+    "guard not checked after a pause": 25,
+    "fencing token counted by task, anew when forgotten": 37,
     "restart taken for the same holder": 57,
-    "command about an older fence done": 8,
-    "lapse ahead of time": 84,
+    "command with an older fencing token applied": 8,
+    "lease expires ahead of time": 84,
 }
 PLAYED_MS = 10_000.0  # ms of each play with faults
 
 
-def counted(grant):
+def fencing_token_by_task(grant):
     """Number fences for each task, and begin anew with a task that was forgotten."""
 
-    def granted(self, at, by, name, task, wish):
-        fence = getattr(self, "count", {}).get(id(task), 0) + 1
-        self.count = {**getattr(self, "count", {}), id(task): fence}
-        self.kept = [*getattr(self, "kept", []), task]  # so that its id stays its own
-        told = grant(self, at, by, name, task, wish)
-        task.fence = told.fence = fence
-        return told
+    def granted(self, at, sender, name, lease, requested):
+        token = getattr(self, "count", {}).get(id(lease), 0) + 1
+        self.count = {**getattr(self, "count", {}), id(lease): token}
+        self.seen_leases = [*getattr(self, "seen_leases", []), lease]  # so that its id stays its own
+        result = grant(self, at, sender, name, lease, requested)
+        lease.fencing_token = result.fence = token
+        return result
 
-    return patch.object(LeaseMachine, "_grant", granted)
+    return patch.object(LeaseStateMachine, "_grant", granted)
 
 
-def stale(fact):
+def stale_fact(fact):
     """Tell the last fence though nobody holds the task."""
 
-    def told(self, kind, key):
-        self.told = {**getattr(self, "told", {})}
-        self.told[key] = fact(self, kind, key) or self.told.get(key, 0)
-        return self.told[key]
+    def last_token(self, kind, key):
+        self.last_tokens = {**getattr(self, "last_tokens", {})}
+        self.last_tokens[key] = fact(self, kind, key) or self.last_tokens.get(key, 0)
+        return self.last_tokens[key]
 
-    return patch.object(LeaseMachine, "fact", told)
+    return patch.object(LeaseStateMachine, "fact", last_token)
 
 
-COUNTED = [counted(LeaseMachine._grant)]
-SAME_FENCE = [
+TOKEN_BY_TASK = [fencing_token_by_task(LeaseStateMachine._grant)]
+SAME_TOKEN = [
     Line(
-        LeaseMachine._grant,
-        "by, at.index,",
-        "by, task.fence if task.holder == by and task.fence else at.index,",
+        LeaseStateMachine._grant,
+        "lease.fencing_token = at.index",
+        "lease.fencing_token = lease.holder == sender and lease.fencing_token or at.index",
     )
 ]
 PLAYS = {  # the kind of play, and what is planted
     "lease counted from the answer": (
         "plain",
-        [Line(Holder._told, "is_of_a_queue = (", "sent.at = now\n    is_of_a_queue = (")],
+        [
+            Line(
+                LeaseClient._on_task_answer,
+                "is_of_a_queue = (",
+                "sent.sent_at_ms = now_ms\n    is_of_a_queue = (",
+            )
+        ],
     ),
-    "drift ignored": ("plain", DRIFT_IGNORED),
+    "drift ignored": ("plain", IGNORED_DRIFT),
     "no room for a pause between check and effect": (
         "plain",
-        [Line(Holder.__init__, "= me, drift, pause_ms", "= me, drift, 0.0")],
+        [Line(LeaseClient.__init__, "self.max_pause_ms = max_pause_ms", "self.max_pause_ms = 0.0")],
     ),
-    "late answer gives what was handed over": (
+    "late answer grants what was handed over": (
         "plain",
         [
-            Line(Holder._answered, "task is not None and task.epoch == epoch", "task is not None"),
             Line(
-                Holder._told,
+                LeaseClient._on_command_applied,
+                "lease is not None and lease.epoch == epoch",
+                "lease is not None",
+            ),
+            Line(
+                LeaseClient._on_task_answer,
                 "is_of_a_queue = (",
-                "task.phase = HELD if task.phase == ENDING and told.state == pb.Told.HELD else task.phase\n"
+                "if lease.phase == LeasePhase.RELEASING and result.state == pb.Told.HELD:\n"
+                "        lease.phase = LeasePhase.HELD\n"
                 "    is_of_a_queue = (",
             ),
         ],
     ),
-    "handed over while acts are under way": (
+    "handed over while operations are under way": (
         "plain",
         [
-            Line(Holder._due_at, "task.phase == ENDING and task.fence and task.guard.acts", "False"),
-            Line(Holder._asks, "or task.phase == ENDING and task.fence and task.guard.acts", ""),
-            patch.object(Holder, "_busy", lambda self: False),
+            Line(
+                LeaseClient._due_at_ms,
+                "lease.phase == LeasePhase.RELEASING and lease.has_operations",
+                "False",
+            ),
+            Line(
+                LeaseClient._request_for,
+                "or lease.phase == LeasePhase.RELEASING and lease.has_operations",
+                "",
+            ),
+            patch.object(LeaseClient, "_has_operations", lambda self: False),
         ],
     ),
     "offer taken for a lease": (
         "plain",
         [
             Line(
-                Holder._confirm,
-                "task.phase, task.ask_at = WANTING, -math.inf",
-                "task.fence, task.phase = 1, HELD; task.guard.allow(1, math.inf, task.term_ms)",
+                LeaseClient._request_offered,
+                "lease.phase = LeasePhase.WANTED\n",
+                "lease.fencing_token, lease.phase = 1, LeasePhase.HELD\n"
+                "        lease.guard.grant(1, math.inf, lease.term_ms)\n",
             )
         ],
     ),
-    "guard not asked after a pause": (
+    "guard not checked after a pause": (
         "plain",
-        [patch.object(Play, "may_go_on", lambda self, guard, now, act: True)],
+        [patch.object(Play, "may_continue", lambda self, guard, now, act: True)],
     ),
-    "resource checks no fence, pauses over the term": (
+    "resource checks no fencing token, pauses over the term": (
         "fences",
-        [patch.object(Fenced, "show", lambda self, task, fence: None)],
+        [patch.object(FencedResource, "check", lambda self, task, fencing_token: None)],
     ),
     "new leader's clock ahead of the log": (
         "plain",
@@ -120,105 +141,115 @@
         "plain",
         [Line(Leader.change, "self.play.now", "self.play.now - 1500.0")],
     ),
-    "fence counted by task, anew when forgotten": ("fences", COUNTED),
+    "fencing token counted by task, anew when forgotten": ("fences", TOKEN_BY_TASK),
     "restart taken for the same holder": (
         "fences",
         [
-            Line(LeaseMachine.apply, "Life(asked.by.name, asked.by.life)", 'Life(asked.by.name, b"")'),
-            Line(LeaseMachine.offers, "get(who, ())", 'get(Life(who.name, b""), ())'),
+            Line(LeaseStateMachine.apply, "parsed.by.name, parsed.by.life", 'parsed.by.name, b""'),
+            Line(
+                LeaseStateMachine.offers, "get(owner, ())", 'get(ControllerIncarnation(owner.name, b""), ())'
+            ),
         ],
     ),
-    "gained again under the same fence, in play": ("plain", SAME_FENCE),
-    "command about an older fence done": (
+    "acquired again under the same fencing token, in play": ("plain", SAME_TOKEN),
+    "command with an older fencing token applied": (
         "plain",
-        [Line(LeaseMachine._ask, " or task.fence != told.fence", "")],
+        [Line(TaskLease.is_held_by, " and self.fencing_token == fencing_token", "")],
     ),
-    "lapse ahead of time": (
+    "lease expires ahead of time": (
         "plain",
         [
             Line(
-                LeaseMachine._ends,
-                "return task.until_ms",
-                "return task.until_ms - (400 if task.fence else 0)",
+                LeaseStateMachine._next_deadline_ms,
+                "return lease.until_ms",
+                "return lease.until_ms - (400 if lease.fencing_token else 0)",
             )
         ],
     ),
 }
 STATEFUL = {
     "renewal makes a lease shorter": [
-        Line(LeaseMachine._grant, "kept = task.until_ms if task.fence else 0", "kept = 0")
+        Line(LeaseStateMachine._grant, "lease.until_ms if lease.fencing_token else 0", "0")
     ],
-    "passed-over forgotten in a snapshot": [
-        Line(LeaseMachine.restore, "for aside in told.asides", "for aside in ()")
+    "exclusions forgotten in a snapshot": [
+        Line(LeaseStateMachine._restore_lease, "for excluded in stored.asides", "for excluded in ()")
     ],
-    "fence told though nobody holds": [stale(LeaseMachine.fact)],
-    "offered to one who is passed over": [
-        patch.object(LeaseMachine, "_able", lambda self, at, task, who: True)
+    "fencing token reported though nobody holds": [stale_fact(LeaseStateMachine.fact)],
+    "offered to an excluded waiter": [
+        patch.object(LeaseStateMachine, "_is_eligible", lambda self, at, lease, waiter: True)
     ],
-    "fence reused": COUNTED,
+    "fencing token reused": TOKEN_BY_TASK,
 }
-ALONE = {  # by a test of its own
+BY_OWN_TEST = {  # by a test of its own
     "order of a queue forgotten in a snapshot": (
         [
             Line(
-                LeaseMachine.restore,
-                "in told.waiters",
-                "in sorted(told.waiters, key=lambda one: one.who.name)",
+                LeaseStateMachine._restore_lease,
+                "in stored.waiters",
+                "in sorted(stored.waiters, key=lambda one: one.who.name)",
             )
         ],
         test_leases.test_a_snapshot_keeps_the_order_of_a_queue,
     ),
-    "gained again under the same fence": (
-        SAME_FENCE,
-        test_leases.test_a_give_up_that_comes_late_does_not_end_what_was_gained_again,
+    "acquired again under the same fencing token": (
+        SAME_TOKEN,
+        test_leases.test_a_late_give_up_does_not_end_a_lease_acquired_again,
     ),
-    "lost place in a queue not asked for again": (
-        [Line(Holder._answered, "current and len(waiting) != answer.waits", "False")],
-        test_leases.test_a_place_that_was_lost_is_asked_for_again,
+    "lost place in a queue not requested again": (
+        [Line(LeaseClient._on_command_applied, "is_awaited and len(queued) != answer.waits", "False")],
+        test_leases.test_a_lost_place_in_a_queue_is_requested_again,
     ),
-    "late word of a queue hides what is held": (
+    "late answer about a queue hides a held lease": (
         [
-            Line(Holder._told, "return  # a late answer to an ask from before", "task.phase = WAITING  #"),
-            Line(Holder._unwant, "if task.fence and task.phase != ENDING:", "if task.phase == HELD:"),
+            Line(
+                LeaseClient._on_task_answer,
+                "return  # a late answer to a request from before",
+                "lease.phase = LeasePhase.QUEUED  #",
+            ),
+            Line(
+                LeaseClient._release,
+                "if lease.fencing_token and lease.phase != LeasePhase.RELEASING:",
+                "if lease.phase == LeasePhase.HELD:",
+            ),
         ],
-        test_leases.test_a_late_word_of_a_queue_does_not_hide_what_is_held_since,
+        test_leases.test_a_late_answer_about_a_queue_does_not_hide_a_lease_held_since,
     ),
-    "hand-over on its way taken back": (
-        [patch.object(Holder, "_unanswered", lambda self: setattr(self, "_out", None))],
-        test_leases.test_a_spare_lease_that_was_offered_without_an_answer_is_handed_over_for_good,
+    "hand-over under way taken back": (
+        [patch.object(LeaseClient, "_stop_awaiting", lambda self: setattr(self, "_awaited", None))],
+        test_leases.test_an_unanswered_rebalance_is_handed_over_for_good,
     ),
     "lost offers held against controllers": (
-        [Line(LeaseMachine._lapse, "if task.fence:", "if True:")],
-        test_leases.test_an_offer_is_one_waiters_and_goes_on_if_it_is_not_confirmed,
+        [Line(LeaseStateMachine._expire, "if lease.fencing_token:", "if True:")],
+        test_leases.test_an_offer_goes_to_one_waiter_and_to_the_next_if_it_is_not_confirmed,
     ),
 }
 
 
-def by_play(name: str, most: int, first: int = 1) -> tuple[int, str] | None:
+def by_play(name: str, max_seeds: int, first: int = 1) -> tuple[int, str] | None:
     """Return after how many seeds from the first on a defect is found, and what was said; None: by none."""
     kind, changes = PLAYS[name]
     with planted(changes):
         return broken(
-            (Play(seed, kind, played_ms=PLAYED_MS).run for seed in range(first, first + most)), Violation
+            (Play(seed, kind, played_ms=PLAYED_MS).run for seed in range(first, first + max_seeds)), Violation
         )
 
 
-def by_rules(name: str, most: int = 300) -> tuple[int, str] | None:
+def by_rules(name: str, max_examples: int = 300) -> tuple[int, str] | None:
     """Return after how many examples the plain model of test_leases.py finds a defect."""
     with planted(STATEFUL[name]):
-        return by_model(Leases, most, 30)
+        return by_model(Leases, max_examples, 30)
 
 
 def by_test(name: str) -> tuple[int, str] | None:
     """Tell whether the test that is named finds a defect."""
-    changes, test = ALONE[name]
+    changes, test = BY_OWN_TEST[name]
     with planted(changes):
         return broken([lambda: test(test_leases.Desk())], AssertionError)
 
 
 @pytest.mark.parametrize("name", [name for name in PLAYS if "in play" not in name])
 def test_a_planted_defect_is_found_in_play(name):
-    assert by_play(name, SEEDS_MOST, NEAR.get(name, 1))
+    assert by_play(name, MAX_SEEDS, FIRST_SEEDS.get(name, 1))
 
 
 @pytest.mark.parametrize("name", STATEFUL)
@@ -226,7 +257,7 @@
     assert by_rules(name)
 
 
-@pytest.mark.parametrize("name", ALONE)
+@pytest.mark.parametrize("name", BY_OWN_TEST)
 def test_a_planted_defect_is_found_by_a_test_of_its_own(name):
     assert by_test(name)
 
@@ -240,8 +271,8 @@
         row(name, f"lease_play, {kind}", *(by_play(name, given.seeds) or ("not found", "")))
     for name in STATEFUL:
         row(name, "plain model", *(by_rules(name) or ("not found", "")))
-    for name in ALONE:
-        row(name, ALONE[name][1].__name__, *(by_test(name) or ("not found", "")))
+    for name in BY_OWN_TEST:
+        row(name, BY_OWN_TEST[name][1].__name__, *(by_test(name) or ("not found", "")))
 
 
 if __name__ == "__main__":
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -1,4 +1,4 @@
-"""Leases: the machine, the holder, the guard, and both together in virtual time."""
+"""Leases: the state machine, the lease client, the fencing guard, and all together in virtual time."""
 
 import pytest
 from hypothesis import given, settings
@@ -9,22 +9,27 @@
 from lease_search import MENUS, search
 from planted import Line, planted
 
-from fennelwind.leases import fencing as g
-from fennelwind.leases import lease_client as h
+from fennelwind.leases import fencing, lease_events, state_machine
 from fennelwind.leases import leases_pb2 as pb
-from fennelwind.leases import state_machine as m
-from fennelwind.leases.errors import ActTooLong, FencesFull, OlderFence, TaskNotHeld
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases.errors import (
+    LeaseNotHeldError,
+    OperationTooLongError,
+    StaleFencingTokenError,
+    TooManyFencedTasksError,
+)
+from fennelwind.leases.lease_client import MAX_UNANSWERED_COMMANDS, LeaseClient
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft.state_machine import At, UnreadableCommand
 
-A, B, C = (Life(name, b"1") for name in "abc")
+A, B, C = (ControllerIncarnation(name, b"1") for name in "abc")
 
 
 class Desk:
     """A machine with its index and clock."""
 
     def __init__(self):
-        self.machine, self.index, self.clock = LeaseMachine(), 0, 0
+        self.machine, self.index, self.clock = LeaseStateMachine(), 0, 0
 
     def pass_ms(self, ms):
         self.index, self.clock = self.index + 1, self.clock + ms
@@ -34,7 +39,7 @@
 
     def ask(self, by, *asks, leave=False):
         self.pass_ms(0)
-        command = pb.LeaseCommand(by=pb.Who(name=by.name, life=by.life), asks=asks, leave=leave)
+        command = pb.LeaseCommand(by=pb.Who(name=by.name, life=by.incarnation), asks=asks, leave=leave)
         return pb.LeaseAnswer.FromString(
             self.machine.apply(At(self.index, self.clock), command.SerializeToString(), None)
         )
@@ -63,7 +68,7 @@
     return Desk()
 
 
-def test_a_lease_is_one_holders_until_it_lapses_and_fences_rise(desk):
+def test_a_lease_has_one_holder_until_it_expires_and_fencing_tokens_rise(desk):
     first = desk.gain(A)
     assert first.state == pb.Told.HELD and first.fence == desk.index == desk.machine.fact("fence", "t")
     assert desk.gain(B).state == pb.Told.WAITING
@@ -76,7 +81,7 @@
     assert second.state == pb.Told.HELD and second.fence > first.fence
 
 
-def test_an_offer_is_one_waiters_and_goes_on_if_it_is_not_confirmed(desk):
+def test_an_offer_goes_to_one_waiter_and_to_the_next_if_it_is_not_confirmed(desk):
     fence = desk.gain(A).fence
     desk.gain(B), desk.gain(C)
     assert desk.ask(A, leave=True).offers == []
@@ -84,17 +89,17 @@
     assert desk.gain(A).state == pb.Told.WAITING
     desk.pass_ms(500)
     assert desk.machine.offers(C) == ("t",) and desk.gain(C).fence > fence
-    assert desk.machine.view("t").asides == {}  # nothing against one whom the offer did not reach
+    assert desk.machine.view("t").excluded_until_ms == {}  # nothing against one whom the offer did not reach
 
 
 def test_a_restart_is_a_new_holder(desk):
     fence = desk.gain(A).fence
-    again = Life("a", b"2")
+    again = ControllerIncarnation("a", b"2")
     assert desk.gain(again).state == pb.Told.WAITING
     assert desk.renew(again, fence).refusal == pb.NOT_HOLDER
 
 
-def test_checkpoint_and_place_go_to_the_next_or_to_a_named_one(desk):
+def test_a_lease_and_its_checkpoint_are_handed_over_to_the_next_or_a_named_waiter(desk):
     fence = desk.gain(A).fence
     desk.gain(B), desk.gain(C)
     assert desk.hand_over(A, fence, to="d").refusal == pb.NOT_WAITING
@@ -105,13 +110,13 @@
 def test_a_snapshot_keeps_the_order_of_a_queue(desk):
     fence = desk.gain(A).fence
     desk.gain(C), desk.gain(B)
-    again = m.LeaseMachine()
+    again = state_machine.LeaseStateMachine()
     again.restore(desk.machine.snapshot())
     desk.machine = again
     assert desk.hand_over(A, fence).holder == "c"
 
 
-def test_one_that_cannot_is_passed_over_for_growing_times(desk):
+def test_a_controller_that_fails_a_task_is_excluded_for_growing_times(desk):
     waits = []
     for _ in range(9):
         told = desk.gain(A)
@@ -122,14 +127,14 @@
         waits.append(desk.gain(A).aside_ms)
     assert waits == [2000, 4000, 8000, 16_000, 32_000, 64_000, 120_000, 120_000, 120_000]
     told = desk.gain(B)
-    assert told.state == pb.Told.HELD and desk.machine.view("t").asides.keys() == {"a"}
+    assert told.state == pb.Told.HELD and desk.machine.view("t").excluded_until_ms.keys() == {"a"}
     desk.give_up(B, told.fence)
     assert desk.holder() == ""  # a is passed over though nobody else waits
     desk.pass_ms(240_000)
     assert desk.machine.offers(A) == () and desk.machine.tasks() == []  # it said no word for long
 
 
-def test_leases_are_spread_over_who_waits(desk):
+def test_leases_are_balanced_over_the_waiters(desk):
     told = desk.ask(A, *(pb.LeaseAsk(task=f"t{n}", gain=pb.Gain(term_ms=1000)) for n in range(6))).told
     assert not any(one.spare for one in told)
     for who in (B, C):
@@ -143,20 +148,20 @@
     assert len(desk.machine.offers(B)) == len(desk.machine.offers(C)) == 2
 
 
-def test_who_says_no_word_waits_no_longer(desk):
+def test_a_silent_waiter_is_dropped(desk):
     fence = desk.gain(A, term_ms=60_000).fence
     desk.gain(B), desk.gain(C)
-    desk.pass_ms(m.HEARD_MS - 1)
+    desk.pass_ms(state_machine.WAITER_TIMEOUT_MS - 1)
     assert desk.ask(C).waits == 1
     desk.pass_ms(1)
     assert desk.machine.view("t").waiting == ("c",) and desk.ask(B).waits == 0
     assert desk.hand_over(A, fence).holder == "c"
 
 
-def test_a_lease_goes_to_one_who_was_heard_lately(desk):
+def test_a_lease_is_offered_to_a_waiter_heard_lately_first(desk):
     fence = desk.gain(A, term_ms=60_000).fence
     desk.gain(B)
-    desk.pass_ms(m.QUIET_MS + 1)
+    desk.pass_ms(state_machine.WAITER_QUIET_MS + 1)
     desk.gain(C)
     assert desk.hand_over(A, fence).holder == "c"  # b may have died
 
@@ -172,15 +177,15 @@
         (pb.LeaseAsk(task="t", renew=pb.Renew(fence=1)), pb.NOT_HOLDER),
     ],
 )
-def test_what_is_out_of_bounds_is_refused_and_changes_nothing(desk, ask, refusal):
+def test_a_request_out_of_bounds_is_rejected_and_changes_nothing(desk, ask, refusal):
     assert desk.ask(A, ask).told[0].refusal == refusal
-    assert desk.machine.snapshot() == LeaseMachine().snapshot()
+    assert desk.machine.snapshot() == LeaseStateMachine().snapshot()
 
 
-def test_bounds_on_tasks_waiters_checkpoints_and_asks(desk, monkeypatch):
-    monkeypatch.setattr(m, "TASKS_MOST", 2)
-    monkeypatch.setattr(m, "WAITERS_MOST", 1)
-    monkeypatch.setattr(m, "CHECKPOINTS_MOST", 5000)
+def test_limits_on_tasks_waiters_checkpoints_and_requests(desk, monkeypatch):
+    monkeypatch.setattr(state_machine, "MAX_TASKS", 2)
+    monkeypatch.setattr(state_machine, "MAX_WAITERS_PER_TASK", 1)
+    monkeypatch.setattr(state_machine, "MAX_TOTAL_CHECKPOINT_BYTES", 5000)
     fence, other = desk.gain(A).fence, desk.gain(A, "u").fence
     assert desk.gain(A, "v").refusal == pb.TOO_MANY_TASKS
     assert desk.gain(B).refusal == pb.NONE and desk.gain(C).refusal == pb.TOO_MANY_WAITERS
@@ -200,7 +205,7 @@
 class Leases(RuleBasedStateMachine):
     """The machine against plain rules, with a snapshot taken and restored at any time."""
 
-    tasks, people = st.sampled_from("tu"), st.sampled_from([A, B, C, Life("a", b"2")])
+    tasks, people = st.sampled_from("tu"), st.sampled_from([A, B, C, ControllerIncarnation("a", b"2")])
 
     def __init__(self):
         super().__init__()
@@ -215,11 +220,11 @@
             assert told.state == pb.Told.WAITING
         elif told.state == pb.Told.HELD:
             assert told.fence > self.last.get(task, 0)
-            assert held is not None or before is None or not before.fence
+            assert held is not None or before is None or not before.fencing_token
             self.last[task] = told.fence
             self.held[task] = (by, told.fence, max(held[2] if held else 0, self.desk.clock + term))
         else:  # free, or offered to another, or it is passed over
-            assert before.holder or before.asides.get(by.name, 0) > self.desk.clock
+            assert before.holder or before.excluded_until_ms.get(by.name, 0) > self.desk.clock
 
     @rule(by=people, task=tasks, old=st.booleans(), checkpoint=st.none() | st.binary(max_size=3))
     def renew(self, by, task, old, checkpoint):
@@ -261,7 +266,7 @@
 
     @rule()
     def snapshot(self):
-        restored = LeaseMachine()
+        restored = LeaseStateMachine()
         restored.restore(self.desk.machine.snapshot())
         assert restored.snapshot() == self.desk.machine.snapshot()
         assert restored.due() == self.desk.machine.due()
@@ -277,9 +282,9 @@
             if held:
                 assert (view.holder, view.until_ms) == (held[0].name, held[2])
             elif view is not None and view.holder:  # offered, to nobody who is passed over
-                assert view.asides.get(view.holder, 0) <= self.desk.clock
+                assert view.excluded_until_ms.get(view.holder, 0) <= self.desk.clock
             elif view is not None:  # free: whoever waits is passed over
-                assert all(view.asides[name] > self.desk.clock for name in view.waiting)
+                assert all(view.excluded_until_ms[name] > self.desk.clock for name in view.waiting)
         assert len({t for who in (A, B, C) for t in machine.offers(who)}) == sum(
             len(machine.offers(who)) for who in (A, B, C)
         )
@@ -298,17 +303,17 @@
     """A holder with a machine that answers at once, or when told to."""
 
     def __init__(self, desk, life, seed=1):
-        self.desk, self.holder, self.seen = desk, h.Holder(life, seed), []
+        self.desk, self.holder, self.seen = desk, LeaseClient(life, seed), []
 
     def step(self, now, *events):
         actions = self.holder.step(now, list(events))
         self.seen += actions
-        return [one for one in actions if isinstance(one, h.Ask)]
+        return [one for one in actions if isinstance(one, lease_events.SendCommand)]
 
     def answer(self, ask):
         self.desk.pass_ms(0)
-        return h.Answered(
-            ask.token, self.desk.machine.apply(At(self.desk.index, self.desk.clock), ask.body, None)
+        return lease_events.CommandAnswered(
+            ask.request_id, self.desk.machine.apply(At(self.desk.index, self.desk.clock), ask.body, None)
         )
 
     def settle(self, now, *events):
@@ -317,204 +322,207 @@
             asks = self.step(now, *[self.answer(ask) for ask in asks])
 
 
-def test_a_lease_counts_from_before_it_was_asked_for(desk):
+def test_a_lease_counts_from_the_sending_of_its_request(desk):
     side = Side(desk, A)
-    (ask,) = side.step(5000.0, h.Want("t", 1200))
+    (ask,) = side.step(5000.0, lease_events.AcquireLease("t", 1200))
     side.step(5100.0, side.answer(ask))
     guard = side.holder.guard("t")
-    assert guard.until == 5000.0 + g.usable_ms(1200) == 5000.0 + 798.0
-    assert side.holder.held(5797.0) == ["t"] and side.holder.held(5798.0) == []
-    side.step(5798.0, h.Woken())
-    assert isinstance(side.seen[-3], h.Lost) and guard.fence == 0
+    assert guard.valid_until_ms == 5000.0 + fencing.usable_lease_ms(1200) == 5000.0 + 798.0
+    assert side.holder.held_tasks(5797.0) == ["t"] and side.holder.held_tasks(5798.0) == []
+    side.step(5798.0, lease_events.Wakeup())
+    assert isinstance(side.seen[-3], lease_events.LeaseLost) and guard.fencing_token == 0
 
 
-def test_a_late_answer_to_what_was_asked_before_a_hand_over_gives_nothing(desk):
+def test_a_late_answer_to_a_request_from_before_a_hand_over_grants_nothing(desk):
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
-    (renewal,) = side.step(1000.0, h.Woken())
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
+    (renewal,) = side.step(1000.0, lease_events.Wakeup())
     late = side.answer(renewal)
-    assert side.step(1400.0, h.Unwant("t")) == []  # no answer within 300 ms: a short wait
-    (hand,) = side.step(1450.0, h.Woken())
+    assert side.step(1400.0, lease_events.ReleaseLease("t")) == []  # no answer within 300 ms: a short wait
+    (hand,) = side.step(1450.0, lease_events.Wakeup())
     assert pb.LeaseCommand.FromString(hand.body).asks[0].WhichOneof("what") == "hand_over"
     side.step(1500.0, late)
-    with pytest.raises(TaskNotHeld):
+    with pytest.raises(LeaseNotHeldError):
         side.holder.guard("t").begin(1500.0, 1.0)
 
 
-def test_a_give_up_that_comes_late_does_not_end_what_was_gained_again(desk):
+def test_a_late_give_up_does_not_end_a_lease_acquired_again(desk):
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
-    (late,) = side.step(500.0, h.Failed("t"))
-    (again,) = side.step(2500.0, h.Woken()) or side.step(2600.0, h.Woken())  # it lapsed on its own clock
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
+    (late,) = side.step(500.0, lease_events.TaskFailed("t"))
+    (again,) = side.step(2500.0, lease_events.Wakeup()) or side.step(
+        2600.0, lease_events.Wakeup()
+    )  # it lapsed on its own clock
     side.step(2610.0, side.answer(again))
     side.step(2620.0, side.answer(late))
-    assert side.holder.held(2620.0) == ["t"]
-    assert desk.machine.fact("fence", "t") == side.holder.guard("t").fence
+    assert side.holder.held_tasks(2620.0) == ["t"]
+    assert desk.machine.fact("fence", "t") == side.holder.guard("t").fencing_token
 
 
-def test_a_spare_lease_that_was_offered_without_an_answer_is_handed_over_for_good(desk):
-    desk.machine._spare = lambda at, task: False  # as when the asker has come to hold more meanwhile
+def test_an_unanswered_rebalance_is_handed_over_for_good(desk):
+    desk.machine._has_surplus = lambda at, lease: False  # as when the asker has come to hold more meanwhile
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
-    (renewal,) = side.step(1000.0, h.Woken())
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
+    (renewal,) = side.step(1000.0, lease_events.Wakeup())
     told = pb.LeaseAnswer.FromString(side.answer(renewal).body)
     told.told[0].spare = True
-    (first,) = side.step(1010.0, h.Answered(renewal.token, told.SerializeToString()))
+    (first,) = side.step(1010.0, lease_events.CommandAnswered(renewal.request_id, told.SerializeToString()))
     assert pb.LeaseCommand.FromString(first.body).asks[0].hand_over.only_spare
-    assert side.step(1400.0, h.Woken()) == []  # no answer; the command may still be on its way
-    (again,) = side.step(1450.0, h.Woken())
+    assert side.step(1400.0, lease_events.Wakeup()) == []  # no answer; the command may still be on its way
+    (again,) = side.step(1450.0, lease_events.Wakeup())
     assert not pb.LeaseCommand.FromString(again.body).asks[0].hand_over.only_spare
     side.step(1460.0, side.answer(first))
-    assert not side.holder.guard("t").usable
+    assert not side.holder.guard("t").operation_budget_ms
 
 
-def test_a_checkpoint_that_is_refused_does_not_cost_the_lease(desk):
+def test_a_rejected_checkpoint_does_not_cost_the_lease(desk):
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
-    side.settle(1000.0, h.Progress("t", b"x" * 5000))
-    (refused,) = [one for one in side.seen if isinstance(one, h.Refused)]
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
+    side.settle(1000.0, lease_events.SaveCheckpoint("t", b"x" * 5000))
+    (refused,) = [one for one in side.seen if isinstance(one, lease_events.LeaseRejected)]
     assert refused.error.facts == {"task": "t", "refusal": "TOO_LARGE"} and refused.error.advice
-    assert side.holder.guard("t").until > 2900.0
+    assert side.holder.guard("t").valid_until_ms > 2900.0
 
 
-def test_a_late_word_of_a_queue_does_not_hide_what_is_held_since(desk):
+def test_a_late_answer_about_a_queue_does_not_hide_a_lease_held_since(desk):
     fence = desk.gain(B).fence
     side = Side(desk, A)
-    (ask,) = side.step(0.0, h.Want("t", 3000))
+    (ask,) = side.step(0.0, lease_events.AcquireLease("t", 3000))
     late = side.answer(ask)
     desk.hand_over(B, fence)
-    side.step(400.0, h.Offered(("t",)))
-    (confirm,) = side.step(450.0, h.Woken())
+    side.step(400.0, lease_events.LeasesOffered(("t",)))
+    (confirm,) = side.step(450.0, lease_events.Wakeup())
     side.step(460.0, side.answer(confirm))
-    assert side.holder.held(460.0) == ["t"]
+    assert side.holder.held_tasks(460.0) == ["t"]
     side.step(470.0, late)
-    (leave,) = side.step(480.0, h.Terminate())
-    assert pb.LeaseCommand.FromString(leave.body).leave and not side.holder.guard("t").usable
+    (leave,) = side.step(480.0, lease_events.Shutdown())
+    assert pb.LeaseCommand.FromString(leave.body).leave and not side.holder.guard("t").operation_budget_ms
 
 
-def test_sigterm_hands_over_in_one_command_when_acts_have_ended(desk):
+def test_shutdown_hands_over_in_one_command_when_operations_have_ended(desk):
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000), h.Want("u", 3000))
+    side.settle(0.0, lease_events.AcquireLease("t", 3000), lease_events.AcquireLease("u", 3000))
     desk.gain(B), desk.gain(B, "u")
     guard = side.holder.guard("t")
     act = guard.begin(10.0, 500.0)
-    side.settle(20.0, h.Terminate())
-    assert desk.machine.offers(B) == ("u",) and guard.may_go_on(30.0, act)
-    with pytest.raises(TaskNotHeld):
+    side.settle(20.0, lease_events.Shutdown())
+    assert desk.machine.offers(B) == ("u",) and guard.may_continue(30.0, act)
+    with pytest.raises(LeaseNotHeldError):
         guard.begin(30.0, 1.0)
     guard.end(act)
-    side.settle(40.0, h.Woken())
-    assert desk.machine.offers(B) == ("t", "u") and h.Left(True) in side.seen
+    side.settle(40.0, lease_events.Wakeup())
+    assert desk.machine.offers(B) == ("t", "u") and lease_events.ShutdownComplete(True) in side.seen
 
 
 def test_a_holder_that_fails_gives_up_and_its_checkpoint_goes_along(desk):
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
     desk.gain(B)
-    side.settle(100.0, h.Progress("t", b"half"), h.Failed("t"))
-    assert desk.gain(B).checkpoint == b"half" and "a" in desk.machine.view("t").asides
+    side.settle(100.0, lease_events.SaveCheckpoint("t", b"half"), lease_events.TaskFailed("t"))
+    assert desk.gain(B).checkpoint == b"half" and "a" in desk.machine.view("t").excluded_until_ms
     assert desk.machine.view("t").waiting == ("a",)  # it would again, later
 
 
 def test_fifty_tasks_are_renewed_in_one_command(desk):
     side = Side(desk, A)
-    side.settle(0.0, *(h.Want(f"t{n}", 9000) for n in range(50)))
+    side.settle(0.0, *(lease_events.AcquireLease(f"t{n}", 9000) for n in range(50)))
     timer = side.seen[-1]
-    assert timer.at == 3000.0
-    asks = side.step(3000.0, h.Woken())
+    assert timer.at_ms == 3000.0
+    asks = side.step(3000.0, lease_events.Wakeup())
     assert len(asks) == 1 and len(pb.LeaseCommand.FromString(asks[0].body).asks) == 50
 
 
-def test_waits_between_tries_grow_and_are_bounded(desk):
+def test_backoff_between_attempts_grows_and_is_bounded(desk):
     side, now, times = Side(desk, A), 0.0, []
     for _ in range(40):
-        asks = side.step(now, h.Want("t", 60_000))
+        asks = side.step(now, lease_events.AcquireLease("t", 60_000))
         if asks:
             times.append(now)
-            side.step(now, h.Answered(asks[0].token, None))
-        now = side.seen[-1].at
+            side.step(now, lease_events.CommandAnswered(asks[0].request_id, None))
+        now = side.seen[-1].at_ms
     gaps = [later - earlier for earlier, later in zip(times, times[1:], strict=False)]
     assert gaps[0] <= 50 and 1000 <= gaps[-1] <= 2000 and len(set(gaps)) > 10
-    assert len(side.holder._sent) <= h.COMMANDS_MOST
+    assert len(side.holder._sent) <= MAX_UNANSWERED_COMMANDS
 
 
 def test_an_offer_that_overtakes_the_answer_about_the_queue_is_confirmed(desk):
     fence = desk.gain(B).fence
     side = Side(desk, A)
-    (ask,) = side.step(0.0, h.Want("t", 3000))
+    (ask,) = side.step(0.0, lease_events.AcquireLease("t", 3000))
     waiting = side.answer(ask)
     desk.hand_over(B, fence)
-    assert side.step(5.0, h.Offered(("t",))) == []
+    assert side.step(5.0, lease_events.LeasesOffered(("t",))) == []
     (confirm,) = side.step(6.0, waiting)
     side.step(7.0, side.answer(confirm))
-    assert side.holder.held(8.0) == ["t"]
+    assert side.holder.held_tasks(8.0) == ["t"]
 
 
-def test_a_place_that_was_lost_is_asked_for_again(desk):
+def test_a_lost_place_in_a_queue_is_requested_again(desk):
     desk.gain(B)
     side = Side(desk, A)
-    side.settle(0.0, h.Want("t", 3000))
+    side.settle(0.0, lease_events.AcquireLease("t", 3000))
     desk.ask(A, pb.LeaseAsk(task="t", give_up=pb.GiveUp()))  # as if an old command came late
     assert desk.machine.view("t").waiting == ()
-    side.settle(8000.0, h.Woken())
+    side.settle(8000.0, lease_events.Wakeup())
     assert desk.machine.view("t").waiting == ("a",)
 
 
-def test_a_guard_refuses_what_does_not_fit_and_stops_what_has_lost_its_fence():
-    guard = g.Guard("t", pause_ms=100.0)
-    with pytest.raises(TaskNotHeld):
+def test_a_guard_rejects_what_does_not_fit_and_stops_what_has_lost_its_fencing_token():
+    guard = fencing.FencingGuard("t", max_pause_ms=100.0)
+    with pytest.raises(LeaseNotHeldError):
         guard.begin(0.0, 1.0)
-    guard.allow(7, 1000.0, 1000.0)
-    with pytest.raises(ActTooLong):
+    guard.grant(7, 1000.0, 1000.0)
+    with pytest.raises(OperationTooLongError):
         guard.begin(0.0, 901.0)
     act = guard.begin(0.0, 900.0)
-    assert act.fence == 7 and guard.may_go_on(900.0, act) and not guard.may_go_on(901.0, act)
-    with pytest.raises(TaskNotHeld):
+    assert act.fencing_token == 7 and guard.may_continue(900.0, act) and not guard.may_continue(901.0, act)
+    with pytest.raises(LeaseNotHeldError):
         guard.begin(1.0, 900.0)
-    guard.allow(9, 2000.0, 1000.0)
-    assert not guard.may_go_on(10.0, act)
-    for _ in range(g.ACTS_MOST - 1):
+    guard.grant(9, 2000.0, 1000.0)
+    assert not guard.may_continue(10.0, act)
+    for _ in range(fencing.MAX_OPERATIONS - 1):
         last = guard.begin(10.0, 100.0)
-    with pytest.raises(TaskNotHeld):
+    with pytest.raises(LeaseNotHeldError):
         guard.begin(10.0, 100.0)
-    guard.close()
-    assert not guard.may_go_on(20.0, last)
+    guard.revoke()
+    assert not guard.may_continue(20.0, last)
 
 
-def test_a_resource_refuses_older_fences(monkeypatch):
-    fenced = g.Fenced()
-    fenced.show("t", 5), fenced.show("t", 5), fenced.show("t", 9), fenced.show("u", 6)
-    with pytest.raises(OlderFence) as refused:
-        fenced.show("t", 8)
-    assert refused.value.facts == {"task": "t", "fence": 8, "seen": 9} and refused.value.advice
-    monkeypatch.setattr(g, "FENCES_MOST", 2)
-    with pytest.raises(FencesFull):
-        fenced.show("v", 1)
+def test_a_resource_rejects_stale_fencing_tokens(monkeypatch):
+    fenced = fencing.FencedResource()
+    fenced.check("t", 5), fenced.check("t", 5), fenced.check("t", 9), fenced.check("u", 6)
+    with pytest.raises(StaleFencingTokenError) as refused:
+        fenced.check("t", 8)
+    assert refused.value.facts == {"task": "t", "fencing_token": 8, "highest_token": 9}
+    assert refused.value.advice
+    monkeypatch.setattr(fencing, "MAX_FENCED_TASKS", 2)
+    with pytest.raises(TooManyFencedTasksError):
+        fenced.check("v", 1)
 
 
 @pytest.mark.parametrize("kind", ["fences", "plain"])
-def test_two_never_act_at_once(kind):
+def test_two_controllers_never_act_at_once(kind):
     total = sum((Play(seed, kind, played_ms=8000.0).run() for seed in range(1, 101)), start=Play(0).counts)
     assert total["acts"] > 5000 and total["faults"] > 300 and (kind == "plain" or total["refused"])
 
 
 @pytest.mark.parametrize("kind, seeds", [("fences", (1, 2)), ("plain", (4, 5))])
-def test_two_never_act_at_once_over_a_council(kind, seeds):
+def test_two_controllers_never_act_at_once_over_a_raft_group(kind, seeds):
     total = sum((CouncilPlay(seed, kind, played_ms=5000.0).run() for seed in seeds), start=Play(0).counts)
     assert total["acts"] > 50 and total["faults"] > 5 and total["became leader"] > 4
 
 
 @pytest.mark.parametrize("menu", MENUS)
-def test_two_never_hold_in_any_order_of_a_few_events(menu):
+def test_two_controllers_never_hold_in_any_order_of_a_few_events(menu):
     states, _, depth, wrong, path = search(400, menu=menu)
     assert states >= 400 and depth >= 3 and not wrong, path
 
 
-DRIFT_IGNORED = [Line(h.Holder.__init__, "= me, drift, pause_ms", "= me, 0.0, pause_ms")]
+IGNORED_DRIFT = [Line(LeaseClient.__init__, "self.max_drift = max_drift", "self.max_drift = 0.0")]
 
 
-def test_the_search_finds_a_drift_that_is_ignored():
-    with planted(DRIFT_IGNORED):
+def test_the_search_finds_that_clock_drift_is_ignored():
+    with planted(IGNORED_DRIFT):
         assert search(400)[3]
 
 
@@ -558,8 +566,8 @@
         max_size=12,
     )
 )
-def test_no_command_breaks_the_machine_or_gives_it_what_a_snapshot_does_not_keep(steps):
-    machine, clock = LeaseMachine(), 0
+def test_no_command_breaks_the_state_machine_or_its_snapshots(steps):
+    machine, clock = LeaseStateMachine(), 0
     for index, (command, ms, flip) in enumerate(steps, start=1):
         clock += ms
         if flip is not None and command:
@@ -574,8 +582,11 @@
             assert not answer.refusal or machine.snapshot() == before
         except UnreadableCommand:
             assert machine.snapshot() == before
-        again = LeaseMachine()
+        again = LeaseStateMachine()
         again.restore(machine.snapshot())
         assert again.snapshot() == machine.snapshot() and again.due() == machine.due()
-        assert all(again.offers(who) == machine.offers(who) for who in (A, B, Life("a", b"2")))
-        assert (again._kept, again._waits, again._holds) == (machine._kept, machine._waits, machine._holds)
+        assert all(
+            again.offers(who) == machine.offers(who) for who in (A, B, ControllerIncarnation("a", b"2"))
+        )
+        for derived in ("_checkpoint_bytes", "_queued_count", "_lease_count"):
+            assert getattr(again, derived) == getattr(machine, derived)
--- a/tests/support/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -18,8 +18,8 @@
 
 from fennelwind.audit.linearizability import Linearizable, Operation, check
 from fennelwind.cluster.errors import CommandRefused, CouncilLost, OutcomeUnknown
-from fennelwind.leases.errors import OlderFence
-from fennelwind.leases.fencing import Fenced
+from fennelwind.leases.errors import StaleFencingTokenError
+from fennelwind.leases.fencing import FencedResource
 from fennelwind.loop.simdisk import Costs
 from fennelwind.raft.messages import Timing
 from fennelwind.testbed.councilrig import Seen, overlaps
@@ -44,7 +44,7 @@
         self.followers = [f"f{n}" for n in range(followers)]
         self.faults = faults
         self.seen, self.operations, self.counts = [], [], Counter()
-        self.fenced = Fenced()
+        self.fenced = FencedResource()
         self.over, self.lost, self.end = False, "", 0.0
         self.ends = False  # the time with faults is over
 
@@ -73,24 +73,24 @@
         address = "" if name in council.names else f"10.0.1.{self.followers.index(name) + 1}"
         keeper = council.start(name, address, (Registers(),))
         host, life = council.hosts[name], council.lives
-        host.start(keeper.tasks.want, "sweep", lambda held: self._act(name, life, held), TERM_MS)
+        host.start(keeper.tasks.add, "sweep", lambda held: self._act(name, life, held), TERM_MS)
         if name in self.followers:
             host.start(self._client, name, life, host, keeper)
 
     def _act(self, name, life, held):
         number = 0
-        while not held.stop.ready:
-            with held.act(400.0) as act:
+        while not held.stop_requested.ready:
+            with held.operation(400.0) as act:
                 for what in ("begin", "step", "end"):
                     if what != "begin":
                         held.loop.sleep(100.0 * self.random.random())
                         act.check()
                     try:
-                        self.fenced.show("sweep", act.fence)
+                        self.fenced.check("sweep", act.fencing_token)
                         taken = True
-                    except OlderFence:
+                    except StaleFencingTokenError:
                         taken = False
-                    self.seen.append(Seen("sweep", name, life, what, number, act.fence, taken))
+                    self.seen.append(Seen("sweep", name, life, what, number, act.fencing_token, taken))
                     if not taken:
                         return False
             number += 1
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -17,11 +17,11 @@
 from planted import Line, broken, planted, row
 
 from fennelwind.cluster.applied_state import State
-from fennelwind.cluster.leased_tasks import Acting
+from fennelwind.cluster.leased_tasks import LeasedOperation
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.raft_host import Member
-from fennelwind.leases.fencing import Fenced, Guard
+from fennelwind.leases.fencing import FencedResource, FencingGuard
 from fennelwind.loop.simdisk import SimDisk
 from fennelwind.raft.replicated_state import Record
 
@@ -34,7 +34,7 @@
     faults: tuple[str, ...] = FAULTS
 
 
-ANY_FENCE = patch.object(Fenced, "show", lambda self, task, fence: None)
+ANY_FENCE = patch.object(FencedResource, "check", lambda self, task, fencing_token: None)
 LOSSES = ("lost", "cut", "stop", "power")
 DEFECTS = [
     # It shows where a majority loses power together.
@@ -123,8 +123,8 @@
     Defect(
         "neither the guard nor the fence is looked at",
         [
-            patch.object(Guard, "may_go_on", lambda self, now, act: True),
-            patch.object(Acting, "check", lambda self: None),
+            patch.object(FencingGuard, "may_continue", lambda self, now, act: True),
+            patch.object(LeasedOperation, "check", lambda self: None),
             ANY_FENCE,
         ],
         ("stop",),
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -17,8 +17,9 @@
 from council_cluster import Cluster, Node
 from lease_play import Controller, Play, main
 
-from fennelwind.leases import lease_client as h
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases import lease_events
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft import messages as api
 from fennelwind.raft.messages import Timing
@@ -46,7 +47,7 @@
         self.records: dict[str, Record] = {}
         self.results: dict[tuple[str, int], council.Result] = {}
         self.clients: list[int] = []
-        self.waiting: dict[int, tuple[Controller, Life, int]] = {}  # by token
+        self.waiting: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
         self.at_index: dict[tuple[str, int], int] = {}  # the token whose entry a member is going to apply
         for node in self.nodes.values():
             node.rate = play.pace()
@@ -93,7 +94,7 @@
     # Carrying out.
 
     def start(self, name: str) -> None:
-        self.records[name] = Record([LeaseMachine()])
+        self.records[name] = Record([LeaseStateMachine()])
         super().start(name)
 
     def _act(self, node: Node, action: api.Action) -> None:
@@ -120,7 +121,7 @@
             case api.Answer(token, refusal, index, _, again_ms) if token in self.waiting:
                 if refusal:
                     who, life, number = self.waiting.pop(token)
-                    self.play.answered(who, life, h.Answered(number, None, float(again_ms)))
+                    self.play.answered(who, life, lease_events.CommandAnswered(number, None, float(again_ms)))
                 else:
                     self.at_index[node.name, index] = token
                     if (node.name, index) in self.results:
@@ -131,7 +132,9 @@
         token = self.at_index.pop((name, index), None)
         if token is not None:
             who, life, number = self.waiting.pop(token)
-            self.play.answered(who, life, h.Answered(number, None if result.refusal else result.body))
+            self.play.answered(
+                who, life, lease_events.CommandAnswered(number, None if result.refusal else result.body)
+            )
 
 
 class CouncilPlay(Play):
@@ -165,7 +168,9 @@
         self.check_end()
         return self.counts + members.counts
 
-    def asked(self, who: Controller, life: Life, token: int, command: council.Command) -> None:
+    def asked(
+        self, who: Controller, life: ControllerIncarnation, token: int, command: council.Command
+    ) -> None:
         leader = self.members.leader()
         name = leader.name if leader is not None and self.random.random() < 0.9 else self.random.choice("abc")
         if self.members.nodes[name].core is not None:
--- a/tests/support/lease_fleet.py
+++ b/tests/support/lease_fleet.py
@@ -17,9 +17,11 @@
 from collections import Counter
 from random import Random
 
-from fennelwind.leases import lease_client as h
-from fennelwind.leases.errors import TaskNotHeld
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases import lease_events
+from fennelwind.leases.errors import LeaseNotHeldError
+from fennelwind.leases.lease_client import LeaseClient
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import Record
 
@@ -33,33 +35,33 @@
 
     def __init__(self, fleet: "Fleet", number: int, life: int) -> None:
         self.fleet, self.number, self.alive, self.timer = fleet, number, True, 0
-        self.life = Life(f"c{number:03}", b"%d" % life)
-        self.holder = h.Holder(self.life, fleet.seed)
+        self.life = ControllerIncarnation(f"c{number:03}", b"%d" % life)
+        self.holder = LeaseClient(self.life, fleet.seed)
         self.client = fleet.write(council.Command()).index
         self.offers: tuple[str, ...] = ()
 
-    def step(self, *events: h.Event) -> None:
+    def step(self, *events: lease_events.Event) -> None:
         fleet = self.fleet
         if not self.alive:
             return
         for action in self.holder.step(fleet.now, list(events)):
             match action:
-                case h.Ask(token, body):
+                case lease_events.SendCommand(token, body):
                     fleet.counts["commands"] += 1
                     fleet.counts["bytes"] += len(body)
                     command = council.Command(
                         client=self.client, number=token, heard=max(0, token - 8), machine="leases", body=body
                     )
                     fleet.after(fleet.way(), fleet.asked, self, token, command)
-                case h.Gained(task):
+                case lease_events.LeaseAcquired(task):
                     self.act(task)
-                case h.Timer(at):
+                case lease_events.SetTimer(at):
                     self.timer += 1
                     fleet.after(max(at - fleet.now, 0.0) + 0.001, self.wake, self.timer)
 
     def wake(self, timer: int) -> None:
         if timer == self.timer:
-            self.step(h.Woken())
+            self.step(lease_events.Wakeup())
 
     def act(self, task: str) -> None:
         if not self.alive:
@@ -67,17 +69,17 @@
         try:
             guard = self.holder.guard(task)
             act = guard.begin(self.fleet.now, ACT_MS)
-        except (TaskNotHeld, KeyError):
+        except (LeaseNotHeldError, KeyError):
             return
         self.fleet.acted(task, self)
         self.fleet.after(ACT_MS, self.over, task, guard, act)
 
     def over(self, task: str, guard, act) -> None:
         guard.end(act)
-        if guard.usable:
+        if guard.operation_budget_ms:
             self.fleet.after(EVERY_MS - ACT_MS, self.act, task)
         else:
-            self.step(h.Woken())
+            self.step(lease_events.Wakeup())
 
 
 class Fleet:
@@ -87,7 +89,7 @@
         self.seed, self.random, self.now = seed, Random(f"fleet {seed} {term_ms}"), 0.0
         self.tasks, self.term_ms = [f"task-{n:02}" for n in range(tasks)], term_ms
         self.counts: Counter[str] = Counter()
-        self.record, self.index = Record([LeaseMachine()]), 0
+        self.record, self.index = Record([LeaseStateMachine()]), 0
         self.machine = self.record.machines["leases"]
         self._heap: list[tuple] = []
         self._order = itertools.count()
@@ -98,7 +100,11 @@
         self.controllers: list[Controller] = []
         self.controllers = [Controller(self, number, 1) for number in range(controllers)]
         for one in self.controllers:
-            self.after(self.random.uniform(0, 1000.0), one.step, *(h.Want(t, term_ms) for t in self.tasks))
+            self.after(
+                self.random.uniform(0, 1000.0),
+                one.step,
+                *(lease_events.AcquireLease(t, term_ms) for t in self.tasks),
+            )
         self.after(CLOCK_MS, self.tick)
 
     def after(self, ms: float, what, *args) -> None:
@@ -130,7 +136,7 @@
             offers = self.machine.offers(one.life)
             if offers != one.offers and offers:
                 self.counts["told of offers"] += 1
-                self.after(self.way(), one.step, h.Offered(offers))
+                self.after(self.way(), one.step, lease_events.LeasesOffered(offers))
             one.offers = offers
         return result
 
@@ -138,7 +144,7 @@
         self.by_ms[int(self.now // 100)] += 1
         result = self.write(command)
         self.counts["answers"] += 1
-        self.after(self.way(), who.step, h.Answered(token, result.body))
+        self.after(self.way(), who.step, lease_events.CommandAnswered(token, result.body))
 
     def acted(self, task: str, who: Controller) -> None:
         if task in self.waits and self.holders.get(task) is not who:
@@ -154,10 +160,10 @@
         if how == "killed":
             who.alive = False
         elif how == "ended":
-            who.step(h.Terminate())
+            who.step(lease_events.Shutdown())
         else:
             self.waits = {task: self.now}
-            who.step(h.Failed(task))
+            who.step(lease_events.TaskFailed(task))
 
 
 def quantiles(values: list[float]) -> str:
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -20,10 +20,12 @@
 from collections.abc import Callable
 from random import Random
 
-from fennelwind.leases import lease_client as h
+from fennelwind.leases import lease_events
 from fennelwind.leases.errors import LeaseError
-from fennelwind.leases.fencing import DRIFT, Fenced
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases.fencing import MAX_CLOCK_DRIFT, FencedResource
+from fennelwind.leases.lease_client import LeaseClient
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import Record
 
@@ -42,7 +44,7 @@
 
     def __init__(self, play: "Play") -> None:
         self.play = play
-        self.record = Record([LeaseMachine()])
+        self.record = Record([LeaseStateMachine()])
         self.index = self.stamped = 0
         self.change()
 
@@ -77,16 +79,16 @@
 
     def start(self) -> None:
         self.lives += 1
-        self.life = Life(f"c{self.number}", b"%d" % self.lives)
+        self.life = ControllerIncarnation(f"c{self.number}", b"%d" % self.lives)
         self.pace, self.offset = self.play.pace(), self.play.random.uniform(0, 1e6)
         self.born, self.paused_until, self.alive, self.offers = self.play.now, 0.0, True, ()
         self.cut_until: dict[str, float] = {}
         self.client = self.play.leader.open()
-        self.holder = h.Holder(self.life, self.play.seed, pause_ms=PAUSE_MS)
+        self.holder = LeaseClient(self.life, self.play.seed, max_pause_ms=PAUSE_MS)
         self.acting: Counter[str] = Counter()
         self.timer = 0
         self.wanted = {task for task in TASKS if self.play.random.random() < 0.8}
-        self.step([h.Want(task, TERM_MS) for task in sorted(self.wanted)])
+        self.step([lease_events.AcquireLease(task, TERM_MS) for task in sorted(self.wanted)])
 
     def clock(self) -> float:
         return self.offset + (self.play.now - self.born) * self.pace
@@ -95,7 +97,7 @@
         """Run something in this life after ms of its clock; not before a pause is over."""
         self.play.at(self.play.now + ms / self.pace, self._run, self.life, what, args)
 
-    def _run(self, life: Life, what: Callable, args: tuple) -> None:
+    def _run(self, life: ControllerIncarnation, what: Callable, args: tuple) -> None:
         if not self.alive or self.life != life:
             return
         if self.play.now < self.paused_until:
@@ -103,23 +105,23 @@
         else:
             what(*args)
 
-    def step(self, events: list[h.Event]) -> None:
+    def step(self, events: list[lease_events.Event]) -> None:
         for action in self.holder.step(self.clock(), events):
             match action:
-                case h.Ask(token, body):
+                case lease_events.SendCommand(token, body):
                     self.play.ask(self, token, body)
-                case h.Gained(task, _, _):
+                case lease_events.LeaseAcquired(task, _, _):
                     self.later(self.play.random.choice([0, self.play.random.uniform(0, 200)]), self.act, task)
-                case h.Timer(at):
+                case lease_events.SetTimer(at):
                     self.timer += 1
                     self.later(max(0.0, at - self.clock()) + 0.01, self.woken, self.timer)
-                case h.Left():
+                case lease_events.ShutdownComplete():
                     self.alive = False
         self.play.believes(self)
 
     def woken(self, timer: int) -> None:
         if timer == self.timer:
-            self.step([h.Woken()])
+            self.step([lease_events.Wakeup()])
 
     # The code of a task: acts of some steps each, through the guard.
 
@@ -136,12 +138,14 @@
 
     def step_of(self, task: str, guard, act, left: int) -> None:
         random = self.play.random
-        if not self.play.may_go_on(guard, self.clock(), act) or not left:
+        if not self.play.may_continue(guard, self.clock(), act) or not left:
             guard.end(act)
-            self.step([h.Woken()])
+            self.step([lease_events.Wakeup()])
             if random.random() < 0.03 and not self.play.calm:
-                got = h.Progress(task, b"%d" % act.fence)
-                self.step([random.choice([h.Failed(task), h.Unwant(task), got])])
+                got = lease_events.SaveCheckpoint(task, b"%d" % act.fencing_token)
+                self.step(
+                    [random.choice([lease_events.TaskFailed(task), lease_events.ReleaseLease(task), got])]
+                )
             self.later(random.uniform(10, 1000 if self.play.calm else 150), self.act, task)
             return
         # Between the check and its effect: the process may stand still, and the call takes its way.
@@ -165,10 +169,12 @@
         self._heap: list[tuple] = []
         self._order = itertools.count()
         self.counts: Counter[str] = Counter()
-        self.beliefs: dict[str, dict[Life, float]] = {task: {} for task in TASKS}  # true time of their end
-        self.resource = Fenced() if kind == "fences" else None
+        self.beliefs: dict[str, dict[ControllerIncarnation, float]] = {
+            task: {} for task in TASKS
+        }  # true time of their end
+        self.resource = FencedResource() if kind == "fences" else None
         self.acted: dict[str, list] = {task: [] for task in TASKS}  # acts in the order of their first step
-        self.owner: dict[tuple[str, int], Life] = {}
+        self.owner: dict[tuple[str, int], ControllerIncarnation] = {}
         self.controllers: list[Controller] = []
         self.leader = self.found()
         self.no_leader_until = 0.0
@@ -178,11 +184,11 @@
         return Leader(self)
 
     def pace(self) -> float:
-        low, high = 1 - DRIFT, 1 + DRIFT
+        low, high = 1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT
         return self.random.choice([low, high, low, high, self.random.uniform(low, high)])
 
-    def may_go_on(self, guard, now: float, act) -> bool:
-        return guard.may_go_on(now, act)
+    def may_continue(self, guard, now: float, act) -> bool:
+        return guard.may_continue(now, act)
 
     def at(self, when: float, what: Callable, *args) -> None:
         heapq.heappush(self._heap, (when, next(self._order), what, args))
@@ -225,14 +231,20 @@
             if not self.lost(who, "asks"):
                 self.at(self.now + self.delay(), self.asked, who, who.life, token, command)
 
-    def asked(self, who: Controller, life: Life, token: int, command: council.Command) -> None:
+    def asked(
+        self, who: Controller, life: ControllerIncarnation, token: int, command: council.Command
+    ) -> None:
         if self.now < self.no_leader_until:
-            self.answered(who, life, h.Answered(token, None, 100.0))
+            self.answered(who, life, lease_events.CommandAnswered(token, None, 100.0))
         else:
             result = self.leader.write(command)
-            self.answered(who, life, h.Answered(token, None if result.refusal else result.body))
+            self.answered(
+                who, life, lease_events.CommandAnswered(token, None if result.refusal else result.body)
+            )
 
-    def answered(self, who: Controller, life: Life, answer: h.Answered) -> None:
+    def answered(
+        self, who: Controller, life: ControllerIncarnation, answer: lease_events.CommandAnswered
+    ) -> None:
         if not self.lost(who, "answers"):
             late = 0.0 if self.now >= who.cut_until.get("late", 0.0) else self.random.uniform(100, TERM_MS)
             self.at(self.now + self.delay() + late, who._run, life, who.step, ([answer],))
@@ -242,7 +254,13 @@
         for who in self.controllers:
             offers = self.leader.record.machines["leases"].offers(who.life)
             if offers != who.offers and offers and not self.lost(who, "answers"):
-                self.at(self.now + self.delay(), who._run, who.life, who.step, ([h.Offered(offers)],))
+                self.at(
+                    self.now + self.delay(),
+                    who._run,
+                    who.life,
+                    who.step,
+                    ([lease_events.LeasesOffered(offers)],),
+                )
             who.offers = offers
 
     # Faults.
@@ -259,7 +277,7 @@
                 self.at(self.now + random.uniform(0, 2 * TERM_MS), self.start, who)
             case 3:
                 if who.alive and self.now >= who.paused_until:
-                    who.step([h.Terminate()])
+                    who.step([lease_events.Shutdown()])
                 self.at(self.now + random.uniform(3000, 6000), self.start, who)
             case 4:
                 self.leader.change()
@@ -294,7 +312,7 @@
         The bound is on the controller's clock: a fast one measures a true 100 ms as 120.
         """
         if self.kind == "plain":
-            most = max(0.0, PAUSE_MS / (1 + DRIFT) - stands)
+            most = max(0.0, PAUSE_MS / (1 + MAX_CLOCK_DRIFT) - stands)
             return self.random.choice([most, self.random.uniform(0, most)])
         return self.delay()
 
@@ -316,7 +334,7 @@
             who.paused_until = 0.0
             if not who.alive:
                 who.start()
-            who.step([h.Want(task, TERM_MS) for task in TASKS])
+            who.step([lease_events.AcquireLease(task, TERM_MS) for task in TASKS])
 
     # What is checked.
 
@@ -329,8 +347,13 @@
                 guard = who.holder.guard(task)
             except KeyError:
                 continue
-            end = self.now + (guard.until - who.clock()) / who.pace
-            if not who.alive or not guard.fence or end <= self.now or not (guard.usable or guard.acts):
+            end = self.now + (guard.valid_until_ms - who.clock()) / who.pace
+            if (
+                not who.alive
+                or not guard.fencing_token
+                or end <= self.now
+                or not (guard.operation_budget_ms or guard.operations)
+            ):
                 continue
             beliefs[who.life] = end
             self.counts["beliefs"] += 1
@@ -341,19 +364,19 @@
                     f"and so does {other[0]}"
                 )
 
-    def effect(self, life: Life, task: str, act) -> None:
+    def effect(self, life: ControllerIncarnation, task: str, act) -> None:
         """A step of an act comes to the resource, which notes it."""
         if self.resource is not None:
             try:
-                self.resource.show(task, act.fence)
+                self.resource.check(task, act.fencing_token)
             except LeaseError:
                 self.counts["refused"] += 1
                 return
-            if self.owner.setdefault((task, act.fence), life) != life:
-                raise Violation(f"seed {self.seed}: fence {act.fence} of {task} is two holders'")
+            if self.owner.setdefault((task, act.fencing_token), life) != life:
+                raise Violation(f"seed {self.seed}: fence {act.fencing_token} of {task} is two holders'")
         self.counts["steps"] += 1
         acted = self.acted[task]
-        key = (life, act.fence, act.number)
+        key = (life, act.fencing_token, act.number)
         if acted and acted[-1][0] != life and key in acted:
             raise Violation(
                 f"seed {self.seed}: at {self.now:.0f} {life} goes on with act {act.number} of "
@@ -369,7 +392,7 @@
         for task in TASKS:
             view = record.view(task)
             aside = view is not None and all(
-                view.asides.get(f"c{number}", 0) > self.leader.stamped for number in range(3)
+                view.excluded_until_ms.get(f"c{number}", 0) > self.leader.stamped for number in range(3)
             )
             if view is None or not view.holder and not aside:
                 raise Violation(f"seed {self.seed}: nobody holds {task} at the end: {view}")
