--- a/tests/support/lease_search.py
+++ b/tests/support/lease_search.py
@@ -23,17 +23,20 @@
 from collections.abc import Iterator
 from functools import lru_cache
 
-from fennelwind.leases import lease_client as h
+from fennelwind.leases import lease_events
 from fennelwind.leases import leases_pb2 as pb
-from fennelwind.leases.errors import TaskNotHeld
-from fennelwind.leases.fencing import DRIFT
-from fennelwind.leases.lease_client import Holder
-from fennelwind.leases.state_machine import LeaseMachine, Life
+from fennelwind.leases.errors import LeaseNotHeldError
+from fennelwind.leases.fencing import MAX_CLOCK_DRIFT
+from fennelwind.leases.lease_client import LeaseClient
+from fennelwind.leases.model import ControllerIncarnation
+from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft.state_machine import At
 
 TERM_MS, PAUSE_MS, ACT_MS = 300, 0.0, 60.0  # ms; the shortest term is two ticks of the fast record
 TICKS = {"a": 100.0, "b": 125.0, "record": 150.0}  # ms on each clock of 125 ms of true time; drift as stated
-assert TICKS["a"] == (1 - DRIFT) * TICKS["b"] and TICKS["record"] == (1 + DRIFT) * TICKS["b"]
+assert (
+    TICKS["a"] == (1 - MAX_CLOCK_DRIFT) * TICKS["b"] and TICKS["record"] == (1 + MAX_CLOCK_DRIFT) * TICKS["b"]
+)
 UNDER_WAY = 4  # messages on their way; of more, the oldest is lost
 MENUS = {  # tasks, doubled asks and events in one history, events
     "late": (1, 1, 0, ()),
@@ -54,11 +57,11 @@
     """All of it; a value by its bytes."""
 
     def __init__(self, menu: str = "late") -> None:
-        self.machine = LeaseMachine()
+        self.machine = LeaseStateMachine()
         tasks, self.doubles, self.events, self.kinds = MENUS[menu]
         self.tasks = tuple(f"t{n}" for n in range(tasks))
         self.tick = self.index = 0
-        self.holders: dict[str, Holder] = {}
+        self.holders: dict[str, LeaseClient] = {}
         self.timers: dict[str, float] = {}
         self.lives: Counter[str] = Counter()
         self.acts: dict[str, tuple] = {}  # one act each, as task and act
@@ -73,19 +76,21 @@
 
     def start(self, who: str) -> None:
         self.lives[who] += 1
-        self.holders[who] = Holder(Life(who, b"%d" % self.lives[who]), 0, pause_ms=PAUSE_MS)
+        self.holders[who] = LeaseClient(
+            ControllerIncarnation(who, b"%d" % self.lives[who]), 0, max_pause_ms=PAUSE_MS
+        )
         self.holders[who]._random = Steady()
         self.acts.pop(who, None)
-        self.step(who, *(h.Want(task, TERM_MS) for task in self.tasks))
+        self.step(who, *(lease_events.AcquireLease(task, TERM_MS) for task in self.tasks))
 
-    def step(self, who: str, *events: h.Event) -> None:
+    def step(self, who: str, *events: lease_events.Event) -> None:
         holder = self.holders[who]
         self.timers[who] = float("inf")
         for action in holder.step(self.clock(who), list(events)):
             match action:
-                case h.Ask(token, body):
-                    self.way.append(("ask", who, holder.me.life, token, body))
-                case h.Timer(at):
+                case lease_events.SendCommand(token, body):
+                    self.way.append(("ask", who, holder.identity.incarnation, token, body))
+                case lease_events.SetTimer(at):
                     self.timers[who] = at
         del self.way[:-UNDER_WAY]
 
@@ -96,8 +101,8 @@
             answer = self.machine.apply(At(self.index, int(self.clock("record"))), body, None)
             self.way.append(("answer", who, life, token, answer))
             del self.way[:-UNDER_WAY]
-        elif self.holders[who].me.life == life:
-            self.step(who, h.Answered(token, body))
+        elif self.holders[who].identity.incarnation == life:
+            self.step(who, lease_events.CommandAnswered(token, body))
 
     def entry(self) -> None:
         self.index += 1
@@ -109,9 +114,9 @@
     def watched(self, but: str = "") -> None:
         """Who is not standing still wakes where its time has come, and sees what is offered to it."""
         for who in self.holders:
-            offers = self.machine.offers(self.holders[who].me)
+            offers = self.machine.offers(self.holders[who].identity)
             if who != but and (offers or self.timers[who] <= self.clock(who)):
-                self.step(who, h.Offered(offers))
+                self.step(who, lease_events.LeasesOffered(offers))
 
     # What may happen next.
 
@@ -123,7 +128,7 @@
                 if self.doubles and message[0] == "ask":
                     yield ("double", number)
         for who in self.holders:
-            held = self.holders[who].held(self.clock(who))
+            held = self.holders[who].held_tasks(self.clock(who))
             if who in self.acts:
                 yield ("end", who)
             elif held and who == "a":
@@ -144,17 +149,17 @@
                 self.deliver(number, True)
                 self.doubles -= 1
             case ("begin", who):
-                task = self.holders[who].held(self.clock(who))[0]
+                task = self.holders[who].held_tasks(self.clock(who))[0]
                 try:
                     act = self.holders[who].guard(task).begin(self.clock(who), ACT_MS)
                     self.acts[who] = task, act
-                except TaskNotHeld:
+                except LeaseNotHeldError:
                     pass
             case ("end", who):
                 task, act = self.acts.pop(who)
-                if task in self.holders[who]._tasks:
+                if task in self.holders[who]._leases:
                     self.holders[who].guard(task).end(act)
-                self.step(who, h.Woken())
+                self.step(who, lease_events.Wakeup())
             case ("crash", who):
                 self.events -= 1
                 self.start(who)
@@ -164,9 +169,9 @@
                 self.step(
                     who,
                     *{
-                        "fail": (h.Failed(task),),
-                        "leave": (h.Terminate(),),
-                        "unwant": (h.Unwant(task), h.Want(task, TERM_MS)),
+                        "fail": (lease_events.TaskFailed(task),),
+                        "leave": (lease_events.Shutdown(),),
+                        "unwant": (lease_events.ReleaseLease(task), lease_events.AcquireLease(task, TERM_MS)),
                     }[event],
                 )
 
@@ -178,10 +183,10 @@
             believe = [
                 who
                 for who, holder in self.holders.items()
-                if task in holder._tasks
-                and (guard := holder.guard(task)).fence
-                and self.clock(who) < guard.until
-                and (guard.usable or guard.acts)
+                if task in holder._leases
+                and (guard := holder.guard(task)).fencing_token
+                and self.clock(who) < guard.valid_until_ms
+                and (guard.operation_budget_ms or guard.operations)
             ]
             if len(believe) > 1:
                 return f"{task} is held by {' and by '.join(believe)}"
@@ -189,8 +194,8 @@
                 who
                 for who, (name, act) in self.acts.items()
                 if name == task
-                and task in self.holders[who]._tasks
-                and self.holders[who].guard(task).may_go_on(self.clock(who), act)
+                and task in self.holders[who]._leases
+                and self.holders[who].guard(task).may_continue(self.clock(who), act)
             ]
             if acting and believe and acting != believe:
                 return f"{acting[0]} acts on {task}, which {believe[0]} holds"
@@ -205,8 +210,10 @@
         for *_, told in asks:
             fences |= {one[2] for one in told[0]}
         state = pb.LeaseState.FromString(self.machine.snapshot())
-        fences |= {task.fence for task in state.tasks} | {act.fence for _, act in self.acts.values()}
-        fences |= {task.fence for holder in self.holders.values() for task in holder._tasks.values()}
+        fences |= {task.fence for task in state.tasks} | {act.fencing_token for _, act in self.acts.values()}
+        fences |= {
+            lease.fencing_token for holder in self.holders.values() for lease in holder._leases.values()
+        }
         rank = {fence: number for number, fence in enumerate(sorted(fences | {0}))}
         clock = int(self.clock("record"))
 
@@ -232,30 +239,30 @@
             found.append(
                 (
                     who,
-                    holder._leaving,
-                    holder._left,
-                    holder._leaves,
-                    _left(holder._not_before, now),
-                    holder._tries,
+                    holder._is_shutting_down,
+                    holder._is_shut_down,
+                    holder._shutdown_attempts,
+                    _left(holder._backoff_until_ms, now),
+                    holder._failed_attempts,
                     _left(self.timers[who], now),
-                    None if holder._out is None else now - holder._sent[holder._out].at,
+                    None if holder._awaited is None else now - holder._sent[holder._awaited].sent_at_ms,
                 )
             )
-            for name, task in sorted(holder._tasks.items()):
+            for name, lease in sorted(holder._leases.items()):
                 found.append(
                     (
                         name,
-                        task.phase,
-                        task.ending,
-                        task.wanted,
-                        task.offered,
-                        rank[task.fence],
-                        _left(task.ask_at, now),
-                        _left(task.renew_at, now),
-                        _left(task.guard.until, now),
-                        task.guard.usable > 0,
-                        task.refusals,
-                        sorted(act.ends_by - now for act in task.guard.acts.values()),
+                        lease.phase,
+                        lease.release,
+                        lease.is_wanted,
+                        lease.is_offered,
+                        rank[lease.fencing_token],
+                        _left(lease.request_at_ms, now),
+                        _left(lease.renew_at_ms, now),
+                        _left(lease.guard.valid_until_ms, now),
+                        lease.guard.operation_budget_ms > 0,
+                        lease.rejections,
+                        sorted(act.deadline_ms - now for act in lease.guard.operations.values()),
                     )
                 )
         for who, (task, act) in sorted(self.acts.items()):
@@ -263,24 +270,26 @@
                 (
                     who,
                     task,
-                    rank[act.fence],
-                    act.ends_by - self.clock(who),
+                    rank[act.fencing_token],
+                    act.deadline_ms - self.clock(who),
                     act.number
                     in (
-                        self.holders[who]._tasks[task].guard.acts if task in self.holders[who]._tasks else ()
+                        self.holders[who]._leases[task].guard.operations
+                        if task in self.holders[who]._leases
+                        else ()
                     ),
                 )
             )
         on_way = []
         for kind, who, life, token, (told, more) in asks:
             holder, sent = self.holders[who], None
-            if holder.me.life == life:
+            if holder.identity.incarnation == life:
                 of = holder._sent.get(token)
                 sent = of and (
-                    token == holder._out,
-                    self.clock(who) - of.at,
+                    token == holder._awaited,
+                    self.clock(who) - of.sent_at_ms,
                     [
-                        (name, name in holder._tasks and holder._tasks[name].epoch == epoch)
+                        (name, name in holder._leases and holder._leases[name].epoch == epoch)
                         for name, epoch in of.epochs.items()
                     ],
                 )
@@ -301,7 +310,7 @@
 
     def __setstate__(self, state: dict) -> None:
         self.__dict__.update(state)
-        data, self.machine = self.machine, LeaseMachine()
+        data, self.machine = self.machine, LeaseStateMachine()
         self.machine.restore(data)
 
 
