--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -13,7 +13,7 @@
 
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommand
+from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 
 MAX_REQUESTS_PER_COMMAND = 512  # a controller wants some fifty tasks
 MAX_TASKS = 4096  # a thousand tables and the tasks of the controllers' own, four times over
@@ -99,11 +99,11 @@
     # Commands.
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Apply a `LeaseCommand`; return a `LeaseAnswer`. Raises `UnreadableCommand`."""
+        """Apply a `LeaseCommand`; return a `LeaseAnswer`. Raises `UnreadableCommandError`."""
         try:
             parsed = pb.LeaseCommand.FromString(command)
         except DecodeError as exc:
-            raise UnreadableCommand("not a command of leases") from exc
+            raise UnreadableCommandError("not a command of leases") from exc
         sender = ControllerIncarnation(parsed.by.name, parsed.by.life)
         refusal = _command_refusal(parsed)
         if refusal:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -20,7 +20,7 @@
 from fennelwind.leases.lease_client import MAX_UNANSWERED_COMMANDS, LeaseClient
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
-from fennelwind.raft.state_machine import At, UnreadableCommand
+from fennelwind.raft.state_machine import At, UnreadableCommandError
 
 A, B, C = (ControllerIncarnation(name, b"1") for name in "abc")
 
@@ -198,7 +198,7 @@
     twice = pb.LeaseAsk(task="t", renew=pb.Renew(fence=fence))
     assert desk.ask(A, twice, twice).refusal == pb.NAMED_TWICE
     assert desk.ask(A, *[twice] * 513).refusal == pb.TOO_MANY_ASKS
-    with pytest.raises(UnreadableCommand):
+    with pytest.raises(UnreadableCommandError):
         desk.machine.apply(At(1, 1), b"\xff\xff", None)
 
 
@@ -580,7 +580,7 @@
         try:
             answer = pb.LeaseAnswer.FromString(machine.apply(At(index, clock), command, None))
             assert not answer.refusal or machine.snapshot() == before
-        except UnreadableCommand:
+        except UnreadableCommandError:
             assert machine.snapshot() == before
         again = LeaseStateMachine()
         again.restore(machine.snapshot())
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -27,7 +27,7 @@
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft import council_pb2 as council
-from fennelwind.raft.replicated_state import Record
+from fennelwind.raft.replicated_state import ReplicatedState
 
 TERM_MS, PAUSE_MS, ACT_MS = 2000, 150.0, 400.0  # ms: of the played tasks
 PLAYED_MS, CALM_MS = 25_000.0, 16_000.0  # ms with faults, and without them after it
@@ -44,7 +44,7 @@
 
     def __init__(self, play: "Play") -> None:
         self.play = play
-        self.record = Record([LeaseStateMachine()])
+        self.record = ReplicatedState([LeaseStateMachine()])
         self.index = self.stamped = 0
         self.change()
 
