--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -1,7 +1,7 @@
 """One attempt at an executor: started, polled until it ends, and cancelled there when nobody wants it.
 
 An attempt is tied to no connection: when one breaks, stays silent or brings a malformed answer, the same
-attempt's end or page is polled for again on a fresh one. That is no further attempt. How each end is reported:
+attempt's end or page is polled for again on a fresh one. That is no further attempt. How an end is reported:
 
 - no connection: `CONNECT_FAILED`, it never ran; 503 with X-Not-Run: `OVERLOADED`; 504 with it: `NOT_STARTED`
 - 500, also for a query that the executor does not know: `ERROR`, it may have run
@@ -376,9 +376,9 @@
             return None
         if response.status == 202 and self.loop.now() - began_ms < MIN_POLL_MS:
             # It answers an earlier call, so that the next response would be taken for this call's.
-            response.reusable = False
+            response.is_reusable = False
             self.pool.counts["early"] += 1
-        if not response.reusable:
+        if not response.is_reusable:
             self._release()
         return response
 
--- /dev/null
+++ b/fennelwind/node/client_connection.py
@@ -0,0 +1,345 @@
+"""One client's connection: requests in MessagePack-RPC become queries, final answers become responses.
+
+`frontend` accepts connections, gives each a task that runs `ClientConnection.run`, and closes the ones that
+are idle or half sent for too long. Every close of ours is a lingering one: first only our sending side is
+closed, then what the client still sends is read and dropped until its end. A close with unread bytes would
+become a TCP reset, which may destroy answers that the client has yet to read.
+
+A connection costs a task and a few hundred bytes. An answer that the client does not take at once waits in a
+queue that is bounded in bytes, number and time; whoever takes nothing until then is disconnected.
+"""
+
+from collections import Counter, deque
+from typing import Protocol
+
+from fennelwind.dispatch.driver import Driver
+from fennelwind.dispatch.ledger import Entry
+from fennelwind.dispatch.types import LEFT, REFUSED, SERVED, Submission
+from fennelwind.limits.connection_slots import Places
+from fennelwind.loop.scheduler import DeadlineExceeded, Loop
+from fennelwind.loop.streams import PushStream, StreamReset
+from fennelwind.node import msgrpc
+from fennelwind.node.config import NodeConfig
+from fennelwind.node.request_validation import InvalidRequestError, QueryRequest, read_request
+from fennelwind.node.wire_names import ClientError, ClientMethod, ErrorField
+
+MAX_OPEN_QUERIES = 32  # on a connection, as the protocol states
+MAX_UNREAD_BYTES = 262_144  # bytes of answers that a client leaves unread; beyond them requests are rejected
+MAX_UNREAD_ANSWERS = 1024  # answers left unread; beyond them it is closed. No usual client has 32 open
+MIN_WRITE_TIMEOUT_MS = 3000.0  # ms that a client may leave its answers unread, where none is due later
+MAX_INVALID_REQUESTS = 3  # invalid requests on a connection; then it is closed
+READ_BYTES = 65536  # bytes of one read
+MAX_LINGER_BYTES = 262_144  # bytes that are dropped after our end; who sends more will not stop
+BURST_MS = 20.0  # ms without a byte after a full read; until then the rest of a burst is on its way
+MAX_REASON_LENGTH = 200  # letters of a failure's reason that a client gets
+
+
+class ConnectionOwner(Protocol):
+    """What a connection needs of the frontend that accepted it."""
+
+    loop: Loop
+    driver: Driver
+    config: NodeConfig
+    places: Places
+    open_query_ids: set[str]
+    is_serving: bool
+    partial_bytes: int  # bytes of incomplete messages, over all connections
+    counts: Counter[str]
+
+    def limit_partial_bytes(self) -> None:
+        """Close connections with incomplete messages while there are too many bytes of them."""
+
+    def linger(self, connection: "ClientConnection") -> None:
+        """Let a connection whose sending side is closed wait for its client's end."""
+
+    def close_outright(self, connection: "ClientConnection") -> None:
+        """Close a connection's socket."""
+
+    def note_unreadable(self, reason: str) -> None:
+        """Count a connection that can't be parsed any further."""
+
+    def note_invalid_request(self, reason: str) -> None:
+        """Count a request that is not valid."""
+
+
+class ClientConnection:
+    """One client's connection, in a task of its own."""
+
+    __slots__ = (
+        "frontend",
+        "stream",
+        "reader",
+        "last_message_id",
+        "open_queries",
+        "unread_answers",
+        "unread_bytes",
+        "is_writing",
+        "invalid_requests",
+        "partial_bytes",
+        "burst_until_ms",
+        "is_closing",
+        "is_closed",
+    )
+
+    def __init__(self, frontend: ConnectionOwner, stream: PushStream) -> None:
+        self.frontend, self.stream, self.reader = frontend, stream, msgrpc.MessageReader()
+        self.last_message_id = 0  # the highest so far; ids have to rise
+        self.open_queries: dict[int, Entry] = {}  # by message id
+        self.unread_answers: deque[tuple[bytes, Entry | None]] = deque()  # not yet taken by the client
+        self.unread_bytes = 0
+        self.is_writing = False  # a task of its own writes the unread answers
+        self.invalid_requests = 0
+        self.partial_bytes = 0  # of an incomplete message
+        self.burst_until_ms = 0.0  # until then more may come of what the client has sent already
+        self.is_closing = False  # nothing more is taken in; it closes once its answers are taken
+        self.is_closed = False
+
+    # Reading.
+
+    def run(self) -> None:
+        """Read until the client's end; once we are closing, what comes is dropped."""
+        dropped_bytes = 0
+        try:
+            while data := self.stream.read(READ_BYTES):
+                is_full = len(data) == READ_BYTES  # more waits behind it
+                self._note_burst(is_full)
+                if self.is_closing:
+                    dropped_bytes += len(data)
+                    if dropped_bytes > MAX_LINGER_BYTES:
+                        break
+                elif is_full and self.stream.ended():
+                    break  # it has sent much and disconnected: nothing of it may start now
+                else:
+                    self._take(data)
+                if is_full:  # others get their turn before the rest
+                    self.frontend.loop.sleep(0.0)
+        except StreamReset:
+            pass
+        finally:
+            self._mark_closed()
+            self.frontend.close_outright(self)
+
+    def _note_burst(self, is_full: bool) -> None:
+        now = self.frontend.loop.now()
+        if is_full or now < self.burst_until_ms:
+            self.burst_until_ms = now + BURST_MS
+
+    def _take(self, data: bytes) -> None:
+        try:
+            for message in self.reader.feed(data):
+                self._handle(message)
+                if self.is_closing:
+                    return
+            if self.reader.error is not None:
+                raise self.reader.error
+            self._count_partial()
+        except msgrpc.MalformedMessageError as exc:
+            self.frontend.note_unreadable(str(exc))
+            self.close()
+
+    def _count_partial(self) -> None:
+        partial_bytes = self.reader.partial_bytes()
+        self.frontend.places.sent(self, self.frontend.loop.now(), partial_bytes > 0)
+        self.frontend.partial_bytes += partial_bytes - self.partial_bytes
+        self.partial_bytes = partial_bytes
+        self.frontend.limit_partial_bytes()
+
+    def _handle(self, message: msgrpc.Request | msgrpc.Notification) -> None:
+        if isinstance(message, msgrpc.Notification):
+            self._handle_notification(message)
+            return
+        if message.message_id <= self.last_message_id:
+            raise msgrpc.MalformedMessageError("message ids do not rise")
+        self.last_message_id = message.message_id
+        self.frontend.places.heard(self, self.frontend.loop.now())
+        if message.method == ClientMethod.HEALTH:
+            self.send(msgrpc.encode_result(message.message_id, [self.frontend.is_serving, {}]), None)
+        elif len(self.open_queries) >= MAX_OPEN_QUERIES or self.unread_bytes > MAX_UNREAD_BYTES:
+            self.reject(message.message_id, self.frontend.driver.longest_wait_ms)
+        else:
+            self._handle_query(message)
+
+    def _handle_notification(self, message: msgrpc.Notification) -> None:
+        if message.method != ClientMethod.WITHDRAW:
+            return
+        for message_id in message.params:
+            entry = self.open_queries.pop(message_id, None) if type(message_id) is int else None
+            if entry is not None:
+                self._forget_query(entry)
+                self.frontend.driver.leave(entry, "its client has withdrawn it")
+
+    def _handle_query(self, message: msgrpc.Request) -> None:
+        frontend = self.frontend
+        config, now = frontend.config, frontend.loop.now()
+        try:
+            query = read_request(
+                message.method, message.params, config.classes, config.tenants, config.settings
+            )
+            if query.query_id in frontend.open_query_ids:
+                raise InvalidRequestError("the id is that of an open request")
+        except InvalidRequestError as exc:
+            self._answer_invalid(message.message_id, exc)
+            return
+        frontend.open_query_ids.add(query.query_id)
+        message_id = message.message_id
+
+        def on_answer(entry: Entry) -> None:
+            self.open_queries.pop(message_id, None)
+            self._forget_query(entry)
+            self.answer(message_id, entry)
+
+        entry = frontend.driver.submit(self._submission(query, message.method, now), on_answer)
+        if entry.answer is None:
+            self.open_queries[message_id] = entry
+            frontend.places.owes(self)
+
+    def _submission(self, query: QueryRequest, method: str, now_ms: float) -> Submission:
+        return Submission(
+            cls=query.class_index,
+            statement=query.statement,
+            deadline_ms=min(now_ms, self.stream.unseen_since_ms) + query.timeout_ms,
+            tenant=query.tenant,
+            work_ms=query.estimated_work_ms,
+            memory_mb=query.estimated_memory_mb,
+            tables=query.table_group,
+            repeat=query.is_retry,
+            engine_id=query.query_id,
+            engine_class=method,
+            idempotency_key=query.idempotency_key,
+            begins_from=lambda: self.burst_until_ms,
+        )
+
+    def _answer_invalid(self, message_id: int, error: InvalidRequestError) -> None:
+        self.frontend.note_invalid_request(str(error))
+        self.invalid_requests += 1
+        fields = {ErrorField.MESSAGE.value: str(error)}
+        self.send(msgrpc.encode_error(message_id, ClientError.INVALID_REQUEST.value, fields), None)
+        if self.invalid_requests >= MAX_INVALID_REQUESTS and not self.has_open_or_unread():
+            self.close()
+
+    def _forget_query(self, entry: Entry) -> None:
+        self.frontend.open_query_ids.discard(entry.submission.engine_id)
+        self._update_idle()
+
+    def _update_idle(self) -> None:
+        if not self.has_open_or_unread():
+            self.frontend.places.owes_nothing(self, self.frontend.loop.now())
+
+    def has_open_or_unread(self) -> bool:
+        """Tell whether a query is open, or an answer not yet taken by the client."""
+        return bool(self.open_queries or self.unread_answers)
+
+    # Answers.
+
+    def answer(self, message_id: int, entry: Entry) -> None:
+        """Send a query's final answer."""
+        answer = entry.answer
+        assert answer is not None, "an answered query has an answer"
+        if self.is_closed or answer.kind == LEFT:
+            return
+        if answer.kind == SERVED:
+            assert answer.result is not None, "a served query has a result"
+            self.send(msgrpc.encode_result(message_id, [b"".join(answer.result.pages), {}]), entry)
+        elif answer.kind == REFUSED:
+            self.reject(message_id, answer.retry_after_ms, entry)
+        else:
+            fields = {ErrorField.MESSAGE.value: answer.reason[:MAX_REASON_LENGTH]}
+            self.send(msgrpc.encode_error(message_id, ClientError.FAILED.value, fields), entry)
+
+    def reject(self, message_id: int, retry_after_ms: float, entry: Entry | None = None) -> None:
+        """Answer that a retry is harmless, and after what time, where the settings allow that time."""
+        retry_after_ms = min(retry_after_ms, self.frontend.driver.longest_wait_ms)
+        fields = {ErrorField.RETRY_AFTER_MS.value: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
+        self.send(msgrpc.encode_error(message_id, ClientError.REJECTED.value, fields), entry)
+
+    def send(self, raw: bytes, entry: Entry | None) -> None:
+        """Send a response; what the client does not take at once is queued, up to the bounds."""
+        if self.is_closed:
+            return
+        if not self.unread_answers:
+            try:
+                sent_bytes = self.stream.push(raw)
+            except StreamReset:
+                self.shut_down()
+                return
+            if sent_bytes == len(raw):
+                if entry is not None:
+                    self.frontend.driver.delivered(entry)
+                return
+            raw = raw[sent_bytes:]
+        self._queue(raw, entry)
+
+    def _queue(self, raw: bytes, entry: Entry | None) -> None:
+        if len(self.unread_answers) >= MAX_UNREAD_ANSWERS:
+            self.frontend.counts["unread"] += 1
+            self.shut_down()
+            return
+        self.unread_answers.append((raw, entry))
+        self.frontend.places.owes(self)
+        self.unread_bytes += len(raw)
+        if not self.is_writing:
+            self.is_writing = True
+            self.frontend.loop.spawn(self._write_unread, name="client: answers")
+
+    def _write_unread(self) -> None:
+        try:
+            while self.unread_answers and not self.is_closed:
+                raw, entry = self.unread_answers[0]
+                self.stream.write(raw, self._write_timeout_ms())
+                if self.is_closed:
+                    return
+                self.unread_answers.popleft()
+                self.unread_bytes -= len(raw)
+                if entry is not None:
+                    self.frontend.driver.delivered(entry)
+            self._update_idle()
+            if self.is_closing:
+                self.shut_down()
+        except (StreamReset, DeadlineExceeded):
+            self.frontend.counts["unread"] += not self.is_closed
+            self.shut_down()
+        finally:
+            self.is_writing = False
+
+    def _write_timeout_ms(self) -> float:
+        """Return how long the client may take nothing: until it expects none of its answers any more."""
+        deadlines = [entry.submission.deadline_ms for _, entry in self.unread_answers if entry is not None]
+        deadlines += [entry.submission.deadline_ms for entry in self.open_queries.values()]
+        return max(MIN_WRITE_TIMEOUT_MS, max(deadlines, default=0.0) - self.frontend.loop.now())
+
+    # Closing.
+
+    def close(self) -> None:
+        """Answer what is open, and close once the answers are taken; nothing more is taken in."""
+        if self.is_closing:
+            return
+        self.is_closing = True
+        self._drop_partial()
+        for entry in list(self.open_queries.values()):
+            self.frontend.driver.give_up(entry, "its connection is being closed")
+        if not self.unread_answers:
+            self.shut_down()
+
+    def shut_down(self) -> None:
+        """Close our sending side and linger, though some of its answers may not be taken yet."""
+        if not self.is_closed:
+            self._mark_closed()
+            self.stream.half_close()
+            self.frontend.linger(self)
+
+    def _drop_partial(self) -> None:
+        self.frontend.partial_bytes -= self.partial_bytes
+        self.partial_bytes, self.reader = 0, msgrpc.MessageReader()
+        self.frontend.places.sent(self, self.frontend.loop.now(), False)
+
+    def _mark_closed(self) -> None:
+        if self.is_closed:
+            return
+        self.is_closing = self.is_closed = True
+        self._drop_partial()
+        self.frontend.places.left(self)
+        for entry in list(self.open_queries.values()):
+            self.frontend.open_query_ids.discard(entry.submission.engine_id)
+            self.frontend.driver.leave(entry, "its client has closed the connection")
+        self.open_queries.clear()
+        self.unread_answers.clear()
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -1,7 +1,8 @@
-"""What the platform tells a controller: the JSON file into the module's settings and the program's own.
+"""Reads the platform's configuration file (JSON) into the policy's settings and the controller's own.
 
-The settings have the names and units of the bench's wire, so the adapter's reader reads them: the nested
-object is laid flat into its pairs.
+`lifecycle` reads it at start and at each SIGHUP. The settings have the names and units of the simulator's
+wire, so the adapter's reader reads them: the nested object is flattened into its pairs first. Whatever is
+wrong raises `ConfigError`, which names the field as it stands in the file; nothing is applied in part.
 """
 
 import json
@@ -13,13 +14,15 @@
 from fennelwind import policy
 from fennelwind.adapter import Fields, WireError, read_settings
 from fennelwind.loop.streams import Address, parse_address
-from fennelwind.node.endpoint_watch import as_figure, as_text, as_whole, read_list, shown
-
-FILE_MOST = 16_000_000  # letters of the file; it holds hundreds of executors at most
-SOCKETS_LEAST = 16  # descriptors; fewer hold no listener, log, channel, client and executor beside each other
-MISSING = object()
-# The names of the module's own checks in the file; those of a class have their place in the list before them.
-CHECKED = {
+from fennelwind.node.endpoint_events import read_list
+from fennelwind.node.json_fields import JsonValueError, read_count, read_figure, read_text, shown
+
+MAX_FILE_LENGTH = 16_000_000  # letters of the file; it holds hundreds of executors at most
+MIN_DESCRIPTORS = 16  # fewer hold no listener, log, channel, client and executor beside each other
+MIN_POSITIVE = 1e-300  # the smallest figure that counts as above zero
+REQUIRED = object()  # the default of a field without one
+# The file's fields by the names that the policy's checks report; a class's field has its index before it.
+SETTING_FIELDS = {
     "classes": "Grades",
     "gateway_count": "Balancers",
     "max_attempts": "Ceilings.MaxAttempts",
@@ -38,7 +41,7 @@
     "answer_slack_ms": "Rules.AnswerSlackMs",
     "threads": "FamilyInfo.WidthByClass",
 }
-CHECKED_OF_CLASS = {
+CLASS_SETTING_FIELDS = {
     "latency_objective_ms": "AimMs",
     "client_timeout_ms": "GiveUpMs",
     "priority_weight": "Points",
@@ -46,12 +49,21 @@
 
 
 class ConfigError(Exception):
-    """The file can't be used; the text says why."""
+    """The file can't be used; the text says which field and why."""
+
+
+@dataclass(slots=True, frozen=True)
+class ConnectionSettings:
+    """The settings that the policy does not read: connections to executors and the bound of open queries."""
+
+    executor_idle_timeout_ms: float  # executors close idle connections after this time
+    connect_timeout_ms: float  # a connection that is not established in this time won't be
+    max_open_queries: int
 
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """One reading of the file."""
+    """The contents of one file."""
 
     name: str
     listen: Address
@@ -59,21 +71,22 @@
     seed: int
     cores: float
     memory_mb: float
-    sockets: int
+    max_descriptors: int
     settings: policy.Settings
-    classes: dict[str, int]
+    connections: ConnectionSettings
+    classes: dict[str, int]  # places in the settings by name, and so the next three
     tenants: dict[str, int]
     zones: dict[str, int]
-    kinds: dict[str, int]
-    idle_ms: float  # idle connections to executors are closed by them after this time
-    dial_ms: float  # a connection that is not there in this time won't come
-    most_open: int
-    cursor: int
-    events: tuple[dict[str, Any], ...]  # of the command channel, up to now
+    machine_types: dict[str, int]
+    known_cursor: int
+    known_events: tuple[dict[str, Any], ...]  # the command channel's, up to now
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Lay a nested object flat, as the wire does: lists of plain values with commas, others with a count."""
+    """Flatten a nested object as the simulator's wire does.
+
+    Lists of plain values are joined by commas, others have a count and an index in their fields' paths.
+    """
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
         for name, inner in value.items():
@@ -82,8 +95,8 @@
     if isinstance(value, list):
         if any(isinstance(inner, dict) for inner in value):
             pairs = {f"{path}.count": str(len(value))}
-            for place, inner in enumerate(value):
-                pairs |= flatten(inner, f"{path}.{place}")
+            for index, inner in enumerate(value):
+                pairs |= flatten(inner, f"{path}.{index}")
             return pairs
         return {path: ",".join(_plain(inner) for inner in value)}
     return {} if value is None else {path: _plain(value)}
@@ -95,11 +108,11 @@
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def _get(holder: dict[str, Any], path: str, read: Callable[[Any], Any], default: Any = MISSING) -> Any:
-    """Return the field at the end of the path, read as told; absent ones take the default if there is one."""
-    value = holder.get(path.rpartition(".")[2])
+def _get(parent: dict[str, Any], path: str, read: Callable[[Any], Any], default: Any = REQUIRED) -> Any:
+    """Return the field at the end of the path; an absent one takes the default. Raises `ConfigError`."""
+    value = parent.get(path.rpartition(".")[2])
     if value is None:
-        if default is MISSING:
+        if default is REQUIRED:
             raise ConfigError(f"{path} is missing")
         return default
     try:
@@ -108,107 +121,111 @@
         raise ConfigError(f"{path} can't be used: {shown(value)}") from None
 
 
-def _as_object(value: Any) -> dict[str, Any]:
+def _read_object(value: Any) -> dict[str, Any]:
     if not isinstance(value, dict):
-        raise ValueError(value)
+        raise JsonValueError(value)
     return value
 
 
-def _as_list(value: Any) -> list[Any]:
+def _read_items(value: Any) -> list[Any]:
     if not isinstance(value, list):
-        raise ValueError(value)
+        raise JsonValueError(value)
     return value
 
 
-def _above_zero(value: Any) -> float:
-    if not as_figure(value):
-        raise ValueError(value)
+def _read_positive(value: Any) -> float:
+    if not read_figure(value):
+        raise JsonValueError(value)
     return float(value)
 
 
-def _descriptors(value: Any) -> int:
-    if as_whole(value) < SOCKETS_LEAST:
-        raise ValueError(value)
+def _read_descriptors(value: Any) -> int:
+    if read_count(value) < MIN_DESCRIPTORS:
+        raise JsonValueError(value)
     return int(value)
 
 
-def _names(settings: dict[str, Any], field: str) -> dict[str, int]:
-    """Return the places of the named things of a list, by their names as clients and events say them."""
+def _read_names(settings: dict[str, Any], field: str) -> dict[str, int]:
+    """Return the places of a list's items by name; clients and events use the names."""
     names: dict[str, int] = {}
-    for place, entry in enumerate(_get(settings, f"settings.{field}", _as_list, [])):
-        path = f"settings.{field}[{place}]"
+    for index, entry in enumerate(_get(settings, f"settings.{field}", _read_items, [])):
+        path = f"settings.{field}[{index}]"
         if isinstance(entry, dict):
             path += ".Name"
-            name = _get(entry, path, as_text)
+            name = _get(entry, path, read_text)
         elif entry is None or isinstance(entry, list):
             raise ConfigError(f"{path} can't be used: {shown(entry)}")
         else:
             name = str(entry)
         if name in names:
             raise ConfigError(f"{path}: {shown(name)} is there twice")
-        names[name] = place
+        names[name] = index
     return names
 
 
-def _in_file(field: str) -> str:
-    """Return the path in the file of a field laid flat."""
+def _path_in_file(field: str) -> str:
+    """Return the path in the file of a flattened field."""
     return "settings." + re.sub(r"\.(\d+)(?=\.|$)", r"[\1]", field).removesuffix(".count")
 
 
-def _settings(pairs: dict[str, str]) -> tuple[policy.Settings, float, float, int]:
-    """Return the module's settings, and of the program's own those on idle, new and open connections."""
+def _read_policy_settings(pairs: dict[str, str]) -> tuple[policy.Settings, ConnectionSettings]:
+    """Return the policy's settings and those on connections. Raises `ConfigError`."""
     fields = Fields("settings", [f"{name}={value}" for name, value in pairs.items()])
     try:
         settings = read_settings(fields)
-        return (
-            settings,
-            fields.get("Ceilings.ConnIdleMs", _positive, 15000.0),
-            fields.get("Ceilings.DialTimeoutMs", _positive, 250.0),
-            fields.get("Ceilings.MaxOpen", lambda text: as_whole(_positive(text)), 20000),
+        connections = ConnectionSettings(
+            executor_idle_timeout_ms=fields.get("Ceilings.ConnIdleMs", _parse_positive, 15000.0),
+            connect_timeout_ms=fields.get("Ceilings.DialTimeoutMs", _parse_positive, 250.0),
+            max_open_queries=fields.get(
+                "Ceilings.MaxOpen", lambda text: read_count(_parse_positive(text)), 20000
+            ),
         )
+        return settings, connections
     except WireError as exc:
         found = re.search(r"field (\S+) (.+)", str(exc))
-        raise ConfigError(f"{_in_file(found[1])} {found[2]}" if found is not None else str(exc)) from None
+        raise ConfigError(
+            f"{_path_in_file(found[1])} {found[2]}" if found is not None else str(exc)
+        ) from None
     except ValueError as exc:  # it can be read, but no decision can be built on it
         found = re.fullmatch(r"setting (\w+) is unusable", str(exc))
         name = found[1] if found is not None else ""
-        if name in CHECKED_OF_CLASS:
-            raise ConfigError(f"{_class_field(pairs, name)} can't be used") from None
-        raise ConfigError(f"settings.{CHECKED.get(name, name)} can't be used: {exc}") from None
+        if name in CLASS_SETTING_FIELDS:
+            raise ConfigError(f"{_rejected_class_field(pairs, name)} can't be used") from None
+        raise ConfigError(f"settings.{SETTING_FIELDS.get(name, name)} can't be used: {exc}") from None
 
 
-def _positive(text: str) -> float:
-    return _above_zero(float(text))
+def _parse_positive(text: str) -> float:
+    return _read_positive(float(text))
 
 
-def _class_field(pairs: dict[str, str], name: str) -> str:
-    """Return the path of the first class's field that the module's check of that name refuses."""
-    field, least = CHECKED_OF_CLASS[name], 0.0 if name == "priority_weight" else 1e-300
+def _rejected_class_field(pairs: dict[str, str], name: str) -> str:
+    """Return the path of the first class's field that the policy's check of that name rejects."""
+    field, minimum = CLASS_SETTING_FIELDS[name], 0.0 if name == "priority_weight" else MIN_POSITIVE
     return next(
-        _in_file(flat)
+        _path_in_file(flat)
         for flat, text in pairs.items()
-        if re.fullmatch(rf"Grades\.\d+\.{field}", flat) and float(text) < least
+        if re.fullmatch(rf"Grades\.\d+\.{field}", flat) and float(text) < minimum
     )
 
 
-def _events(
-    known: dict[str, Any], zones: dict[str, int], kinds: dict[str, int]
+def _read_known_events(
+    known: dict[str, Any], zones: dict[str, int], machine_types: dict[str, int]
 ) -> tuple[dict[str, Any], ...]:
-    """Return the events, of which all can be read; who is in a zone unknown here is left out when taken."""
-    events = _get(known, "known.cmds", _as_list, [])
-    for place, event in enumerate(events):
-        path = f"known.cmds[{place}]"
+    """Return the events; endpoints in an unknown zone are left out when they are applied."""
+    events = _get(known, "known.cmds", _read_items, [])
+    for index, event in enumerate(events):
+        path = f"known.cmds[{index}]"
         if not isinstance(event, dict):
             raise ConfigError(f"{path} can't be used: {shown(event)}")
-        _get(event, f"{path}.cursor", as_whole)
-        for wrong in read_list(event, zones, kinds).wrong:
-            raise ConfigError(f"{path}.{wrong} can't be used")
+        _get(event, f"{path}.cursor", read_count)
+        for problem in read_list(event, zones, machine_types).problems:
+            raise ConfigError(f"{path}.{problem} can't be used")
     return tuple(events)
 
 
 def read_config(text: str) -> NodeConfig:
     """Read the file's text. Raises `ConfigError`, which names the field."""
-    if len(text) > FILE_MOST:
+    if len(text) > MAX_FILE_LENGTH:
         raise ConfigError("the file is too large")
     try:
         return _read(json.loads(text))
@@ -218,29 +235,27 @@
         raise ConfigError(f"the file is no JSON: {exc}") from None
 
 
-def _read(told: Any) -> NodeConfig:
-    if not isinstance(told, dict):
-        raise ConfigError(f"the file holds no object: {shown(told)}")
-    stated, limits = _get(told, "settings", _as_object), _get(told, "limits", _as_object)
-    known = _get(told, "known", _as_object, {})
-    settings, idle_ms, dial_ms, most_open = _settings(flatten(stated))
-    zones, kinds = _names(stated, "Zones"), _names(stated, "Kinds")
+def _read(document: Any) -> NodeConfig:
+    if not isinstance(document, dict):
+        raise ConfigError(f"the file holds no object: {shown(document)}")
+    settings_object, limits = _get(document, "settings", _read_object), _get(document, "limits", _read_object)
+    known = _get(document, "known", _read_object, {})
+    settings, connections = _read_policy_settings(flatten(settings_object))
+    zones, machine_types = _read_names(settings_object, "Zones"), _read_names(settings_object, "Kinds")
     return NodeConfig(
-        name=_get(told, "name", as_text),
-        listen=_get(told, "listen", parse_address),
-        channel=_get(told, "channel", parse_address),
-        seed=_get(told, "seed", lambda seed: int(str(seed), 16)),
-        cores=_get(limits, "limits.cores", _above_zero, 1.0),
-        memory_mb=_get(limits, "limits.memory_mb", _above_zero),
-        sockets=_get(limits, "limits.sockets", _descriptors),
+        name=_get(document, "name", read_text),
+        listen=_get(document, "listen", parse_address),
+        channel=_get(document, "channel", parse_address),
+        seed=_get(document, "seed", lambda seed: int(str(seed), 16)),
+        cores=_get(limits, "limits.cores", _read_positive, 1.0),
+        memory_mb=_get(limits, "limits.memory_mb", _read_positive),
+        max_descriptors=_get(limits, "limits.sockets", _read_descriptors),
         settings=settings,
-        classes=_names(stated, "Grades"),
-        tenants=_names(stated, "Projects"),
+        connections=connections,
+        classes=_read_names(settings_object, "Grades"),
+        tenants=_read_names(settings_object, "Projects"),
         zones=zones,
-        kinds=kinds,
-        idle_ms=idle_ms,
-        dial_ms=dial_ms,
-        most_open=most_open,
-        cursor=_get(known, "known.cursor", as_whole, 0),
-        events=_events(known, zones, kinds),
+        machine_types=machine_types,
+        known_cursor=_get(known, "known.cursor", read_count, 0),
+        known_events=_read_known_events(known, zones, machine_types),
     )
--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -1,4 +1,4 @@
-"""What a controller believes of its executors beside what is on its sockets. No I/O and no clock.
+"""The policy's view of the executors beside the attempts that are in flight. No I/O and no clock.
 
 The two are counted apart: the policy counts attempts by its own events, the executor client those under
 way. Where they differ for longer than a turn, decisions rest on a load that is not there.
@@ -7,31 +7,35 @@
 from dataclasses import dataclass
 
 from fennelwind.node.executor_client import ExecutorClient
+from fennelwind.policy import AttemptStatus
 from fennelwind.policy.gateway import Gateway
 
+# Ends of attempts that say nothing of the executor.
+NOT_FAILED = (AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED)
+
 
 @dataclass(slots=True, frozen=True)
-class Row:
+class ExecutorView:
     """One executor as both sides see it."""
 
     engine: str
-    state: str  # as the module has it listed
-    believed: int  # attempts out, by the module
-    running: int  # attempts under way, by the executor client
-    lag: float  # times the best, as the module judges it now
-    suspect: bool
-    answers: int  # attempts that ended well since the last look
-    others: int  # and those that did not; called off ones are not counted
+    state: str  # as the policy has it listed
+    policy_count: int  # attempts in flight, by the policy
+    in_flight_count: int  # attempts in flight, by the executor client
+    slowdown: float  # multiple of the baseline slowdown, by the policy
+    is_outlier: bool
+    succeeded: int  # attempts that succeeded since the last report
+    failed: int  # and those that did not; cancelled ones are not counted
 
     def __str__(self) -> str:
-        judged = f"{self.state} suspect" if self.suspect else self.state
+        state = f"{self.state} outlier" if self.is_outlier else self.state
         return (
-            f"{self.engine} {judged} {self.believed}/{self.running} lag {self.lag:.1f} ok {self.answers}"
-            f" bad {self.others}"
+            f"{self.engine} {state} {self.policy_count}/{self.in_flight_count} slowdown {self.slowdown:.1f}"
+            f" ok {self.succeeded} bad {self.failed}"
         )
 
 
-def compare(gateway: Gateway, client: ExecutorClient) -> list[Row]:
+def compare(gateway: Gateway, client: ExecutorClient) -> list[ExecutorView]:
     """Return a row for each executor that either side knows; the client's counts of ends begin anew."""
     running = client.in_flight.count_by_executor()
     rows = []
@@ -40,17 +44,17 @@
         ended = dict(executor.ended_attempts) if executor is not None else {}
         if executor is not None:
             executor.ended_attempts.clear()
-        good = ended.pop("ok", 0)
+        succeeded = ended.pop(AttemptStatus.OK, 0)
         rows.append(
-            Row(
+            ExecutorView(
                 name,
                 engine.entry.state if engine is not None else "unknown",
                 len(engine.out) if engine is not None else 0,
                 running.get(name, 0),
                 engine.lag_now if engine is not None else 0.0,
                 engine is not None and engine.suspect,
-                good,
-                sum(count for status, count in ended.items() if status not in ("cancelled", "moot")),
+                succeeded,
+                sum(count for status, count in ended.items() if status not in NOT_FAILED),
             )
         )
     return rows
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -1,411 +1,257 @@
-"""The command channel: the list of executors, by server-sent events, resumed by number.
+"""Follows the command channel: the list of executors, by server-sent events, resumed by number.
 
-A stream that ends, breaks or brings what can't be read is given up, and asked for anew at once with the last
-number that was taken whole. Beside one that is silent for a little over the period of its comments another is
-asked for, since the channel may be slow; whichever brings something first is followed on. What an event with
-something wrong tells of drains holds from then on, and no earlier number undoes it.
+A connection that ends, breaks or brings what can't be read is given up, and its events are asked for anew at
+once, after the last number that was applied. Beside a connection that is silent for a little over the period
+of its comments another is opened, since the channel may be slow; whichever brings something first is followed
+on. The drains of a damaged event hold from then on (`endpoint_list`). `lifecycle` starts the watch, applies
+the events that the configuration holds, and moves it to another address at a reload.
 """
 
-import json
-import reprlib
 from collections import Counter
 from collections.abc import Callable
-from dataclasses import dataclass, replace
-from typing import Any
+from enum import StrEnum
+from typing import Any, Protocol, cast
 
-from fennelwind import policy
 from fennelwind.loop.scheduler import Loop, Waiter
-from fennelwind.loop.streams import Address, parse_address
+from fennelwind.loop.streams import Address
+from fennelwind.node.endpoint_events import (
+    EndpointListEvent,
+    NumberedEvent,
+    parse_event,
+    read_cursor,
+    read_list,
+)
+from fennelwind.node.endpoint_list import EndpointList
 from fennelwind.node.executor_pool import ExecutorPool
 from fennelwind.node.http1 import MalformedResponseError, ServerEvent
-from fennelwind.node.start_times import StartTimes
-from fennelwind.node.watch_connection import Watch
+from fennelwind.node.watch_connection import WatchConnection
+from fennelwind.policy import Event, ListForm
 
-WATCHES_MOST = 3  # at a time; one that is slow has so many times the time of a silent one to answer
-PAUSE_MS, PAUSE_MOST_MS = 25.0, 400.0  # ms between tries that fail, doubled up to the most
-LASTED_MS = 1000.0  # ms, the comments' period; a connection that lasted so long has not failed
-AGAIN_MOST = 3  # times that what is wrong in the events is asked for again; then what can be read counts
-AHEAD_MOST = 1000  # numbers that a whole list, or a drain, may be ahead; beyond it the number seems spoilt
-NUMBER_MOST = 1e300  # beyond it, as for infinity, a figure is none
-SHOWN_MOST = 60  # letters of what can't be read that a message shows
-TOLD_MOST = 3  # things wrong in one event that the log tells
-STATES = {"in_service": "ready", "terminating": "draining", "terminated": "gone"}
+MAX_CONNECTIONS = 3  # at a time; one that is slow has so many times the time of a silent one to answer
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between attempts that fail, doubled up to the maximum
+STABLE_MS = 1000.0  # ms, the comments' period; a connection that lasted so long has not failed
+MAX_RETRIES = 3  # times that a damaged event is asked for again; then what can be read of it is applied
+MAX_AHEAD = 1000  # numbers that a full list, or a drain, may be ahead; beyond it the number seems damaged
+MAX_LOGGED = 3  # problems of one event that the log names
 
 
-class Unreadable(Exception):
-    """A field that can't be read."""
-
-
-class Unknown(Unreadable):
-    """A field in order that names what the settings or the protocol don't."""
-
-
-@dataclass(slots=True, frozen=True)
-class Line:
-    """What an event says of one executor; no entry if only its name and, perhaps, its state can be read."""
-
-    name: str
-    state: str  # "" if unknown
-    entry: policy.EngineEndpoint | None = None
-    address: Address | None = None
-
-
-@dataclass(slots=True, frozen=True)
-class Listed:
-    """An event's list of executors, as far as it can be read."""
-
-    full: bool = False  # who is not in it has gone
-    lines: tuple[Line, ...] = ()
-    wrong: tuple[str, ...] = ()  # fields that can't be read, by their paths
-    unknown: tuple[str, ...] = ()  # fields that name an unknown zone, machine type or state
-
-
-def as_whole(value: Any) -> int:
-    """Return a count or number of JSON. Raises `ValueError`."""
-    if type(value) not in (int, float) or not 0 <= value < NUMBER_MOST or value != int(value):
-        raise ValueError(value)
-    return int(value)
-
-
-def as_figure(value: Any) -> float:
-    """Return a figure of JSON that is not negative. Raises `ValueError`."""
-    if type(value) not in (int, float) or not 0 <= value < NUMBER_MOST:
-        raise ValueError(value)
-    return float(value)
-
-
-def as_text(value: Any) -> str:
-    """Return a text of JSON that is not empty and was UTF-8. Raises `ValueError`."""
-    if not isinstance(value, str) or not value or "\ufffd" in value:
-        raise ValueError(value)
-    return value
-
-
-def shown(value: Any) -> str:
-    """Return the beginning of a value of JSON, however deep it is, for a message."""
-    return reprlib.repr(value)[:SHOWN_MOST]
-
-
-def _get(one: dict[str, Any], field: str, read: Callable[[Any], Any], default: Any = None) -> Any:
-    value = one.get(field)
-    if value is None and default is not None:
-        return default
-    try:
-        return read(value)
-    except ValueError:
-        raise Unreadable(f"{field}: {shown(value)}") from None
-    except KeyError:
-        raise Unknown(f"{field}: {shown(value)}") from None
-
-
-def _named(table: dict[str, Any]) -> Callable[[Any], Any]:
-    return lambda value: table[as_text(value)]
-
-
-def _read_line(
-    one: dict[str, Any],
-    name: str,
-    state: str,
-    zones: dict[str, int],
-    kinds: dict[str, int],
-    launched: Callable[[str, float], float],
-) -> Line:
-    started = _get(one, "startedAtMs", as_figure, 0.0)
-    entry = policy.EngineEndpoint(
-        engine=name,
-        state=state,
-        zone=_get(one, "zone", _named(zones)),
-        kind=_get(one, "machineType", _named(kinds)),
-        cell=_get(one, "cell", as_whole, 0),
-        weight=_get(one, "weight", as_figure, 1.0),
-        started_ms=launched(name, started),
-    )
-    return Line(name, state, entry, _get(one, "hostPort", lambda at: parse_address(as_text(at))))
-
-
-def read_list(
-    told: Any,
-    zones: dict[str, int],
-    kinds: dict[str, int],
-    launched: Callable[[str, float], float] = lambda _, started: started,
-) -> Listed:
-    """Read an event's list; an event without one is none of ours. Raises nothing.
-
-    `launched` turns an executor's start as told into one of the caller's clock.
-    """
-    if not isinstance(told, dict):
-        return Listed(wrong=("no object",))
-    nodes = told.get("nodes")
-    if nodes is None:
-        return Listed()
-    if not isinstance(nodes, dict):
-        return Listed(wrong=("nodes: no object",))
-    reset, instances = nodes.get("reset"), nodes.get("instances")
-    if reset not in (None, True, False):
-        return Listed(wrong=(f"nodes.reset: {shown(reset)}",))
-    if instances is None and not reset:
-        return Listed()
-    if not isinstance(instances, list):
-        return Listed(wrong=(f"nodes.instances: {shown(instances)}",))
-    wrong: list[str] = []
-    unknown: list[str] = []
-    lines: list[Line] = []
-    for place, one in enumerate(instances):
-        name = state = ""
-        try:
-            if not isinstance(one, dict):
-                raise Unreadable(shown(one))
-            name = _get(one, "instanceId", as_text)
-            state = _get(one, "lifecycle", _named(STATES))
-            lines.append(_read_line(one, name, state, zones, kinds, launched))
-        except Unreadable as exc:
-            if state != "gone":  # of which nothing more is needed
-                told = unknown if isinstance(exc, Unknown) else wrong
-                told.append(f"nodes.instances[{place}]{'.' if isinstance(one, dict) else ': '}{exc}")
-            if name:
-                lines.append(Line(name, state))
-    # Where a line names nobody, nobody can be told to be missing.
-    return Listed(bool(reset) and len(lines) == len(instances), tuple(lines), tuple(wrong), tuple(unknown))
-
-
-def read_event(event: ServerEvent) -> tuple[int | None, Any, str]:
-    """Return an event's number, if it can be read, what it holds, and what is wrong about either."""
-    try:
-        told = json.loads(event.data)
-    except (ValueError, RecursionError):
-        return event.number, None, "no JSON"
-    stated = told.get("cursor") if isinstance(told, dict) else None
-    if stated is None:
-        return event.number, told, "" if event.number is not None else "no number"
-    try:
-        stated = as_whole(stated)
-    except ValueError:
-        return event.number, told, f"cursor: {shown(stated)}"
-    if event.number is None or event.number == stated:
-        return stated, told, ""
-    return min(event.number, stated), told, f"its cursor is {stated}"
-
-
-class Channel:
-    """Follows the command channel and hands its lists on."""
+class WallClock(Protocol):
+    """The part of a loop that knows the time of day."""
+
+    def wall(self) -> float:
+        """Return the seconds since 1970."""
+
+
+class EventFault(StrEnum):
+    """Why an event is asked for again."""
+
+    UNREADABLE = "unreadable"
+    GAP = "gap"  # events before it are missing
+
+
+class MalformedEventError(MalformedResponseError):
+    """An event that is to be asked for again."""
+
+    def __init__(self, number: int | None, cursor: int, problem: str) -> None:
+        super().__init__(f"event {number} after {cursor}: {problem}")
+        self.number, self.cursor, self.problem = number, cursor, problem
+
+
+class EndpointWatch:
+    """Follows the command channel and applies its events."""
 
     def __init__(
         self,
         loop: Loop,
         address: Address,
-        executor_pool: ExecutorPool,
+        pool: ExecutorPool,
         *,
         zones: dict[str, int],
-        kinds: dict[str, int],
-        post: Callable[[policy.Event], None],
-        said: Callable[[str], None],
+        machine_types: dict[str, int],
+        post: Callable[[Event], None],
+        log_message: Callable[[str], None],
     ) -> None:
-        self.loop, self.address, self.executor_pool = loop, address, executor_pool
-        self.zones, self.kinds, self.post, self.said = zones, kinds, post, said
-        self.cursor = 0
+        """Prepare; zones and machine types are their places in the settings, `post` takes policy events."""
+        self.loop, self.address = loop, address
+        self.zones, self.machine_types, self.log_message = zones, machine_types, log_message
+        self.endpoints = EndpointList(pool, post)
+        self.cursor = 0  # number of the last event that was applied
         self.counts: Counter[str] = Counter()
-        self._starts = StartTimes()
-        self._in_touch: float | None = None  # when a comment was last heard; None before it is followed
-        self._watches: list[Watch] = []  # those under way; the newest is the last
-        self._pause: Waiter | None = None
-        self._entries: dict[str, policy.EngineEndpoint] = {}  # the list as it was told last
-        self._ahead: dict[str, int] = {}  # executors told to drain or gone by a number not yet taken whole
-        self._again: Counter[str] = Counter()  # times asked again, by what was wrong, since one was in order
+        self._last_comment_ms: float | None = None  # None before the channel is followed
+        self._connections: list[WatchConnection] = []  # those under way; the newest is the last
+        self._waiter: Waiter | None = None
+        self._retries: Counter[EventFault] = Counter()  # since an event was in order
 
     def start(self) -> None:
         """Start to follow."""
-        self._in_touch = self.loop.now()
+        self._last_comment_ms = self.loop.now()
         self.loop.spawn(self._follow, name="channel")
 
-    def take_known(self, cursor: int, events: tuple[dict[str, Any], ...], form: str = "cached") -> None:
-        """Take the events that the configuration tells, as far as they are news.
+    def apply_known(
+        self, cursor: int, events: tuple[dict[str, Any], ...], form: ListForm = ListForm.CACHED
+    ) -> None:
+        """Apply the configuration's events, as far as they are new.
 
-        While it runs, the command channel tells itself what is missing before them.
+        While the watch runs, the command channel itself brings what is missing before them.
         """
-        first = form == "cached"
-        for event in events:
-            number = as_whole(event["cursor"])
+        is_first = form == ListForm.CACHED
+        for body in events:
+            number = read_cursor(body)
             if number <= self.cursor:
                 continue
-            if not first and number > self.cursor + 1:
-                listed = self._listed(event)
-                if not listed.full:
-                    self.said(f"command channel: known event {number} after {self.cursor}")
-                    self._hold(listed, number)
+            if not is_first and number > self.cursor + 1:
+                event = self._read_list(body)
+                if not event.is_full:
+                    self.log_message(f"command channel: known event {number} after {self.cursor}")
+                    self._hold_drains(event, number)
                     return
-            self._take(event, form)
-            self.cursor, form = number, "full"
-        if first and events:
+            self._apply_known_event(body, form)
+            self.cursor, form = number, ListForm.FULL
+        if is_first and events:
             self.cursor = max(self.cursor, cursor)
 
+    def _apply_known_event(self, body: dict[str, Any], form: ListForm) -> None:
+        self.endpoints.apply(self._read_list(body), read_cursor(body), form)
+
     def move(self, address: Address) -> None:
         """Follow the channel at another address from now on; the numbers go on."""
         self.address = address
-        for watch in self._watches:
-            watch.abort()
-        if self._pause is not None:
-            self._pause.wake()
+        for connection in self._connections:
+            connection.abort()
+        self._wake()
+
+    # Connections.
 
     def _follow(self) -> None:
-        pause, address = PAUSE_MS, self.address
+        backoff_ms, address = MIN_BACKOFF_MS, self.address
         while True:
             if address != self.address:
-                pause, address = PAUSE_MS, self.address
-            cursor, began = self.cursor, self.loop.now()
-            self._watch_one_of(address)
-            if self.cursor > cursor or self.loop.now() - began >= LASTED_MS:
-                pause = PAUSE_MS
+                backoff_ms, address = MIN_BACKOFF_MS, self.address
+            cursor, began_ms = self.cursor, self.loop.now()
+            self._follow_until_ended(address)
+            if self.cursor > cursor or self.loop.now() - began_ms >= STABLE_MS:
+                backoff_ms = MIN_BACKOFF_MS
                 continue
             if address != self.address:
                 continue
-            self._rest_until(self.loop.now() + pause)
-            pause = min(2 * pause, PAUSE_MOST_MS)
-
-    def _rest_until(self, at: float) -> None:
-        """Wait until the time, or until there is news of a watch or of the address."""
-        self._pause = Waiter(self.loop)
-        timer = self.loop.at(at, self._pause.wake)
-        self._pause.wait()
+            self._wait_until(self.loop.now() + backoff_ms)
+            backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
+
+    def _wait_until(self, due_ms: float) -> None:
+        """Wait until the time, or until something comes of a connection or the address changes."""
+        waiter = self._waiter = Waiter(self.loop)
+
+        def wake() -> None:
+            waiter.wake()
+
+        timer = self.loop.at(due_ms, wake)
+        waiter.wait()
         timer.cancel()
-        self._pause = None
+        self._waiter = None
 
-    def _watch_one_of(self, address: Address) -> None:
-        """Watch until no watch is left, or the address is another.
+    def _wake(self) -> None:
+        if self._waiter is not None:
+            self._waiter.wake()
 
-        Beside a watch that is silent another one is begun, as the channel may be slow or this one dead; the
-        first that brings something is followed on alone.
+    def _follow_until_ended(self, address: Address) -> None:
+        """Follow until no connection is left, or the address changes.
+
+        Beside a connection that is silent another one is opened, as the channel may be slow or this one dead:
+        a cut connection shows as silence only. The first that brings something is followed on alone.
         """
-        self._watches = [self._begin(address)]
-        began = self.loop.now()
-        while self._watches and address == self.address:
-            next_at = max(self._watches[-1].silent_from(), began + PAUSE_MOST_MS)
-            self._rest_until(next_at)
-            self._watches = [watch for watch in self._watches if not watch.ended]
-            spoken = [watch for watch in self._watches if watch.spoke_ms >= began]
-            if spoken and len(self._watches) > 1:
-                self._keep(spoken[-1:])
-            elif self._watches and self.loop.now() >= max(next_at, self._watches[-1].silent_from()):
+        self._connections = [self._open(address)]
+        began_ms = self.loop.now()
+        while self._connections and address == self.address:
+            next_open_ms = max(self._connections[-1].silent_from_ms(), began_ms + MAX_BACKOFF_MS)
+            self._wait_until(next_open_ms)
+            self._connections = [each for each in self._connections if not each.has_ended]
+            active = [each for each in self._connections if each.last_event_ms >= began_ms]
+            if active and len(self._connections) > 1:
+                self._keep_only(active[-1:])
+            elif self._is_silent(next_open_ms):
                 self.counts["silences"] += 1
-                self._keep(self._watches[1 - WATCHES_MOST :])
-                self._watches.append(self._begin(address))
-                began = self.loop.now()
-        self._keep([])
+                self._keep_only(self._connections[1 - MAX_CONNECTIONS :])
+                self._connections.append(self._open(address))
+                began_ms = self.loop.now()
+        self._keep_only([])
+
+    def _is_silent(self, next_open_ms: float) -> bool:
+        if not self._connections:
+            return False
+        return self.loop.now() >= max(next_open_ms, self._connections[-1].silent_from_ms())
 
-    def _begin(self, address: Address) -> Watch:
+    def _open(self, address: Address) -> WatchConnection:
         self.counts["asked"] += 1
-        return Watch(self.loop, address, lambda: self.cursor, self._event, self._heard)
-
-    def _keep(self, watches: list[Watch]) -> None:
-        for watch in self._watches:
-            if watch not in watches:
-                watch.abort()
-        self._watches = watches
-
-    def _heard(self, watch: Watch) -> None:
-        """Take news of a watch: something came, or it has ended."""
-        if watch.error is not None:
-            self.said(f"command channel at {watch.address}: {type(watch.error).__name__}: {watch.error}")
-        if self._pause is not None:
-            self._pause.wake()
-
-    def _event(self, event: ServerEvent) -> None:
-        """Take an event that is news. Raises `MalformedResponseError` if it is to be asked for again."""
+        return WatchConnection(self.loop, address, self)
+
+    def _keep_only(self, connections: list[WatchConnection]) -> None:
+        for connection in self._connections:
+            if connection not in connections:
+                connection.abort()
+        self._connections = connections
+
+    def connection_progressed(self, connection: WatchConnection) -> None:
+        """Take note that something came on a connection, or that it has ended."""
+        error = connection.error
+        if error is not None:
+            self.log_message(f"command channel at {connection.address}: {type(error).__name__}: {error}")
+        self._wake()
+
+    # Events.
+
+    def take_event(self, event: ServerEvent) -> None:
+        """Apply an event if it is new. Raises `MalformedEventError` if it is to be asked for again."""
         if not event.data:
             self.counts["comments"] += 1
-            self._in_touch = self.loop.now()
+            self._last_comment_ms = self.loop.now()
             return
         self.counts["events"] += 1
-        number, told, wrong = read_event(event)
-        if number is not None and number <= self.cursor:
+        numbered = parse_event(event)
+        if numbered.number is not None and numbered.number <= self.cursor:
             self.counts["repeats"] += 1
             return
-        listed = self._listed(told)
-        wrong, kind = wrong or ", ".join(listed.wrong[:TOLD_MOST]), "form"
-        if number is not None and number > self.cursor + (AHEAD_MOST if listed.full else 1):
+        self._apply_or_retry(numbered, self._read_list(numbered.body))
+
+    def _apply_or_retry(self, numbered: NumberedEvent, event: EndpointListEvent) -> None:
+        """Apply an event in order; a damaged one only after it was asked for `MAX_RETRIES` times.
+
+        A damaged event that is applied at once would lose what can't be read; one that is asked for for ever
+        would stop the list.
+        """
+        number = numbered.number
+        problem = numbered.problem or ", ".join(event.problems[:MAX_LOGGED])
+        fault = EventFault.UNREADABLE
+        if number is not None and number > self.cursor + (MAX_AHEAD if event.is_full else 1):
             self.counts["gaps"] += 1
-            wrong, kind = wrong or "gap", "gap"
-        if not wrong:
-            self._again.clear()
-        elif self._again[kind] < AGAIN_MOST:
-            self._again[kind] += 1
+            problem, fault = problem or "gap", EventFault.GAP
+        if not problem:
+            self._retries.clear()
+        elif self._retries[fault] < MAX_RETRIES:
+            self._retries[fault] += 1
             if number is not None:
-                self._hold(listed, number)
-            raise MalformedResponseError(f"event {number} after {self.cursor}: {wrong}")
+                self._hold_drains(event, number)
+            raise MalformedEventError(number, self.cursor, problem)
         else:
             self.counts["in_part"] += 1
-            self.said(f"command channel: event {number} after {self.cursor}: {wrong}; taken in part")
+            self.log_message(f"command channel: event {number} after {self.cursor}: {problem}; taken in part")
         if number is not None:
-            self._apply(listed, number, "full")
+            self.endpoints.apply(event, number, ListForm.FULL)
             self.cursor = number
 
-    def _listed(self, told: Any) -> Listed:
-        listed = read_list(told, self.zones, self.kinds, self._launched)
-        if listed.unknown:
-            self.counts["unknown"] += len(listed.unknown)
-            self.said(f"command channel: unknown: {', '.join(listed.unknown[:TOLD_MOST])}")
-        return listed
+    def _read_list(self, body: Any) -> EndpointListEvent:
+        event = read_list(body, self.zones, self.machine_types, self._local_start_ms)
+        if event.unknown_names:
+            self.counts["unknown"] += len(event.unknown_names)
+            self.log_message(f"command channel: unknown: {', '.join(event.unknown_names[:MAX_LOGGED])}")
+        return event
 
-    def _launched(self, name: str, started_ms: float) -> float:
+    def _local_start_ms(self, name: str, started_unix_ms: float) -> float:
         now = self.loop.now()
-        return self._starts.place(name, started_ms, self.loop.wall() * 1000.0 - now, now, self._in_touch)
-
-    def _take(self, told: dict[str, Any], form: str) -> None:
-        self._apply(self._listed(told), told["cursor"], form)
-
-    def _hold(self, listed: Listed, number: int) -> None:
-        """Keep the drains of an event that is not taken yet; until it is, nothing earlier undoes them."""
-        if number > self.cursor + AHEAD_MOST:
-            return
-        drained = []
-        for line in listed.lines:
-            if line.state in ("draining", "gone"):
-                self._ahead[line.name] = max(number, self._ahead.get(line.name, 0))
-                known = self._entries.get(line.name)
-                if known is not None and known.state == "ready":
-                    drained.append(replace(known, state="draining"))
-        for entry in drained:
-            self._place(entry, None)
-        if drained:
-            self.post(policy.EngineListUpdate("delta", tuple(drained)))
-
-    def _apply(self, listed: Listed, number: int, form: str) -> None:
-        """Let the event hold: who has gone first, then who drains, then the rest, in whatever order it tells.
-
-        An address may so be given on within one event.
-        """
-        if listed.full:
-            named = {line.name for line in listed.lines}
-            for name in [name for name in self.executor_pool.executors if name not in named]:
-                self._remove(name)
-        last: dict[str, tuple[policy.EngineEndpoint, Address | None]] = {}
-        for line in listed.lines:
-            entry, known = line.entry, self._entries.get(line.name)
-            if line.state == "gone":
-                entry = entry or replace(known or policy.EngineEndpoint(line.name), state="gone")
-                self._remove(line.name)
-            elif entry is None and known is not None and (listed.full or line.state == "draining"):
-                entry = replace(known, state=line.state) if line.state == "draining" else known
-            if entry is None:
-                continue
-            if entry.state == "ready" and self._ahead.get(line.name, 0) > number:
-                entry = replace(entry, state="draining")
-            last[line.name] = entry, line.address
-        for entry, address in sorted(last.values(), key=lambda one: one[0].state == "ready"):
-            if entry.state != "gone":
-                self._place(entry, address)
-        self._ahead = {name: at for name, at in self._ahead.items() if at > number}
-        self._starts.keep(self._entries)
-        if last or listed.full:
-            self.post(
-                policy.EngineListUpdate(form if listed.full else "delta", tuple(e for e, _ in last.values()))
-            )
-
-    def _place(self, entry: policy.EngineEndpoint, address: Address | None) -> None:
-        executor = self.executor_pool.executors.get(entry.engine)
-        if address is not None or executor is not None:
-            self.executor_pool.add(entry.engine, address or executor.address, entry.state == "draining")
-        self._entries[entry.engine] = entry
-
-    def _remove(self, name: str) -> None:
-        self.executor_pool.remove(name)
-        self._entries.pop(name, None)
+        wall_clock_lead_ms = cast(WallClock, self.loop).wall() * 1000.0 - now
+        return self.endpoints.start_times.place(
+            name, started_unix_ms, wall_clock_lead_ms, now, self._last_comment_ms
+        )
+
+    def _hold_drains(self, event: EndpointListEvent, number: int) -> None:
+        if number <= self.cursor + MAX_AHEAD:
+            self.endpoints.hold_drains(event, number)
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -180,8 +180,8 @@
 
     def check_in(self, executor: Executor, connection: ExecutorConnection, response: Response) -> None:
         """Keep a connection for later if nothing about its last response was out of order."""
-        if not response.reusable or executor.is_removed:
-            self.counts["not_reusable"] += not response.reusable
+        if not response.is_reusable or executor.is_removed:
+            self.counts["not_reusable"] += not response.is_reusable
             self.close(connection)
             return
         connection.idle_since_ms = self.loop.now()
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -1,91 +1,42 @@
-"""A controller on the platform, put together: start, SIGHUP, SIGTERM."""
+"""A controller on the platform: puts its parts together, reloads at SIGHUP, shuts down at SIGTERM.
+
+`python -m fennelwind.node` calls `main`, which returns the process's exit status: 2 if the configuration or
+the address can't be used.
+"""
 
-import contextlib
 import gc
 import os
-import stat
 import sys
-import traceback
-from collections.abc import Callable
 
 from fennelwind.dispatch.driver import Driver
-from fennelwind.dispatch.ledger import Entry
-from fennelwind.dispatch.types import SERVED, AttemptEnd
 from fennelwind.limits.answer_margin import AnswerMargin
-from fennelwind.limits.log_rate_limit import RateLimit
 from fennelwind.load_balancing.load_advisor import Advisor, acts
 from fennelwind.loop.real import HANGUP, INTERRUPT, TERMINATE, RealLoop
 from fennelwind.loop.scheduler import Loop, Once
 from fennelwind.loop.syscall_retry import retried
 from fennelwind.node.config import ConfigError, NodeConfig, read_config
 from fennelwind.node.endpoint_view import compare, drift
-from fennelwind.node.endpoint_watch import Channel
+from fennelwind.node.endpoint_watch import EndpointWatch
 from fennelwind.node.executor_client import ExecutorClient
 from fennelwind.node.executor_pool import ExecutorPool
-from fennelwind.node.frontend import Front
+from fennelwind.node.frontend import Frontend
+from fennelwind.node.log import MAX_STATE_LENGTH, Log
 from fennelwind.node.reload import Reloader, read_text
 from fennelwind.node.shutdown import ShutdownSchedule
-
-MARGIN_LEAST_MS, MARGIN_MOST_MS = 15.0, 200.0  # bounds of the measured time of answers on their way
-CLIENTS_PART, EXECUTORS_PART = 0.55, 0.36  # of the descriptors: clients', and links to executors
-LINGERING_PART = 0.03  # for connections being closed; the rest, 17 of 256, is for files, pipe, channel
-LEAVE_LOOK_MS = 25.0  # ms between two looks at what is open
-LAST_DELETES_MS = 150.0  # ms for what was given up to be ended at the executors
-START_PAUSES_MS = (100.0,) * 100  # ms between tries to start; 30 s are what the platform allows
-GC_STEP = 20_000  # new objects between two collections; nearly all garbage here is freed by counts
-LOOK_MS = 1000.0  # ms between two looks at what is believed beside what is on the sockets
-LOOKS_A_LINE = 10  # looks between two lines of the log that tell of it
-TEXT_MOST = 300  # letters of a line
-STATE_MOST = 2000  # letters of a line that tells of all executors
-
-
-class Log:
-    """An observer that writes few lines to standard error, rate-limited by sort.
-
-    structlog alone takes 9 MB, of the 32 that the smallest limit leaves.
-    """
-
-    def __init__(self, now: Callable[[], float]) -> None:
-        self.limit = RateLimit(now)
-        self.fd = sys.stderr.fileno()
-        if stat.S_ISFIFO(os.fstat(self.fd).st_mode):
-            os.set_blocking(self.fd, False)  # a reader that stalls must not stop the loop
-
-    def write(self, sort: str, text: str, most: int = TEXT_MOST) -> None:
-        """Write a line, unless there were many of its sort."""
-        dropped = self.limit.allow(sort)
-        if dropped is not None:
-            more = f" ({dropped} such lines before were dropped)" if dropped else ""
-            line = f"{sort}: {' '.join(text[:most].split())}{more}\n"
-            with contextlib.suppress(OSError):  # nobody may read it, or not as fast; then the line is lost
-                os.write(self.fd, line.encode("utf-8", "replace"))
-
-    def answered(self, entry: Entry) -> None:
-        """Write of a query that was not served."""
-        answer = entry.answer
-        if answer.kind != SERVED:
-            self.write(
-                answer.kind,
-                f"query {entry.query} of class {entry.submission.cls} after "
-                f"{entry.answered_ms - entry.taken_ms:.0f} ms: {answer.reason}",
-            )
-
-    def attempted(self, entry: Entry, number: int, engine: str, end: AttemptEnd, took_ms: float) -> None:
-        """Write of an attempt that did not end well."""
-        if end.status not in ("ok", "cancelled"):
-            self.write(
-                end.status,
-                f"query {entry.query} attempt {number} at {engine} after {took_ms:.0f} ms: {end.reason}",
-            )
-
-    def said(self, text: str) -> None:
-        """Write a note."""
-        self.write("note", text)
-
-    def failed(self, where: str, exc: BaseException) -> None:
-        """Write what broke and should not have."""
-        trace = " | ".join(traceback.format_exception(exc)[-3:])
-        self.write("broke", f"{where}: {trace[-TEXT_MOST:]}")
+from fennelwind.policy import ListForm
+
+MIN_ANSWER_MARGIN_MS = 15.0  # ms that answers leave before their deadline at least, whatever was measured
+MAX_ANSWER_MARGIN_MS = 200.0
+LISTEN_BACKLOG = 1024  # connections that wait to be accepted; a deploy brings all clients at once
+# Shares of the file descriptors; the rest, 17 of 256, is for files, log, command channel.
+CLIENTS_SHARE, EXECUTORS_SHARE = 0.55, 0.36
+LINGERING_SHARE = 0.03  # connections being closed
+DRAIN_CHECK_MS = 25.0  # ms between two checks of what is open during a shutdown
+LAST_CANCELLATIONS_MS = 150.0  # ms for what was abandoned to be ended at the executors
+START_RETRY_PAUSES_MS = (100.0,) * 100  # ms between attempts to start; 30 s are what the platform allows
+GC_THRESHOLD = 20_000  # new objects between two collections; nearly all garbage here is freed by counts
+VIEW_CHECK_MS = 1000.0  # ms between two comparisons of the policy's view with the attempts in flight
+VIEW_CHECKS_PER_LINE = 10  # comparisons between two lines of the log that report them
 
 
 class Node:
@@ -96,9 +47,9 @@
         settings = config.settings
         self.executor_pool = ExecutorPool(
             loop,
-            idle_timeout_ms=config.idle_ms,
-            connect_timeout_ms=config.dial_ms,
-            max_connections=int(config.sockets * EXECUTORS_PART),
+            idle_timeout_ms=config.connections.executor_idle_timeout_ms,
+            connect_timeout_ms=config.connections.connect_timeout_ms,
+            max_connections=int(config.max_descriptors * EXECUTORS_SHARE),
         )
         self.executor_client = ExecutorClient(
             self.executor_pool,
@@ -111,41 +62,43 @@
             self.executor_client,
             log,
             seed=config.seed,
-            max_open=config.most_open,
-            margin=AnswerMargin(MARGIN_LEAST_MS, MARGIN_MOST_MS),
-            advisor=Advisor(settings, config.seed, config.idle_ms) if acts(settings) else None,
+            max_open=config.connections.max_open_queries,
+            margin=AnswerMargin(MIN_ANSWER_MARGIN_MS, MAX_ANSWER_MARGIN_MS),
+            advisor=Advisor(settings, config.seed, config.connections.executor_idle_timeout_ms)
+            if acts(settings)
+            else None,
         )
-        self.channel = Channel(
+        self.endpoint_watch = EndpointWatch(
             loop,
             config.channel,
             self.executor_pool,
             zones=config.zones,
-            kinds=config.kinds,
+            machine_types=config.machine_types,
             post=self.driver.post,
-            said=log.said,
+            log_message=log.said,
         )
-        self.front: Front | None = None
+        self.frontend: Frontend | None = None
 
     def start(self) -> None:
-        """Learn of the executors and listen for clients. Raises `OSError` if the address can't be had."""
-        listener = self.loop.listen(self.config.listen, 1024)
-        self.channel.take_known(self.config.cursor, self.config.events)
-        self.front = Front(
+        """Apply the known endpoints and listen for clients. Raises `OSError` if the address can't be had."""
+        listener = self.loop.listen(self.config.listen, LISTEN_BACKLOG)
+        self.endpoint_watch.apply_known(self.config.known_cursor, self.config.known_events)
+        self.frontend = Frontend(
             self.loop,
             listener,
             self.driver,
             self.config,
-            int(self.config.sockets * CLIENTS_PART),
-            int(self.config.sockets * LINGERING_PART),
+            max_connections=int(self.config.max_descriptors * CLIENTS_SHARE),
+            max_lingering=int(self.config.max_descriptors * LINGERING_SHARE),
+            log_message=self.log.said,
         )
-        self.front.said = self.log.said
         self.executor_pool.start()
-        self.channel.start()
-        self.front.start()
-        self.loop.spawn(self._look, name="view")
+        self.endpoint_watch.start()
+        self.frontend.start()
+        self.loop.spawn(self._watch_view, name="view")
 
     def reload(self, text: str) -> None:
-        """Take a new file: its channel and what it knows; a file that can't be read changes nothing."""
+        """Apply a new file: its channel and known endpoints; a file that can't be read changes nothing."""
         try:
             config = read_config(text)
         except ConfigError as exc:
@@ -153,59 +106,76 @@
             return
         if config.settings != self.config.settings:
             self.log.write("reload", "the module's settings differ; they hold from the next start on")
-        self.channel.take_known(config.cursor, config.events, "full")
-        if config.channel != self.channel.address:
-            self.channel.move(config.channel)
+        self.endpoint_watch.apply_known(config.known_cursor, config.known_events, ListForm.FULL)
+        if config.channel != self.endpoint_watch.address:
+            self.endpoint_watch.move(config.channel)
         self.log.write("reload", f"command channel at {config.channel}")
 
-    def _look(self) -> None:
-        looks = differed = 0
+    def _watch_view(self) -> None:
+        """Compare the policy's view with the attempts in flight, and log both.
+
+        Where they differ for longer than a turn, decisions rest on a load that is not there.
+        """
+        checks = differences = 0
         while True:
-            self.loop.sleep(LOOK_MS)
-            looks += 1
-            differed += drift(self.driver.gateway, self.executor_client) > 0
-            if looks % LOOKS_A_LINE == 0:
-                pool, rows = self.executor_pool, compare(self.driver.gateway, self.executor_client)
-                self.log.write(
-                    "state",
-                    (
-                        f"{self.driver.ledger.open} open, {len(self.front.places)} clients, "
-                        f"{pool.connection_count} connections {dict(pool.counts)}, margin "
-                        f"{self.driver.margin.ms:.0f} ms, view differed in {differed} of {looks} looks; "
-                        f"{'; '.join(map(str, rows))}"
-                    ),
-                    STATE_MOST,
-                )
-
-    def leave(self) -> None:
-        """Go in order: no longer well, but serving for some time; then refusing what is new, until all that
-        is open is answered and taken; then connections are closed, and what still comes is dropped.
+            self.loop.sleep(VIEW_CHECK_MS)
+            checks += 1
+            differences += drift(self.driver.gateway, self.executor_client) > 0
+            if checks % VIEW_CHECKS_PER_LINE == 0:
+                self._log_state(checks, differences)
+
+    def _log_state(self, checks: int, differences: int) -> None:
+        pool, rows = self.executor_pool, compare(self.driver.gateway, self.executor_client)
+        self.log.write(
+            "state",
+            (
+                f"{self.driver.ledger.open} open, {len(self._running_frontend().places)} clients, "
+                f"{pool.connection_count} connections {dict(pool.counts)}, margin "
+                f"{self.driver.margin.ms:.0f} ms, view differed in {differences} of {checks} looks; "
+                f"{'; '.join(map(str, rows))}"
+            ),
+            MAX_STATE_LENGTH,
+        )
+
+    def shut_down(self) -> None:
+        """Shut down in order, by the `ShutdownSchedule`.
+
+        First the health check fails, but queries are served; then new ones are rejected until all that is
+        open is answered and taken; then connections are closed, and what still comes is dropped.
         """
-        ledger, front = self.driver.ledger, self.front
-        front.well = False
-        longest = max(cls.client_timeout_ms for cls in self.config.settings.classes)
-        schedule = ShutdownSchedule.from_signal(self.loop.now(), longest)
-        self.loop.sleep(max(0.0, schedule.serve_until - self.loop.now()))
+        ledger, frontend = self.driver.ledger, self._running_frontend()
+        frontend.is_serving = False
+        longest_timeout_ms = max(cls.client_timeout_ms for cls in self.config.settings.classes)
+        schedule = ShutdownSchedule.from_signal(self.loop.now(), longest_timeout_ms)
+        self.loop.sleep(max(0.0, schedule.serve_until_ms - self.loop.now()))
         self.driver.closing = True
-        front.finish(schedule.give_up_at)
-        while ledger.open and self.loop.now() < schedule.give_up_at:
-            self.loop.sleep(LEAVE_LOOK_MS)
+        frontend.finish_accepting(schedule.abandon_at_ms)
+        while ledger.open and self.loop.now() < schedule.abandon_at_ms:
+            self.loop.sleep(DRAIN_CHECK_MS)
         self.driver.close()
-        deleted = self.loop.now() + LAST_DELETES_MS
-        front.end(schedule.last_answers_at, schedule.end_at)
-        self.loop.sleep(max(0.0, min(deleted, schedule.end_at) - self.loop.now()))
+        cancelled_by_ms = self.loop.now() + LAST_CANCELLATIONS_MS
+        frontend.close_all(schedule.last_answers_at_ms, schedule.end_at_ms)
+        self.loop.sleep(max(0.0, min(cancelled_by_ms, schedule.end_at_ms) - self.loop.now()))
+        self._log_end()
+
+    def _log_end(self) -> None:
+        ledger = self.driver.ledger
         self.log.write(
             "closed",
             f"books agree: {ledger.balanced()}; open {ledger.open}, second answers "
             f"{ledger.second}, forgotten {self.driver.forgotten}, step errors "
             f"{self.driver.step_errors}, latest timer {self.loop.worst_delay_ms:.0f} ms; "
-            f"clients {dict(self.front.counts)}; executors {dict(self.executor_pool.counts)}; "
-            f"channel {dict(self.channel.counts)}",
+            f"clients {dict(self._running_frontend().counts)}; executors {dict(self.executor_pool.counts)}; "
+            f"channel {dict(self.endpoint_watch.counts)}",
         )
 
+    def _running_frontend(self) -> Frontend:
+        assert self.frontend is not None, "the controller has been started"
+        return self.frontend
+
 
 def main() -> int:
-    """Run a controller as the environment tells."""
+    """Run a controller on the file that RELAY_CONFIG names; return the exit status."""
     loop = RealLoop()
     log = Log(loop.now)
     loop.on_error = lambda task, exc: log.failed(task.name, exc)
@@ -214,31 +184,37 @@
 
 def _run(loop: RealLoop, log: Log, path: str) -> int:
     try:
-        config = read_config(retried(loop, lambda: read_text(path), START_PAUSES_MS))
+        config = read_config(retried(loop, lambda: read_text(path), START_RETRY_PAUSES_MS))
     except (OSError, UnicodeDecodeError, ConfigError) as exc:
         print(f"RELAY_CONFIG {path!r}: {exc}", file=sys.stderr)
         return 2
     stop = Once(loop)
     try:
-        node = retried(loop, lambda: _start(loop, log, path, config, stop), START_PAUSES_MS)
+        node = retried(loop, lambda: _start(loop, log, path, config, stop), START_RETRY_PAUSES_MS)
     except OSError as exc:
         print(f"{config.listen}: {exc.strerror or exc}", file=sys.stderr)
         return 2
     gc.collect()
     gc.freeze()
-    gc.set_threshold(GC_STEP, 10, 10)
-    size = f"{config.cores:g} cores, {config.memory_mb:.0f} MB, {config.sockets} descriptors"
-    log.write("listening", f"{config.name} on {config.listen}, {len(config.events)} events known, {size}")
+    gc.set_threshold(GC_THRESHOLD, 10, 10)
+    size = f"{config.cores:g} cores, {config.memory_mb:.0f} MB, {config.max_descriptors} descriptors"
+    log.write(
+        "listening", f"{config.name} on {config.listen}, {len(config.known_events)} events known, {size}"
+    )
     stop.wait()
-    node.leave()
+    node.shut_down()
     return 0
 
 
 def _start(loop: RealLoop, log: Log, path: str, config: NodeConfig, stop: Once) -> Node:
-    """Heed signals and take clients in. Raises `OSError`."""
-    for number in (TERMINATE, INTERRUPT):
-        loop.on_signal(number, stop.set)
+    """Handle signals and accept clients. Raises `OSError`."""
+
+    def request_stop() -> None:
+        stop.set()
+
+    for signal_number in (TERMINATE, INTERRUPT):
+        loop.on_signal(signal_number, request_stop)
     node = Node(loop, config, log)
-    loop.on_signal(HANGUP, Reloader(loop, path, node.reload, log.write).ask)
+    loop.on_signal(HANGUP, Reloader(loop, path, node.reload, log.write).request)
     node.start()
     return node
--- a/fennelwind/node/msgrpc.py
+++ b/fennelwind/node/msgrpc.py
@@ -1,8 +1,8 @@
 """MessagePack-RPC, incremental and bounded, without I/O.
 
 The `msgpack` package parses: its state survives between pieces, so a message that comes byte by byte is
-walked over once. It refuses the lengths of arrays and maps when it reads them, but those of texts and
-bodies only when all of them has come; until then its buffer's bound is what holds.
+parsed once. It rejects the lengths of arrays and maps when it reads them, but those of texts and bodies only
+when all of them has come; until then its buffer's bound is what holds.
 """
 
 from dataclasses import dataclass
@@ -10,118 +10,130 @@
 
 import msgpack
 
-BODY_MOST = 65536  # bytes of one statement; generated statements are a few KB, and hundreds may be under way
-MESSAGE_MOST = 2 * BODY_MOST  # bytes of one message under way
-PARTS_MOST = 64  # members of one array or map; a request has a handful of fields
-TEXT_MOST = 4096  # bytes of one text; ids and numbers are far shorter
-NUMBER_MOST = 2**32 - 1  # message ids are 32 bits wide
-REQUEST, RESPONSE, NOTICE = 0, 1, 2
+MAX_BODY_BYTES = 65536  # of one statement; generated ones are a few KB, and hundreds may be incomplete
+MAX_MESSAGE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one incomplete message
+MAX_MEMBERS = 64  # members of one array or map; a request has a handful of fields
+MAX_TEXT_BYTES = 4096  # bytes of one text; ids and numbers are far shorter
+MAX_MESSAGE_ID = 2**32 - 1  # message ids are 32 bits wide
+PARSER_READ_BYTES = 1024  # the parser's first buffer
+REQUEST_TYPE, RESPONSE_TYPE, NOTIFICATION_TYPE = 0, 1, 2
 
 
 class MalformedMessageError(Exception):
-    """What came is no message; the connection can't be read any further."""
+    """What came is no message; the connection can't be parsed any further."""
 
 
 @dataclass(slots=True, frozen=True)
-class Message:
-    """A request, or a notice if `number` is None."""
+class Request:
+    """A request, which is owed a response with its message id."""
 
-    number: int | None
+    message_id: int
     method: str
     params: list[Any]
 
 
-class Reader:
+@dataclass(slots=True, frozen=True)
+class Notification:
+    """A message that is owed no response."""
+
+    method: str
+    params: list[Any]
+
+
+class MessageReader:
     """Turns the bytes of one connection into messages.
 
-    A parser takes 40 KB and 1 us to make, so a connection has one only while a message is under way.
+    A parser takes 40 KB and 1 us to make, so a connection has one only while a message is incomplete.
     """
 
-    __slots__ = ("spoilt", "_unpacker", "_fed", "_read")
+    __slots__ = ("error", "_unpacker", "_fed_bytes", "_parsed_bytes")
 
     def __init__(self) -> None:
-        self.spoilt: MalformedMessageError | None = (
-            None  # what came behind messages that are whole; nothing follows it
-        )
+        self.error: MalformedMessageError | None = None  # what came after complete messages; nothing follows
         self._unpacker: msgpack.Unpacker | None = None
-        self._fed = self._read = 0  # bytes that the parser got, and those of the messages that are whole
+        self._fed_bytes = self._parsed_bytes = 0  # what the parser got, and the complete messages of it
 
-    def feed(self, data: bytes) -> list[Message]:
+    def feed(self, data: bytes) -> list[Request | Notification]:
         """Take some bytes; return the messages that are complete now.
 
         Raises `MalformedMessageError`, if there are none.
         """
-        messages: list[Message] = []
+        messages: list[Request | Notification] = []
         try:
             self._feed(data, messages)
         except MalformedMessageError as exc:
             if not messages:
                 raise
-            self.spoilt = exc
+            self.error = exc
         return messages
 
-    def _feed(self, data: bytes, messages: list[Message]) -> None:
+    def _feed(self, data: bytes, messages: list[Request | Notification]) -> None:
         unpacker = self._unpacker
         if unpacker is None:
-            unpacker, self._fed, self._read = _parser(), 0, 0
+            unpacker, self._fed_bytes, self._parsed_bytes = _make_parser(), 0, 0
         try:
-            for start in range(0, len(data), BODY_MOST):
-                unpacker.feed(data[start : start + BODY_MOST])
-                self._fed += min(BODY_MOST, len(data) - start)
+            for start in range(0, len(data), MAX_BODY_BYTES):
+                unpacker.feed(data[start : start + MAX_BODY_BYTES])
+                self._fed_bytes += min(MAX_BODY_BYTES, len(data) - start)
                 for value in unpacker:
-                    messages.append(_message(value))
-                    self._read = unpacker.tell()
-                if self.under_way() > MESSAGE_MOST:  # what was looked at is in no buffer any more
+                    messages.append(_read_message(value))
+                    self._parsed_bytes = unpacker.tell()
+                if self.partial_bytes() > MAX_MESSAGE_BYTES:  # what was parsed is in no buffer any more
                     raise MalformedMessageError("a message without an end")
         except MalformedMessageError:
             raise
-        except Exception as exc:  # the package raises many sorts, all of them for what it can't read
+        except Exception as exc:  # the package raises many types, all of them for what it can't parse
             raise MalformedMessageError(f"{type(exc).__name__}: {str(exc)[:100]}") from None
-        self._unpacker = unpacker if self.under_way() else None
+        self._unpacker = unpacker if self.partial_bytes() else None
 
-    def under_way(self) -> int:
-        """Return the bytes of a message that is not whole yet."""
-        return self._fed - self._read
+    def partial_bytes(self) -> int:
+        """Return the bytes of an incomplete message."""
+        return self._fed_bytes - self._parsed_bytes
 
 
-def _parser() -> msgpack.Unpacker:
+def _make_parser() -> msgpack.Unpacker:
     return msgpack.Unpacker(
         raw=False,
         strict_map_key=True,
-        read_size=1024,
-        max_buffer_size=MESSAGE_MOST,
-        max_bin_len=BODY_MOST,
-        max_str_len=TEXT_MOST,
-        max_array_len=PARTS_MOST,
-        max_map_len=PARTS_MOST,
+        read_size=PARSER_READ_BYTES,
+        max_buffer_size=MAX_MESSAGE_BYTES,
+        max_bin_len=MAX_BODY_BYTES,
+        max_str_len=MAX_TEXT_BYTES,
+        max_array_len=MAX_MEMBERS,
+        max_map_len=MAX_MEMBERS,
         max_ext_len=0,
     )
 
 
-def _message(value: object) -> Message:
+def _read_message(value: object) -> Request | Notification:
     if type(value) is list and len(value) == 4:
-        kind, number, method, params = value
+        message_type, message_id, method, params = value
         if (
-            kind == REQUEST
-            and type(kind) is int
-            and type(number) is int
-            and 0 <= number <= NUMBER_MOST
+            message_type == REQUEST_TYPE
+            and type(message_type) is int
+            and type(message_id) is int
+            and 0 <= message_id <= MAX_MESSAGE_ID
             and type(method) is str
             and type(params) is list
         ):
-            return Message(number, method, params)
+            return Request(message_id, method, params)
     elif type(value) is list and len(value) == 3:
-        kind, method, params = value
-        if kind == NOTICE and type(kind) is int and type(method) is str and type(params) is list:
-            return Message(None, method, params)
+        message_type, method, params = value
+        if (
+            message_type == NOTIFICATION_TYPE
+            and type(message_type) is int
+            and type(method) is str
+            and type(params) is list
+        ):
+            return Notification(method, params)
     raise MalformedMessageError("neither a request nor a notice")
 
 
-def result(number: int, value: list[Any]) -> bytes:
+def encode_result(message_id: int, value: list[Any]) -> bytes:
     """Return the bytes of a response without an error."""
-    return msgpack.packb([RESPONSE, number, None, value])
+    return msgpack.packb([RESPONSE_TYPE, message_id, None, value])
 
 
-def error(number: int, name: str, fields: dict[str, str]) -> bytes:
+def encode_error(message_id: int, name: str, fields: dict[str, str]) -> bytes:
     """Return the bytes of a response that is an error."""
-    return msgpack.packb([RESPONSE, number, [name, fields], None])
+    return msgpack.packb([RESPONSE_TYPE, message_id, [name, fields], None])
--- a/fennelwind/node/reload.py
+++ b/fennelwind/node/reload.py
@@ -5,7 +5,7 @@
 from fennelwind.loop.scheduler import Loop
 from fennelwind.loop.syscall_retry import retried
 
-RETRY_PAUSES_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # ms; all that a new file tells counts as told after 4 s
+RETRY_PAUSES_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # ms; a new file has to hold after 4 s
 
 
 def read_text(path: str) -> str:
@@ -15,29 +15,32 @@
 
 
 class Reloader:
-    """Hands the file's text on at each request; one reading at a time, always of the newest file."""
+    """Applies the file at each request; one reading at a time, always of the newest file.
+
+    A SIGHUP that comes while the file is read has it read once more: its contents may have been read before.
+    """
 
     def __init__(
-        self, loop: Loop, path: str, take: Callable[[str], None], log: Callable[[str, str], None]
+        self, loop: Loop, path: str, apply: Callable[[str], None], log: Callable[[str, str], None]
     ) -> None:
-        """Take the file's path, who is handed its text, and who is told of a failure: a sort and a text."""
-        self.loop, self.path, self.take, self.log = loop, path, take, log
-        self._requested = self._running = False
-
-    def ask(self) -> None:
-        """Have the file read, in a task of its own: what breaks there ends no program."""
-        self._requested = True
-        if not self._running:
-            self._running = True
+        """Read the file at `path`; `apply` takes its text, `log` the kind and text of a failure's line."""
+        self.loop, self.path, self.apply, self.log = loop, path, apply, log
+        self._is_requested = self._is_running = False
+
+    def request(self) -> None:
+        """Have the file read, in a task of its own: an exception there does not end the program."""
+        self._is_requested = True
+        if not self._is_running:
+            self._is_running = True
             self.loop.spawn(self._run, name="reload")
 
     def _run(self) -> None:
         try:
-            while self._requested:
-                self._requested = False
+            while self._is_requested:
+                self._is_requested = False
                 self._read()
         finally:
-            self._running = False
+            self._is_running = False
 
     def _read(self) -> None:
         try:
@@ -45,4 +48,4 @@
         except (OSError, UnicodeDecodeError) as exc:
             self.log("reload", f"the settings are as before, until the next SIGHUP: {exc}")
         else:
-            self.take(text)
+            self.apply(text)
--- a/fennelwind/node/request_validation.py
+++ b/fennelwind/node/request_validation.py
@@ -1,4 +1,8 @@
-"""What a client's request has to be. Nothing is sent on that was not valid; no I/O and no clock."""
+"""Checks a client's query request field by field. No I/O and no clock.
+
+Nothing is forwarded to an executor that was not valid here. Called by `client_connection`, which answers an
+`InvalidRequestError` to the client and counts it.
+"""
 
 import re
 from dataclasses import dataclass
@@ -6,34 +10,42 @@
 
 from fennelwind import policy
 from fennelwind.node.table_group import table_group
+from fennelwind.node.wire_names import RequestField
 
-ID = re.compile(r"[0-9a-f]{16}")
+QUERY_ID = re.compile(r"[0-9a-f]{16}")
 MILLISECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
 IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")  # opaque; it goes into a header as it is
 NUMBER = re.compile(r"[0-9]{1,12}(?:\.[0-9]{1,9})?")
-WORK_MOST = 1e9  # ms of work; an estimate of eleven days is none
-MEMORY_MOST = 1e7  # MB; nor is one of ten terabytes
-PATIENCE, PATIENCE_MS = 2.0, 1000.0  # of the time that clients of the class wait in all, and more; beyond it
-# a time is no deadline of theirs. Clients add the way to it, so the time itself would be too strict.
+IS_RETRY = "1"  # the only value of the retry mark
+MAX_WORK_MS = 1e9  # ms of work; an estimate of eleven days is none
+MAX_MEMORY_MB = 1e7  # MB; nor is one of ten terabytes
+# A timeout beyond this multiple of the class's client timeout, and so much more, is no client's deadline.
+# Clients add the time on the network, so the class's timeout itself would be too strict.
+MAX_TIMEOUT_MULTIPLE = 2.0
+TIMEOUT_SLACK_MS = 1000.0
+
 
+class InvalidRequestError(Exception):
+    """A request that is not valid; the client gets the reason."""
 
-class Unusable(Exception):
-    """A request that can't be used; the text says why."""
+    def __init__(self, reason: str) -> None:
+        super().__init__(reason)
+        self.reason = reason
 
 
 @dataclass(slots=True, frozen=True)
-class Asked:
-    """A request whose fields are all usable."""
+class QueryRequest:
+    """A valid request."""
 
-    name: str
-    cls: int
+    query_id: str
+    class_index: int
     tenant: int
-    wait_ms: float
+    timeout_ms: float  # from the request's arrival; the client gives up then
     statement: bytes
-    work_ms: float | None
-    memory_mb: float
-    tables: int | None
-    repeat: bool
+    estimated_work_ms: float | None
+    estimated_memory_mb: float  # 0: none
+    table_group: int | None
+    is_retry: bool
     idempotency_key: str  # by which executors drop repeats, where they do; "": none
 
 
@@ -43,57 +55,71 @@
     classes: dict[str, int],
     tenants: dict[str, int],
     settings: policy.Settings,
-) -> Asked:
-    """Check a request field by field. Raises `Unusable`."""
-    cls = classes.get(method)
-    if cls is None:
-        raise Unusable("no such class")
+) -> QueryRequest:
+    """Check a request; the method names its class. Raises `InvalidRequestError`."""
+    class_index = classes.get(method)
+    if class_index is None:
+        raise InvalidRequestError("no such class")
+    fields, statement = _split_params(params)
+    query_id = fields.get(RequestField.QUERY_ID, "")
+    if QUERY_ID.fullmatch(query_id) is None:
+        raise InvalidRequestError("an id is 16 hex digits")
+    timeout_ms = _read_timeout(fields, settings.classes[class_index].client_timeout_ms)
+    tenant = tenants.get(fields.get(RequestField.TENANT, "")) if tenants else 0
+    if tenant is None:
+        raise InvalidRequestError("no such tenant")
+    if fields.get(RequestField.IS_RETRY, IS_RETRY) != IS_RETRY:
+        raise InvalidRequestError("a retry is marked 1")
+    key = fields.get(RequestField.IDEMPOTENCY_KEY, "")
+    if key and IDEMPOTENCY_KEY.fullmatch(key) is None:
+        raise InvalidRequestError("no idempotency key")
+    work_ms = _read_estimate(fields.get(RequestField.ESTIMATED_WORK_MS), "work", MAX_WORK_MS)
+    memory_mb = _read_estimate(fields.get(RequestField.ESTIMATED_MEMORY_MB), "memory", MAX_MEMORY_MB)
+    return QueryRequest(
+        query_id=query_id,
+        class_index=class_index,
+        tenant=tenant,
+        timeout_ms=timeout_ms,
+        statement=statement,
+        estimated_work_ms=work_ms or None,
+        estimated_memory_mb=memory_mb or 0.0,
+        table_group=table_group(_read_statement(statement)),
+        is_retry=RequestField.IS_RETRY in fields,
+        idempotency_key=key,
+    )
+
+
+def _split_params(params: list[Any]) -> tuple[dict[str, str], bytes]:
     if len(params) != 2 or type(params[0]) is not dict or type(params[1]) is not bytes:
-        raise Unusable("fields and a statement are wanted")
+        raise InvalidRequestError("fields and a statement are wanted")
     fields, statement = params
     for name, value in fields.items():
         if type(name) is not str or type(value) is not str:
-            raise Unusable("fields are texts")
-    name = fields.get("i", "")
-    if ID.fullmatch(name) is None:
-        raise Unusable("an id is 16 hex digits")
-    wait = fields.get("d", "")
-    longest = PATIENCE * settings.classes[cls].client_timeout_ms + PATIENCE_MS
-    if MILLISECONDS.fullmatch(wait) is None or not 0.0 < float(wait) <= longest:
-        raise Unusable("no time that a client of the class waits")
-    tenant = tenants.get(fields.get("t", "")) if tenants else 0
-    if tenant is None:
-        raise Unusable("no such tenant")
-    if fields.get("r", "1") != "1":
-        raise Unusable("a retry is marked 1")
-    key = fields.get("k", "")
-    if key and IDEMPOTENCY_KEY.fullmatch(key) is None:
-        raise Unusable("no idempotency key")
-    work = _estimate(fields.get("h"), "work", WORK_MOST)
-    memory = _estimate(fields.get("mb"), "memory", MEMORY_MOST)
-    try:
-        text = statement.decode("utf-8")
-    except UnicodeDecodeError:
-        raise Unusable("a statement is text") from None
-    if not text.strip():
-        raise Unusable("a statement is wanted")
-    return Asked(
-        name,
-        cls,
-        tenant,
-        float(wait),
-        statement,
-        work or None,
-        memory or 0.0,
-        table_group(text),
-        "r" in fields,
-        key,
-    )
+            raise InvalidRequestError("fields are texts")
+    return fields, statement
+
+
+def _read_timeout(fields: dict[str, str], client_timeout_ms: float) -> float:
+    text = fields.get(RequestField.TIMEOUT_MS, "")
+    max_timeout_ms = MAX_TIMEOUT_MULTIPLE * client_timeout_ms + TIMEOUT_SLACK_MS
+    if MILLISECONDS.fullmatch(text) is None or not 0.0 < float(text) <= max_timeout_ms:
+        raise InvalidRequestError("no time that a client of the class waits")
+    return float(text)
 
 
-def _estimate(text: str | None, what: str, most: float) -> float | None:
+def _read_estimate(text: str | None, what: str, maximum: float) -> float | None:
     if text is None:
         return None
-    if NUMBER.fullmatch(text) is None or float(text) > most:
-        raise Unusable(f"no estimate of {what}")
+    if NUMBER.fullmatch(text) is None or float(text) > maximum:
+        raise InvalidRequestError(f"no estimate of {what}")
     return float(text)
+
+
+def _read_statement(statement: bytes) -> str:
+    try:
+        text = statement.decode("utf-8")
+    except UnicodeDecodeError:
+        raise InvalidRequestError("a statement is text") from None
+    if not text.strip():
+        raise InvalidRequestError("a statement is wanted")
+    return text
--- a/fennelwind/node/table_group.py
+++ b/fennelwind/node/table_group.py
@@ -1,13 +1,13 @@
 """The group of tables out of a statement: the number behind the underscore in its schema's name.
 
 One pass over the text by one expression whose branches never go back over what they took, so the time is
-linear; strings and comments are skipped as wholes, and whatever can't be read just tells no group.
+linear; strings and comments are skipped as wholes, and whatever can't be read names no group.
 """
 
 import re
 
-UNCOUNTED = "staging"  # the schema of what is on its way; it belongs to no group
-GROUP_MOST = 10**6  # larger numbers name no group that an engine could keep warm
+UNGROUPED_SCHEMA = "staging"  # holds data that is being loaded; it belongs to no group
+MAX_GROUP = 10**6  # larger numbers name no group that an engine could keep warm
 
 # In turn: a line's comment, a block's comment, a string, a quoted name, a name, any other sign.
 TOKEN = re.compile(
@@ -19,7 +19,7 @@
 
 
 def table_group(statement: str) -> int | None:
-    """Return the group of tables that the statement reads or writes; None if it tells none."""
+    """Return the group of tables that the statement reads or writes; None if it names none."""
     before: str | None = None  # a name that a full stop may follow
     dotted = False
     for token in TOKEN.finditer(statement):
@@ -40,7 +40,7 @@
 
 
 def _group(schema: str) -> int | None:
-    if schema.lower() == UNCOUNTED:
+    if schema.lower() == UNGROUPED_SCHEMA:
         return None
     found = ENDS_WITH_NUMBER.fullmatch(schema)
-    return int(found[1]) if found is not None and int(found[1]) < GROUP_MOST else None
+    return int(found[1]) if found is not None and int(found[1]) < MAX_GROUP else None
--- a/fennelwind/testbed/virtual.py
+++ b/fennelwind/testbed/virtual.py
@@ -164,7 +164,7 @@
                     fleet.later(max(step.back_ms, START_MS), self.start)
             case "term":
                 fleet.note(Process(fleet.clock(), self.number, "term"))
-                task = host.start(self.node.leave)
+                task = host.start(self.node.shut_down)
                 fleet.world.rig.spawn(self._leave, task, step, name="rig: leave")
             case "stop":
                 fleet.note(Process(fleet.clock(), self.number, "stop"))
--- a/tests/node/test_crossings_attempt.py
+++ b/tests/node/test_crossings_attempt.py
@@ -348,8 +348,8 @@
         stage = Stage(loop)
         stage.let()
         client = stage.client()
-        stage.until(lambda: len(stage.node.front.places))
-        connection = next(iter(stage.node.front.places))
+        stage.until(lambda: len(stage.node.frontend.places))
+        connection = next(iter(stage.node.frontend.places))
         connection.stream = Breaks(connection.stream)
         long = {"i": name(1), "d": "1500", "t": "acme", "h": "1000000.0"}  # it can't be served in its time
         usual = {"i": name(2), "d": "5000", "t": "acme", "h": "10.0"}
@@ -373,7 +373,9 @@
         number = client.ask(name(1), "lookup", 1900)
         stage.until(lambda: stage.dials)
         port = stage.executors[0].listener.address.port
-        stage.node.channel._take(nodes_event(2, [instance("s-0", 0, "terminating", port=port)]), "full")
+        stage.node.endpoint_watch._apply_known_event(
+            nodes_event(2, [instance("s-0", 0, "terminating", port=port)]), "full"
+        )
         stage.let()
         error, _ = client.answer(number)
         stage.end()
@@ -389,7 +391,7 @@
         client.ask(name(1), "scene-build", 5000)
         stage.until(lambda: stage.dials)
         port = stage.executors[0].listener.address.port
-        stage.node.channel._take(nodes_event(2, [instance("s-9", 0, port=port)]), "full")
+        stage.node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-9", 0, port=port)]), "full")
         stage.let()
         stage.until(lambda: stage.log.ends)
         assert stage.log.ends[0] == "moot"
--- a/tests/node/test_crossings_front.py
+++ b/tests/node/test_crossings_front.py
@@ -23,8 +23,7 @@
 from fennelwind.limits import connection_slots
 from fennelwind.loop import Address, RealLoop, StreamReset
 from fennelwind.loop.real import READ
-from fennelwind.node import frontend as front_module
-from fennelwind.node import lifecycle, shutdown
+from fennelwind.node import client_connection, frontend, lifecycle, shutdown
 from fennelwind.node.config import read_config
 from fennelwind.node.lifecycle import Node
 
@@ -76,10 +75,10 @@
 
 def connect(loop, node):
     """Connect a plain socket of a client's, and wait until the controller has taken it in."""
-    before = node.front.counts["accepted"]
-    sock = socket.create_connection(node.front.listener.address)
+    before = node.frontend.counts["accepted"]
+    sock = socket.create_connection(node.frontend.listener.address)
     sock.setblocking(False)
-    until(loop, lambda: node.front.counts["accepted"] > before)
+    until(loop, lambda: node.frontend.counts["accepted"] > before)
     return sock
 
 
@@ -127,8 +126,8 @@
 
 def only(loop, node):
     """Return the controller's side of its only connection."""
-    until(loop, lambda: len(node.front.places))
-    (connection,) = node.front.places
+    until(loop, lambda: len(node.frontend.places))
+    (connection,) = node.frontend.places
     return connection
 
 
@@ -148,19 +147,19 @@
 def test_the_answer_before_a_close_of_ours_is_not_destroyed_by_what_is_unread(kind):
     def main(loop, node, executor):
         first, sent, answers = CLOSES[kind]
-        assert front_module.READ_BYTES < len(sent) < front_module.LINGER_BYTES
+        assert client_connection.READ_BYTES < len(sent) < client_connection.MAX_LINGER_BYTES
         sock = connect(loop, node)
         connection = only(loop, node)
         sock.sendall(first)
-        until(loop, lambda: connection.last or not first)
+        until(loop, lambda: connection.last_message_id or not first)
         sock.setblocking(True)
         sock.sendall(sent)
         sock.setblocking(False)
-        until(loop, lambda: connection.closed and not connection.stream.waiting())
+        until(loop, lambda: connection.is_closed and not connection.stream.waiting())
         told, reset = taken(loop, sock)
         assert len(told) == answers and not reset
         sock.close()
-        until(loop, lambda: not node.front.lingering)
+        until(loop, lambda: not node.frontend.lingering)
 
     real(main)
 
@@ -170,7 +169,7 @@
         sock = connect(loop, node)
         sock.sendall(is_well(1))
         connection = only(loop, node)
-        until(loop, lambda: connection in node.front.places.idle)
+        until(loop, lambda: connection in node.frontend.places.idle)
         sock.sendall(request(2, 1))
         connection.close()  # in the turn in which the bytes came
         assert connection.stream.waiting()
@@ -178,7 +177,7 @@
         assert taken(loop, sock) == ([[1, 1, None, [True, {}]]], False)
         sock.sendall(request(3, 2))  # by a client that has seen the end
         sock.close()
-        until(loop, lambda: not node.front.lingering)
+        until(loop, lambda: not node.frontend.lingering)
         assert not executor.calls and node.driver.ledger.balanced() and not node.driver.ledger.entries
 
     real(main)
@@ -194,12 +193,12 @@
             assert answer(loop, sock)[0] == 1
         sock.sendall(request(2, 1))
         if why == "room":
-            assert not node.front._make_room()
+            assert not node.frontend._make_room()
         else:
             monkeypatch.setattr(connection_slots, f"{why.upper()}_MS", -1.0)
-            overdue = list(node.front.places.overdue(loop.now()))
+            overdue = list(node.frontend.places.overdue(loop.now()))
             assert overdue == [(connection, why)]
-            node.front.close_overdue()
+            node.frontend.close_overdue()
             monkeypatch.undo()
         assert answer(loop, sock) == [1, 2, None, [ROWS, {}]]
         sock.close()
@@ -211,13 +210,13 @@
     def main(loop):
         Executor(loop, 1)
         node = start(loop, [instance("s-1", 1)], sockets=200)
-        front = node.front
+        front = node.frontend
         clients = [Client(loop) for _ in range(40)]
         for client in clients:
             client.stream.write(b"\xc1")
         loop.sleep(50.0)
         assert front.counts["unreadable"] == 40 and not len(front.places)
-        assert len(front.lingering) == front.lingering_most == 6
+        assert len(front.lingering) == front.max_lingering == 6
         pipes = {connection.stream.outward for connection in front.lingering}
         endless = next(client for client in clients if client.stream.inward in pipes)
 
@@ -230,7 +229,7 @@
         flooding = loop.spawn(flood)
         loop.sleep(60.0)
         assert flooding.done and len(front.lingering) == 5
-        loop.sleep(front_module.LINGER_MS + front_module.SWEEP_MS)
+        loop.sleep(frontend.MAX_LINGER_MS + frontend.SWEEP_INTERVAL_MS)
         assert not front.lingering
         loop.sleep(10.0)
         assert not [task for task in loop.tasks if task.name == "client"]
@@ -246,13 +245,13 @@
             client.stream.write(is_well(1))
             assert client.answer(1) == (None, [True, {}])
             client.stream.write(b"\xc1")
-        until(loop, lambda: len(node.front.lingering) == 2)
+        until(loop, lambda: len(node.frontend.lingering) == 2)
         assert first.closed(100.0) and second.closed(100.0)
         first.stream.close()
         loop.sleep(10.0)
-        assert len(node.front.lingering) == 1
-        loop.sleep(front_module.LINGER_MS + front_module.SWEEP_MS)
-        assert not node.front.lingering
+        assert len(node.frontend.lingering) == 1
+        loop.sleep(frontend.MAX_LINGER_MS + frontend.SWEEP_INTERVAL_MS)
+        assert not node.frontend.lingering
         with pytest.raises(StreamReset):
             second.stream.write(b"x")
             loop.sleep(10.0)
@@ -275,8 +274,8 @@
     for k in range(1, 17):
         client.ask(name(k), "scene-build", 5000)
     connection = only(loop, node)
-    until(loop, lambda: connection.last == 17 and len(connection.open) == 1)
-    assert connection.unread_bytes > front_module.UNREAD_MOST
+    until(loop, lambda: connection.last_message_id == 17 and len(connection.open_queries) == 1)
+    assert connection.unread_bytes > client_connection.MAX_UNREAD_BYTES
     late = client.ask(name(20), "scene-build", 5000)  # by now the controller has looked what waits
     loop.sleep(5.0)
     return connection, number, late
@@ -298,7 +297,7 @@
             client.stream.close()
         else:
             client.stream.abort()
-        until(loop, lambda: not connection.open)
+        until(loop, lambda: not connection.open_queries)
         assert loop.now() - began < 5.0
         until(loop, lambda: HELD in executor.deleted)
         assert name(20) not in executor.ran
@@ -314,17 +313,17 @@
         node = start(loop, [instance("s-1", 1)])
         client = Client(loop)
         connection, _, late = lazy(loop, node, executor, client)
-        assert connection.last == late and late not in connection.open
+        assert connection.last_message_id == late and late not in connection.open_queries
         error, _ = client.answer(late)
         assert error[0] == "Shed" and len(client.answers) == 17 and name(20) not in executor.ran
         for k in range(30, 46):
             last = client.ask(name(k), "scene-build", 5000)
-        until(loop, lambda: connection.last == last and len(connection.open) == 1)
-        assert connection.unread_bytes > front_module.UNREAD_MOST
-        for k in range(1000, 1000 + front_module.UNREAD_ANSWERS_MOST):
+        until(loop, lambda: connection.last_message_id == last and len(connection.open_queries) == 1)
+        assert connection.unread_bytes > client_connection.MAX_UNREAD_BYTES
+        for k in range(1000, 1000 + client_connection.MAX_UNREAD_ANSWERS):
             client.stream.write(is_well(k))
-        until(loop, lambda: connection.closed)
-        assert node.front.counts["unread"] == 1 and not connection.unread
+        until(loop, lambda: connection.is_closed)
+        assert node.frontend.counts["unread"] == 1 and not connection.unread_answers
         loop.sleep(5000.0)
         settled(node)
 
@@ -347,18 +346,18 @@
 
 
 def test_a_client_that_sends_without_end_leaves_others_their_turn(monkeypatch):
-    order, sends = [], front_module.Connection.send
+    order, sends = [], client_connection.ClientConnection.send
 
     def send(connection, raw, entry):
         order.append(connection.stream.peer.port)
         sends(connection, raw, entry)
 
-    monkeypatch.setattr(front_module.Connection, "send", send)
+    monkeypatch.setattr(client_connection.ClientConnection, "send", send)
 
     def main(loop, node, executor):
         greedy, other = connect(loop, node), connect(loop, node)
         piece = b"".join(is_well(k) for k in range(1, 14_000))
-        assert len(piece) > 2 * front_module.READ_BYTES
+        assert len(piece) > 2 * client_connection.READ_BYTES
         greedy.setblocking(True)
         greedy.settimeout(WAIT_S)
         greedy.sendall(piece)  # all of it waits before the controller reads any
@@ -373,17 +372,19 @@
 
 def test_of_a_client_that_has_sent_much_and_gone_nothing_begins():
     def main(loop, node, executor):
-        node.front.listener.sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 400_000)  # its end comes up
+        node.frontend.listener.sock.setsockopt(
+            socket.SOL_SOCKET, socket.SO_RCVBUF, 400_000
+        )  # its end comes up
         sock = connect(loop, node)
         connection = only(loop, node)
         sent = b"".join(request(k, k) for k in range(1, 900))
-        assert len(sent) > front_module.READ_BYTES
+        assert len(sent) > client_connection.READ_BYTES
         sock.setblocking(True)
         sock.settimeout(WAIT_S)
         sock.sendall(sent)
         sock.shutdown(socket.SHUT_WR)  # a client that closes would be seen by the answers it does not take
-        assert not connection.last
-        until(loop, lambda: connection.closed)
+        assert not connection.last_message_id
+        until(loop, lambda: connection.is_closed)
         loop.sleep(100.0)
         assert not executor.calls and not node.log.ends
         sock.close()
@@ -399,8 +400,10 @@
         connection, held, late = lazy(loop, node, executor, client)
         client.stream.write(msgpack.packb([2, "forget", [held]]))
         numbers = [client.ask(name(30 + k), "no-such-class") for k in range(3)]
-        until(loop, lambda: connection.last == numbers[-1])
-        assert not connection.open and connection.unusable == 0  # refused, as what waits is too much
+        until(loop, lambda: connection.last_message_id == numbers[-1])
+        assert (
+            not connection.open_queries and connection.invalid_requests == 0
+        )  # refused, as what waits is too much
         client.answer(late)
         numbers = [client.ask(name(40 + k), "no-such-class") for k in range(3)]
         client.answer(numbers[-1])
@@ -427,12 +430,12 @@
         slow.answer(1)
         for k in range(1, 25):
             client.ask(name(k), "scene-build", 5000)
-        ending = loop.spawn(node.leave)
+        ending = loop.spawn(node.shut_down)
         loop.sleep(900.0)
         whole = request(2, 50)
         slow.stream.write(whole[:30])
         until(loop, lambda: node.driver.closing and not node.driver.ledger.open)
-        assert len(node.front.places) == 2
+        assert len(node.frontend.places) == 2
         loop.sleep(1000.0)
         assert not ending.done
         assert all(client.answer(k)[0] is None for k in range(1, 25)) and client.closed()
@@ -457,11 +460,11 @@
         for k in range(1, 25):
             client.ask(name(k), "scene-build", 5000)
         killed = killed_at(node, loop)
-        ending = loop.spawn(node.leave)
+        ending = loop.spawn(node.shut_down)
         assert resting.closed()
         ending.join()
         assert loop.now() < killed
-        assert not len(node.front.places) and not node.front.lingering
+        assert not len(node.frontend.places) and not node.frontend.lingering
         settled(node)
 
     run(7, main)
@@ -477,7 +480,7 @@
         held = client.ask(HELD, "publish", 5000)
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 2500.0
-        ending = loop.spawn(node.leave)
+        ending = loop.spawn(node.shut_down)
         until(loop, lambda: node.driver.closing)
         late = client.ask(name(1), "scene-build", 4000)
         resting.number = 1
@@ -503,7 +506,7 @@
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 60_000.0
         killed = killed_at(node, loop)
-        ending = loop.spawn(node.leave)
+        ending = loop.spawn(node.shut_down)
         assert client.answer(number, 20_000.0)[0][0] == "Failed" and loop.now() < killed
         assert client.closed()
         client.stream.close()
@@ -515,10 +518,10 @@
 
 
 def test_who_waits_in_the_backlog_as_the_listener_closes_is_answered(monkeypatch):
-    monkeypatch.setattr(shutdown, "SERVE_MS", 1.0)
+    monkeypatch.setattr(shutdown, "SERVING_MS", 1.0)
 
     def main(loop, node, executor):
-        finish, address, socks = node.front.finish, node.front.listener.address, []
+        finish, address, socks = node.frontend.finish_accepting, node.frontend.listener.address, []
 
         def last_come(until_ms):
             for number in range(1, 70):
@@ -528,8 +531,8 @@
                 socks.append(sock)
             finish(until_ms)
 
-        monkeypatch.setattr(node.front, "finish", last_come)
-        ending = loop.spawn(node.leave)
+        monkeypatch.setattr(node.frontend, "finish_accepting", last_come)
+        ending = loop.spawn(node.shut_down)
         until(loop, lambda: socks)
         with pytest.raises(ConnectionRefusedError):
             socket.create_connection(address)
@@ -553,13 +556,13 @@
         node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
         ids = iter(range(1, 10_000))
         told = []  # client, number, when it was sent, its id
-        closed, linger = {}, node.front.linger  # when each connection was closed here
+        closed, linger = {}, node.frontend.linger  # when each connection was closed here
 
         def closes(connection):
             closed[connection.stream.outward] = loop.now()
             linger(connection)
 
-        node.front.linger = closes
+        node.frontend.linger = closes
 
         def life(client, ended):
             loop.sleep(draw.uniform(0.0, 1500.0))
@@ -593,7 +596,7 @@
             lives += [loop.spawn(life, client, ends[client]), loop.spawn(listen, client, ends[client])]
         loop.sleep(800.0)
         began, killed = loop.now(), killed_at(node, loop)
-        node.leave()
+        node.shut_down()
         assert loop.now() < killed
         for task in lives:
             task.join()
@@ -645,7 +648,7 @@
     def scenario(loop, node):
         executor = Executor(loop, 1, port=0)
         node.executor_pool.remove("s-1")
-        node.channel.take_known(
+        node.endpoint_watch.apply_known(
             2,
             (
                 {
@@ -662,7 +665,7 @@
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 60_000.0
         os.kill(os.getpid(), signal.SIGTERM)
-        until(loop, lambda: not node.front.well)
+        until(loop, lambda: not node.frontend.is_serving)
         path = os.environ["RELAY_CONFIG"]
         with open(path, encoding="utf-8") as file:
             text = file.read()
@@ -675,7 +678,7 @@
             with open(path, "w", encoding="utf-8") as file:
                 file.write(text.replace('"127.0.0.8:9092"', f'"{wanted}"'))
             os.kill(os.getpid(), signal.SIGHUP)
-            until(loop, lambda where=wanted: str(node.channel.address) == where)
+            until(loop, lambda where=wanted: str(node.endpoint_watch.address) == where)
         sock.sendall(request(2, 1))
         told = answer(loop, sock)
         assert told[1] == 2 and (told[2] is None or told[2][0] == "Shed")
@@ -793,11 +796,11 @@
 def test_the_parts_of_the_descriptors_leave_some_for_all_else(sockets):
     def main(loop):
         node = start(loop, [], sockets=sockets)
-        front = node.front
-        rest = sockets - front.places.most - front.lingering_most - node.executor_pool.max_connections
+        front = node.frontend
+        rest = sockets - front.places.most - front.max_lingering - node.executor_pool.max_connections
         assert rest >= 3 + 2 + 1 + 1 + 1 + 1 + 6  # standard streams, wake pipe, listener, channel, the
         # connection just accepted, a file of settings; and six more
-        assert front.lingering_most >= 7
+        assert front.max_lingering >= 7
 
     run(1, main)
 
--- a/tests/node/test_crossings_list.py
+++ b/tests/node/test_crossings_list.py
@@ -24,9 +24,9 @@
 from fennelwind import policy
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset
 from fennelwind.loop.streams import READ_MOST
-from fennelwind.node import endpoint_watch as channel_module
+from fennelwind.node import endpoint_events, endpoint_watch, wire_names
 from fennelwind.node.config import ConfigError, read_config
-from fennelwind.node.endpoint_watch import AGAIN_MOST, Channel
+from fennelwind.node.endpoint_watch import MAX_RETRIES, EndpointWatch
 from fennelwind.node.executor_pool import ExecutorPool
 from fennelwind.node.http1 import ServerEvent
 from fennelwind.node.watch_connection import CONNECT_MS, SILENCE_MS
@@ -136,9 +136,9 @@
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(20.0)  # a connect takes 100 ms here: it is under way
-        assert [watch.stream for watch in node.channel._watches] == [None] and not old.asked
+        assert [watch.stream for watch in node.endpoint_watch._connections] == [None] and not old.asked
         for address in moves:
-            node.channel.move(address)
+            node.endpoint_watch.move(address)
         loop.sleep(800.0)
         assert old.asked == [] and new.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
 
@@ -150,8 +150,8 @@
         old = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]))
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
-        node.channel.move(ELSEWHERE)
-        node.channel.move(CHANNEL)
+        node.endpoint_watch.move(ELSEWHERE)
+        node.endpoint_watch.move(CHANNEL)
         loop.sleep(400.0)
         assert old.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
 
@@ -164,9 +164,9 @@
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(1.0)
-        node.channel.move(ELSEWHERE)
+        node.endpoint_watch.move(ELSEWHERE)
         loop.sleep(CONNECT_MS + 20.0)
-        assert new.asked == [1] and node.channel.cursor == 2
+        assert new.asked == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -175,12 +175,12 @@
     def main(loop):
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(5000.0)  # nobody listens: the pauses are at their longest
-        assert node.channel._pause is not None
-        node.channel.move(ELSEWHERE)
+        assert node.endpoint_watch._waiter is not None
+        node.endpoint_watch.move(ELSEWHERE)
         loop.sleep(60.0)
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
         loop.sleep(120.0)
-        assert new.asked == [1] and node.channel.cursor == 2
+        assert new.asked == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -190,11 +190,11 @@
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(5000.0)
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
-        pause = node.channel._pause
+        pause = node.endpoint_watch._waiter
         pause.wake()  # as its timer does; the task has not run since
-        node.channel.move(ELSEWHERE)
+        node.endpoint_watch.move(ELSEWHERE)
         loop.sleep(20.0)
-        assert new.asked == [1] and node.channel.cursor == 2
+        assert new.asked == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -210,7 +210,7 @@
         loop.sleep(20.0)  # connecting there
         node.reload(config_text([instance("s-1", 1)], channel=ELSEWHERE))
         loop.sleep(800.0)
-        assert first.asked == [] and new.asked == [1] and node.channel.cursor == 2
+        assert first.asked == [] and new.asked == [1] and node.endpoint_watch.cursor == 2
 
     run(main, latency_ms=50.0, jitter=0.0)
 
@@ -241,14 +241,14 @@
 
         loop.connect = moved
         pool = ExecutorPool(loop, idle_timeout_ms=15000.0, connect_timeout_ms=250.0, max_connections=10)
-        channel = Channel(
+        channel = EndpointWatch(
             loop,
             first.address,
             pool,
             zones={"east": 0},
-            kinds={"std": 0},
+            machine_types={"std": 0},
             post=lists.append,
-            said=lambda text: None,
+            log_message=lambda text: None,
         )
         channel.start()
         with loop.deadline(WAIT_S * 1000.0):
@@ -304,10 +304,10 @@
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(2010.0)
         began = loop.now()
-        while node.channel.cursor < 2:
+        while node.endpoint_watch.cursor < 2:
             loop.sleep(10.0)
             assert loop.now() < began + TOLD_MS
-        assert feed.asked == [1, 1, 1] and node.channel.counts["silences"] == 2
+        assert feed.asked == [1, 1, 1] and node.endpoint_watch.counts["silences"] == 2
         assert loop.now() - fell[0] < 2 * SILENCE_MS + 100.0
 
     run(main)
@@ -329,7 +329,7 @@
         loop.sleep(900.0)  # the next connects go unanswered
         loop.unreachable.clear()
         loop.sleep(TOLD_MS - SILENCE_MS - 850.0)
-        assert node.channel.cursor == 2
+        assert node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -347,7 +347,7 @@
         loop.sleep(1500.0)
         node.reload(config_text([instance("s-1", 1)], channel=ELSEWHERE))
         loop.sleep(SILENCE_MS + 50.0)
-        assert new.asked == [1, 1] and node.channel.cursor == 2
+        assert new.asked == [1, 1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -367,7 +367,11 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-0", 0)])
         loop.sleep(20000.0)
-        assert len(feed.asked) == 1 and node.channel.cursor == 2 and len(node.executor_pool.executors) == 100
+        assert (
+            len(feed.asked) == 1
+            and node.endpoint_watch.cursor == 2
+            and len(node.executor_pool.executors) == 100
+        )
 
     run(main)
 
@@ -377,7 +381,7 @@
         feed = Feed(loop, steady(loop))
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(30_000.0)
-        assert feed.asked == [1] and not node.channel.counts["silences"]
+        assert feed.asked == [1] and not node.endpoint_watch.counts["silences"]
 
     run(main)
 
@@ -413,7 +417,10 @@
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(600.0)
         assert feed.asked == [1] * 4 and set(node.executor_pool.executors) == {"s-1", "s-2"}
-        assert feed.at[3] - feed.at[0] > 3 * channel_module.PAUSE_MS and not node.channel.counts["gaps"]
+        assert (
+            feed.at[3] - feed.at[0] > 3 * endpoint_watch.MIN_BACKOFF_MS
+            and not node.endpoint_watch.counts["gaps"]
+        )
 
     run(main)
 
@@ -461,7 +468,7 @@
             assert feed.asked[:2] == [1, 2] and states(node) == {"s-1": "draining"}
             assert any("Malformed" in text for _, text in node.log.lines)
             feed.listener.close()
-            node.front.listener.close()
+            node.frontend.listener.close()
 
     run(main)
 
@@ -589,7 +596,7 @@
         node = start(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(500.0)
         drained = kind in SPOILT_LINES
-        assert feed.asked == [1, 1] and node.channel.cursor == 2
+        assert feed.asked == [1, 1] and node.endpoint_watch.cursor == 2
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "ready"}
         assert holders(node) == {"s-1": at(1, drained), "s-2": at(2), "s-3": at(3)}
         assert not node.log.broke and not node.driver.step_errors
@@ -614,10 +621,10 @@
         node = start(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(1000.0)
         drained = kind in SPOILT_LINES
-        assert feed.asked == [1] * (AGAIN_MOST + 1) and node.channel.cursor == 4
+        assert feed.asked == [1] * (MAX_RETRIES + 1) and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "draining"}
         loop.sleep(10_000.0)
-        assert len(feed.asked) == AGAIN_MOST + 1 and not node.log.broke
+        assert len(feed.asked) == MAX_RETRIES + 1 and not node.log.broke
 
     run(main)
 
@@ -628,7 +635,7 @@
         feed = Feed(loop, steady(loop, [raw_event(n, bad | {"cursor": n}) for n in range(2, 200)]))
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert len(feed.asked) == AGAIN_MOST + 1 and node.channel.cursor == 199
+        assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 199
         assert set(states(node)) == {"s-1", "s-2"}
 
     run(main)
@@ -639,9 +646,10 @@
     for depth in range(50, 1000, 10):
         deep = "[" * depth + "]" * depth
         raw = json.dumps(nodes_event(2, [instance("s-1", 1)])).replace('"weight": 1', f'"weight": {deep}')
-        number, told, wrong = channel_module.read_event(ServerEvent(2, raw))
-        assert number == 2 and (wrong or channel_module.read_list(told, {"east": 0}, {"std": 0}).wrong)
-        read += not wrong
+        numbered = endpoint_events.parse_event(ServerEvent(2, raw))
+        assert numbered.number == 2
+        assert numbered.problem or endpoint_events.read_list(numbered.body, {"east": 0}, {"std": 0}).problems
+        read += not numbered.problem
     assert read
 
 
@@ -656,7 +664,7 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert feed.asked == [1] * (AGAIN_MOST + 1) + [2] and set(states(node)) == {"s-1", "s-3", "s-4"}
+        assert feed.asked == [1] * (MAX_RETRIES + 1) + [2] and set(states(node)) == {"s-1", "s-3", "s-4"}
 
     run(main)
 
@@ -708,7 +716,7 @@
         loop.sleep(500.0)
         wanted = {"s-1": "draining", "s-3": "ready"} | ({} if reset else {"s-4": "ready"})
         assert states(node) == wanted and set(holders(node)) == set(wanted)
-        assert holders(node)["s-1"] == at(1, True) and node.channel.cursor == 2
+        assert holders(node)["s-1"] == at(1, True) and node.endpoint_watch.cursor == 2
 
     run(main)
 
@@ -718,7 +726,7 @@
         Feed(loop, steady(loop, [event(2, [instance("s-1", 1, "terminating"), {"instanceId": 5}], True)]))
         node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(1000.0)
-        assert node.channel.cursor == 2 and states(node) == {"s-1": "draining", "s-2": "ready"}
+        assert node.endpoint_watch.cursor == 2 and states(node) == {"s-1": "draining", "s-2": "ready"}
 
     run(main)
 
@@ -744,17 +752,17 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         lists, post = [], node.driver.post
-        node.channel.post = lambda told: (lists.append(told), post(told))
+        node.endpoint_watch.endpoints.post = lambda told: (lists.append(told), post(told))
         while not feed.asked:
             loop.sleep(1.0)
         loop.sleep(5.0)
-        assert states(node) == {"s-1": "draining"} and node.channel.cursor == 1
+        assert states(node) == {"s-1": "draining"} and node.endpoint_watch.cursor == 1
         loop.sleep(500.0)
-        assert states(node) == {"s-1": "draining", "s-2": "draining"} and node.channel.cursor == 2
+        assert states(node) == {"s-1": "draining", "s-2": "draining"} and node.endpoint_watch.cursor == 2
         loop.sleep(2000.0)
-        assert node.channel.cursor == 3 and feed.asked == [1, 1, 2]
+        assert node.endpoint_watch.cursor == 3 and feed.asked == [1, 1, 2]
         assert {entry.state for told in lists for entry in told.engines} == {"draining"}
-        assert not node.channel._ahead
+        assert not node.endpoint_watch.endpoints.drained_ahead
 
     run(main)
 
@@ -774,7 +782,10 @@
         Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(200.0)
-        assert states(node) == {"s-1": "ready", "s-2": "ready"} and not node.channel._ahead
+        assert (
+            states(node) == {"s-1": "ready", "s-2": "ready"}
+            and not node.endpoint_watch.endpoints.drained_ahead
+        )
         assert holders(node) == {"s-1": at(1), "s-2": at(2)}
 
     run(main)
@@ -789,7 +800,7 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert len(feed.asked) == AGAIN_MOST + 1 and node.channel.cursor == 4
+        assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining", "s-4": "ready"}
 
     run(main)
@@ -814,7 +825,7 @@
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(200.0)
         harmless = spoilt in (b"id: x\n", b"", b"id: 0\n")  # told by the data alone, or a repeat
-        assert node.channel.cursor == 3 and feed.asked == ([1] if harmless else [1, 1])
+        assert node.endpoint_watch.cursor == 3 and feed.asked == ([1] if harmless else [1, 1])
         assert states(node) == {"s-1": "draining", "s-2": "ready"}
 
     run(main)
@@ -837,7 +848,11 @@
         )
         node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(200.0)
-        assert feed.asked == [1] and node.channel.counts["repeats"] == 2 and node.channel.cursor == 6
+        assert (
+            feed.asked == [1]
+            and node.endpoint_watch.counts["repeats"] == 2
+            and node.endpoint_watch.cursor == 6
+        )
         assert states(node) == {"s-1": "draining", "s-5": "draining"}
         assert holders(node) == {"s-1": at(1, True), "s-5": at(5, True)}
 
@@ -900,7 +915,7 @@
             before.update(node.executor_pool.executors)
             gate.append(count)
             loop.sleep(20.0)
-            assert node.channel.cursor == len(gate) + 1
+            assert node.endpoint_watch.cursor == len(gate) + 1
             return states(node)
 
         assert set(then(1)) == {"s-1", "s-2"} and holders(node) == {"s-1": at(2), "s-2": at(1)}
@@ -930,7 +945,7 @@
         loop.sleep(20.0)
         node.reload(config_text([instance("s-1", 1)]))
         loop.sleep(20.0)
-        assert states(node) == {"s-1": "draining", "s-2": "ready"} and node.channel.cursor == 2
+        assert states(node) == {"s-1": "draining", "s-2": "ready"} and node.endpoint_watch.cursor == 2
         older = [nodes_event(1, [instance("s-1", 1)], True)]
         newer = [
             *older,
@@ -941,11 +956,13 @@
         node.reload(known_text(4, newer))
         loop.sleep(20.0)
         wanted = {"s-1": "draining", "s-2": "draining", "s-3": "ready"}
-        assert states(node) == wanted and node.channel.cursor == 4 and feed.asked == [1]
+        assert states(node) == wanted and node.endpoint_watch.cursor == 4 and feed.asked == [1]
         for cursor, events in ((1, older), (9, older), (9, []), (4, newer)):
             node.reload(known_text(cursor, events))
             loop.sleep(20.0)
-            assert states(node) == wanted and node.channel.cursor == 4  # what is missing, the channel tells
+            assert (
+                states(node) == wanted and node.endpoint_watch.cursor == 4
+            )  # what is missing, the channel tells
 
     run(main)
 
@@ -969,7 +986,7 @@
         node.reload(known_text(3, [nodes_event(3, [instance("s-1", 1, "terminating")])], ELSEWHERE))
         loop.soon(lambda: None)
         loop.sleep(0.1)
-        assert states(node) == {"s-1": "draining"} and node.channel.cursor == 1
+        assert states(node) == {"s-1": "draining"} and node.endpoint_watch.cursor == 1
         loop.sleep(50.0)
         assert states(node) == {"s-1": "draining", "s-2": "ready"} and new.asked == [1]
 
@@ -987,10 +1004,16 @@
             log = Quiet()
             loop.on_error = lambda task, exc, log=log: log.failed(task.name, exc)
             pool = ExecutorPool(loop, idle_timeout_ms=15e3, connect_timeout_ms=250.0, max_connections=10)
-            channel = Channel(
-                loop, CHANNEL, pool, zones={"east": 0}, kinds={"std": 0}, post=lambda _: None, said=log.said
+            channel = EndpointWatch(
+                loop,
+                CHANNEL,
+                pool,
+                zones={"east": 0},
+                machine_types={"std": 0},
+                post=lambda _: None,
+                log_message=log.said,
             )
-            channel.take_known(cursor, tuple(told))
+            channel.apply_known(cursor, tuple(told))
             assert channel.cursor == asked
             channel.start()
             loop.sleep(20.0)
@@ -1239,8 +1262,8 @@
         node.log.lines.clear()
         node.reload(json.dumps(with_field(told, path.replace("[0].nodes", "[1].nodes"), value)))
         loop.sleep(20.0)
-        assert states(node) == {"s-1": "ready"} and node.channel.cursor == 1
-        assert node.channel.address == CHANNEL
+        assert states(node) == {"s-1": "ready"} and node.endpoint_watch.cursor == 1
+        assert node.endpoint_watch.address == CHANNEL
         assert [sort for sort, _ in node.log.lines] == ["reload"]
         assert "as before: known" in node.log.lines[0][1]
 
@@ -1482,7 +1505,7 @@
                     seen[entry.engine] = entry.state
             post(told)
 
-        node.channel.post = watch
+        node.endpoint_watch.endpoints.post = watch
         addresses = [CHANNEL, ELSEWHERE, THIRD]
         for _ in range(120):
             loop.sleep(rng.expovariate(1 / 150.0))
@@ -1499,13 +1522,15 @@
         platform.quiet = True
         loop.sleep(TOLD_MS + 50.0)
         truth = platform.truth
-        assert node.channel.cursor == len(platform.events) and not wrong
-        assert states(node) == {name: channel_module.STATES[one["lifecycle"]] for name, one in truth.items()}
+        assert node.endpoint_watch.cursor == len(platform.events) and not wrong
+        assert states(node) == {
+            name: wire_names.ENDPOINT_STATES[one["lifecycle"]] for name, one in truth.items()
+        }
         assert {
             name: (str(executor.address), executor.is_draining)
             for name, executor in node.executor_pool.executors.items()
         } == {name: (one["hostPort"], one["lifecycle"] == "terminating") for name, one in truth.items()}
-        assert not node.channel._ahead and not node.channel.counts["in_part"]
+        assert not node.endpoint_watch.endpoints.drained_ahead and not node.endpoint_watch.counts["in_part"]
         assert not node.log.broke and not node.driver.step_errors
         assert "channel" in {task.name for task in loop.tasks}
 
--- a/tests/node/test_crossings_sampled.py
+++ b/tests/node/test_crossings_sampled.py
@@ -6,7 +6,15 @@
 import pytest
 from crossings_play import Play, play
 
-from fennelwind.node import attempt, cancellation_queue, endpoint_watch, executor_pool, frontend, lifecycle
+from fennelwind.node import (
+    attempt,
+    cancellation_queue,
+    client_connection,
+    executor_pool,
+    lifecycle,
+    wire_names,
+)
+from fennelwind.policy import EngineState
 
 SEEDS = range(40)  # days in CI; `python tests/support/crossings_play.py 0 1000` plays more
 DAYS_MOST = 40  # in which a planted defect has to be found
@@ -45,11 +53,11 @@
     return type("Lax", (Lax,), {"ceilings": ceilings or {}, "classes_told": classes})
 
 
-def late_answer(self, number, entry, answer=frontend.Connection.answer):
-    self.front.loop.after(120.0, lambda: answer(self, number, entry))
+def late_answer(self, number, entry, answer=client_connection.ClientConnection.answer):
+    self.frontend.loop.after(120.0, lambda: answer(self, number, entry))
 
 
-def second_answer(self, number, entry, answer=frontend.Connection.answer):
+def second_answer(self, number, entry, answer=client_connection.ClientConnection.answer):
     answer(self, number, entry)
     answer(self, number, entry)
 
@@ -71,7 +79,11 @@
     "a refusal of what may have run": ("refusal", lax(Effect="repeatable"), nullcontext()),
     "a keyed query leaves its group": ("group", lax(Group="all"), nullcontext()),
     "a keyed query is sent again after its window": ("window", lax(MemorySpanMs=4000.0), nullcontext()),
-    "a drain is not heard": ("drain", Play, patch.dict(endpoint_watch.STATES, terminating="ready")),
+    "a drain is not heard": (
+        "drain",
+        Play,
+        patch.dict(wire_names.ENDPOINT_STATES, terminating=EngineState.READY),
+    ),
     "what is called off is not ended": (
         "two out",
         Play,
@@ -85,20 +97,24 @@
     "more connections than there is room for": (
         "connections",
         Play,
-        patch.object(lifecycle, "EXECUTORS_PART", 0.9),
+        patch.object(lifecycle, "EXECUTORS_SHARE", 0.9),
     ),
     "a second final answer": (
         "second answer",
         Play,
-        patch.object(frontend.Connection, "answer", second_answer),
+        patch.object(client_connection.ClientConnection, "answer", second_answer),
+    ),
+    "answers go late": (
+        "late",
+        Play,
+        patch.object(client_connection.ClientConnection, "answer", late_answer),
     ),
-    "answers go late": ("late", Play, patch.object(frontend.Connection, "answer", late_answer)),
     "a client's forget is not heard": (
         "client gone",
         Play,
-        patch.object(frontend.Connection, "_notice", lambda *_: None),
+        patch.object(client_connection.ClientConnection, "_handle_notification", lambda *_: None),
     ),
-    "the program ends at once": ("lost", Play, patch.object(lifecycle.Node, "leave", lambda _: None)),
+    "the program ends at once": ("lost", Play, patch.object(lifecycle.Node, "shut_down", lambda _: None)),
     "nobody asks whether the client is there before the first byte": (
         "client gone",
         Play,
@@ -117,7 +133,9 @@
     "ids of open requests are kept": (
         "left over",
         Play,
-        patch.object(frontend.Connection, "_let_go", lambda self, _: self._rest()),
+        patch.object(
+            client_connection.ClientConnection, "_forget_query", lambda self, _: self._update_idle()
+        ),
     ),
 }
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -33,7 +33,7 @@
     """What must hold of a controller that has nothing to do."""
     ledger = node.driver.ledger
     assert ledger.balanced() and not ledger.entries and not ledger.second
-    assert not node.front.names and not node.driver.gateway.queries and not node.driver._tasks
+    assert not node.frontend.open_query_ids and not node.driver.gateway.queries and not node.driver._tasks
     assert not node.log.broke and not node.driver.step_errors and not node.driver.forgotten
 
 
@@ -257,9 +257,9 @@
         old = node.executor_pool.executors["s-old"]
         assert len(old.idle_connections) == 1
         loop.sleep(50.0)
-        node.channel._take(nodes_event(2, [instance("s-new", 1)]), "full")
+        node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-new", 1)]), "full")
         assert old.is_removed and not old.idle_connections and node.executor_pool.connection_count == 0
-        node.channel._take(nodes_event(3, [instance("s-old", 1, "terminated")]), "full")
+        node.endpoint_watch._apply_known_event(nodes_event(3, [instance("s-old", 1, "terminated")]), "full")
         assert node.executor_pool.by_address[executor.address].name == "s-new"
         loop.sleep(50.0)
         assert client.answer(client.ask(name(2)))[0] is None
@@ -293,7 +293,7 @@
         client = Client(loop)
         loop.spawn(lambda: client.stream.write(BAD[kind]))
         assert client.closed(3000.0)
-        assert not len(node.front.places) and node.front.partial == 0
+        assert not len(node.frontend.places) and node.frontend.partial_bytes == 0
         assert not node.log.broke or all(isinstance(exc, StreamReset) for _, exc in node.log.broke)
 
     run(11, main)
@@ -432,7 +432,7 @@
         began = loop.now()
         assert silent.closed(3000.0) and half.closed(3000.0) and loop.now() - began < 2500.0
         assert busy.answer(number)[0] is None
-        assert len(node.front.places) == 1
+        assert len(node.frontend.places) == 1
         assert busy.closed(10000.0)
 
     run(17, main)
@@ -444,7 +444,7 @@
     def main(loop):
         Executor(loop, 1)
         node = start(loop, [instance("s-1", 1)], sockets=40)
-        most = node.front.places.most
+        most = node.frontend.places.most
         idle = [Client(loop) for _ in range(most)]
         for k, client in enumerate(idle):
             assert client.answer(client.ask(name(k)))[0] is None
@@ -452,13 +452,13 @@
         loop.sleep(10.0)
         for k, client in enumerate(fresh):
             assert client.answer(client.ask(name(100 + k)))[0] is None
-        assert node.front.counts["closed_for_room_idle"] == most // 2
-        assert node.front.counts["closed_for_room_new"] == 0
+        assert node.frontend.counts["closed_for_room_idle"] == most // 2
+        assert node.frontend.counts["closed_for_room_new"] == 0
         mute = [Client(loop) for _ in range(most)]
         loop.sleep(500.0)
         late = Client(loop)
         assert late.answer(late.ask(name(999)))[0] is None
-        assert node.front.counts["closed_for_room_mute"] >= 1 and mute
+        assert node.frontend.counts["closed_for_room_mute"] >= 1 and mute
 
     run(18, main)
 
@@ -478,7 +478,7 @@
         loop.sleep(1500.0)
         assert other.answer(other.ask(name(100)))[0] is None
         loop.sleep(6000.0)
-        assert node.front.counts["unread"] == 1 and len(node.front.places) <= 1
+        assert node.frontend.counts["unread"] == 1 and len(node.frontend.places) <= 1
 
     run(19, main)
 
@@ -531,7 +531,7 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(3000.0)
-        assert feed.asked == [1, 2] and node.channel.cursor == 3
+        assert feed.asked == [1, 2] and node.endpoint_watch.cursor == 3
         assert set(node.driver.gateway.engines) == {"s-1", "s-2", "s-3"}
 
     run(20, main)
@@ -552,7 +552,7 @@
         feed = Feed(loop, script)
         node = start(loop, [instance("s-1", 1)])
         loop.sleep(2500.0)
-        assert feed.asked == [1, 2] and node.channel.counts["repeats"] == 2
+        assert feed.asked == [1, 2] and node.endpoint_watch.counts["repeats"] == 2
         assert node.driver.gateway.engines["s-2"].entry.state == "draining"
         assert "s-9" not in node.driver.gateway.engines
         loop.sleep(20000.0)
@@ -603,7 +603,7 @@
         loop.sleep(20.0)
         node.reload("{ this is no JSON")
         node.reload("[]")
-        assert node.channel.address == CHANNEL
+        assert node.endpoint_watch.address == CHANNEL
         node.reload(config_text([instance("s-1", 1)], channel=elsewhere))
         loop.sleep(100.0)
         assert new.asked == [1] and old.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
@@ -619,7 +619,7 @@
         loop.sleep(700.0)
         before = node.driver.gateway.engines["s-1"]
         assert before.entry.started_ms == pytest.approx(500.0)
-        node.channel._take(nodes_event(2, [instance("s-1", 1, started=500)]), "full")
+        node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-1", 1, started=500)]), "full")
         loop.sleep(10.0)
         assert node.driver.gateway.engines["s-1"] is before
 
@@ -636,7 +636,7 @@
         first = Client(loop)
         early = first.ask(name(1), "scene-build", 5000)
         loop.sleep(50.0)
-        ending = loop.spawn(node.leave)
+        ending = loop.spawn(node.shut_down)
         loop.sleep(400.0)
         second = Client(loop)
         second.stream.write(msgpack.packb([0, 1, "isWell", [{}]]))
@@ -657,7 +657,7 @@
         sizes = []
         for k in range(1, 300):
             executors.append(Executor(loop, k % 3, port=9090 + k))
-            node.channel._take(
+            node.endpoint_watch._apply_known_event(
                 nodes_event(
                     k + 1,
                     [
@@ -686,8 +686,8 @@
                         pool.connection_count,
                         len(client.in_flight.by_query),
                         len(client.cancellations.pending),
-                        len(node.front.places),
-                        len(node.front.names),
+                        len(node.frontend.places),
+                        len(node.frontend.open_query_ids),
                         len(node.driver._tasks),
                         len(gateway.expiry) < 50,
                         len(loop.tasks) < 30,
@@ -775,9 +775,11 @@
         assert client.answer(client.ask(name(1)))[0] is None
         client.stream.write(msgpack.packb([0, 2, "lookup", [USABLE, b"s" * 5000]])[:3000])
         loop.sleep(20.0)
-        assert node.front.partial == 3000
+        assert node.frontend.partial_bytes == 3000
         assert (
-            client.closed(3000.0) and node.front.counts["closed_half_sent"] == 1 and node.front.partial == 0
+            client.closed(3000.0)
+            and node.frontend.counts["closed_half_sent"] == 1
+            and node.frontend.partial_bytes == 0
         )
 
     run(29, main)
@@ -791,8 +793,8 @@
         for client in clients:
             client.stream.write(half)
         loop.sleep(100.0)
-        assert 0 < node.front.partial <= 4_100_000
-        assert len(node.front.places) < 100
+        assert 0 < node.frontend.partial_bytes <= 4_100_000
+        assert len(node.frontend.places) < 100
 
     run(30, main)
 
@@ -803,7 +805,7 @@
     def main(loop):
         Executor(loop, 1)
         node = start(loop, [instance("s-1", 1)], sockets=100)
-        front, places = node.front, node.front.places
+        front, places = node.frontend, node.frontend.places
         clients = [Client(loop) for _ in range(places.most)]
         for k, client in enumerate(clients[:-2]):
             assert client.answer(client.ask(name(k)))[0] is None
@@ -819,7 +821,7 @@
         assert not places.unheard
         extra = [Client(loop) for _ in range(3)]
         loop.sleep(10.0)
-        assert oldest.closed and front.counts["closed_for_room_idle"] == 1 and len(places.unheard) == 3
+        assert oldest.is_closed and front.counts["closed_for_room_idle"] == 1 and len(places.unheard) == 3
         assert clients[0].answer(number)[0] is None and extra
         loop.sleep(20000.0)
         assert not len(places)
@@ -839,7 +841,7 @@
             sent == node.executor_pool.max_connections == 10
             and node.executor_pool.counts["waited_for_capacity"]
         )
-        node.channel._take(nodes_event(2, [instance("s-1", 1, "terminating")]), "full")
+        node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-1", 1, "terminating")]), "full")
         ends = [client.answer(number, 7000.0)[0] for number in numbers]
         assert sum(error is None for error in ends) == sent == len(executor.ran)
         assert node.log.ends.count("moot") == 6
@@ -875,16 +877,18 @@
         numbers = [client.ask(name(k), "publish", 5900, h="100.0") for k in range(12)]
         loop.sleep(300.0)
         rows = compare(node.driver.gateway, node.executor_client)
-        assert [row.believed for row in rows] == [row.running for row in rows]
-        assert sum(row.running for row in rows) == sum(len(executor.ran) for executor in executors) == 12
+        assert [row.policy_count for row in rows] == [row.in_flight_count for row in rows]
+        assert (
+            sum(row.in_flight_count for row in rows) == sum(len(executor.ran) for executor in executors) == 12
+        )
         assert drift(node.driver.gateway, node.executor_client) == 0
         node.driver.gateway.engines["s-0"].out.popitem()  # planted: an attempt forgotten
         assert drift(node.driver.gateway, node.executor_client) == 1
         for number in numbers:
             assert client.answer(number)[0] is None
         ended = compare(node.driver.gateway, node.executor_client)
-        assert sum(row.answers for row in ended) == 12 and not any(row.others for row in ended)
-        assert not any(row.answers for row in compare(node.driver.gateway, node.executor_client))
+        assert sum(row.succeeded for row in ended) == 12 and not any(row.failed for row in ended)
+        assert not any(row.succeeded for row in compare(node.driver.gateway, node.executor_client))
         loop.sleep(11000.0)
         assert any(sort == "state" and "view differed in" in text for sort, text in node.log.lines)
 
--- a/tests/node/test_node_parsers.py
+++ b/tests/node/test_node_parsers.py
@@ -30,13 +30,13 @@
 
 
 def test_what_follows_an_answer_makes_its_connection_useless():
-    assert http1.ResponseReader().feed(ANSWERS[0]).reusable
-    assert not http1.ResponseReader().feed(ANSWERS[0] + b"H").reusable
-    assert not http1.ResponseReader().feed(ANSWERS[1]).reusable
+    assert http1.ResponseReader().feed(ANSWERS[0]).is_reusable
+    assert not http1.ResponseReader().feed(ANSWERS[0] + b"H").is_reusable
+    assert not http1.ResponseReader().feed(ANSWERS[1]).is_reusable
     assert (
         not http1.ResponseReader()
         .feed(ANSWERS[2].replace(b"\r\n\r\n", b"\r\nConnection: Close\r\n\r\n"))
-        .reusable
+        .is_reusable
     )
 
 
@@ -90,7 +90,7 @@
     )
     wanted = [http1.ServerEvent(None), http1.ServerEvent(7, '{"a":\n1}'), http1.ServerEvent(8, "x")]
     reader = http1.EventReader()
-    assert reader.feed(raw) == wanted and reader.ended
+    assert reader.feed(raw) == wanted and reader.has_ended
     for cut in range(1, len(raw)):
         reader = http1.EventReader()
         assert reader.feed(raw[:cut]) + reader.feed(raw[cut:]) == wanted
@@ -104,7 +104,7 @@
     "raw",
     [
         b"HTTP/1.1 404 No\r\n\r\n",
-        b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (http1.EVENT_MOST + 1),
+        b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (http1.MAX_EVENT_BYTES + 1),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: br\r\n\r\n",
         b"x" * 9000,
     ],
@@ -118,18 +118,18 @@
 
 
 def test_a_message_is_the_same_however_it_is_split():
-    wanted = msgrpc.Message(7, "lookup", [{"i": "9b1f03aa5c7e2d41", "d": "1500"}, b"select 1"])
+    wanted = msgrpc.Request(7, "lookup", [{"i": "9b1f03aa5c7e2d41", "d": "1500"}, b"select 1"])
     for cut in range(1, len(REQUEST)):
-        reader = msgrpc.Reader()
-        assert reader.feed(REQUEST[:cut]) == [] and reader.under_way() == cut
-        assert reader.feed(REQUEST[cut:] + REQUEST) == [wanted, wanted] and reader.under_way() == 0
+        reader = msgrpc.MessageReader()
+        assert reader.feed(REQUEST[:cut]) == [] and reader.partial_bytes() == cut
+        assert reader.feed(REQUEST[cut:] + REQUEST) == [wanted, wanted] and reader.partial_bytes() == 0
     notice = msgpack.packb([2, "forget", [7]])
-    assert msgrpc.Reader().feed(notice) == [msgrpc.Message(None, "forget", [7])]
+    assert msgrpc.MessageReader().feed(notice) == [msgrpc.Notification("forget", [7])]
 
 
 @given(st.binary(max_size=200), st.integers(0, 60))
 def test_bent_messages_are_messages_or_malformed(noise, at):
-    reader = msgrpc.Reader()
+    reader = msgrpc.MessageReader()
     try:
         for message in reader.feed(REQUEST[:at] + noise + REQUEST[at:]):
             assert type(message.method) is str and type(message.params) is list
@@ -140,18 +140,18 @@
 def test_lengths_are_refused_before_memory_is_taken():
     for head in (b"\xdd\x00\x00\x00\x41", b"\xdf\x00\x00\x00\x41", b"\xdd\xff\xff\xff\xff"):
         with pytest.raises(msgrpc.MalformedMessageError):
-            msgrpc.Reader().feed(b"\x94\x00\x01\xa1a\x92" + head)
+            msgrpc.MessageReader().feed(b"\x94\x00\x01\xa1a\x92" + head)
     for head in (b"\xc6\xff\xff\xff\xff", b"\xdb\xff\xff\xff\xff"):
-        reader, fed = msgrpc.Reader(), 0
+        reader, fed = msgrpc.MessageReader(), 0
         reader.feed(b"\x94\x00\x01\xa1a\x92" + head)
         with pytest.raises(msgrpc.MalformedMessageError):
-            while fed <= msgrpc.MESSAGE_MOST:
+            while fed <= msgrpc.MAX_MESSAGE_BYTES:
                 reader.feed(b"x" * 4096)
                 fed += 4096
-    for value in (b"x" * (msgrpc.BODY_MOST + 1), "x" * (msgrpc.TEXT_MOST + 1)):
+    for value in (b"x" * (msgrpc.MAX_BODY_BYTES + 1), "x" * (msgrpc.MAX_TEXT_BYTES + 1)):
         with pytest.raises(msgrpc.MalformedMessageError):
-            msgrpc.Reader().feed(msgpack.packb([0, 1, "a", [value]]))
-    reader = msgrpc.Reader()
+            msgrpc.MessageReader().feed(msgpack.packb([0, 1, "a", [value]]))
+    reader = msgrpc.MessageReader()
     reader.feed(b"\x94\x00\x01\xa1a\xdc\x00\x40")
     with pytest.raises(msgrpc.MalformedMessageError):  # many parts, each within its bound
         for _ in range(4):
--- a/tests/node/test_node_run.py
+++ b/tests/node/test_node_run.py
@@ -199,7 +199,7 @@
 def test_a_log_that_nobody_reads_does_not_stop_the_program():
     there, here = os.pipe()
     code = (
-        "import sys; from fennelwind.node.lifecycle import Log; log = Log(lambda: 0.0)\n"
+        "import sys; from fennelwind.node.log import Log; log = Log(lambda: 0.0)\n"
         "for k in range(3000): log.write(str(k), 'x' * 100)\n"
         "print('went on')"
     )
--- a/tests/support/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -763,7 +763,7 @@
     def _leave(self):
         """Tell it to end, and kill it as late as the platform does."""
         loop, longest = self.loop, min(3000.0, max(cls["GiveUpMs"] for cls in self.classes.values()))
-        left = loop.spawn(self.node.leave, name="leave")
+        left = loop.spawn(self.node.shut_down, name="leave")
         with suppress(DeadlineExceeded), loop.deadline(longest + 700.0):
             left.join()
         loop.end()
@@ -776,7 +776,7 @@
         driver, client = node.driver, node.executor_client
         left = {
             "entries": driver.ledger.entries,
-            "names": node.front.names,
+            "names": node.frontend.open_query_ids,
             "queries": driver.gateway.queries,
             "tasks": driver._tasks,
             "deletes": client.cancellations.pending,
--- a/tests/testbed/test_rig.py
+++ b/tests/testbed/test_rig.py
@@ -16,7 +16,7 @@
 from fennelwind.config.text import SettingsError
 from fennelwind.dispatch.driver import Driver
 from fennelwind.node import attempt
-from fennelwind.node.frontend import Connection
+from fennelwind.node.client_connection import ClientConnection
 from fennelwind.policy.gateway import Gateway
 from fennelwind.testbed import day_pb2 as pb
 from fennelwind.testbed import dayfile
@@ -164,22 +164,22 @@
 
 
 def test_a_second_answer_is_found(monkeypatch):
-    plain = Connection.send
+    plain = ClientConnection.send
 
     def twice(self, raw, entry):
         plain(self, raw, entry)
         if entry is not None and entry.query % 10 == 0:
             plain(self, raw, None)
 
-    monkeypatch.setattr(Connection, "send", twice)
+    monkeypatch.setattr(ClientConnection, "send", twice)
     _, _, _, verdicts = played(day())
     assert "nobody waits for" in verdicts["final answers"].breaks[0]
 
 
 def test_an_answer_that_never_leaves_is_found(monkeypatch):
-    plain = Connection.answer
+    plain = ClientConnection.answer
     monkeypatch.setattr(
-        Connection,
+        ClientConnection,
         "answer",
         lambda self, number, entry: None if entry.query % 10 == 0 else plain(self, number, entry),
     )
