--- a/fennelwind/dispatch/sessions.py
+++ b/fennelwind/dispatch/sessions.py
@@ -1,17 +1,23 @@
-"""What a client's session is made of, when it is not one engine's session.
+"""The state of a client's session, independent of the engine sessions that run its statements.
 
-A statement may run at any engine, over any link. So what `SET` and `USE` change is recorded here and
+A statement may run at any engine, over any connection. So what `SET` and `USE` change is recorded here and
 carried to the engine session that an attempt gets: configuration goes as the statement's own overlay, which
-needs no state there; the database is a link's state, and `USE` is played on a link that stands elsewhere.
-Temporary tables, functions, views and added resources live in one engine's session and can't be carried:
-they are refused by name.
+needs no state there; the database is a connection's state, and `USE` is replayed on a connection that has
+another one. Temporary tables, functions, views and added resources live in one engine's session and can't be
+carried: they are rejected by name. The HiveServer2 frontend is the only caller.
 """
 
 import re
 from dataclasses import dataclass, field
 
-SETTINGS_MOST = 500  # settings of a session; tools set some dozens
-VALUE_MOST = 8192  # letters of a setting's value
+MAX_SETTINGS = 500  # settings of a session; tools set some dozens
+MAX_VALUE_CHARS = 8192  # characters of a setting's value
+SQLSTATE_NOT_SUPPORTED = "0A000"
+SQLSTATE_VALUE_TOO_LONG = "22001"
+SQLSTATE_LIMIT_EXCEEDED = "54000"
+DATABASE_KEY = "use:database"  # by which Hive's drivers name the database when they open a session
+SETTING_PREFIX = "set:"  # of settings that Hive's drivers open a session with
+VARIABLE_PREFIXES = ("hiveconf:", "hivevar:")
 _COMMENTS = re.compile(r"\s*(?:--[^\n]*(?:\n|$)|/\*.*?\*/)", re.S)
 _SET = re.compile(r"set\s+([\w.:\-]+)\s*=\s*(.*?)\s*;?\s*$", re.I | re.S)
 _RESET = re.compile(r"reset\s*;?\s*$", re.I)
@@ -21,18 +27,19 @@
     r"|add\s+(?:jars?|files?|archives?))\b",
     re.I,
 )
+_MAX_KEYWORD_CHARS = 6  # of the statements that are recognised; most others are told apart without a regex
 
 
 class SessionError(Exception):
-    """A statement that a session can't take, with its SQLSTATE."""
+    """A statement that a session can't take; `state` is its SQLSTATE."""
 
     def __init__(self, text: str, state: str) -> None:
         super().__init__(text)
         self.state = state
 
 
-def bare(statement: str) -> str:
-    """Return a statement without the blanks and comments before it."""
+def strip_leading_comments(statement: str) -> str:
+    """Return a statement without the whitespace and comments before it."""
     start = 0
     while match := _COMMENTS.match(statement, start):
         start = match.end()
@@ -45,45 +52,51 @@
 
     opened_with: dict[str, str] = field(default_factory=dict)
     settings: dict[str, str] = field(default_factory=dict)
-    database: str = ""  # "": the engine's own first one
+    database: str = ""  # "": the engine's default database
 
     def __post_init__(self) -> None:
-        """Split what a client opens its session with, in Hive's words `set:NAME` and `use:database`."""
+        """Split what a client opens its session with, by Hive's keys `set:NAME` and `use:database`."""
         for key, value in list(self.opened_with.items()):
-            if key == "use:database":
+            if key == DATABASE_KEY:
                 self.database = value
                 del self.opened_with[key]
-            elif key.startswith("set:"):
-                name = key.removeprefix("set:").removeprefix("hiveconf:").removeprefix("hivevar:")
+            elif key.startswith(SETTING_PREFIX):
+                name = key.removeprefix(SETTING_PREFIX)
+                for prefix in VARIABLE_PREFIXES:
+                    name = name.removeprefix(prefix)
                 self.opened_with[name] = self.opened_with.pop(key)
 
     def configuration(self, overlay: dict[str, str] | None) -> dict[str, str]:
-        """Return what counts for a statement: the session's configuration under the statement's own."""
+        """Return what applies to a statement: the session's configuration under the statement's own."""
         return {**self.opened_with, **self.settings, **(overlay or {})}
 
-    def take(self, statement: str) -> bool:
-        """Record a statement that changes the session alone; tell if it was one. Raises `SessionError`."""
-        text = bare(statement)
-        word = text[:6].lower()
-        if word.startswith("set") and (match := _SET.match(text)):
+    def apply(self, statement: str) -> bool:
+        """Record a statement that changes the session alone; return whether it was one.
+
+        Raises `SessionError` for a statement that needs one engine's session, or a setting over the limits.
+        """
+        text = strip_leading_comments(statement)
+        keyword = text[:_MAX_KEYWORD_CHARS].lower()
+        if keyword.startswith("set") and (match := _SET.match(text)):
             self._set(match[1], match[2])
             return True
-        if word.startswith("use") and (match := _USE.match(text)):
+        if keyword.startswith("use") and (match := _USE.match(text)):
             self.database = match[1]
             return True
-        if word.startswith("reset") and _RESET.match(text):
+        if keyword.startswith("reset") and _RESET.match(text):
             self.settings.clear()
             return True
-        if word.startswith(("create", "add")) and (match := _TEMPORARY.match(text)):
-            what = " ".join(match[1].split()).lower()
-            why = "it would live in one engine's session, and statements here may run at any"
-            raise SessionError(f"{what}: {why}", "0A000")
+        if keyword.startswith(("create", "add")) and (match := _TEMPORARY.match(text)):
+            resource = " ".join(match[1].split()).lower()
+            reason = "it would live in one engine's session, and statements here may run at any"
+            raise SessionError(f"{resource}: {reason}", SQLSTATE_NOT_SUPPORTED)
         return False
 
     def _set(self, name: str, value: str) -> None:
-        if len(value) > VALUE_MOST:
-            why = f"a value of {len(value)} letters, where {VALUE_MOST} are taken"
-            raise SessionError(f"set {name}: {why}", "22001")
-        if name not in self.settings and len(self.settings) >= SETTINGS_MOST:
-            raise SessionError(f"set {name}: {SETTINGS_MOST} settings are kept for a session", "54000")
+        if len(value) > MAX_VALUE_CHARS:
+            reason = f"a value of {len(value)} letters, where {MAX_VALUE_CHARS} are taken"
+            raise SessionError(f"set {name}: {reason}", SQLSTATE_VALUE_TOO_LONG)
+        if name not in self.settings and len(self.settings) >= MAX_SETTINGS:
+            reason = f"{MAX_SETTINGS} settings are kept for a session"
+            raise SessionError(f"set {name}: {reason}", SQLSTATE_LIMIT_EXCEEDED)
         self.settings[name] = value
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -322,7 +322,7 @@
         if not statement.strip():
             raise BadRequestError("an empty statement", "42000")
         try:
-            own = session.state.take(statement)
+            own = session.state.apply(statement)
         except SessionError as exc:
             raise BadRequestError(str(exc), exc.state) from None
         change = self._change(session, request) if self.gate is not None and not own else None
--- a/tests/load_balancing/test_spread.py
+++ b/tests/load_balancing/test_spread.py
@@ -53,14 +53,14 @@
     "report",
     [{}, {"x0": 0.3}, {"active": 3.0}, {"cpu": math.nan}, {"cpu": math.inf}, {"cpu": -0.1}, {"waiting": 2.0}],
 )
-def test_a_report_that_tells_no_share_changes_nothing(report):
+def test_a_report_without_a_usable_load_changes_nothing(report):
     estimator = load_estimate.LoadEstimator()
     estimator.add_report("a", 0, report, 8, 0.0)
     assert estimator.estimate("a", 0, 8, 1.0) == (load_estimate.UNKNOWN_LOAD, load_estimate.UNKNOWN_DEVIATION)
     assert math.isinf(estimator.age_ms("a", 1.0))
 
 
-def test_news_fades_towards_its_zone_and_own_queries_since_count():
+def test_a_report_fades_towards_its_zones_mean_and_own_queries_since_are_added():
     estimator = load_estimate.LoadEstimator()
     for engine in "bcdefgh":
         estimator.add_report(engine, 0, {"cpu": 0.8}, 8, 0.0)
@@ -77,7 +77,7 @@
     assert estimator.estimate("a", 0, 8, 10.0)[0] == pytest.approx(0.6)
 
 
-def test_a_field_that_is_stuck_is_left_alone_until_it_moves():
+def test_a_stuck_field_is_ignored_until_it_moves():
     estimator = load_estimate.LoadEstimator()
     for n in range(8):
         estimator.add_report("b", 0, {"cpu": 0.8 + n / 100}, 8, 0.0)
@@ -96,7 +96,7 @@
     assert estimator.estimate("a", 0, 8, 900.0)[0] == pytest.approx(0.3)
 
 
-def test_a_zone_without_news_is_taken_for_as_busy_as_the_busiest():
+def test_a_zone_without_reports_counts_as_busy_as_the_busiest():
     estimator = load_estimate.LoadEstimator()
     estimator.add_report("a", 0, {"cpu": 0.9}, 8, 0.0)
     estimator.add_report("b", 1, {"cpu": 0.2}, 8, 0.0)
@@ -152,7 +152,7 @@
     assert 0 < sum("new" in names for names in grown.values()) < 200 / 3  # not everybody is drawn to it
 
 
-def test_a_busy_controller_leans_to_more():
+def test_a_busy_controller_prefers_more_executors():
     assert subsetting.subset_size(0.0, 5.0) == subsetting.MIN_SUBSET
     assert subsetting.subset_size(10.0, 5.0) == 50
     quiet, busy = advised(), advised()
@@ -166,13 +166,13 @@
 # The advisor.
 
 
-def test_it_acts_only_where_own_counts_tell_too_little_and_shares_are_told():
+def test_the_advisor_is_useful_only_in_large_fleets_whose_executors_report_their_load():
     assert is_useful(FLEET)
     assert not is_useful(settings(gateway_count=load_advisor.MIN_CONTROLLERS - 1, report_fields=("cpu",)))
     assert not is_useful(settings(gateway_count=200, report_fields=("active", "x0")))
 
 
-def test_who_drains_or_goes_is_not_leaned_to_and_a_new_life_starts_unknown():
+def test_draining_and_removed_executors_are_not_preferred_and_a_new_incarnation_starts_unknown():
     a = advised(near=4, far=0)
     a.take(answer("s1", cpu=0.9, x1=0.1), 0.0)
     a.take(
@@ -210,7 +210,7 @@
     assert len({min(v, key=lambda item: item[1])[0] for v in views}) >= 8  # the emptiest one, as each sees it
 
 
-def test_no_executor_stays_without_a_trial_from_somebody():
+def test_every_executor_is_explored_by_some_controller():
     tried, asked = set(), 0
     for me in range(40):
         a = advised(me, seed=me)
@@ -352,7 +352,7 @@
     assert with_news < 0.85 * play()
 
 
-def test_an_advisor_that_breaks_costs_the_module_no_event(monkeypatch):
+def test_an_advisor_that_fails_costs_the_policy_no_event(monkeypatch):
     def broken(self, now):
         raise RuntimeError("planted")
 
