--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -127,10 +127,10 @@
         module = self.settings.module
         if not self.settings.file.HasField("moves"):
             return module, None
-        from fennelwind.quiescence.in_flight import Book
+        from fennelwind.quiescence.in_flight import InFlightTracker
         from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
 
-        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, Book())
+        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, InFlightTracker())
 
     def _serve_shards(self, keeper: "Keeper") -> None:
         from fennelwind.shards.model import Bounds, Home
@@ -175,7 +175,7 @@
         ]
         router = self.driver.router
         book = router.opened
-        book.route_copies, book.route_tables = self.driver.copies, self.driver.quiet
+        book.on_replica_locations, book.on_excluded_engines = self.driver.copies, self.driver.quiet
 
         def launched() -> dict[str, float]:
             return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -11,7 +11,7 @@
 
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.framing import FRAME_MOST
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Loop
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Applied, Apply, Event, Restore, Snapshot, TakeSnapshot
@@ -51,7 +51,7 @@
         self.revisions = dict.fromkeys(record.every, 0)
         self.applied = 0  # entries since the start
         self._work: deque[Apply | Restore | TakeSnapshot] = deque()
-        self._bell, self._busy = Bell(loop), False
+        self._wakeup, self._busy = Wakeup(loop), False
         self._due: int | None = None  # as it was told last
         self._results: dict[int, Callable[[Result], None]] = {}  # who waits for an entry's result
         self._reads: list[tuple[int, int, Callable[[], None]]] = []  # heap: index, order, what is to be done
@@ -67,7 +67,7 @@
             self._do(action)
             return
         self._work.append(action)
-        self._bell.ring()
+        self._wakeup.notify()
 
     def result_of(self, index: int, call: Callable[[Result], None]) -> None:
         """Make the call with what the entry brings; UNKNOWN if it was applied already: ask again."""
@@ -130,7 +130,7 @@
         while True:
             while not self._work:
                 self._busy = False
-                self._bell.wait()
+                self._wakeup.wait()
             self._busy = True
             self._do(self._work.popleft())
             self.loop.sleep(0.0)
--- a/fennelwind/cluster/framing.py
+++ b/fennelwind/cluster/framing.py
@@ -7,7 +7,7 @@
 
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.errors import FrameRefused
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Loop, Stream
 from fennelwind.loop.streams import PushStream
 
@@ -81,7 +81,7 @@
     def __init__(self, loop: Loop, most: int = BOX_MOST) -> None:
         self.loop, self.most, self.held, self.dropped = loop, most, 0, 0
         self._frames: deque[tuple[bytes, bool]] = deque()
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._stream: PushStream | None = None  # while `run` waits for what the stream did not take at once
         self._rest = b""
         self._due = False  # what waits is handed on at the end of this turn
@@ -99,7 +99,7 @@
         self._frames.append((frame, may_be_lost))
         self.held += len(frame)
         if self._stream is None:
-            self._bell.ring()
+            self._wakeup.notify()
         elif not self._due:
             self._due = True
             self.loop.last(self._push)
@@ -131,7 +131,7 @@
                     data, self._rest = self._rest or self._together(), b""
                     stream.write(data, WRITE_MS)
                 self._stream = stream
-                self._bell.wait()
+                self._wakeup.wait()
                 self._stream = None
         finally:
             self._stream = None
@@ -148,7 +148,7 @@
             sent = 0
         if sent < len(data) or self._frames:
             self._rest, self._stream = data[sent:], None
-            self._bell.ring()
+            self._wakeup.notify()
 
     def _together(self) -> bytes:
         """Take out as much as is written at once."""
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -13,7 +13,7 @@
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.state_machines import LEASES
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.leases import lease_events
 from fennelwind.leases import leases_pb2 as pb
@@ -115,7 +115,7 @@
         self._any_wanted = Once(loop)  # set with the first task
         self._running: dict[str, _RunningTask] = {}
         self._events: deque[lease_events.Event] = deque()
-        self._wakeup = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._timer: Timer | None = None
         self._tasks: list[Task] = []
 
@@ -169,7 +169,7 @@
     def post(self, event: lease_events.Event) -> None:
         """Hand the lease client an event, in its next step."""
         self._events.append(event)
-        self._wakeup.ring()
+        self._wakeup.notify()
 
     def _step_forever(self) -> None:
         while True:
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -14,7 +14,7 @@
 from fennelwind.cluster.errors import CouncilError, FleetMismatch, FrameRefused, NameMismatch
 from fennelwind.cluster.framing import FrameReader, Outbox, framed
 from fennelwind.cluster.identity import wrong_hello
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Address, Loop, Stream, Task
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
@@ -34,14 +34,14 @@
         self.level = 0
         self.up = False
         self.heard_ms = 0.0
-        self._again = Bell(peers.loop)
+        self._again = Wakeup(peers.loop)
         self.wrong: CouncilError | None = None  # why it is not talked to; None: nothing was wrong lately
         self.task: Task = peers.loop.spawn(self._run, name=f"keeper: to {name}")
 
     def back(self) -> None:
         """It has just been heard: it can be reached again, so the wait for the next try is over."""
         if not self.up:
-            self._again.ring()
+            self._again.notify()
 
     def _run(self) -> None:
         loop, waits = self.peers.loop, Waits(self.peers.random)
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -1,7 +1,9 @@
-"""This controller's part in clearances: it is on the roll, tells the leader its word, and asks as a holder.
+"""This controller's part in quiescence: registration, acknowledgements and barrier requests.
 
-Nothing here is waited for by a query. Without the council no word is told, and copies and engines that are
-asked for are taken after the waits that hold without words.
+All three go to the Raft leader, over the Raft client.
+
+Nothing here is waited for by a query. Without the Raft group nothing is acknowledged, and replicas and
+engines that are to be quiesced are taken after the waits that hold without acknowledgements.
 """
 
 from collections import Counter
@@ -12,99 +14,113 @@
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.replica_locations import Places
 from fennelwind.cluster.state_machines import ROLL
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import DeadlineExceeded, Loop, Task
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.quiescence.in_flight import Book, Pair
-from fennelwind.quiescence.registered_controllers import FORGET_MS
-
-RENEW_MS = FORGET_MS / 4.0  # ms between renewals: three may be lost, on a clock that is a fifth slow
-AGAIN_MS = 5000.0  # ms until a sign-on that failed is tried again; a roll begins to count after FORGET_MS
-ASK_MS = 4000.0  # ms for one command
-WORD_MS = 2000.0  # ms for one word or question; a later one says more
+from fennelwind.quiescence.in_flight import InFlightTracker, Pair
+from fennelwind.quiescence.registered_controllers import SILENCE_TIMEOUT_MS
 
-Heard = pb.Heard
+RENEWAL_MS = SILENCE_TIMEOUT_MS / 4.0  # ms between renewals: three may be lost, on a clock a fifth slow
+RETRY_MS = 5000.0  # ms until a registration that failed is sent again; the registry counts after the timeout
+PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
+LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or question; a later one says more
 
 
-class Clearances:
-    """One controller's part. `book` is None where queries don't go by what engines hold."""
+class QuiescenceClient:
+    """One controller's part. `in_flight` is None where queries don't go by what engines hold."""
 
-    def __init__(self, loop: Loop, asker: Asker, name: str, book: Book | None) -> None:
-        self.loop, self.asker, self.name, self.book = loop, asker, name, book
+    def __init__(self, loop: Loop, client: Asker, name: str, in_flight: InFlightTracker | None) -> None:
+        self.loop = loop
+        self.client = client
+        self.name = name
+        self.in_flight = in_flight
         self.counts: Counter[str] = Counter()
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        """Be on the roll from now on, and say what there is to say."""
-        self._tasks = [self.loop.spawn(self._stay, name="clearances: roll")]
-        if self.book is not None:
-            self._tasks.append(self.loop.spawn(self._tell, name="clearances: words"))
+        """Register from now on, and acknowledge what is requested."""
+        self._tasks = [self.loop.spawn(self._stay_registered, name="clearances: roll")]
+        if self.in_flight is not None:
+            self._tasks.append(
+                self.loop.spawn(self._send_acknowledgements, self.in_flight, name="clearances: words")
+            )
 
     def close(self) -> None:
-        """Say nothing more: others wait for this one until it is forgotten."""
+        """Acknowledge nothing more: others wait for this one until its registration times out."""
         for task in self._tasks:
             task.cancel()
 
-    def copies(self, revision: int, places: Places, leaving: list[Pair], whole: bool) -> None:
-        """Take a view of copies."""
-        self.book.see_copies(revision, places, leaving, whole)
-        self._bell.ring()
+    def update_replicas(
+        self, revision: int, locations: Places, draining: list[Pair], is_complete: bool
+    ) -> None:
+        """Take a view of replicas: where good ones are, and which ones drain."""
+        if self.in_flight is not None:
+            self.in_flight.update_replicas(revision, locations, draining, is_complete)
+            self._wakeup.notify()
 
-    def tables(self, index: int, kept: dict[str, frozenset[str]], quiet: list[Pair], whole: bool) -> None:
+    def update_tables(
+        self, index: int, excluded: dict[str, frozenset[str]], quiesced: list[Pair], is_complete: bool
+    ) -> None:
         """Take a view of the engines that get no query of some tables."""
-        self.book.see_tables(index, kept, quiet, whole)
-        self._bell.ring()
+        if self.in_flight is not None:
+            self.in_flight.update_tables(index, excluded, quiesced, is_complete)
+            self._wakeup.notify()
 
-    def _stay(self) -> None:
+    def _stay_registered(self) -> None:
         number = 0
         while True:
-            command = pb.RollCommand(renew=pb.Renew(number=number))
-            if not number:
-                command = pb.RollCommand(sign_on=pb.SignOn(name=self.name, routes=self.book is not None))
             try:
-                answer = pb.RollAnswer.FromString(
-                    self.asker.propose(ROLL, command.SerializeToString(deterministic=True), ASK_MS)
-                )
-                number = 0 if answer.refusal else answer.number
-                self.counts[pb.RollAnswer.Refusal.Name(answer.refusal)] += 1
-            except CouncilError as exc:  # the record may be of a level without a roll
+                answer = self._register(number)
+            except CouncilError as exc:  # the log may be of a level without a registry
                 self.counts[exc.code] += 1
-                self.loop.sleep(AGAIN_MS)
+                self.loop.sleep(RETRY_MS)
                 continue
-            if self.book is not None:
-                self.book.number = number
-                self._bell.ring()
-            self.loop.sleep(RENEW_MS if number else AGAIN_MS)
+            number = 0 if answer.refusal else answer.number
+            self.counts[pb.RollAnswer.Refusal.Name(answer.refusal)] += 1
+            if self.in_flight is not None:
+                self.in_flight.registration_number = number
+                self._wakeup.notify()
+            self.loop.sleep(RENEWAL_MS if number else RETRY_MS)
+
+    def _register(self, number: int) -> pb.RollAnswer:
+        """Renew the registration of this number; 0: register anew. Raises `CouncilError`."""
+        if number:
+            command = pb.RollCommand(renew=pb.Renew(number=number))
+        else:
+            can_withhold_queries = self.in_flight is not None
+            command = pb.RollCommand(sign_on=pb.SignOn(name=self.name, routes=can_withhold_queries))
+        body = command.SerializeToString(deterministic=True)
+        return pb.RollAnswer.FromString(self.client.propose(ROLL, body, PROPOSE_TIMEOUT_MS))
 
-    def _tell(self) -> None:
-        book = self.book
+    def _send_acknowledgements(self, in_flight: InFlightTracker) -> None:
         while True:
-            word, wake = book.word(self.loop.now())
-            if word is None:
+            due = in_flight.next_acknowledgement(self.loop.now())
+            if due.message is None:
                 try:
-                    with self.loop.deadline_at(wake):
-                        self._bell.wait()
+                    with self.loop.deadline_at(due.check_at_ms):
+                        self._wakeup.wait()
                 except DeadlineExceeded:
                     pass
                 continue
-            raw = word.SerializeToString()
+            body = due.message.SerializeToString()
             try:
-                self.asker.leader(lambda raw=raw: keeper_pb2.Ask(word=raw), WORD_MS)
+                self.client.leader(lambda body=body: keeper_pb2.Ask(word=body), LEADER_TIMEOUT_MS)
                 self.counts["told"] += 1
             except CouncilError as exc:
                 self.counts[exc.code] += 1
-                book.unheard()
-                self.loop.sleep(AGAIN_MS if isinstance(exc, CommandRefused) else 0.0)
+                in_flight.acknowledgement_lost()
+                self.loop.sleep(RETRY_MS if isinstance(exc, CommandRefused) else 0.0)
 
-    def hear(self, wishes: Iterable[pb.Wish]) -> list[int]:
-        """Return how wishes stand: `Heard.State` of each; SILENT where the leader can't be heard."""
-        asked = pb.Asked(wishes=wishes)
-        raw = asked.SerializeToString()
+    def barrier_states(self, requests: Iterable[pb.Wish]) -> list[pb.Heard.State]:
+        """Return how barrier requests stand, in order; SILENT where the leader can't be reached."""
+        question = pb.Asked(wishes=requests)
+        body = question.SerializeToString()
+        unknown = [pb.Heard.SILENT] * len(question.wishes)
         try:
-            told = pb.Heard.FromString(self.asker.leader(lambda: keeper_pb2.Ask(cleared=raw), WORD_MS))
+            answer = self.client.leader(lambda: keeper_pb2.Ask(cleared=body), LEADER_TIMEOUT_MS)
         except CouncilError as exc:
             self.counts[exc.code] += 1
-            return [Heard.SILENT] * len(asked.wishes)
-        states = [each.state for each in told.states]
-        return states if len(states) == len(asked.wishes) else [Heard.SILENT] * len(asked.wishes)
+            return unknown
+        states = [answered.state for answered in pb.Heard.FromString(answer).states]
+        return states if len(states) == len(question.wishes) else unknown
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -18,13 +18,13 @@
 from fennelwind.cluster.identity import PROTOCOL, Place
 from fennelwind.cluster.peer_connections import Peer, Peers
 from fennelwind.cluster.server import Caller, Door
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, Loop, Once, Task, parse_address
 from fennelwind.loop.disk import DiskFull
 from fennelwind.quiescence import clearance_pb2
-from fennelwind.quiescence.acknowledgements import WISHES_MOST, Words
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.acknowledgements import MAX_BARRIER_REQUESTS, Acknowledgements
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.raft import council_pb2
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import (
@@ -61,7 +61,7 @@
 OPEN_FIRST_MS, OPEN_MOST_MS = 200.0, 5000.0  # ms between two tries to open the folder, or to write again
 ROOM_MS = 1000.0  # ms between two looks at the disk's room
 LEVEL_MS = 2000.0  # ms between two looks whether all members know a later level; upgrades take minutes
-ROLL = RollMachine.name
+ROLL = ControllerRegistry.name
 BUSY_MS = 200  # ms after which one who found too many waiting may ask again
 
 Result = council_pb2.Result
@@ -118,10 +118,10 @@
         self.peers = Peers(loop, place.fleet, self.hello, seed, self._wrong, self._met)
         self.door: Door | None = None
         self.counts: Counter[str] = Counter()
-        self.words = Words()
+        self.acknowledgements = Acknowledgements()
         self.random = self.peers.random
         self._events: deque[Event] = deque()
-        self._ink = Bell(loop)
+        self._writes_pending = Wakeup(loop)
         self._turn_due, self._over = True, False  # no turn ahead of the first step, none after the end
         self._writes: deque[Write] = deque()
         self._timer = None
@@ -299,15 +299,15 @@
         try:
             if ask.HasField("word"):
                 self.counts["words"] += 1
-                self.words.take(clearance_pb2.Word.FromString(ask.word), roll)
+                self.acknowledgements.accept(clearance_pb2.Word.FromString(ask.word), roll)
                 return Result(index=self.state.record.index)
             wishes = clearance_pb2.Asked.FromString(ask.cleared).wishes
         except DecodeError:
             return Result(refusal=Result.UNREADABLE)
-        if len(wishes) > WISHES_MOST:
+        if len(wishes) > MAX_BARRIER_REQUESTS:
             return Result(refusal=Result.TOO_LARGE)
         record = self.state.record
-        heard = self.words.hears(wishes, roll, record.index, record.clock_ms)
+        heard = self.acknowledgements.evaluate(wishes, roll, record.index, record.clock_ms)
         return Result(body=heard.SerializeToString(), index=record.index)
 
     def _propose(self, command: council_pb2.Command, tell: Callable[[Result], None]) -> None:
@@ -386,7 +386,7 @@
                 self.peers.send(action.to, action.message)
             elif isinstance(action, Write):
                 self._writes.append(action)
-                self._ink.ring()
+                self._writes_pending.notify()
             elif isinstance(action, Apply | Restore | TakeSnapshot):
                 self.state.take(action)
             elif isinstance(action, Timer):
@@ -472,7 +472,7 @@
     def _write(self) -> None:
         while True:
             while not self._writes:
-                self._ink.wait()
+                self._writes_pending.wait()
             writes = [self._writes.popleft() for _ in range(min(len(self._writes), TOGETHER_MOST))]
             try:
                 self.store.write(writes)
--- a/fennelwind/cluster/running_work.py
+++ b/fennelwind/cluster/running_work.py
@@ -5,7 +5,7 @@
 from contextlib import suppress
 from typing import Generic, TypeVar
 
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.leases.errors import LeaseNotHeldError
 from fennelwind.loop import DeadlineExceeded, Loop, Task
 
@@ -18,14 +18,14 @@
     def __init__(self, loop: Loop, name: str) -> None:
         self.loop, self.name = loop, name
         self._events: deque[Event] = deque()
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._tasks: set[Task] = set()
         self._broken: LeaseNotHeldError | None = None
 
     def post(self, event: Event) -> None:
         """Have an event told in the next turn."""
         self._events.append(event)
-        self._bell.ring()
+        self._wakeup.notify()
 
     def spawn(self, call: Callable[..., None], *args: object) -> Task:
         """Start a task; one that finds too little of the lease ends the whole in its next turn."""
@@ -35,7 +35,7 @@
                 call(*args)
             except LeaseNotHeldError as exc:  # another may hold it by now: nothing is said of what came of it
                 self._broken = exc
-                self._bell.ring()
+                self._wakeup.notify()
             finally:
                 self._tasks.discard(task)
 
@@ -55,7 +55,7 @@
             raise self._broken
         if not self._events:
             with suppress(DeadlineExceeded), self.loop.deadline_at(until):
-                self._bell.wait()
+                self._wakeup.wait()
 
     def close(self) -> None:
         """End all tasks."""
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -8,7 +8,7 @@
 from fennelwind.cluster.identity import Place
 from fennelwind.cluster.leased_tasks import LeasedTasks
 from fennelwind.cluster.member_folder import Folder
-from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.quiescence import QuiescenceClient
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.raft_host import Member
 from fennelwind.cluster.replica_locations import Copies
@@ -19,7 +19,7 @@
 from fennelwind.engines.connection_pool import EngineLinks
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
-from fennelwind.quiescence.in_flight import Book
+from fennelwind.quiescence.in_flight import InFlightTracker
 from fennelwind.raft.council_pb2 import Member as Stated
 from fennelwind.raft.member import RaftMember
 from fennelwind.raft.messages import DurableState
@@ -61,7 +61,7 @@
         self._carriers: Task | None = None
         self.copies: Copies | None = None
         self.heat: Heat | None = None
-        self.clearances: Clearances | None = None
+        self.quiescence: QuiescenceClient | None = None
         self._seed = seed
 
     def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> Member:
@@ -98,16 +98,16 @@
         staging: str,
         bounds: Bounds,
         shards: Iterable[Shard],
-        book: Book,
+        in_flight: InFlightTracker,
         named: Named,
         *,
         cleared: bool = False,
     ) -> None:
         """Move shards while the lease is held here.
 
-        `book` counts the queries that are open here, and tells routing each newer view of the record; `named`
-        counts what queries name, to be told; with `cleared`, a holder here goes by what all controllers have
-        said of theirs.
+        `in_flight` counts the queries in flight here, and gives routing each newer view of the replicated
+        state; `named` counts what queries name, to be reported; with `cleared`, a lease holder here goes by
+        what all controllers have acknowledged.
         """
         statements = Statements(self.loop, links.settings, links.tls)
         record = self.member.state.record if self.member is not None else None
@@ -124,22 +124,22 @@
             record=record,
         )
         self.heat = Heat(self.loop, self.asker, named, self._seed)
-        self.clearances = clearances = Clearances(self.loop, self.asker, self.place.me, book)
-        self.copies = Copies(self.loop, self.asker, clearances.copies)
-        self.moves.clearances = clearances if cleared else None
+        self.quiescence = quiescence = QuiescenceClient(self.loop, self.asker, self.place.me, in_flight)
+        self.copies = Copies(self.loop, self.asker, quiescence.update_replicas)
+        self.moves.quiescence = quiescence if cleared else None
         if self.changes is not None:
-            self.changes.quieted = clearances.tables
-            self.changes.clearances = self.moves.clearances
+            self.changes.on_quiesced_tables = quiescence.update_tables
+            self.changes.quiescence = self.moves.quiescence
 
     def start(self) -> None:
         """Take part; returns at once, or once it is known where copies are (`copies.FIRST_MS` at most)."""
         if self.member is not None:
             self.member.start()
         self.tasks.start()
-        if self.clearances is None and self.changes is not None:
+        if self.quiescence is None and self.changes is not None:
             # It sends queries, and keeps none away: whoever holds a lease is to know so.
-            self.clearances = Clearances(self.loop, self.asker, self.place.me, None)
-        for part in (self.clearances, self.gate, self.changes, self.copies, self.heat):
+            self.quiescence = QuiescenceClient(self.loop, self.asker, self.place.me, None)
+        for part in (self.quiescence, self.gate, self.changes, self.copies, self.heat):
             if part is not None:
                 part.start()
         if self.moves is not None:
@@ -197,8 +197,8 @@
     def events(self) -> list[tuple[str, str, int]]:
         """Return counts of what happened: where, what, how often."""
         found = {"asker": {"asked": self.asker.asked, "lost": self.asker.lost}, "tasks": self.tasks.counts}
-        if self.clearances is not None:
-            found["clearances"] = self.clearances.counts
+        if self.quiescence is not None:
+            found["clearances"] = self.quiescence.counts
         if self.heat is not None:
             found["heat"] = self.heat.counts
         member = self.member
@@ -219,7 +219,7 @@
         """Take part no more."""
         if self._carriers is not None:
             self._carriers.cancel()
-        for part in (self.clearances, self.gate, self.changes, self.moves, self.copies, self.heat):
+        for part in (self.quiescence, self.gate, self.changes, self.moves, self.copies, self.heat):
             if part is not None:
                 part.close()
         self.tasks.close()
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -16,7 +16,7 @@
 from fennelwind.cluster.errors import CouncilError, OutcomeUnknown
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.state_machines import CONTRACTS
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Loop, Once
 from fennelwind.schema_compatibility import contracts_pb2 as pb
@@ -121,7 +121,7 @@
         self.counts: Counter[str] = Counter()
         self.closed = False
         self.lost = False  # the record did not answer the last time: nobody waits for it at OpenSession
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._registering: set[Subscriber] = set()
         self._tasks = []
 
@@ -207,7 +207,7 @@
             subscriber.renew_at = self.loop.now() + self._renew_ms(subscriber)
             since = "; ".join(map(finding_text, answer.since))
             subscriber.text = f"registered{f'; since it lapsed: {since}' if since else ''}"[:TEXT_MOST]
-            self._bell.ring()
+            self._wakeup.notify()
         if not subscriber.told.set(subscriber.text):
             subscriber.told.value = subscriber.text
 
@@ -219,7 +219,7 @@
         while True:
             registered = [s for s in self.subscribers.values() if s.number]
             if not registered:
-                self._bell.wait()
+                self._wakeup.wait()
                 continue
             now = self.loop.now()
             first = min(s.renew_at for s in registered)
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -18,7 +18,7 @@
 from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
-from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.quiescence import QuiescenceClient
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS
@@ -89,8 +89,8 @@
         said: Callable[[str, dict], None],
     ) -> None:
         self.loop, self.asker, self.tasks, self.statements = loop, asker, tasks, statements
-        self.quieted: Quieted | None = None  # who keeps queries away here
-        self.clearances: Clearances | None = None  # whom a holder asks here; None: nobody
+        self.on_quiesced_tables: Quieted | None = None  # who keeps queries away here
+        self.quiescence: QuiescenceClient | None = None  # None: no barrier requests
         self.engines, self.said = engines, said
         self.counts: Counter[str] = Counter()
         self._wanted: dict[str, int] = {}  # tables and the change of each
@@ -106,7 +106,9 @@
             self._task.cancel()
 
     def _watch(self) -> None:
-        query = gate_pb2.ChangeQuery(open=True, behind=self.quieted is not None).SerializeToString()
+        query = gate_pb2.ChangeQuery(
+            open=True, behind=self.on_quiesced_tables is not None
+        ).SerializeToString()
         seen, wait = None, WATCH_MS
         while True:
             try:
@@ -123,12 +125,14 @@
     def _tell_quiet(self, index: int, told: gate_pb2.ChangeTold) -> bool:
         """Let queries be kept away; tell whether anybody waits for that."""
         asked = [(change.table, engine) for change in told.open for engine in change.quiet]
-        if self.quieted is not None:
+        if self.on_quiesced_tables is not None:
             kept: dict[str, set[str]] = {each.table: set(each.engines) for each in told.behind}
             for table, engine in asked:
                 kept.setdefault(table, set()).add(engine)
-            self.quieted(index, {table: frozenset(of) for table, of in kept.items()}, asked, not told.cut)
-        return bool(asked) and self.quieted is not None
+            self.on_quiesced_tables(
+                index, {table: frozenset(of) for table, of in kept.items()}, asked, not told.cut
+            )
+        return bool(asked) and self.on_quiesced_tables is not None
 
     def _open(self, told: gate_pb2.ChangeTold) -> None:
         now = {change.table: change.number for change in told.open}
@@ -219,7 +223,7 @@
         match action:
             case rollout.Tell():
                 self.hands.spawn(self._tell, action)
-            case rollout.Quiet(token, engine) if self.changes.clearances is None:
+            case rollout.Quiet(token, engine) if self.changes.quiescence is None:
                 self.hands.post(rollout.Drained(token, engine))  # the engine's own lock keeps them apart
             case rollout.Quiet(token, engine):
                 self._drains[engine] = token
@@ -253,7 +257,7 @@
         wish = clear.Wish(table=True, name=self.change.table, engine=engine)
         while self._drains.get(engine) == token:
             wish.since = self._quiet_since.get(engine, 2**62)
-            (state,) = self.changes.clearances.hear([wish])
+            (state,) = self.changes.quiescence.barrier_states([wish])
             now = self.loop.now()
             if state != clear.Heard.SILENT:
                 silent_since = None
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -14,7 +14,7 @@
 from fennelwind.cluster.engine_statements import FAILED, LOST, OK, Statement, Statements
 from fennelwind.cluster.errors import CouncilError
 from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
-from fennelwind.cluster.quiescence import Clearances
+from fennelwind.cluster.quiescence import QuiescenceClient
 from fennelwind.cluster.raft_client import Asker
 from fennelwind.cluster.running_work import Hands
 from fennelwind.cluster.state_machines import CONTRACTS, SHARDS
@@ -22,7 +22,7 @@
 from fennelwind.leases.errors import LeaseNotHeldError
 from fennelwind.loop import Cancelled, Channel, DeadlineExceeded, Loop, Task
 from fennelwind.quiescence import clearance_pb2 as clear
-from fennelwind.quiescence.acknowledgements import WISHES_MOST
+from fennelwind.quiescence.acknowledgements import MAX_BARRIER_REQUESTS
 from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.shards import migration as api
 from fennelwind.shards import migration_statements
@@ -129,7 +129,7 @@
         self.bounds, self.timing, self.planner, self.record = bounds, timing, planner, record
         self.shards = tuple(shards)
         self.launched: Callable[[], dict[str, float]] = dict  # when engines were started, as lists tell it
-        self.clearances: Clearances | None = None  # whom a holder asks; None: copies go after their rest
+        self.quiescence: QuiescenceClient | None = None  # None: replicas go after their rest
         self.counts: Counter[str] = Counter()
         self.planning = False  # a plan is being made, for this or an earlier time that the lease was held
 
@@ -321,17 +321,17 @@
 
     def _hear(self) -> None:
         """Ask which copies that leave have been cleared by all."""
-        while self.moves.clearances is not None:
+        while self.moves.quiescence is not None:
             self.loop.sleep(HEAR_MS)
             machine = self.machine
-            waiting = machine.waiting()[:WISHES_MOST]
+            waiting = machine.waiting()[:MAX_BARRIER_REQUESTS]
             moves = [machine.move_of(shard).number for shard, _ in waiting]
             wishes = [
                 clear.Wish(name=shard, engine=engine, since=machine.touched(shard))
                 for shard, engine in waiting
             ]
             for wish, move, state in zip(
-                wishes, moves, self.moves.clearances.hear(wishes) if wishes else (), strict=True
+                wishes, moves, self.moves.quiescence.barrier_states(wishes) if wishes else (), strict=True
             ):
                 if state == clear.Heard.CLEARED:
                     self.hands.post(api.Quiet(wish.name, wish.engine, move))
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -7,17 +7,17 @@
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.raft.state_machine import StateMachine
 from fennelwind.schema_compatibility.state_machine import ContractMachine
 from fennelwind.shards.state_machine import ShardMachine
 
-LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", RollMachine.name
+LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", ControllerRegistry.name
 
 
 def machines() -> list[StateMachine]:
     """Return the machines, empty."""
-    return [LeaseStateMachine(), ContractMachine(), ShardMachine(), RollMachine()]
+    return [LeaseStateMachine(), ContractMachine(), ShardMachine(), ControllerRegistry()]
 
 
 def answer(machine: StateMachine, query: bytes) -> bytes:
--- a/fennelwind/cluster/wakeup.py
+++ b/fennelwind/cluster/wakeup.py
@@ -1,31 +1,32 @@
-"""Wakes the one task that serves a queue."""
+"""Wakes the one task that serves a queue: a condition that remembers one notification."""
 
 from fennelwind.loop import Loop
 from fennelwind.loop.scheduler import Waiter
 
 
-class Bell:
-    """Rung as often as one likes; a wait ends at once if it was rung since the last one."""
+class Wakeup:
+    """May be notified any number of times; a wait ends at once if it was notified since the last wait."""
 
-    __slots__ = ("loop", "_rung", "_waiter")
+    __slots__ = ("loop", "_is_notified", "_waiter")
 
     def __init__(self, loop: Loop) -> None:
-        self.loop, self._rung = loop, False
+        self.loop = loop
+        self._is_notified = False
         self._waiter: Waiter | None = None
 
-    def ring(self) -> None:
-        """Wake who waits, or who waits next."""
-        self._rung = True
+    def notify(self) -> None:
+        """Wake the task that waits, or that waits next."""
+        self._is_notified = True
         if self._waiter is not None:
             self._waiter.wake()
 
     def wait(self) -> None:
-        """Wait until it is rung."""
-        if not self._rung:
+        """Wait until notified."""
+        if not self._is_notified:
             waiter = self._waiter = Waiter(self.loop)
             try:
                 waiter.wait()
             finally:
                 if self._waiter is waiter:
                     self._waiter = None
-        self._rung = False
+        self._is_notified = False
--- a/fennelwind/quiescence/acknowledgements.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -1,84 +1,106 @@
-"""What controllers have said, at the member that leads, and what follows from it for a wish. No I/O.
+"""The controllers' acknowledgements at the Raft leader, and what follows from them for a barrier request.
 
-A word is soft: it is in one member's memory alone, lost with it, and told again. It says a thing that stays
-true: by this view the controller starts nothing more where the view says so, and only these queries of its
-own are left there. So an old word is never wrong, only poor: it counts for wishes as old as its view and for
-no other. Which words are missing is told by the roll, which is on the record.
+A barrier request asks whether queries still reach a replica that drains, or an engine that is quiesced for a
+table. No I/O here; the Raft host owns one `Acknowledgements`.
+
+An acknowledgement is soft state: it is in one member's memory alone, lost with it, and sent again. It says a
+thing that stays true: by this view the controller starts nothing more where the view says so, and only these
+queries of its own are in flight there. So an old one is never wrong, only less useful: it counts for requests
+as old as its view and for no other. Which acknowledgements are missing follows from the replicated registry.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.quiescence.registered_controllers import RollMachine
-
-OPEN_MOST = 256  # pairs in one word; who has more open says nothing until it has fewer
-WISHES_MOST = 1024  # in one question
-NAMES_MOST = 8  # of those who are waited for, in an answer
+from fennelwind.quiescence.registered_controllers import ControllerRegistry, RegisteredController
 
-Heard = pb.Heard
+MAX_OPEN_PAIRS = 256  # in one acknowledgement; a controller with more open sends none until it has fewer
+MAX_BARRIER_REQUESTS = 1024  # in one question
+MAX_BLOCKER_NAMES = 8  # of those who are waited for, in an answer
 
 
 @dataclass(slots=True, frozen=True)
-class _Said:
-    order: int
-    copies: int
-    tables: int
-    open_copies: frozenset[tuple[str, str]]
-    open_tables: frozenset[tuple[str, str]]
+class _Acknowledgement:
+    sequence: int  # rises with each of one controller
+    replica_revision: int  # of the view of replicas that it routes by
+    table_index: int  # the log entry up to which it knows where tables are quiesced
+    open_replicas: frozenset[tuple[str, str]]  # that drain, with queries in flight: shard and engine
+    open_tables: frozenset[tuple[str, str]]  # that are quiesced, with queries in flight: table and engine
 
 
-class Words:
-    """The words at one member."""
+class Acknowledgements:
+    """The acknowledgements that one Raft member has received."""
 
     def __init__(self) -> None:
-        self.said: dict[int, _Said] = {}  # the last of each number on the roll
+        self._latest: dict[int, _Acknowledgement] = {}  # by registration number
 
-    def take(self, word: pb.Word, roll: RollMachine) -> bool:
-        """Keep a word; tell whether it was of somebody on the roll, within the bounds, and news."""
-        if word.number not in roll.lives or len(word.open_copies) + len(word.open_tables) > OPEN_MOST:
+    def accept(self, message: pb.Word, registry: ControllerRegistry) -> bool:
+        """Keep an acknowledgement; tell whether it is of a registered sender, within bounds and newer."""
+        if message.number not in registry.controllers:
             return False
-        last = self.said.get(word.number)
-        if last is not None and last.order >= word.order:
-            return False  # late or doubled
-        if last is None and len(self.said) >= len(roll.lives):
-            self.said = {number: said for number, said in self.said.items() if number in roll.lives}
-        self.said[word.number] = _Said(
-            word.order, word.copies, word.tables, _pairs(word.open_copies), _pairs(word.open_tables)
+        if len(message.open_copies) + len(message.open_tables) > MAX_OPEN_PAIRS:
+            return False
+        latest = self._latest.get(message.number)
+        if latest is not None and latest.sequence >= message.order:
+            return False  # late or duplicated
+        if latest is None and len(self._latest) >= len(registry.controllers):
+            self._remove_unregistered(registry)
+        self._latest[message.number] = _Acknowledgement(
+            message.order,
+            message.copies,
+            message.tables,
+            _pairs(message.open_copies),
+            _pairs(message.open_tables),
         )
         return True
 
-    def hears(self, wishes: Iterable[pb.Wish], roll: RollMachine, index: int, clock_ms: int) -> pb.Heard:
-        """Return how each wish stands by the roll as of entry `index` and the record's clock then.
+    def _remove_unregistered(self, registry: ControllerRegistry) -> None:
+        self._latest = {
+            number: latest for number, latest in self._latest.items() if number in registry.controllers
+        }
+
+    def evaluate(
+        self, requests: Iterable[pb.Wish], registry: ControllerRegistry, index: int, clock_ms: int
+    ) -> pb.Heard:
+        """Return how each request stands by the registry as of entry `index` and the log's clock then.
 
-        A roll of an entry ahead of the wish may lack controllers who send by a view from before it.
+        A registry of an entry ahead of the request may lack controllers who send by a view from before it.
         """
-        heard = pb.Heard(index=index)
-        for wish in wishes:
-            state, names = self._state(wish, roll)
-            if wish.since > index or not roll.sure(clock_ms):
-                state = Heard.SILENT if state != Heard.BLIND else state
-            heard.states.add(state=state, names=sorted(names)[:NAMES_MOST])
-        return heard
-
-    def _state(self, wish: pb.Wish, roll: RollMachine) -> tuple[int, set[str]]:
-        found: dict[int, set[str]] = {}
-        for number, life in roll.lives.items():
-            found.setdefault(self._state_of(wish, number, life.routes), set()).add(life.name)
-        for state in (Heard.BLIND, Heard.SILENT, Heard.OPEN):
-            if state in found:
-                return state, found[state]
-        return Heard.CLEARED, set()
-
-    def _state_of(self, wish: pb.Wish, number: int, routes: bool) -> int:
-        if not routes:
-            return Heard.BLIND
-        said = self.said.get(number)
-        if said is None or (said.tables if wish.table else said.copies) < wish.since:
-            return Heard.SILENT
-        left = said.open_tables if wish.table else said.open_copies
-        return Heard.OPEN if (wish.name, wish.engine) in left else Heard.CLEARED
-
-
-def _pairs(told: Iterable[pb.Pair]) -> frozenset[tuple[str, str]]:
-    return frozenset((pair.name, pair.engine) for pair in told)
+        answer = pb.Heard(index=index)
+        for request in requests:
+            state, names = self._state(request, registry)
+            is_unsure = request.since > index or not registry.is_complete(clock_ms)
+            if is_unsure and state != pb.Heard.BLIND:
+                state = pb.Heard.SILENT
+            answer.states.add(state=state, names=sorted(names)[:MAX_BLOCKER_NAMES])
+        return answer
+
+    def _state(self, request: pb.Wish, registry: ControllerRegistry) -> tuple[pb.Heard.State, set[str]]:
+        """Return the worst state over all controllers, and the names of those in it."""
+        names_by_state: dict[pb.Heard.State, set[str]] = {}
+        for number, controller in registry.controllers.items():
+            state = self._controller_state(request, number, controller)
+            names_by_state.setdefault(state, set()).add(controller.name)
+        for state in (pb.Heard.BLIND, pb.Heard.SILENT, pb.Heard.OPEN):
+            if state in names_by_state:
+                return state, names_by_state[state]
+        return pb.Heard.CLEARED, set()
+
+    def _controller_state(
+        self, request: pb.Wish, number: int, controller: RegisteredController
+    ) -> pb.Heard.State:
+        if not controller.can_withhold_queries:
+            return pb.Heard.BLIND
+        latest = self._latest.get(number)
+        if latest is None:
+            return pb.Heard.SILENT
+        view = latest.table_index if request.table else latest.replica_revision
+        if view < request.since:
+            return pb.Heard.SILENT
+        open_pairs = latest.open_tables if request.table else latest.open_replicas
+        return pb.Heard.OPEN if (request.name, request.engine) in open_pairs else pb.Heard.CLEARED
+
+
+def _pairs(messages: Iterable[pb.Pair]) -> frozenset[tuple[str, str]]:
+    return frozenset((pair.name, pair.engine) for pair in messages)
--- a/fennelwind/quiescence/in_flight.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -1,123 +1,149 @@
-"""One controller's part: which of its queries are open where, what it is asked for, when it has to speak.
+"""One controller's part in quiescence: its queries in flight by engine, and when it must acknowledge.
 
 No I/O and no clock. Attempts at engines are counted by what their queries name: shards, and the tables ahead
-of their `/`. What is asked for comes with two views, of copies that leave and of engines that are quiet for
-tables; routing is told a view first, and of an older one nothing. The word is made of both at one moment, so
-that whatever began before the view counts as open in it, and nothing begins behind it.
+of their `/`. Barrier requests come with two views, of replicas that drain and of engines that are quiesced
+for tables; routing takes a view first, and is never given an older one. The acknowledgement is made of both
+at one moment, so that whatever began before the view counts as open in it, and nothing begins behind it.
 """
 
 from collections.abc import Callable, Hashable, Iterable
+from dataclasses import dataclass
 from typing import Any
 
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.quiescence.acknowledgements import OPEN_MOST
+from fennelwind.quiescence.acknowledgements import MAX_OPEN_PAIRS
 
-AGAIN_MS = 2000.0  # ms until the same is said again while anything is asked for: words are lost with a leader
-PACE_MS = 200.0  # ms between two words, whatever changes; a drop is earlier by a minute, not by this
+REPEAT_MS = 2000.0  # ms until the same is sent again while anything is requested: a leader may be lost
+MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; a drop is earlier by a minute, not by this
 
 Pair = tuple[str, str]  # a shard or a table, and an engine
 
 
 def table_of(shard: str) -> str:
-    """Return the table of a shard's name, as the record knows tables: in lower case."""
+    """Return the table of a shard's name, as the replicated state knows tables: in lower case."""
     return shard.partition("/")[0].lower()
 
 
-class Book:
-    """What is open, what is asked for, and what was said."""
+@dataclass(slots=True, frozen=True)
+class NextAcknowledgement:
+    """What is to be sent now, if anything is, and when to check again at the latest (ms)."""
+
+    message: pb.Word | None
+    check_at_ms: float
+
+
+class InFlightTracker:
+    """What is in flight, what is requested, and what was acknowledged."""
 
     def __init__(self) -> None:
-        self.route_copies: Callable[[Any], None] = lambda places: None  # how routing is told a view
-        self.route_tables: Callable[[Any], None] = lambda kept: None
-        self.number = 0  # as which the controller is on the roll; 0: not on it
-        self.copies = self.tables = 0  # what its views are of
-        self.leaving: frozenset[Pair] = frozenset()
-        self.quiet: frozenset[Pair] = frozenset()
-        self._whole = [True, True]  # the views name all that is asked for
-        self._open: dict[Hashable, tuple[Pair, ...]] = {}  # by attempt: what it may read
-        self._count: dict[Pair, int] = {}  # attempts by what they may read
-        self._unsure: dict[Hashable, float] = {}  # attempts that may run on at their engine, until then
-        self._order = 0
-        self._said: tuple[object, ...] = ()  # what the last word was made of, but the views' ages
-        self._again_at = self._not_before = 0.0
+        self.on_replica_locations: Callable[[Any], None] = lambda locations: None  # how routing takes a view
+        self.on_excluded_engines: Callable[[Any], None] = lambda excluded: None
+        self.registration_number = 0  # of the controller in the registry; 0: it is not registered
+        self.replica_revision = 0  # of the view of replicas
+        self.table_index = 0  # of the view of tables
+        self.draining_replicas: frozenset[Pair] = frozenset()
+        self.quiesced_tables: frozenset[Pair] = frozenset()
+        self._is_replica_view_complete = True  # it names all that is requested
+        self._is_table_view_complete = True
+        self._pairs_of: dict[Hashable, tuple[Pair, ...]] = {}  # by attempt: what it may read
+        self._open_count: dict[Pair, int] = {}  # attempts by what they may read
+        self._abandoned_until_ms: dict[Hashable, float] = {}  # attempts that may run on at their engine
+        self._sequence = 0
+        self._last_content: tuple[object, ...] = ()  # of the last acknowledgement, but the views' ages
+        self._repeat_at_ms = 0.0
+        self._not_before_ms = 0.0
 
     # Attempts.
 
-    def began(self, attempt: Hashable, shards: Iterable[str], engine: str) -> None:
-        """An attempt is about to be sent; told in the turn in which it was found that it may."""
+    def attempt_started(self, attempt: Hashable, shards: Iterable[str], engine: str) -> None:
+        """Note that an attempt is about to be sent, in the turn in which it was found that it may."""
         pairs = tuple({(name, engine): None for shard in shards for name in (shard, table_of(shard))})
         if pairs:
-            self._open[attempt] = pairs
+            self._pairs_of[attempt] = pairs
             for pair in pairs:
-                self._count[pair] = self._count.get(pair, 0) + 1
+                self._open_count[pair] = self._open_count.get(pair, 0) + 1
 
-    def ended(self, attempt: Hashable) -> None:
-        """Nothing of an attempt is left at its engine."""
-        pairs = self._open.pop(attempt, None)
+    def attempt_ended(self, attempt: Hashable) -> None:
+        """Note that nothing of an attempt is left at its engine."""
+        pairs = self._pairs_of.pop(attempt, None)
         if pairs is None:
             return
-        self._unsure.pop(attempt, None)
+        self._abandoned_until_ms.pop(attempt, None)
         for pair in pairs:
-            if self._count[pair] > 1:
-                self._count[pair] -= 1
+            if self._open_count[pair] > 1:
+                self._open_count[pair] -= 1
             else:
-                del self._count[pair]
-
-    def unsure(self, attempt: Hashable, until: float) -> None:
-        """Nobody waits for an attempt any more, but its engine may run it on, until then at the longest."""
-        if attempt in self._open:
-            self._unsure[attempt] = until
-
-    def is_open(self, pair: Pair) -> bool:
-        """Tell whether an attempt is open that may read it."""
-        return pair in self._count
-
-    # Views. An older one, as a member that lags behind may tell it, is passed over by routing as well.
-
-    def see_copies(self, revision: int, places: Any, leaving: Iterable[Pair], whole: bool = True) -> None:
-        """Take a view of where copies are and which ones leave; `whole`: these are all of them."""
-        if revision >= self.copies:
-            self.route_copies(places)
-            self.copies, self.leaving, self._whole[0] = revision, frozenset(leaving), whole
-
-    def see_tables(self, index: int, kept: Any, quiet: Iterable[Pair], whole: bool = True) -> None:
-        """Take a view of the engines that get no query of some tables, and of those that are asked for."""
-        if index >= self.tables:
-            self.route_tables(kept)
-            self.tables, self.quiet, self._whole[1] = index, frozenset(quiet), whole
-
-    # Words.
-
-    @property
-    def asked(self) -> bool:
-        """Whether anything is asked for."""
-        return bool(self.leaving or self.quiet)
-
-    def word(self, now: float) -> tuple[pb.Word | None, float]:
-        """Return what is to be said now, if anything is, and when to ask here again at the latest."""
-        for attempt in [a for a, until in self._unsure.items() if until <= now]:
-            self.ended(attempt)
-        if not self.number or not self.asked or not all(self._whole):
-            self._said = ()
-            return None, now + AGAIN_MS
-        copies = sorted(pair for pair in self.leaving if pair in self._count)
-        tables = sorted(pair for pair in self.quiet if pair in self._count)
-        made = self.number, self.leaving, self.quiet, tuple(copies), tuple(tables)
-        due = self._again_at if made == self._said else self._not_before
-        if due > now or len(copies) + len(tables) > OPEN_MOST:
-            ends = [until for until in self._unsure.values() if until > now]
-            return None, min([due if due > now else now + AGAIN_MS, *ends])
-        self._order += 1
-        self._said, self._again_at, self._not_before = made, now + AGAIN_MS, now + PACE_MS
-        return pb.Word(
-            number=self.number,
-            order=self._order,
-            copies=self.copies,
-            tables=self.tables,
-            open_copies=[pb.Pair(name=name, engine=engine) for name, engine in copies],
-            open_tables=[pb.Pair(name=name, engine=engine) for name, engine in tables],
-        ), now + PACE_MS
-
-    def unheard(self) -> None:
-        """The last word did not reach the leader: it is due again, at its pace."""
-        self._said = ()
+                del self._open_count[pair]
+
+    def attempt_abandoned(self, attempt: Hashable, until_ms: float) -> None:
+        """Note that nobody waits for an attempt any more, but its engine may run it on until then."""
+        if attempt in self._pairs_of:
+            self._abandoned_until_ms[attempt] = until_ms
+
+    # Views. An older one, as a member that lags behind may send it, is passed over by routing as well.
+
+    def update_replicas(
+        self, revision: int, locations: Any, draining: Iterable[Pair], is_complete: bool = True
+    ) -> None:
+        """Take a view of replica locations and of the replicas that drain, all of them if `is_complete`."""
+        if revision >= self.replica_revision:
+            self.on_replica_locations(locations)
+            self.replica_revision = revision
+            self.draining_replicas = frozenset(draining)
+            self._is_replica_view_complete = is_complete
+
+    def update_tables(
+        self, index: int, excluded: Any, quiesced: Iterable[Pair], is_complete: bool = True
+    ) -> None:
+        """Take a view of the engines that get no query of some tables, and of those that are requested."""
+        if index >= self.table_index:
+            self.on_excluded_engines(excluded)
+            self.table_index = index
+            self.quiesced_tables = frozenset(quiesced)
+            self._is_table_view_complete = is_complete
+
+    # Acknowledgements.
+
+    def next_acknowledgement(self, now_ms: float) -> NextAcknowledgement:
+        """Return the acknowledgement that is due, if one is."""
+        self._end_abandoned(now_ms)
+        has_requests = bool(self.draining_replicas or self.quiesced_tables)
+        is_complete = self._is_replica_view_complete and self._is_table_view_complete
+        if not self.registration_number or not has_requests or not is_complete:
+            self._last_content = ()
+            return NextAcknowledgement(None, now_ms + REPEAT_MS)
+        open_replicas = sorted(pair for pair in self.draining_replicas if pair in self._open_count)
+        open_tables = sorted(pair for pair in self.quiesced_tables if pair in self._open_count)
+        content = (
+            self.registration_number,
+            self.draining_replicas,
+            self.quiesced_tables,
+            tuple(open_replicas),
+            tuple(open_tables),
+        )
+        due_ms = self._repeat_at_ms if content == self._last_content else self._not_before_ms
+        if due_ms > now_ms or len(open_replicas) + len(open_tables) > MAX_OPEN_PAIRS:
+            check_at_ms = due_ms if due_ms > now_ms else now_ms + REPEAT_MS
+            return NextAcknowledgement(None, min([check_at_ms, *self._abandoned_until_ms.values()]))
+        self._sequence += 1
+        self._last_content = content
+        self._repeat_at_ms = now_ms + REPEAT_MS
+        self._not_before_ms = now_ms + MIN_INTERVAL_MS
+        message = pb.Word(
+            number=self.registration_number,
+            order=self._sequence,
+            copies=self.replica_revision,
+            tables=self.table_index,
+            open_copies=[pb.Pair(name=name, engine=engine) for name, engine in open_replicas],
+            open_tables=[pb.Pair(name=name, engine=engine) for name, engine in open_tables],
+        )
+        return NextAcknowledgement(message, now_ms + MIN_INTERVAL_MS)
+
+    def _end_abandoned(self, now_ms: float) -> None:
+        ended = [attempt for attempt, until_ms in self._abandoned_until_ms.items() if until_ms <= now_ms]
+        for attempt in ended:
+            self.attempt_ended(attempt)
+
+    def acknowledgement_lost(self) -> None:
+        """Note that the last one did not reach the leader: it is due again, at its pace."""
+        self._last_content = ()
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -1,11 +1,13 @@
-"""The roll on the record: which controllers may send queries, so that nobody is forgotten who could.
+"""The replicated registry of the controllers that may send queries, so that none of them is overlooked.
 
-A controller signs on at its start and renews. One that falls silent stays on the roll for `FORGET_MS` of the
-record's clock, as it goes on serving queries without the council; while it is there, nothing is cleared
-without its word. A restart is another number; the number before it stays until it is forgotten.
+A controller registers at its start and renews. One that falls silent stays registered for
+`SILENCE_TIMEOUT_MS` of the replicated log's clock, as it goes on serving queries without the Raft group;
+while it is there, nothing is quiesced without its acknowledgement. A restart registers under another number;
+the number before it stays until it times out.
 
-The roll counts only once it has been there for `FORGET_MS` itself: until then controllers that run already
-may not have signed on. Where it is full, the same time passes anew after each one that found no place.
+The registry is complete only once it has been there for `SILENCE_TIMEOUT_MS` itself: until then controllers
+that run already may not have registered. Where it is full, the same time passes anew after each one that
+found no place.
 """
 
 from dataclasses import dataclass, replace
@@ -15,95 +17,110 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
 
-FORGET_MS = 120_000  # ms of silence; as long as a copy that leaves may be waited for in all (60 s twice)
-ROLL_MOST = 4096  # numbers at once; two hundred controllers, each begun anew twenty times within FORGET_MS
-NAME_MOST = 64  # letters of a controller's name, as in the settings
-SINCE = 2  # the record's level from which on there is a roll, and copies may go when cleared
-
-Answer = pb.RollAnswer
+SILENCE_TIMEOUT_MS = 120_000  # ms; as long as a draining replica may be waited for in all (60 s twice)
+MAX_REGISTRATIONS = 4096  # two hundred controllers, each restarted twenty times within the timeout
+MAX_NAME_LENGTH = 64  # letters of a controller's name, as in the settings
+MIN_LEVEL = 2  # the log's level from which on there is a registry, and quiesced replicas may be dropped early
 
 
 @dataclass(slots=True, frozen=True)
-class OnRoll:
-    """One life of a controller."""
+class RegisteredController:
+    """One incarnation of a controller."""
 
     name: str
-    routes: bool
-    heard_ms: int  # the record's clock at its last command
+    can_withhold_queries: bool  # it stops sending where it is requested to
+    heard_ms: int  # the log's clock at its last command
 
 
-class RollMachine:
-    """The machine `roll` of the record."""
+class ControllerRegistry:
+    """The replicated state machine `roll`; the Raft host applies its commands in log order."""
 
-    name, kinds, since = "roll", (), SINCE
-    forget_ms = FORGET_MS  # the same on all controllers, so no setting; plays have a shorter one
+    name, kinds, since = "roll", (), MIN_LEVEL
+    silence_timeout_ms = SILENCE_TIMEOUT_MS  # the same on all controllers, so no setting; tests shorten it
 
     def __init__(self) -> None:
-        self.lives: dict[int, OnRoll] = {}
-        self.sure_ms = 0  # from when on the roll is complete; 0: nobody has signed on yet
-        self.revision = 0  # the entry that last changed who is on it
+        self.controllers: dict[int, RegisteredController] = {}  # by number
+        self.complete_from_ms = 0  # 0: nobody has registered yet
+        self.revision = 0  # the entry that last changed who is registered
 
     def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out. Raises `UnreadableCommandError`."""
+        """Apply a `RollCommand`; return a `RollAnswer`. Raises `UnreadableCommandError`."""
         try:
-            told = pb.RollCommand.FromString(command)
+            parsed = pb.RollCommand.FromString(command)
         except DecodeError as exc:
             raise UnreadableCommandError(str(exc)) from exc
-        what = told.WhichOneof("what")
-        if what == "sign_on":
-            answer = self._sign_on(told.sign_on, at)
-        elif what == "renew":
-            answer = self._renew(told.renew, at)
+        kind = parsed.WhichOneof("what")
+        if kind == "sign_on":
+            answer = self._register(parsed.sign_on, at)
+        elif kind == "renew":
+            answer = self._renew(parsed.renew, at)
         else:
             raise UnreadableCommandError("a command of no kind")
         return answer.SerializeToString(deterministic=True)
 
-    def _sign_on(self, told: pb.SignOn, at: At) -> pb.RollAnswer:
-        if not 0 < len(told.name) <= NAME_MOST:
-            return Answer(refusal=Answer.BAD)
-        full = len(self.lives) >= ROLL_MOST
-        if full or not self.sure_ms:
-            self.sure_ms = at.clock_ms + self.forget_ms
+    def _register(self, request: pb.SignOn, at: At) -> pb.RollAnswer:
+        if not 0 < len(request.name) <= MAX_NAME_LENGTH:
+            return pb.RollAnswer(refusal=pb.RollAnswer.BAD)
+        is_full = len(self.controllers) >= MAX_REGISTRATIONS
+        if is_full or not self.complete_from_ms:
+            self.complete_from_ms = at.clock_ms + self.silence_timeout_ms
         self.revision = at.index
-        if full:
-            return Answer(refusal=Answer.TOO_MANY)
-        self.lives[at.index] = OnRoll(told.name, told.routes, at.clock_ms)
-        return Answer(number=at.index)
-
-    def _renew(self, told: pb.Renew, at: At) -> pb.RollAnswer:
-        life = self.lives.get(told.number)
-        if life is None:
-            return Answer(refusal=Answer.GONE)
-        self.lives[told.number] = replace(life, heard_ms=at.clock_ms)
-        return Answer(number=told.number)
-
-    def sure(self, clock_ms: int) -> bool:
-        """Tell whether all who may send have had the time to sign on."""
-        return 0 < self.sure_ms <= clock_ms
+        if is_full:
+            return pb.RollAnswer(refusal=pb.RollAnswer.TOO_MANY)
+        self.controllers[at.index] = RegisteredController(request.name, request.routes, at.clock_ms)
+        return pb.RollAnswer(number=at.index)
+
+    def _renew(self, request: pb.Renew, at: At) -> pb.RollAnswer:
+        controller = self.controllers.get(request.number)
+        if controller is None:
+            return pb.RollAnswer(refusal=pb.RollAnswer.GONE)
+        self.controllers[request.number] = replace(controller, heard_ms=at.clock_ms)
+        return pb.RollAnswer(number=request.number)
+
+    def is_complete(self, clock_ms: int) -> bool:
+        """Tell whether all controllers that may send queries have had the time to register."""
+        return 0 < self.complete_from_ms <= clock_ms
 
     def pass_time(self, at: At) -> None:
-        """Forget who was silent for so long that no wait of today's is longer."""
-        for number in [n for n, life in self.lives.items() if life.heard_ms + self.forget_ms <= at.clock_ms]:
-            del self.lives[number]
+        """Remove the controllers that were silent for so long that no wait of today's is longer."""
+        silent = [
+            number
+            for number, controller in self.controllers.items()
+            if controller.heard_ms + self.silence_timeout_ms <= at.clock_ms
+        ]
+        for number in silent:
+            del self.controllers[number]
             self.revision = at.index
 
     def due(self) -> int | None:
-        """Return when the next one is forgotten."""
-        return min((life.heard_ms + self.forget_ms for life in self.lives.values()), default=None)
+        """Return when the next controller is removed."""
+        return min(
+            (controller.heard_ms + self.silence_timeout_ms for controller in self.controllers.values()),
+            default=None,
+        )
 
     def fact(self, kind: str, key: str) -> int:
-        """Tell nothing."""
+        """Return nothing: no other state machine reads this one."""
         return 0
 
     def snapshot(self) -> bytes:
         """Return its state; equal states give equal bytes."""
-        state = pb.RollState(sure_ms=self.sure_ms, revision=self.revision)
-        for number, life in sorted(self.lives.items()):
-            state.lives.add(number=number, name=life.name, routes=life.routes, heard_ms=life.heard_ms)
+        state = pb.RollState(sure_ms=self.complete_from_ms, revision=self.revision)
+        for number, controller in sorted(self.controllers.items()):
+            state.lives.add(
+                number=number,
+                name=controller.name,
+                routes=controller.can_withhold_queries,
+                heard_ms=controller.heard_ms,
+            )
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
-        """Take a state in place of its own."""
+        """Take a snapshot's state in place of its own."""
         state = pb.RollState.FromString(data)
-        self.lives = {each.number: OnRoll(each.name, each.routes, each.heard_ms) for each in state.lives}
-        self.sure_ms, self.revision = state.sure_ms, state.revision
+        self.controllers = {
+            stored.number: RegisteredController(stored.name, stored.routes, stored.heard_ms)
+            for stored in state.lives
+        }
+        self.complete_from_ms = state.sure_ms
+        self.revision = state.revision
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -23,15 +23,15 @@
 
 
 class Opened(Protocol):
-    """Who counts the attempts that are out (`clearance.book`)."""
+    """Who counts the attempts that are out (`quiescence.in_flight`)."""
 
-    def began(self, attempt: tuple[int, int], shards: Iterable[str], engine: str) -> None:
+    def attempt_started(self, attempt: tuple[int, int], shards: Iterable[str], engine: str) -> None:
         """An attempt is about to be sent."""
 
-    def ended(self, attempt: tuple[int, int]) -> None:
+    def attempt_ended(self, attempt: tuple[int, int]) -> None:
         """Nothing of it is left at its engine."""
 
-    def unsure(self, attempt: tuple[int, int], until: float) -> None:
+    def attempt_abandoned(self, attempt: tuple[int, int], until: float) -> None:
         """Its engine may run it on, until then at the longest."""
 
 
@@ -190,14 +190,14 @@
     def begins(self, query: int, number: int, engine: str) -> None:
         """An attempt that may be sent is about to be; asked for in the same turn as `may_send`."""
         if self.opened is not None and query in self._named:
-            self.opened.began((query, number), self._named[query], engine)
+            self.opened.attempt_started((query, number), self._named[query], engine)
 
     def over(self, query: int, number: int, until: float = 0.0) -> None:
         """An attempt has ended; with `until`, its engine may run it on until then at the longest."""
         if self.opened is not None and until:
-            self.opened.unsure((query, number), until)
+            self.opened.attempt_abandoned((query, number), until)
         elif self.opened is not None:
-            self.opened.ended((query, number))
+            self.opened.attempt_ended((query, number))
 
     def ended(self, query: int) -> None:
         """Forget a query that has its answer."""
--- a/tests/cluster/test_clearance_processes.py
+++ b/tests/cluster/test_clearance_processes.py
@@ -27,7 +27,7 @@
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.loop import Address, DeadlineExceeded, RealLoop, StreamReset
 from fennelwind.loop.sim_network import Path as Way
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.testbed.councilrig import Ways
@@ -40,10 +40,10 @@
 WAIT_MS = 600_000.0  # ms; what is waited for takes a few seconds, or the record's rest
 # The same program with shorter terms: two minutes on the roll become four seconds, a minute's rest twenty.
 MAIN = """
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.cluster import quiescence, shard_migration
 from fennelwind.shards.state_machine import ShardMachine
-RollMachine.forget_ms, quiescence.RENEW_MS, quiescence.AGAIN_MS = 4_000, 700.0, 500.0
+ControllerRegistry.silence_timeout_ms, quiescence.RENEWAL_MS, quiescence.RETRY_MS = 4_000, 700.0, 500.0
 ShardMachine.rest_ms, shard_migration.LIST_SOON_MS = 20_000, 500.0
 from fennelwind.cli.main import main
 main()
@@ -104,9 +104,9 @@
         for name in PROGRAMS:
             self._start(name, homes if name in MEMBERS else {row.target: row.listen for row in rows})
         self.asker = Asker(loop, "north", "judge", homes, "1")
-        self.until(lambda: len(self.machine("roll").lives) >= len(PROGRAMS), "all sign on")
+        self.until(lambda: len(self.machine("roll").controllers) >= len(PROGRAMS), "all sign on")
         roll = self.machine("roll")
-        self.until(lambda: roll.sure(self.clock_ms()), "the roll counts")
+        self.until(lambda: roll.is_complete(self.clock_ms()), "the roll counts")
         for shard in SHARDS:
             self.declare(shard, 2)
         for name in PROGRAMS:
@@ -175,7 +175,7 @@
             self.loop.sleep(50.0)
 
     def machine(self, name):
-        made = {"roll": RollMachine, "shards": ShardMachine, "leases": LeaseStateMachine}[name]()
+        made = {"roll": ControllerRegistry, "shards": ShardMachine, "leases": LeaseStateMachine}[name]()
         with suppress(FennelwindError):  # its level is not there yet
             made.restore(self.asker.read(name, within_ms=WAIT_MS).state)
         return made
@@ -225,9 +225,9 @@
     def script(rig):
         assert not rig.leaves(SHARDS[0])  # all say so: it goes ahead of its rest
         rig.stop("c0", signal.SIGSTOP)
-        silent = [n for n, life in rig.machine("roll").lives.items() if life.name == "c0"]
+        silent = [n for n, controller in rig.machine("roll").controllers.items() if controller.name == "c0"]
         rig.leaves(SHARDS[1])
-        assert not set(silent) & set(rig.machine("roll").lives)  # it was forgotten first
+        assert not set(silent) & set(rig.machine("roll").controllers)  # it was forgotten first
         rig.stop("c0", signal.SIGCONT)
         rig.judge()
 
@@ -242,7 +242,9 @@
         rig.ways.now = {each: Way(cut=True) for each in way}
         print("cut", way[0], "rested", rig.leaves(shard), flush=True)
         rig.ways.now = {}
-        rig.until(lambda: sum(life.name == "c0" for life in rig.machine("roll").lives.values()) >= 1, "back")
+        rig.until(
+            lambda: sum(each.name == "c0" for each in rig.machine("roll").controllers.values()) >= 1, "back"
+        )
     holder = rig.machine("leases").view("moves").holder
     print("kill", holder, "rested", rig.leaves(SHARDS[2], rig.running.pop(holder).kill), flush=True)
     rig.judge()
--- a/tests/cluster/test_clearance_program.py
+++ b/tests/cluster/test_quiescence_program.py
@@ -8,7 +8,7 @@
 from fennelwind import config, policy
 from fennelwind.cli.program import Program
 from fennelwind.cluster import quiescence
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.thrift import hiveserver2 as hs2
 
 NAMES = moves.NAMES
@@ -37,8 +37,8 @@
                 settings = config.read(moves.with_disks(Fleet.text(listed)) + FOLLOWER % name + MOVES)
                 program = self.programs[name] = Program(host, settings, Seen(), 2)
                 host.start(program.start)
-            self.until(lambda: len(self.record().machines["roll"].lives) > len(self.others))
-            self.until(lambda: self.record().machines["roll"].sure(self.record().clock_ms))
+            self.until(lambda: len(self.record().machines["roll"].controllers) > len(self.others))
+            self.until(lambda: self.record().machines["roll"].is_complete(self.record().clock_ms))
             self.link = self.fleet.client()
             return call()
 
@@ -83,11 +83,13 @@
 @pytest.fixture(autouse=True)
 def with_clearances(monkeypatch):
     monkeypatch.setattr(moves, "MOVES", MOVES)
-    monkeypatch.setattr(RollMachine, "forget_ms", 40_000)  # else two minutes pass ahead of each test
-    monkeypatch.setattr(quiescence, "RENEW_MS", 10_000.0)
+    monkeypatch.setattr(
+        ControllerRegistry, "silence_timeout_ms", 40_000
+    )  # else two minutes pass ahead of each test
+    monkeypatch.setattr(quiescence, "RENEWAL_MS", 10_000.0)
 
 
-def test_copies_go_as_soon_as_all_have_said_so_and_not_while_one_has_a_query_there_or_is_silent():
+def test_replicas_are_dropped_once_all_acknowledge_and_not_while_one_has_queries_there_or_is_silent():
     scene = Scene(1)
 
     def call():
@@ -114,7 +116,7 @@
     scene.play(call)
 
 
-def test_an_engine_is_changed_once_the_queries_of_its_table_have_ended_and_new_ones_go_elsewhere():
+def test_an_engine_is_altered_once_the_queries_of_its_table_have_ended_and_new_ones_go_elsewhere():
     scene = Scene(2)
 
     def call():
--- a/tests/quiescence/test_clearance.py
+++ b/tests/quiescence/test_quiescence.py
@@ -1,4 +1,4 @@
-"""Clearances without I/O: days of faults against an oracle, defects that they find, the record's rule."""
+"""Quiescence without I/O: days of faults against an oracle, planted defects, the replicated state's rule."""
 
 import pytest
 from clearance_defects import found
@@ -11,7 +11,7 @@
 DAYS = 4  # of some 0.4 s each; `clearance_defects.py` and results/clearance.md have more
 
 
-def test_no_query_is_open_or_begins_where_it_was_said_to_be_clear():
+def test_no_query_is_in_flight_or_starts_where_quiescence_was_reported():
     counts = {}
     for seed in range(DAYS):
         for what, count in Play(seed).play().items():
@@ -22,9 +22,9 @@
 @pytest.mark.parametrize(
     "title",
     [
-        "a word counts for wishes that are younger than its view",
+        "an acknowledgement counts for requests that are younger than its view",
         "a query whose answer nobody waits for is over",
-        "the roll counts from its first entry on",
+        "the registry counts from its first entry on",
     ],
 )
 def test_a_planted_defect_is_found(title):
@@ -43,7 +43,7 @@
     ("level", "cleared", "refusal"),
     [(1, True, pb.Answer.WAITS), (2, False, pb.Answer.WAITS), (2, True, pb.Answer.NONE)],
 )
-def test_a_copy_goes_ahead_of_its_rest_by_the_second_level_alone(level, cleared, refusal):
+def test_a_quiesced_replica_is_dropped_early_from_the_second_level_on(level, cleared, refusal):
     state = pb.State(last_move=1)
     state.shards.add(name="t/", table="t", size=1, copies=1, zones=1)
     for engine, of in (("e0", "leaving"), ("e1", "good")):
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -13,43 +13,61 @@
 from clearance_play import Play
 from planted import Line, broken, planted, row
 
-from fennelwind.quiescence.acknowledgements import Words
-from fennelwind.quiescence.in_flight import Book
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.acknowledgements import Acknowledgements
+from fennelwind.quiescence.in_flight import InFlightTracker
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.shards.routing import Routing
 
-STATE_OF = Words._state_of
+CONTROLLER_STATE = Acknowledgements._controller_state
 DEFECTS = {
-    "a word counts for wishes that are younger than its view": [
+    "an acknowledgement counts for requests that are younger than its view": [
         Line(
-            STATE_OF,
-            "said is None or (said.tables if wish.table else said.copies) < wish.since",
-            "said is None",
+            CONTROLLER_STATE,
+            "if view < request.since",
+            "if False",
         )
     ],
-    "who has said nothing has nothing open": [
-        Line(STATE_OF, "if said is None or", "if said is None:\n        return Heard.CLEARED\n    if")
+    "a controller without an acknowledgement has nothing open": [
+        Line(
+            CONTROLLER_STATE,
+            "if latest is None:\n        return pb.Heard.SILENT",
+            "if latest is None:\n        return pb.Heard.CLEARED",
+        )
+    ],
+    "an acknowledgement's view of tables counts for replicas as well": [
+        Line(
+            CONTROLLER_STATE,
+            "latest.table_index if request.table else latest.replica_revision",
+            "max(latest.table_index, latest.replica_revision)",
+        )
     ],
-    "a word's view of tables counts for copies as well": [
-        Line(STATE_OF, "(said.tables if wish.table else said.copies)", "max(said.tables, said.copies)")
+    "the registry counts from its first entry on": [
+        Line(ControllerRegistry.is_complete, "0 < self.complete_from_ms <= clock_ms", "True")
     ],
-    "the roll counts from its first entry on": [
-        Line(RollMachine.sure, "0 < self.sure_ms <= clock_ms", "True")
+    "a registry from before the request is used": [
+        Line(Acknowledgements.evaluate, "request.since > index or ", "")
     ],
-    "a roll from before the wish is asked": [Line(Words.hears, "wish.since > index or ", "")],
-    "who is silent between two renewals is forgotten": [
-        Line(RollMachine.pass_time, "+ self.forget_ms <=", "+ self.forget_ms // 10 <=")
+    "a controller that is silent between two renewals is removed": [
+        Line(
+            ControllerRegistry.pass_time, "+ self.silence_timeout_ms <=", "+ self.silence_timeout_ms // 10 <="
+        )
     ],
-    "a new life takes the place of the one before": [
+    "a new incarnation takes the place of the one before": [
         Line(
-            RollMachine._sign_on,
+            ControllerRegistry._register,
             "self.revision = at.index\n",
             "self.revision = at.index\n"
-            "    self.lives = {n: life for n, life in self.lives.items() if life.name != told.name}\n",
+            "    self.controllers = {\n"
+            "        n: one for n, one in self.controllers.items() if one.name != request.name\n"
+            "    }\n",
         )
     ],
-    "what is open is not in the word": [
-        Line(Book.word, "sorted(pair for pair in self.quiet if pair in self._count)", "[]")
+    "what is in flight is not in the acknowledgement": [
+        Line(
+            InFlightTracker.next_acknowledgement,
+            "sorted(pair for pair in self.quiesced_tables if pair in self._open_count)",
+            "[]",
+        )
     ],
     "a query whose answer nobody waits for is over": [
         Line(Routing.over, "self.opened is not None and until", "False")
@@ -58,20 +76,22 @@
         Line(
             Routing.ended,
             "self._named.pop(query, None)",
-            "if self.opened is not None:\n        self.opened.ended((query, 0))\n"
+            "if self.opened is not None:\n        self.opened.attempt_ended((query, 0))\n"
             "    self._named.pop(query, None)",
         )
     ],
     "an older view is taken": [
         Line(
-            Book.see_tables,
-            "index >= self.tables",
+            InFlightTracker.update_tables,
+            "index >= self.table_index",
             "True",
-            "index, frozenset(quiet)",
-            "max(index, self.tables), frozenset(quiet)",
+            "self.table_index = index",
+            "self.table_index = max(index, self.table_index)",
         )
     ],
-    "a view that is cut counts as whole": [Line(Book.word, " or not all(self._whole)", "")],
+    "a view that is cut counts as complete": [
+        Line(InFlightTracker.next_acknowledgement, " or not is_complete", "")
+    ],
     "queries of shards that the record does not know are not kept away": [
         Line(Routing.may_send, "self._named.get(query, shards)", "shards")
     ],
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -11,16 +11,16 @@
 import sys
 import time
 
-import test_clearance_program as program
+import test_quiescence_program as program
 from council_world import Council
 from fleet import Fleet
-from test_clearance_program import OLD, WIDER, Scene, publish
+from test_quiescence_program import OLD, WIDER, Scene, publish
 from test_shard_routing import ENGINES, SETTINGS
 
 from fennelwind.cluster import quiescence
-from fennelwind.cluster.quiescence import Clearances
-from fennelwind.quiescence.in_flight import Book
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.cluster.quiescence import QuiescenceClient
+from fennelwind.quiescence.in_flight import InFlightTracker
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.shards.routing import SLOTS_MOST, Routing
 
 
@@ -78,13 +78,15 @@
         parts = []
         for n in range(controllers):
             keeper = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
-            keeper.clearances = Clearances(keeper.loop, keeper.asker, f"c{n}", Book())
-            parts.append(keeper.clearances)
-        council.until(lambda: sum(p.book.number > 0 for p in parts) == controllers, 300_000.0)
+            keeper.quiescence = QuiescenceClient(keeper.loop, keeper.asker, f"c{n}", InFlightTracker())
+            parts.append(keeper.quiescence)
+        council.until(
+            lambda: sum(p.in_flight.registration_number > 0 for p in parts) == controllers, 300_000.0
+        )
         rig = council.world.rig
         for wishes in (0, 1, 20):
             for part in parts:
-                part.copies(wishes + 1, {}, [(f"t/d={n}", "e") for n in range(wishes)], True)
+                part.update_replicas(wishes + 1, {}, [(f"t/d={n}", "e") for n in range(wishes)], True)
             rig.sleep(5_000.0)
             record = council.keepers[council.leader()].member.state.record
             index, words = record.index, sum(p.counts["told"] for p in parts)
@@ -104,8 +106,8 @@
     """What a query costs in routing, in us of the quickest of some runs, with and without a book."""
     for what, book, quiet in (
         ("without a book", None, {}),
-        ("nothing is asked for", Book(), {}),
-        ("three tables are quiet", Book(), {t: frozenset({"e1"}) for t in "abt"}),
+        ("nothing is asked for", InFlightTracker(), {}),
+        ("three tables are quiet", InFlightTracker(), {t: frozenset({"e1"}) for t in "abt"}),
     ):
         routing = Routing(SETTINGS, SLOTS_MOST, book)
         routing.listed(ENGINES)
@@ -129,7 +131,7 @@
 if __name__ == "__main__":
     what, *rest = sys.argv[1:]
     if what in ("drops", "changes"):
-        RollMachine.forget_ms, quiescence.RENEW_MS = 40_000, 10_000.0
+        ControllerRegistry.silence_timeout_ms, quiescence.RENEWAL_MS = 40_000, 10_000.0
         plain = Fleet.text
         Fleet.text = staticmethod(lambda *args: plain(*args).replace('"(?i)load"', '"(?i)load|alter"'))
         for on in (True, False):
--- a/tests/support/clearance_play.py
+++ b/tests/support/clearance_play.py
@@ -1,7 +1,9 @@
-"""Controllers, two members and a holder in virtual time: words are lost, late and doubled, processes stop.
+"""Controllers, members and a lease holder in virtual time; acknowledgements are lost, late and doubled.
 
+Processes stop and restart.
 The oracle keeps what the record truly says, which attempts are open at which engine, and which pairs a holder
-was told are cleared. The roll, the words, the book and the routing are the program's own.
+was told are cleared. The registry, the acknowledgements, the in-flight tracker and the routing are the
+program's own.
 """
 
 import heapq
@@ -11,9 +13,9 @@
 from test_shard_routing import SETTINGS
 
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.quiescence.acknowledgements import Words
-from fennelwind.quiescence.in_flight import Book, table_of
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.acknowledgements import Acknowledgements
+from fennelwind.quiescence.in_flight import InFlightTracker, table_of
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.raft.state_machine import At
 from fennelwind.shards.routing import Routing
 
@@ -27,18 +29,24 @@
     """What may not happen has happened."""
 
 
-class Roll(RollMachine):
-    forget_ms = FORGET_MS
+class Registry(ControllerRegistry):
+    silence_timeout_ms = FORGET_MS
 
 
 class Controller:
-    """One process: its book, routing and number; `excused`: it began, or woke, with no view of its own."""
+    """One process: its in-flight tracker, routing and number.
+
+    `excused`: it began, or woke, with no view of its own.
+    """
 
     def __init__(self, name, excused):
         self.name, self.excused, self.awake_at, self.dead = name, excused, 0.0, False
-        self.book = Book()
-        self.routing = Routing(SETTINGS, 2, self.book)
-        self.book.route_copies, self.book.route_tables = self.routing.seen, self.routing.quieted
+        self.in_flight = InFlightTracker()
+        self.routing = Routing(SETTINGS, 2, self.in_flight)
+        self.in_flight.on_replica_locations, self.in_flight.on_excluded_engines = (
+            self.routing.seen,
+            self.routing.quieted,
+        )
         self.queries = itertools.count()
         self.heard_at = 0.0  # when the record last heard it
         self.since = NEVER if excused else 0  # the last sign-on: from a view of then on it is not excused
@@ -48,7 +56,7 @@
     """One that leads, or does not know that another does."""
 
     def __init__(self):
-        self.words, self.roll, self.index, self.clock_ms = Words(), Roll(), 0, 0
+        self.acknowledgements, self.registry, self.index, self.clock_ms = Acknowledgements(), Registry(), 0, 0
 
 
 class Play:
@@ -56,7 +64,7 @@
 
     def __init__(self, seed):
         self.random, self.now, self.index = Random(f"clearance {seed}"), 0.0, 0
-        self.roll, self.members = Roll(), [Member(), Member(), Member()]
+        self.registry, self.members = Registry(), [Member(), Member(), Member()]
         self.log = {}  # by index: good copies, copies that leave, engines that are quiet
         self.good = {shard: set(ENGINES) for shard in SHARDS[:3]}
         self.wishes, self.cleared = {}, {}  # by kind and pair: entry; and when it was told to be cleared
@@ -93,18 +101,18 @@
 
     def command(self, command):
         at = self.write()
-        self.roll.pass_time(at)
-        return pb.RollAnswer.FromString(self.roll.apply(at, command.SerializeToString(), None))
+        self.registry.pass_time(at)
+        return pb.RollAnswer.FromString(self.registry.apply(at, command.SerializeToString(), None))
 
     def clock(self):
         """Let time pass on the record; members follow, the one of old behind."""
         self.later(500.0, self.clock)
-        self.roll.pass_time(self.write())
+        self.registry.pass_time(self.write())
         for member, heard in zip(self.members, (0.9, 0.15, 0.02), strict=True):
             if self.random.random() < 0.02:
-                member.words = Words()  # it was begun anew
+                member.acknowledgements = Acknowledgements()  # it was begun anew
             if self.random.random() < heard:
-                member.roll.restore(self.roll.snapshot())
+                member.registry.restore(self.registry.snapshot())
                 member.index, member.clock_ms = self.index, int(self.now)
 
     # Controllers.
@@ -124,16 +132,16 @@
     def sign_on(self, each):
         if self.waits(each, self.sign_on):
             return
-        if each.book.number:
-            answer = self.command(pb.RollCommand(renew=pb.Renew(number=each.book.number)))
+        if each.in_flight.registration_number:
+            answer = self.command(pb.RollCommand(renew=pb.Renew(number=each.in_flight.registration_number)))
         else:
             answer = self.command(pb.RollCommand(sign_on=pb.SignOn(name=each.name, routes=True)))
             each.since = answer.number
         each.heard_at = each.heard_at if answer.refusal else self.now
         if self.random.random() < 0.05:  # its answer is lost: whoever may be on the roll is waited for
-            answer.number = each.book.number
-        each.book.number = 0 if answer.refusal else answer.number
-        self.later(RENEW_MS if each.book.number else 500.0, self.sign_on, each)
+            answer.number = each.in_flight.registration_number
+        each.in_flight.registration_number = 0 if answer.refusal else answer.number
+        self.later(RENEW_MS if each.in_flight.registration_number else 500.0, self.sign_on, each)
 
     def view(self, each):
         if self.waits(each, self.view):
@@ -143,27 +151,34 @@
             return  # it can't be had now
         seen = self.index
         places, kinds = self.log[seen]
-        each.book.see_copies(seen, places, kinds["copy"])
+        each.in_flight.update_replicas(seen, places, kinds["copy"])
         seen = max(1, seen - self.random.choice((0, 0, 0, 5, 40)))  # of a member that lags
         _, kinds = self.log[seen]
         kept = {}
         for table, engine in kinds["table"]:
             kept.setdefault(table, set()).add(engine)
         cut = len(kinds["table"]) > 1 and self.random.random() < 0.3
-        each.book.see_tables(seen, kept, kinds["table"][:1] if cut else kinds["table"], not cut)
-        each.excused = each.excused and min(each.book.copies, each.book.tables) < each.since
+        each.in_flight.update_tables(seen, kept, kinds["table"][:1] if cut else kinds["table"], not cut)
+        each.excused = (
+            each.excused and min(each.in_flight.replica_revision, each.in_flight.table_index) < each.since
+        )
 
     def speak(self, each):
         if self.waits(each, self.speak):
             return
-        word, wake = each.book.word(self.now)
-        self.later(max(1.0, min(wake - self.now, 100.0)), self.speak, each)
-        if word is None:
+        due = each.in_flight.next_acknowledgement(self.now)
+        self.later(max(1.0, min(due.check_at_ms - self.now, 100.0)), self.speak, each)
+        if due.message is None:
             return
         if self.random.random() < 0.2:
-            each.book.unheard()
+            each.in_flight.acknowledgement_lost()
         for _ in range(self.random.choice((0, 1, 1, 1, 2))):
-            self.later(self.lag(), self.random.choice(self.members).words.take, word, self.roll)
+            self.later(
+                self.lag(),
+                self.random.choice(self.members).acknowledgements.accept,
+                due.message,
+                self.registry,
+            )
 
     def query(self, each):
         if self.waits(each, self.query):
@@ -246,7 +261,7 @@
                 for (kind, (name, engine)), since in self.wishes.items()
             ]
             member = self.random.choice(self.members)
-            heard = member.words.hears(asked, member.roll, member.index, member.clock_ms)
+            heard = member.acknowledgements.evaluate(asked, member.registry, member.index, member.clock_ms)
             for wish, one in zip(list(self.wishes), heard.states, strict=True):
                 self.counts["open"] += one.state == pb.Heard.OPEN
                 self.counts["silent"] += one.state == pb.Heard.SILENT
