--- a/fennelwind/cluster/backoff.py
+++ b/fennelwind/cluster/backoff.py
@@ -1,24 +1,27 @@
-"""Growing waits between tries."""
+"""Exponential backoff with jitter between attempts."""
 
 from random import Random
 
-FIRST_MS = 50.0  # ms; a peer that restarts listens again within tens of ms at best
-MOST_MS = 2000.0  # ms; a peer that is back has to be found within a few election time-outs
+MIN_MS = 50.0  # ms; a peer that restarts listens again within tens of ms at best
+MAX_MS = 2000.0  # ms; a peer that is back has to be found within a few election time-outs
+MAX_DOUBLINGS = 16  # keeps the power within a float; the maximum is reached long before
 
 
 class Backoff:
-    """Each wait is twice the one before, up to a bound; the draw keeps two hundred from coming together."""
+    """Each wait doubles, up to a maximum; the jitter keeps two hundred from coming together."""
 
-    def __init__(self, random: Random, first_ms: float = FIRST_MS, most_ms: float = MOST_MS) -> None:
-        self.random, self.first_ms, self.most_ms = random, first_ms, most_ms
-        self.tries = 0
+    def __init__(self, random: Random, min_ms: float = MIN_MS, max_ms: float = MAX_MS) -> None:
+        self._random = random
+        self._min_ms = min_ms
+        self._max_ms = max_ms
+        self._attempts = 0
 
-    def next(self) -> float:
-        """Return the next wait in ms."""
-        wait = min(self.most_ms, self.first_ms * 2.0 ** min(self.tries, 16))
-        self.tries += 1
-        return wait * (0.5 + 0.5 * self.random.random())
+    def next_ms(self) -> float:
+        """Return the next wait in ms: between a half and the whole of the grown one."""
+        wait_ms = min(self._max_ms, self._min_ms * 2.0 ** min(self._attempts, MAX_DOUBLINGS))
+        self._attempts += 1
+        return wait_ms * (0.5 + 0.5 * self._random.random())
 
     def reset(self) -> None:
-        """Begin small again: something went well."""
-        self.tries = 0
+        """Begin with the shortest wait again: something went well."""
+        self._attempts = 0
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -31,7 +31,7 @@
         return self.folder is not None
 
 
-def wrong_hello(hello: pb.Hello, fleet: str) -> ClusterError | None:
+def hello_error(hello: pb.Hello, fleet: str) -> ClusterError | None:
     """Return what keeps us from talking to whoever said this; None: nothing."""
     if hello.fleet != fleet:
         return FleetMismatchError(
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -18,7 +18,7 @@
     MemberNameMismatchError,
 )
 from fennelwind.cluster.framing import FrameReader, Outbox, encode_frame
-from fennelwind.cluster.identity import wrong_hello
+from fennelwind.cluster.identity import hello_error
 from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Address, Loop, Stream, Task
 from fennelwind.raft import council_pb2
@@ -60,7 +60,7 @@
             self.up = False
             self.outbox.clear()
             try:
-                with loop.deadline(waits.next()):
+                with loop.deadline(waits.next_ms()):
                     self._again.wait()
                 waits.reset()
             except TimeoutError:
@@ -97,7 +97,7 @@
         """Take the other's hello. Raises `FleetMismatchError` and its like."""
         if hello is None:
             raise InvalidFrameError(f"{self.name} closed without a word", peer=self.name)
-        wrong = wrong_hello(hello, self.peers.fleet)
+        wrong = hello_error(hello, self.peers.fleet)
         if wrong is not None:
             raise wrong
         if hello.name != self.name:
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -105,7 +105,7 @@
                 continue
             body = due.message.SerializeToString()
             try:
-                self.client.leader(lambda body=body: keeper_pb2.Ask(word=body), LEADER_TIMEOUT_MS)
+                self.client.request_leader(lambda body=body: keeper_pb2.Ask(word=body), LEADER_TIMEOUT_MS)
                 self.counts["told"] += 1
             except ClusterError as exc:
                 self.counts[exc.code] += 1
@@ -118,7 +118,7 @@
         body = question.SerializeToString()
         unknown = [pb.Heard.SILENT] * len(question.wishes)
         try:
-            answer = self.client.leader(lambda: keeper_pb2.Ask(cleared=body), LEADER_TIMEOUT_MS)
+            answer = self.client.request_leader(lambda: keeper_pb2.Ask(cleared=body), LEADER_TIMEOUT_MS)
         except ClusterError as exc:
             self.counts[exc.code] += 1
             return unknown
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -1,8 +1,9 @@
-"""How a controller asks the record, be it a member or not.
+"""The client of the Raft group that every controller has, be it a member itself or not.
 
-A command gets a number once and is asked with it until an answer comes, however often and of whomever: the
-record does it once. Members that don't lead name who does. What is under way is bounded by what the record
-keeps of one client; who comes then waits for its turn until its deadline.
+A command gets a sequence number once and is sent with it until an answer comes, however often and to whatever
+member: the replicated state applies it once. Members that don't lead name the leader. What is under way is
+bounded by how many answers the replicated state retains for one client; further commands wait for their turn
+until their deadline.
 """
 
 import math
@@ -24,104 +25,60 @@
     NoLeaderError,
     OutcomeUnknownError,
 )
-from fennelwind.cluster.framing import FrameReader, Outbox, encode_frame
-from fennelwind.cluster.identity import PROTOCOL, wrong_hello
-from fennelwind.loop import Address, Loop, Once, Stream, Task
+from fennelwind.cluster.framing import FrameReader, encode_frame
+from fennelwind.cluster.identity import PROTOCOL, hello_error
+from fennelwind.cluster.member_connection import MemberConnection
+from fennelwind.loop import Address, Loop, Once
 from fennelwind.raft import council_pb2
 from fennelwind.raft.replicated_state import KEPT_MOST
 
 Result = council_pb2.Result
-DIAL_MS = 500.0  # ms to connect and hear a member's name; a member that runs needs few
-ATTEMPT_MS = 1000.0  # ms until another member is asked; three election time-outs of 300 ms
-DIAL_MOST_MS = 5000.0  # ms between two rounds of dials when no member is there at all
-AGAIN_MOST_MS = 800.0  # ms between two asks at most: a leader is there again within some 600
-AGAIN_MS = 2000  # ms; a time to come back when no member names one: an election and a growing wait
-LINED_MOST = 1024  # commands that wait for a number; one more is refused at once
-WATCHES_MOST = 64  # watches under way from one controller
-LATER = {Result.NO_LEADER, Result.UNKNOWN, Result.TOO_MANY, Result.NOT_MEMBER, Result.NOT_LEADER}
+CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a member that runs needs few
+ATTEMPT_TIMEOUT_MS = 1000.0  # ms until another member is tried; three election time-outs of 300 ms
+MAX_CONNECT_BACKOFF_MS = 5000.0  # ms between two rounds of connects when no member is there at all
+MAX_RETRY_BACKOFF_MS = 800.0  # ms between two attempts at most: a leader is there again within some 600
+RETRY_AFTER_MS = 2000  # ms; told to callers when no member names one: an election and a growing wait
+MAX_QUEUED_COMMANDS = 1024  # commands that wait for a number; one more is rejected at once
+MAX_WATCHES = 64  # watches under way from one controller
+RETRIABLE_REFUSALS = {
+    Result.NO_LEADER,
+    Result.UNKNOWN,
+    Result.TOO_MANY,
+    Result.NOT_MEMBER,
+    Result.NOT_LEADER,
+}
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
-    """What a read told."""
+class ReadResult:
+    """What a read returned."""
 
-    state: bytes  # the machine's answer
+    state: bytes  # the state machine's answer
     fact: int
-    revision: int  # of the machine's state: the entry that last changed it
+    revision: int  # of the state machine: the entry that last changed it
     index: int  # the state is of this entry, or a later one
-    clock_ms: int  # the record's clock
-
-
-class Line:
-    """A connection to one member, on which asks and answers pass."""
-
-    def __init__(self, loop: Loop, name: str, stream: Stream, reader: FrameReader) -> None:
-        self.loop, self.name, self.stream, self.reader = loop, name, stream, reader
-        self.outbox = Outbox(loop)
-        self.up = True
-        self.heard_ms = loop.now()
-        self._token = 0
-        self._waiting: dict[int, Once] = {}
-        self._tasks: list[Task] = [
-            loop.spawn(self._read, name=f"asker: from {name}"),
-            loop.spawn(self._write, name=f"asker: to {name}"),
-        ]
-
-    def ask(self, ask: pb.Ask, until: float) -> pb.Told | None:
-        """Return the answer; None if the connection broke or the time is up."""
-        if not self.up:
-            return None
-        self._token += 1
-        token, once = self._token, Once(self.loop)
-        self._waiting[token] = once
-        began = self.loop.now()
-        ask.token = token
-        try:
-            if not self.outbox.put(encode_frame(pb.Frame(ask=ask))):
-                return None
-            with self.loop.deadline_at(until):
-                return once.wait()
-        except TimeoutError:
-            if self.heard_ms < began:  # it said nothing to anybody meanwhile
-                self.close()
-            return None
-        finally:
-            self._waiting.pop(token, None)
+    clock_ms: int  # the log's clock
 
-    def _read(self) -> None:
-        try:
-            while (frame := self.reader.frame()) is not None and frame.WhichOneof("what") == "told":
-                self.heard_ms = self.loop.now()
-                once = self._waiting.pop(frame.told.token, None)
-                if once is not None:
-                    once.set(frame.told)
-        except (OSError, InvalidFrameError):
-            pass
-        finally:
-            self.close()
 
-    def _write(self) -> None:
-        try:
-            self.outbox.run(self.stream)
-        except (OSError, TimeoutError):
-            self.close()
+@dataclass(slots=True, frozen=True)
+class CommandResult:
+    """What a command that was applied returned."""
 
-    def close(self) -> None:
-        """Give the connection up; nobody waits for it any more."""
-        if not self.up:
-            return
-        self.up = False
-        self.stream.abort()
-        waiting, self._waiting = self._waiting, {}
-        for once in waiting.values():
-            once.set(None)
-        for task in self._tasks:
-            if task is not self.loop.current:
-                task.cancel()
+    body: bytes  # the state machine's answer
+    index: int  # of the entry that applied it
+
+
+@dataclass(slots=True, frozen=True)
+class _Outcome:
+    """What became of a request over all its attempts."""
+
+    answer: pb.Told | None  # None: the time is up
+    result: Result | None
+    may_be_applied: bool  # it was sent, and nobody said what became of it
 
 
 class RaftClient:
-    """Asks the record on behalf of one controller."""
+    """Sends one controller's requests to the Raft group. Times are ms on the loop's clock."""
 
     def __init__(
         self,
@@ -130,331 +87,356 @@
         name: str,
         members: dict[str, Address],
         seed: str,
-        said: Callable[[ClusterError], None] = lambda _: None,
+        on_error: Callable[[ClusterError], None] = lambda _: None,
     ) -> None:
-        self.loop, self.fleet, self.name, self.members, self.said = loop, fleet, name, dict(members), said
-        self.random = Random(seed)
-        self.wrong: ClusterError | None = None  # what an operator has to put right, as the last dial met it
-        self.asked = self.lost = 0  # attempts, and those to which nothing came
-        self._order = sorted(self.members)
-        self._target = self._order[self.random.randrange(len(self._order))]
-        self._line: Line | None = None
-        self._dialing: Once | None = None
-        self._dial_waits = Backoff(self.random, most_ms=DIAL_MOST_MS)
-        self._failed = 0  # dials, one after the other
-        self._rest_until = -math.inf  # no dial before
-        self._client = 0
+        """Make it; `on_error` is called with each new reason why a member can't be talked to."""
+        self.fleet = fleet
+        self.name = name
+        self.attempts = 0
+        self.unanswered_attempts = 0
+        self._loop = loop
+        self._members = dict(members)
+        self._on_error = on_error
+        self._random = Random(seed)
+        self._connect_error: ClusterError | None = None  # what an operator has to put right
+        self._member_order = sorted(self._members)
+        self._target = self._member_order[self._random.randrange(len(self._member_order))]
+        self._connection: MemberConnection | None = None
+        self._connecting: Once | None = None
+        self._connect_backoff = Backoff(self._random, max_ms=MAX_CONNECT_BACKOFF_MS)
+        self._failed_connects = 0  # one after the other
+        self._no_connect_before_ms = -math.inf
+        self._client_id = 0  # 0: none was given yet
         self._opening: Once | None = None
-        self._number = self._heard = 0  # given to the last command; all up to it are over
-        self._over: set[int] = set()  # numbers behind `_heard` that are over
-        self._lined: deque[Once] = deque()
+        self._last_number = 0  # given to the last command
+        self._ended_up_to = 0  # all commands up to this number are over
+        self._ended_numbers: set[int] = set()  # numbers behind `_ended_up_to` that are over
+        self._queue: deque[Once] = deque()  # commands that wait for a number
         self._watches = 0
-        self._last = Result.NONE  # what kept the last answer from counting
+        self._last_refusal = Result.NONE  # what kept the last answer from counting
 
     # Commands.
 
     def propose(self, machine: str, body: bytes, within_ms: float) -> bytes:
-        """Have a command done once; return the machine's answer. Raises as `propose_at` does."""
-        return self.propose_at(machine, body, within_ms)[0]
+        """Have a command applied once; return the answer. Raises as `propose_with_index` does."""
+        return self.propose_with_index(machine, body, within_ms).body
 
-    def propose_at(self, machine: str, body: bytes, within_ms: float) -> tuple[bytes, int]:
-        """Have a command done once; return the machine's answer, and the entry that did it.
+    def propose_with_index(self, machine: str, body: bytes, within_ms: float) -> CommandResult:
+        """Have a command applied once; return the state machine's answer, and the entry that applied it.
+
+        Raises:
+            CommandRejectedError: it was not applied, and will not be.
+            ClientOverloadedError: it was not sent: too many commands wait here.
+            OutcomeUnknownError: it was sent, and may be applied or not.
+            ClusterUnavailableError: it was never sent, or every member that was tried refused it for now.
 
-        Raises `CommandRejectedError` and `ClientOverloadedError`, where nothing was done,
-        `OutcomeUnknownError`, where it may be, and `ClusterUnavailableError` and its like, where it was never
-        sent or refused by all that were asked.
         """
-        until = self.loop.now() + within_ms
-        maybe = False  # it was sent, and nobody told what became of it
+        until_ms = self._loop.now() + within_ms
+        may_be_applied = False
         while True:
-            client = self._client or self._open(until)
-            number = self._take_number(until)
-            if client != self._client:
+            client_id = self._client_id or self._open(until_ms)
+            number = self._take_number(until_ms)
+            if client_id != self._client_id:
                 continue  # the numbers are another client's by now: this one was never sent
+            command = council_pb2.Command(client=client_id, number=number, machine=machine, body=body)
             try:
-                result, lost = self._command(
-                    council_pb2.Command(client=client, number=number, machine=machine, body=body), until
-                )
+                outcome = self._submit(command, until_ms)
             finally:
-                if client == self._client:
+                if client_id == self._client_id:
                     self._end_number(number)
-            maybe = maybe or lost
+            may_be_applied = may_be_applied or outcome.may_be_applied
+            result = outcome.result
             if result is None:
-                raise self._unknown(machine, number) if maybe else self._nobody()
+                raise self._outcome_unknown(machine, number) if may_be_applied else self._unavailable()
             if result.refusal == Result.NONE:
-                return result.body, result.index
+                return CommandResult(result.body, result.index)
             if result.refusal == Result.CLIENT_GONE:
-                if client == self._client:
+                if client_id == self._client_id:
                     self._forget_client()
-                if not maybe:
-                    continue  # the record never did it, and knows nothing of it: a new client asks anew
+                if not may_be_applied:
+                    continue  # the replicated state never saw it: a new client sends it anew
             if result.refusal in (Result.CLIENT_GONE, Result.NUMBER_GONE):
-                raise self._unknown(machine, number)
-            name = Result.Refusal.Name(result.refusal)
-            raise CommandRejectedError(
-                f"{machine}: {name} {result.text[:200]}".strip(), refusal=name, machine=machine
-            )
-
-    def _command(self, command: council_pb2.Command, until: float) -> tuple[Result | None, bool]:
-        """Return what the record says, None when the time is up; and whether it may be done unsaid."""
-        maybe = [False]
+                raise self._outcome_unknown(machine, number)
+            raise _rejected(machine, result, machine=machine)
 
-        def ask() -> pb.Ask:
-            command.heard = self._heard
+    def _submit(self, command: council_pb2.Command, until_ms: float) -> _Outcome:
+        def make_request() -> pb.Ask:
+            command.heard = self._ended_up_to
             return pb.Ask(command=command.SerializeToString())
 
-        told = self._ask(ask, until, maybe)
-        return (None if told is None else told[1]), maybe[0]
+        return self._request(make_request, until_ms)
 
-    def _open(self, until: float) -> int:
-        """Be given a number as a client, once for all that wait for it."""
+    def _open(self, until_ms: float) -> int:
+        """Be given an identifier as a client, once for all who wait for it."""
         if self._opening is None:
-            self._opening = Once(self.loop)
-            self.loop.spawn(self._open_client, self._opening, name="asker: open")
+            self._opening = Once(self._loop)
+            self._loop.spawn(self._open_client, self._opening, name="asker: open")
         opening = self._opening
         try:
-            with self.loop.deadline_at(until):
+            with self._loop.deadline_at(until_ms):
                 opening.wait()
         except TimeoutError:
-            raise self._nobody() from None
+            raise self._unavailable() from None
         if not opening.value:
-            raise self._nobody()
+            raise self._unavailable()
         return opening.value
 
     def _open_client(self, opening: Once) -> None:
-        result, _ = self._command(council_pb2.Command(), self.loop.now() + 4.0 * ATTEMPT_MS)
+        until_ms = self._loop.now() + 4.0 * ATTEMPT_TIMEOUT_MS
+        result = self._submit(council_pb2.Command(), until_ms).result
         if result is not None and result.refusal == Result.NONE:
-            self._client, self._number, self._heard, self._over = result.index, 0, 0, set()
+            self._client_id = result.index
+            self._last_number = 0
+            self._ended_up_to = 0
+            self._ended_numbers = set()
         self._opening = None
-        opening.set(self._client)
+        opening.set(self._client_id)
 
     def _forget_client(self) -> None:
-        self._client = 0
-        while self._lined:
-            self._lined.popleft().set()
-
-    def _take_number(self, until: float) -> int:
-        """Return the next number, when the record has room to keep its answer."""
-        client = self._client
-        while self._number - self._heard >= KEPT_MOST and client == self._client:
-            if len(self._lined) >= LINED_MOST:
-                raise ClientOverloadedError(f"{LINED_MOST} commands wait here already", most=LINED_MOST)
-            turn = Once(self.loop)
-            self._lined.append(turn)
+        self._client_id = 0
+        while self._queue:
+            self._queue.popleft().set()
+
+    def _take_number(self, until_ms: float) -> int:
+        """Return the next number, once the replicated state has room to retain its answer."""
+        client_id = self._client_id
+        while self._under_way >= KEPT_MOST and client_id == self._client_id:
+            if len(self._queue) >= MAX_QUEUED_COMMANDS:
+                raise ClientOverloadedError(
+                    f"{MAX_QUEUED_COMMANDS} commands wait here already", most=MAX_QUEUED_COMMANDS
+                )
+            turn = Once(self._loop)
+            self._queue.append(turn)
             try:
-                with self.loop.deadline_at(until):
+                with self._loop.deadline_at(until_ms):
                     turn.wait()
             except TimeoutError:
-                raise self._nobody() from None
+                raise self._unavailable() from None
             finally:
-                if turn in self._lined:
-                    self._lined.remove(turn)
-        self._number += 1
-        return self._number
+                if turn in self._queue:
+                    self._queue.remove(turn)
+        self._last_number += 1
+        return self._last_number
+
+    @property
+    def _under_way(self) -> int:
+        return self._last_number - self._ended_up_to
 
     def _end_number(self, number: int) -> None:
-        self._over.add(number)
-        while self._heard + 1 in self._over:
-            self._heard += 1
-            self._over.discard(self._heard)
-        for _ in range(min(len(self._lined), KEPT_MOST - (self._number - self._heard))):
-            self._lined.popleft().set()
+        self._ended_numbers.add(number)
+        while self._ended_up_to + 1 in self._ended_numbers:
+            self._ended_up_to += 1
+            self._ended_numbers.discard(self._ended_up_to)
+        for _ in range(min(len(self._queue), KEPT_MOST - self._under_way)):
+            self._queue.popleft().set()
 
     # Reads.
 
-    def read(self, machine: str, query: bytes = b"", *, within_ms: float) -> Seen:
-        """Return a machine's state or answer to a query, as of now. Raises as `watch` does."""
+    def read(self, machine: str, query: bytes = b"", *, within_ms: float) -> ReadResult:
+        """Return a state machine's state or answer to a query, as of now (a linearizable read).
+
+        Raises `CommandRejectedError`, `ClusterUnavailableError`.
+        """
         return self._view(pb.View(machine=machine, query=query, fresh=True), within_ms)
 
-    def fact(self, machine: str, kind: str, key: str, *, within_ms: float, fresh: bool = True) -> Seen:
-        """Return a fact; without `fresh` as some member knows it. Raises as `watch` does."""
+    def fact(self, machine: str, kind: str, key: str, *, within_ms: float, fresh: bool = True) -> ReadResult:
+        """Return a fact; without `fresh` as some member knows it. Raises as `read` does."""
         return self._view(pb.View(machine=machine, kind=kind, key=key, fresh=fresh), within_ms)
 
     def watch(
         self, machine: str, after: int = 0, *, wait_ms: float, query: bytes = b"", unlike: bytes | None = None
-    ) -> Seen:
-        """Return the state once it has changed behind the revision, or as it is after so long.
+    ) -> ReadResult:
+        """Return the state once it has changed after the revision, or as it is after `wait_ms`.
 
-        With `unlike` it is the answer to the query that has to be another. Raises `ClientOverloadedError`
-        when as many watch as may, and `ClusterUnavailableError` and its like.
+        With `unlike` it is the answer to the query that has to differ. Raises as `read` does, and
+        `ClientOverloadedError` when `MAX_WATCHES` are under way.
         """
-        if self._watches >= WATCHES_MOST:
-            raise ClientOverloadedError(f"{WATCHES_MOST} watches are under way", most=WATCHES_MOST)
+        if self._watches >= MAX_WATCHES:
+            raise ClientOverloadedError(f"{MAX_WATCHES} watches are under way", most=MAX_WATCHES)
         self._watches += 1
         try:
             view = pb.View(machine=machine, query=query, after=after, wait_ms=int(wait_ms), unlike=unlike)
-            return self._view(view, wait_ms + 4.0 * ATTEMPT_MS, wait_ms)
+            return self._view(view, wait_ms + 4.0 * ATTEMPT_TIMEOUT_MS, wait_ms)
         finally:
             self._watches -= 1
 
-    def leader(self, make: Callable[[], pb.Ask], within_ms: float) -> bytes:
-        """Return what the leader alone answers to an ask. Raises `ClusterUnavailableError` and its like."""
-        found = self._ask(make, self.loop.now() + within_ms, [False])
-        if found is None:
-            raise self._nobody()
-        if found[1].refusal != Result.NONE:
-            name = Result.Refusal.Name(found[1].refusal)
-            raise CommandRejectedError(f"the leader: {name} {found[1].text[:200]}".strip(), refusal=name)
-        return found[1].body
-
-    def _view(self, view: pb.View, within_ms: float, long_ms: float = 0.0) -> Seen:
-        until = self.loop.now() + within_ms
-        found = self._ask(lambda: pb.Ask(view=view), until, [False], long_ms)
-        if found is None:
-            raise self._nobody()
-        told, result = found
+    def request_leader(self, make_request: Callable[[], pb.Ask], within_ms: float) -> bytes:
+        """Return what the leader alone answers to a request. Raises as `read` does."""
+        outcome = self._request(make_request, self._loop.now() + within_ms)
+        if outcome.result is None:
+            raise self._unavailable()
+        if outcome.result.refusal != Result.NONE:
+            raise _rejected("the leader", outcome.result)
+        return outcome.result.body
+
+    def _view(self, view: pb.View, within_ms: float, wait_ms: float = 0.0) -> ReadResult:
+        outcome = self._request(lambda: pb.Ask(view=view), self._loop.now() + within_ms, wait_ms)
+        answer, result = outcome.answer, outcome.result
+        if answer is None or result is None:
+            raise self._unavailable()
         if result.refusal != Result.NONE:
-            name = Result.Refusal.Name(result.refusal)
-            raise CommandRejectedError(
-                f"{view.machine}: {name} {result.text[:200]}".strip(), refusal=name, machine=view.machine
-            )
-        return Seen(result.body, told.fact, told.revision, result.index, told.clock_ms)
-
-    # Who is asked.
-
-    def _ask(
-        self, make: Callable[[], pb.Ask], until: float, maybe: list[bool], long_ms: float = 0.0
-    ) -> tuple[pb.Told, Result] | None:
-        """Ask one member after the other until one answers for good; None when the time is up.
-
-        `maybe[0]` becomes true where an ask went out and what became of it is not known.
-        """
-        waits, hops = Backoff(self.random, most_ms=AGAIN_MOST_MS), 0
-        self._last = Result.NONE
-        while self.loop.now() < until:
-            line = self._connected(until)
-            if line is None:
+            raise _rejected(view.machine, result, machine=view.machine)
+        return ReadResult(result.body, answer.fact, answer.revision, result.index, answer.clock_ms)
+
+    # Attempts at members.
+
+    def _request(self, make_request: Callable[[], pb.Ask], until_ms: float, wait_ms: float = 0.0) -> _Outcome:
+        """Send a request to one member after the other until one answers for good, or the time is up."""
+        backoff = Backoff(self._random, max_ms=MAX_RETRY_BACKOFF_MS)
+        hops = 0  # attempts without a wait, each at the member that the one before named
+        may_be_applied = False
+        self._last_refusal = Result.NONE
+        while self._loop.now() < until_ms:
+            connection = self._connected(until_ms)
+            if connection is None:
                 continue
-            again_ms = 0.0
-            self.asked += 1
-            told = line.ask(make(), min(until, self.loop.now() + ATTEMPT_MS + long_ms))
-            if told is None:
-                self.lost += 1
-                maybe[0] = True
-                self._turn(line.name, "")
+            retry_after_ms = 0.0
+            self.attempts += 1
+            attempt_until_ms = self._loop.now() + ATTEMPT_TIMEOUT_MS + wait_ms
+            answer = connection.request(make_request(), min(until_ms, attempt_until_ms))
+            if answer is None:
+                self.unanswered_attempts += 1
+                may_be_applied = True
+                self._change_target(connection.name, "")
             else:
-                result = Result.FromString(told.result)
-                if result.refusal not in LATER:
-                    return told, result
-                self._last = result.refusal
-                maybe[0] = maybe[0] or result.refusal == Result.UNKNOWN
-                again_ms = float(result.again_ms)
-                if (
-                    result.refusal != Result.TOO_MANY
-                    and self._turn(line.name, result.leader)
-                    and hops < len(self._order)
-                ):
+                result = Result.FromString(answer.result)
+                if result.refusal not in RETRIABLE_REFUSALS:
+                    return _Outcome(answer, result, may_be_applied)
+                self._last_refusal = result.refusal
+                may_be_applied = may_be_applied or result.refusal == Result.UNKNOWN
+                retry_after_ms = float(result.again_ms)
+                is_leader_known = result.refusal != Result.TOO_MANY and self._change_target(
+                    connection.name, result.leader
+                )
+                if is_leader_known and hops < len(self._member_order):
                     hops += 1
-                    continue  # somebody said who leads: no need to wait
+                    continue
                 hops = 0
-            wait = max(waits.next(), again_ms)
-            self.loop.sleep(max(0.0, min(wait, until - self.loop.now())))
-        return None
+            sleep_ms = max(backoff.next_ms(), retry_after_ms)
+            self._loop.sleep(max(0.0, min(sleep_ms, until_ms - self._loop.now())))
+        return _Outcome(None, None, may_be_applied)
 
-    def _turn(self, asked: str, leader: str) -> bool:
-        """Ask another from now on, unless somebody turned already; tell whether it should know."""
-        if self._target != asked:
+    def _change_target(self, tried: str, leader: str) -> bool:
+        """Try another member from now on, unless that was done already; tell whether it should lead."""
+        if self._target != tried:
             return True
-        if leader in self.members and leader != asked:
+        if leader in self._members and leader != tried:
             self._target = leader
-        elif leader != asked:
-            self._target = self._order[(self._order.index(asked) + 1) % len(self._order)]
-        if self._target != asked and self._line is not None:
-            self._leave(self._line)
-        return leader in self.members and leader != asked
-
-    def _leave(self, line: Line) -> None:
-        """Let a line end when what is under way on it has its answers; nothing new goes there."""
-        self._line = None
-        self.loop.after(ATTEMPT_MS, line.close)
-
-    def _connected(self, until: float) -> Line | None:
-        """Return a line to some member; None: the dial that was waited for has failed, or the time is up."""
-        if self._line is not None and self._line.up:
-            return self._line
-        rest = min(self._rest_until, until) - self.loop.now()
-        if rest > 0.0:
-            self.loop.sleep(rest)
+        elif leader != tried:
+            self._target = self._member_after(tried)
+        if self._target != tried and self._connection is not None:
+            self._retire(self._connection)
+        return leader in self._members and leader != tried
+
+    def _member_after(self, name: str) -> str:
+        return self._member_order[(self._member_order.index(name) + 1) % len(self._member_order)]
+
+    def _retire(self, connection: MemberConnection) -> None:
+        """Close a connection when what is under way on it has its answers; nothing new goes there."""
+        self._connection = None
+        self._loop.after(ATTEMPT_TIMEOUT_MS, connection.close)
+
+    # Connections.
+
+    def _connected(self, until_ms: float) -> MemberConnection | None:
+        """Return a connection to some member; None: the connect has failed, or the time is up."""
+        if self._connection is not None and self._connection.is_open:
+            return self._connection
+        rest_ms = min(self._no_connect_before_ms, until_ms) - self._loop.now()
+        if rest_ms > 0.0:
+            self._loop.sleep(rest_ms)
             return None
-        if self._dialing is None:
-            self._dialing = Once(self.loop)
-            self.loop.spawn(self._dial, self._dialing, name="asker: dial")
+        if self._connecting is None:
+            self._connecting = Once(self._loop)
+            self._loop.spawn(self._connect_target, self._connecting, name="asker: dial")
         try:
-            with self.loop.deadline_at(until):
-                return self._dialing.wait()
+            with self._loop.deadline_at(until_ms):
+                return self._connecting.wait()
         except TimeoutError:
             return None
 
-    def _dial(self, dialing: Once) -> None:
-        name, line = self._target, None
+    def _connect_target(self, connecting: Once) -> None:
+        name = self._target
+        connection: MemberConnection | None = None
         try:
-            line = self._connect(name)
-            self.wrong = None
+            connection = self._connect(name)
+            self._connect_error = None
         except ClusterError as exc:
-            if type(exc) is not type(self.wrong):
-                self.said(exc)
-            self.wrong = exc
+            if type(exc) is not type(self._connect_error):
+                self._on_error(exc)
+            self._connect_error = exc
         except (OSError, TimeoutError):
             pass
         finally:
-            if line is None:
-                self._rest(name)
+            if connection is None:
+                self._connect_failed(name)
             else:
-                self._failed = 0
-                self._dial_waits.reset()
-            self._line, self._dialing = line, None
-            dialing.set(line)
-
-    def _rest(self, name: str) -> None:
-        """Dial the next one; when all have failed, wait first, once for all who ask here."""
+                self._failed_connects = 0
+                self._connect_backoff.reset()
+            self._connection = connection
+            self._connecting = None
+            connecting.set(connection)
+
+    def _connect_failed(self, name: str) -> None:
+        """Connect to the next one; when all have failed, wait first, once for all requests."""
         if self._target == name:
-            self._target = self._order[(self._order.index(name) + 1) % len(self._order)]
-        self._failed += 1
-        if self._failed % len(self._order) == 0:
-            self._rest_until = self.loop.now() + self._dial_waits.next()
-
-    def _connect(self, name: str) -> Line:
-        loop = self.loop
-        with loop.deadline(DIAL_MS):
-            stream = loop.connect(self.members[name])
+            self._target = self._member_after(name)
+        self._failed_connects += 1
+        if self._failed_connects % len(self._member_order) == 0:
+            self._no_connect_before_ms = self._loop.now() + self._connect_backoff.next_ms()
+
+    def _connect(self, name: str) -> MemberConnection:
+        with self._loop.deadline(CONNECT_TIMEOUT_MS):
+            stream = self._loop.connect(self._members[name])
             try:
                 stream.write(encode_frame(pb.Hello(protocol=PROTOCOL, fleet=self.fleet, name=self.name)))
                 reader = FrameReader(stream)
-                hello = reader.hello()
-                if hello is None:
-                    raise InvalidFrameError(f"{name} closed without a word", peer=name)
-                wrong = wrong_hello(hello, self.fleet)
-                if wrong is None and hello.refused:
-                    wrong = FleetMismatchError(f"{name} refuses us: {hello.refused[:200]}", peer=name)
-                if wrong is None and hello.name != name:
-                    wrong = MemberNameMismatchError(
-                        f"{hello.name!r} answers where {name!r} is said to be", theirs=hello.name, wanted=name
-                    )
-                if wrong is not None:
-                    raise wrong
+                self._check_hello(name, reader.hello())
             except BaseException:
                 stream.abort()
                 raise
-        return Line(loop, name, stream, reader)
+        return MemberConnection(self._loop, name, stream, reader)
+
+    def _check_hello(self, name: str, hello: pb.Hello | None) -> None:
+        """Raise what keeps us from talking to whoever answers where this member should be."""
+        if hello is None:
+            raise InvalidFrameError(f"{name} closed without a hello", peer=name)
+        error = hello_error(hello, self.fleet)
+        if error is not None:
+            raise error
+        if hello.refused:
+            raise FleetMismatchError(f"{name} rejects us: {hello.refused[:200]}", peer=name)
+        if hello.name != name:
+            raise MemberNameMismatchError(
+                f"{hello.name!r} answers where {name!r} should be", theirs=hello.name, wanted=name
+            )
 
     # Errors.
 
-    def _unknown(self, machine: str, number: int) -> OutcomeUnknownError:
+    def _outcome_unknown(self, machine: str, number: int) -> OutcomeUnknownError:
         return OutcomeUnknownError(
-            f"{machine}: command {number} may be done or not",
+            f"{machine}: command {number} may be applied or not",
             machine=machine,
-            client=self._client,
+            client=self._client_id,
             number=number,
         )
 
-    def _nobody(self) -> ClusterError:
-        if self.wrong is not None:
-            return self.wrong
-        if self._last in (Result.NO_LEADER, Result.NOT_LEADER):
-            return NoLeaderError("no member leads", again_ms=AGAIN_MS, members=self._order)
-        return ClusterUnavailableError("no member answered", again_ms=AGAIN_MS, members=self._order)
+    def _unavailable(self) -> ClusterError:
+        if self._connect_error is not None:
+            return self._connect_error
+        if self._last_refusal in (Result.NO_LEADER, Result.NOT_LEADER):
+            return NoLeaderError("no member leads", again_ms=RETRY_AFTER_MS, members=self._member_order)
+        return ClusterUnavailableError(
+            "no member answered", again_ms=RETRY_AFTER_MS, members=self._member_order
+        )
 
     def close(self) -> None:
-        """Give the connection up."""
-        if self._line is not None:
-            self._line.close()
+        """Close the connection."""
+        if self._connection is not None:
+            self._connection.close()
+
+
+def _rejected(subject: str, result: Result, **facts: str) -> CommandRejectedError:
+    refusal = Result.Refusal.Name(result.refusal)
+    text = f"{subject}: {refusal} {result.text[:200]}".strip()
+    return CommandRejectedError(text, refusal=refusal, **facts)
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -180,7 +180,7 @@
                 if exc.code != told:
                     self.said("cannot open", exc.told())
                     told = exc.code
-                self.loop.sleep(waits.next())
+                self.loop.sleep(waits.next_ms())
 
     def _listen(self) -> None:
         waits, told = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS), False
@@ -196,7 +196,7 @@
                         ).told(),
                     )
                     told = True
-                self.loop.sleep(waits.next())
+                self.loop.sleep(waits.next_ms())
             else:
                 self.door = ClusterServer(self.loop, listener, self.place.fleet, self, self._wrong)
                 self.door.start()
@@ -488,7 +488,7 @@
         """Wait until the folder takes writes; what was asked for behind a failed one counts for nothing."""
         waits = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
         while True:
-            self.loop.sleep(waits.next())
+            self.loop.sleep(waits.next_ms())
             try:
                 durable = self.store.reopen(*(self._compact() if full else (None, b"")))
                 break
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -196,7 +196,10 @@
 
     def events(self) -> list[tuple[str, str, int]]:
         """Return counts of what happened: where, what, how often."""
-        found = {"asker": {"asked": self.asker.asked, "lost": self.asker.lost}, "tasks": self.tasks.counts}
+        found = {
+            "asker": {"asked": self.asker.attempts, "lost": self.asker.unanswered_attempts},
+            "tasks": self.tasks.counts,
+        }
         if self.quiescence is not None:
             found["clearances"] = self.quiescence.counts
         if self.heat is not None:
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -187,10 +187,10 @@
                 except ClusterError as exc:
                     self.lost = True
                     self.counts[exc.code] += 1
-                    self.loop.sleep(waits.next())
+                    self.loop.sleep(waits.next_ms())
                     continue
                 if answer.refusal == pb.TOO_MANY:
-                    self.loop.sleep(max(waits.next(), float(answer.again_ms)))
+                    self.loop.sleep(max(waits.next_ms(), float(answer.again_ms)))
                     continue
                 self._registered(subscriber, answer)
                 return
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -237,18 +237,17 @@
 
     def _tell(self, action: rollout.Tell) -> None:
         try:
-            raw, index = self.changes.asker.propose_at(
-                CONTRACTS, action.command.SerializeToString(deterministic=True), ASK_MS
-            )
+            command = action.command.SerializeToString(deterministic=True)
+            result = self.changes.asker.propose_with_index(CONTRACTS, command, ASK_MS)
         except ClusterError as exc:
             self.changes.counts[exc.code] += 1
             self.hands.post(rollout.Recorded(action.token, None))
         else:
-            answer, mark = pb.ContractAnswer.FromString(raw), action.command.mark
+            answer, mark = pb.ContractAnswer.FromString(result.body), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
                 self._quiet_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
-                self._quiet_since.setdefault(mark.engine, index)
+                self._quiet_since.setdefault(mark.engine, result.index)
             self.hands.post(rollout.Recorded(action.token, answer))
 
     def _drain(self, token: int, engine: str) -> None:
--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -12,7 +12,7 @@
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.errors import ClusterError, InvalidFrameError
 from fennelwind.cluster.framing import FrameReader, Outbox, encode_frame
-from fennelwind.cluster.identity import NAME_MOST, wrong_hello
+from fennelwind.cluster.identity import NAME_MOST, hello_error
 from fennelwind.cluster.peer_connections import PULSE_MS
 from fennelwind.loop import Listener, Loop, Stream, StreamReset, Task
 from fennelwind.raft import council_pb2
@@ -124,7 +124,7 @@
                 self.counts["silent"] += 1
                 return None
             ours = self.taker.hello()
-            wrong = wrong_hello(hello, self.fleet)
+            wrong = hello_error(hello, self.fleet)
             if wrong is None:
                 full = (
                     len(self.members) >= MEMBERS_MOST
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -15,7 +15,7 @@
 
 from fennelwind import config
 from fennelwind.cli.main import main
-from fennelwind.cluster import raft_client as asker_module
+from fennelwind.cluster import raft_client
 from fennelwind.cluster.errors import ClusterUnavailableError
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.raft_client import RaftClient
@@ -285,7 +285,9 @@
 
 
 def test_a_day_without_any_member_costs_no_query(monkeypatch):
-    monkeypatch.setattr(asker_module, "DIAL_MOST_MS", 60_000.0)  # a day of dials each 5 s takes 20 s to play
+    monkeypatch.setattr(
+        raft_client, "MAX_CONNECT_BACKOFF_MS", 60_000.0
+    )  # a day of dials each 5 s takes 20 s to play
     without, answers, _ = day("")
     ends, told, refused = day(FOLLOWER)
     assert len(ends) == ASKS and {what for what, _ in ends} == {"served"}
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -80,7 +80,7 @@
     ),
     Defect(
         "a command whose outcome nobody told is said to be refused",
-        [Line(RaftClient._command, "else told[1]), maybe[0]", "else told[1]), False")],
+        [Line(RaftClient.propose_with_index, "may_be_applied or outcome.may_be_applied", "False")],
     ),
     Defect(
         "what a deposed leader can't tell is answered as refused",
