--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -20,7 +20,7 @@
 from fennelwind.observability.metrics import MetricsFront
 
 if TYPE_CHECKING:
-    from fennelwind.cluster.runtime import Keeper
+    from fennelwind.cluster.runtime import ClusterRuntime
 
 
 class Program:
@@ -99,14 +99,14 @@
             if front is not None:
                 front.close()
 
-    def _keeper(self, seed: int) -> "Keeper":
+    def _keeper(self, seed: int) -> "ClusterRuntime":
         """Return the controller's part in the council; only here is anything of it loaded."""
-        from fennelwind.cluster.identity import Place
-        from fennelwind.cluster.runtime import Keeper
+        from fennelwind.cluster.identity import ClusterIdentity
+        from fennelwind.cluster.runtime import ClusterRuntime
         from fennelwind.raft.messages import Timing
 
         c = self.settings.council
-        place = Place(
+        place = ClusterIdentity(
             c.fleet,
             c.me,
             c.members,
@@ -116,7 +116,7 @@
             c.reserve_bytes,
             c.handover_ms,
         )
-        keeper = Keeper(self.loop, place, seed, self.observer.council)
+        keeper = ClusterRuntime(self.loop, place, seed, self.observer.council)
         keeper.serve_engines(self.engine_client, self._engines)
         self.service.gate = keeper.gate
         if self.driver.router is not None:
@@ -128,12 +128,12 @@
         module = self.settings.module
         if not self.settings.file.HasField("moves"):
             return module, None
-        from fennelwind.quiescence.in_flight import Book
+        from fennelwind.quiescence.in_flight import InFlightTracker
         from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
 
-        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, Book())
+        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, InFlightTracker())
 
-    def _serve_shards(self, keeper: "Keeper") -> None:
+    def _serve_shards(self, keeper: "ClusterRuntime") -> None:
         from fennelwind.shards.model import Bounds, Home
         from fennelwind.shards.shards_pb2 import Shard
 
@@ -176,7 +176,8 @@
         ]
         router = self.driver.router
         book = router.opened
-        book.route_copies, book.route_tables = self.driver.update_replicas, self.driver.update_quiesced
+        book.on_replica_locations = self.driver.update_replicas
+        book.on_excluded_engines = self.driver.update_quiesced
 
         def launched() -> dict[str, float]:
             return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
--- a/fennelwind/cluster/framing.py
+++ b/fennelwind/cluster/framing.py
@@ -6,8 +6,8 @@
 from google.protobuf.message import DecodeError, Message
 
 from fennelwind.cluster import keeper_pb2 as pb
-from fennelwind.cluster.errors import FrameRefused
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.errors import InvalidFrameError
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Loop, Stream
 from fennelwind.loop.streams import PushStream
 
@@ -19,7 +19,7 @@
 LENGTH = struct.Struct(">I")
 
 
-def framed(message: Message) -> bytes:
+def encode_frame(message: Message) -> bytes:
     """Return a message as a frame."""
     data = message.SerializeToString()
     return LENGTH.pack(len(data)) + data
@@ -33,12 +33,14 @@
         self._held = bytearray()
 
     def raw(self, most: int) -> bytes | None:
-        """Return the next frame's bytes; None at the end. Raises `FrameRefused` and `StreamReset`."""
+        """Return the next frame's bytes; None at the end. Raises `InvalidFrameError` and `StreamReset`."""
         if not self._fill(LENGTH.size):
             return None
         size = LENGTH.unpack_from(self._held)[0]
         if size > most:
-            raise FrameRefused(f"a frame of {size} bytes, where {most} are allowed", size=size, most=most)
+            raise InvalidFrameError(
+                f"a frame of {size} bytes, where {most} are allowed", size=size, most=most
+            )
         if not self._fill(LENGTH.size + size):
             return None
         data = bytes(self._held[LENGTH.size : LENGTH.size + size])
@@ -46,11 +48,11 @@
         return data
 
     def hello(self) -> pb.Hello | None:
-        """Return the first frame; None at the end. Raises `FrameRefused` and `StreamReset`."""
+        """Return the first frame; None at the end. Raises `InvalidFrameError` and `StreamReset`."""
         return self._parsed(pb.Hello, self.raw(HELLO_MOST))
 
     def frame(self) -> pb.Frame | None:
-        """Return the next frame; None at the end. Raises `FrameRefused` and `StreamReset`."""
+        """Return the next frame; None at the end. Raises `InvalidFrameError` and `StreamReset`."""
         return self._parsed(pb.Frame, self.raw(FRAME_MOST))
 
     @staticmethod
@@ -60,7 +62,9 @@
         try:
             return kind.FromString(data)
         except DecodeError:
-            raise FrameRefused(f"{len(data)} bytes that are no {kind.__name__}", size=len(data)) from None
+            raise InvalidFrameError(
+                f"{len(data)} bytes that are no {kind.__name__}", size=len(data)
+            ) from None
 
     def _fill(self, size: int) -> bool:
         while len(self._held) < size:
@@ -81,7 +85,7 @@
     def __init__(self, loop: Loop, most: int = BOX_MOST) -> None:
         self.loop, self.most, self.held, self.dropped = loop, most, 0, 0
         self._frames: deque[tuple[bytes, bool]] = deque()
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._stream: PushStream | None = None  # while `run` waits for what the stream did not take at once
         self._rest = b""
         self._due = False  # what waits is handed on at the end of this turn
@@ -99,7 +103,7 @@
         self._frames.append((frame, may_be_lost))
         self.held += len(frame)
         if self._stream is None:
-            self._bell.ring()
+            self._wakeup.notify()
         elif not self._due:
             self._due = True
             self.loop.last(self._push)
@@ -131,7 +135,7 @@
                     data, self._rest = self._rest or self._together(), b""
                     stream.write(data, WRITE_MS)
                 self._stream = stream
-                self._bell.wait()
+                self._wakeup.wait()
                 self._stream = None
         finally:
             self._stream = None
@@ -148,7 +152,7 @@
             sent = 0
         if sent < len(data) or self._frames:
             self._rest, self._stream = data[sent:], None
-            self._bell.ring()
+            self._wakeup.notify()
 
     def _together(self) -> bytes:
         """Take out as much as is written at once."""
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from fennelwind.cluster import keeper_pb2 as pb
-from fennelwind.cluster.errors import CouncilError, FleetMismatch, ProtocolMismatch
+from fennelwind.cluster.errors import ClusterError, FleetMismatchError, ProtocolMismatchError
 from fennelwind.loop import Address
 from fennelwind.raft.messages import Timing
 
@@ -13,7 +13,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Place:
+class ClusterIdentity:
     """The section `council` of the settings."""
 
     fleet: str
@@ -31,16 +31,16 @@
         return self.folder is not None
 
 
-def wrong_hello(hello: pb.Hello, fleet: str) -> CouncilError | None:
+def hello_error(hello: pb.Hello, fleet: str) -> ClusterError | None:
     """Return what keeps us from talking to whoever said this; None: nothing."""
     if hello.fleet != fleet:
-        return FleetMismatch(
+        return FleetMismatchError(
             f"{hello.name[:NAME_MOST]!r} is of the fleet {hello.fleet[:NAME_MOST]!r}, here is {fleet!r}",
             theirs=hello.fleet[:NAME_MOST],
             ours=fleet,
         )
     if hello.protocol != PROTOCOL:
-        return ProtocolMismatch(
+        return ProtocolMismatchError(
             f"{hello.name[:NAME_MOST]!r} speaks protocol {hello.protocol}, here is {PROTOCOL}",
             theirs=hello.protocol,
             ours=PROTOCOL,
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -10,10 +10,10 @@
 from contextlib import contextmanager
 from dataclasses import dataclass
 
-from fennelwind.cluster.errors import CouncilError
-from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.errors import ClusterError
+from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.cluster.state_machines import LEASES
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.leases import lease_events
 from fennelwind.leases import leases_pb2 as pb
@@ -102,7 +102,7 @@
     """All leased tasks that one controller wants to run."""
 
     def __init__(
-        self, loop: Loop, client: Asker, name: str, seed: int, log: Callable[[str, dict], None]
+        self, loop: Loop, client: RaftClient, name: str, seed: int, log: Callable[[str, dict], None]
     ) -> None:
         self.loop = loop
         self._client = client
@@ -115,7 +115,7 @@
         self._any_wanted = Once(loop)  # set with the first task
         self._running: dict[str, _RunningTask] = {}
         self._events: deque[lease_events.Event] = deque()
-        self._wakeup = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._timer: Timer | None = None
         self._tasks: list[Task] = []
 
@@ -169,7 +169,7 @@
     def post(self, event: lease_events.Event) -> None:
         """Hand the lease client an event, in its next step."""
         self._events.append(event)
-        self._wakeup.ring()
+        self._wakeup.notify()
 
     def _step_forever(self) -> None:
         while True:
@@ -210,7 +210,7 @@
         try:
             answer = self._client.propose(LEASES, body, PROPOSE_TIMEOUT_MS)
             retry_after_ms = 0.0
-        except CouncilError as exc:
+        except ClusterError as exc:
             self.counts[exc.code] += 1
             answer = None
             retry_after_ms = float(exc.facts.get("again_ms", 0.0))
@@ -261,7 +261,7 @@
         while True:
             try:
                 answer = self._client.watch(LEASES, wait_ms=WATCH_MS, query=query, unlike=last_answer).state
-            except CouncilError:
+            except ClusterError:
                 self.loop.sleep(WATCH_RETRY_MS)
                 continue
             offers = tuple(pb.LeaseAnswer.FromString(answer).offers)
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -13,18 +13,18 @@
 
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.applied_state import State, whole_state
-from fennelwind.cluster.backoff import Waits
-from fennelwind.cluster.errors import AddressTaken, CouncilError, RecordTooNew
-from fennelwind.cluster.identity import PROTOCOL, Place
-from fennelwind.cluster.peer_connections import Peer, Peers
-from fennelwind.cluster.server import Caller, Door
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.backoff import Backoff
+from fennelwind.cluster.errors import AddressInUseError, ClusterError, LogTooNewError
+from fennelwind.cluster.identity import PROTOCOL, ClusterIdentity
+from fennelwind.cluster.peer_connections import PeerConnection, PeerConnections
+from fennelwind.cluster.server import ClientConnection, ClusterServer
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, Loop, Once, Task, parse_address
 from fennelwind.loop.disk import DiskFull
 from fennelwind.quiescence import clearance_pb2
-from fennelwind.quiescence.acknowledgements import WISHES_MOST, Words
-from fennelwind.quiescence.registered_controllers import RollMachine
+from fennelwind.quiescence.acknowledgements import MAX_BARRIER_REQUESTS, Acknowledgements
+from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.raft import council_pb2
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import (
@@ -61,7 +61,7 @@
 OPEN_FIRST_MS, OPEN_MOST_MS = 200.0, 5000.0  # ms between two tries to open the folder, or to write again
 ROOM_MS = 1000.0  # ms between two looks at the disk's room
 LEVEL_MS = 2000.0  # ms between two looks whether all members know a later level; upgrades take minutes
-ROLL = RollMachine.name
+ROLL = ControllerRegistry.name
 BUSY_MS = 200  # ms after which one who found too many waiting may ask again
 
 Result = council_pb2.Result
@@ -101,7 +101,7 @@
     def __init__(
         self,
         loop: Loop,
-        place: Place,
+        place: ClusterIdentity,
         record: ReplicatedState,
         store: Keeping,
         core: Callable[[DurableState], Deciding],
@@ -115,13 +115,13 @@
         self.me = Incarnation(place.me, b"")
         self.part, self.term, self.leader = "closed", 0, ""
         self.state = State(loop, record, self.post, ask)
-        self.peers = Peers(loop, place.fleet, self.hello, seed, self._wrong, self._met)
-        self.door: Door | None = None
+        self.peers = PeerConnections(loop, place.fleet, self.hello, seed, self._wrong, self._met)
+        self.door: ClusterServer | None = None
         self.counts: Counter[str] = Counter()
-        self.words = Words()
+        self.acknowledgements = Acknowledgements()
         self.random = self.peers.random
         self._events: deque[Event] = deque()
-        self._ink = Bell(loop)
+        self._writes_pending = Wakeup(loop)
         self._turn_due, self._over = True, False  # no turn ahead of the first step, none after the end
         self._writes: deque[Write] = deque()
         self._timer = None
@@ -171,7 +171,7 @@
 
     def _opened(self) -> DurableState:
         """Open the folder, sooner or later."""
-        waits = Waits(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
+        waits = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
         told = ""
         while True:
             try:
@@ -180,10 +180,10 @@
                 if exc.code != told:
                     self.said("cannot open", exc.told())
                     told = exc.code
-                self.loop.sleep(waits.next())
+                self.loop.sleep(waits.next_ms())
 
     def _listen(self) -> None:
-        waits, told = Waits(self.random, OPEN_FIRST_MS, OPEN_MOST_MS), False
+        waits, told = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS), False
         while self.door is None:
             try:
                 listener = self.loop.listen(self.place.listen)
@@ -191,14 +191,14 @@
                 if not told:
                     self.said(
                         "cannot listen",
-                        AddressTaken(
+                        AddressInUseError(
                             f"{self.place.listen}: {exc.strerror}", address=str(self.place.listen)
                         ).told(),
                     )
                     told = True
-                self.loop.sleep(waits.next())
+                self.loop.sleep(waits.next_ms())
             else:
-                self.door = Door(self.loop, listener, self.place.fleet, self, self._wrong)
+                self.door = ClusterServer(self.loop, listener, self.place.fleet, self, self._wrong)
                 self.door.start()
 
     def hand_over(self, within_ms: float) -> bool:
@@ -263,7 +263,7 @@
             return
         self.post(MessageReceived(sender, message))
 
-    def asked(self, caller: Caller, ask: pb.Ask) -> None:
+    def asked(self, caller: ClientConnection, ask: pb.Ask) -> None:
         """Take an ask; each is answered once."""
         what = ask.WhichOneof("what")
         if len(self._events) >= EVENTS_MOST:
@@ -283,7 +283,7 @@
             self._refuse(caller, ask.token, Result(refusal=Result.UNREADABLE))
 
     @staticmethod
-    def _refuse(caller: Caller, token: int, result: Result) -> None:
+    def _refuse(caller: ClientConnection, token: int, result: Result) -> None:
         caller.tell(pb.Told(token=token, result=result.SerializeToString()))
 
     def _cleared(self, ask: pb.Ask) -> Result:
@@ -299,15 +299,15 @@
         try:
             if ask.HasField("word"):
                 self.counts["words"] += 1
-                self.words.take(clearance_pb2.Word.FromString(ask.word), roll)
+                self.acknowledgements.accept(clearance_pb2.Word.FromString(ask.word), roll)
                 return Result(index=self.state.record.index)
             wishes = clearance_pb2.Asked.FromString(ask.cleared).wishes
         except DecodeError:
             return Result(refusal=Result.UNREADABLE)
-        if len(wishes) > WISHES_MOST:
+        if len(wishes) > MAX_BARRIER_REQUESTS:
             return Result(refusal=Result.TOO_LARGE)
         record = self.state.record
-        heard = self.words.hears(wishes, roll, record.index, record.clock_ms)
+        heard = self.acknowledgements.evaluate(wishes, roll, record.index, record.clock_ms)
         return Result(body=heard.SerializeToString(), index=record.index)
 
     def _propose(self, command: council_pb2.Command, tell: Callable[[Result], None]) -> None:
@@ -319,7 +319,7 @@
 
         self.post(Propose(self._new_token(answered), command))
 
-    def _look(self, caller: Caller, token: int, view: pb.View) -> None:
+    def _look(self, caller: ClientConnection, token: int, view: pb.View) -> None:
         def tell() -> None:
             told = self.state.view(view)
             told.token = token
@@ -347,10 +347,10 @@
         self._asked[self._token] = call
         return self._token
 
-    def _met(self, peer: Peer) -> None:
+    def _met(self, peer: PeerConnection) -> None:
         self.said("met", {"peer": peer.name, "life": peer.life.hex(), "knows_level": peer.level})
 
-    def _wrong(self, exc: CouncilError) -> None:
+    def _wrong(self, exc: ClusterError) -> None:
         if exc.code != "council-frame-refused":  # strangers may not fill the log; they are counted
             self.said("refused", exc.told())
 
@@ -386,7 +386,7 @@
                 self.peers.send(action.to, action.message)
             elif isinstance(action, Write):
                 self._writes.append(action)
-                self._ink.ring()
+                self._writes_pending.notify()
             elif isinstance(action, Apply | Restore | TakeSnapshot):
                 self.state.take(action)
             elif isinstance(action, Timer):
@@ -440,7 +440,7 @@
         if self.state.too_new and self.part != "closed":
             self.said(
                 "takes part no more",
-                RecordTooNew(
+                LogTooNewError(
                     f"the record is of level {record.level}, this version knows {record.known}",
                     record_level=record.level,
                     known=record.known,
@@ -472,7 +472,7 @@
     def _write(self) -> None:
         while True:
             while not self._writes:
-                self._ink.wait()
+                self._writes_pending.wait()
             writes = [self._writes.popleft() for _ in range(min(len(self._writes), TOGETHER_MOST))]
             try:
                 self.store.write(writes)
@@ -486,9 +486,9 @@
 
     def _write_again(self, full: bool) -> None:
         """Wait until the folder takes writes; what was asked for behind a failed one counts for nothing."""
-        waits = Waits(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
+        waits = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
         while True:
-            self.loop.sleep(waits.next())
+            self.loop.sleep(waits.next_ms())
             try:
                 durable = self.store.reopen(*(self._compact() if full else (None, b"")))
                 break
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -12,11 +12,11 @@
 from random import Random
 
 from fennelwind.cluster import gate_pb2
-from fennelwind.cluster.backoff import Waits
-from fennelwind.cluster.errors import CouncilError, OutcomeUnknown
-from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.backoff import Backoff
+from fennelwind.cluster.errors import ClusterError, OutcomeUnknownError
+from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.cluster.state_machines import CONTRACTS
-from fennelwind.cluster.wakeup import Bell
+from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Loop, Once
 from fennelwind.schema_compatibility import contracts_pb2 as pb
@@ -50,7 +50,7 @@
     state = "HY000"
 
 
-class ChangeRefused(GateError):
+class SchemaChangeRejectedError(GateError):
     """The change would break a subscriber, or can't be judged as it was asked; nothing was changed."""
 
     code = "gate-change-refused"
@@ -61,7 +61,7 @@
     state = "23000"
 
 
-class ChangeNotNow(GateError):
+class SchemaChangeBlockedError(GateError):
     """The change has to wait; nothing was changed. `again_ms` is a time to come back."""
 
     code = "gate-change-not-now"
@@ -72,7 +72,7 @@
     state = "53000"
 
 
-class ChangeOpen(GateError):
+class SchemaChangeInProgressError(GateError):
     """The change was admitted and has not ended within the publisher's time; it goes on by itself."""
 
     code = "gate-change-open"
@@ -83,7 +83,7 @@
     state = "HYT00"
 
 
-class ChangeTakenBack(GateError):
+class SchemaChangeRevertedError(GateError):
     """The change was admitted and then taken back: engines have the table's old schema."""
 
     code = "gate-change-taken-back"
@@ -109,7 +109,7 @@
     def __init__(
         self,
         loop: Loop,
-        asker: Asker,
+        asker: RaftClient,
         engines: Callable[[], Iterable[str]],
         seed: str,
         said: Callable[[str, dict], None],
@@ -121,7 +121,7 @@
         self.counts: Counter[str] = Counter()
         self.closed = False
         self.lost = False  # the record did not answer the last time: nobody waits for it at OpenSession
-        self._bell = Bell(loop)
+        self._wakeup = Wakeup(loop)
         self._registering: set[Subscriber] = set()
         self._tasks = []
 
@@ -179,18 +179,18 @@
 
     def _register(self, subscriber: Subscriber) -> None:
         """Register a subscription, sooner or later, as long as a session wants it."""
-        waits = Waits(self.random, AGAIN_MS, AGAIN_MOST_MS)
+        waits = Backoff(self.random, AGAIN_MS, AGAIN_MOST_MS)
         try:
             while subscriber.sessions > 0:
                 try:
                     answer = self._ask(subscriber.said.command())
-                except CouncilError as exc:
+                except ClusterError as exc:
                     self.lost = True
                     self.counts[exc.code] += 1
-                    self.loop.sleep(waits.next())
+                    self.loop.sleep(waits.next_ms())
                     continue
                 if answer.refusal == pb.TOO_MANY:
-                    self.loop.sleep(max(waits.next(), float(answer.again_ms)))
+                    self.loop.sleep(max(waits.next_ms(), float(answer.again_ms)))
                     continue
                 self._registered(subscriber, answer)
                 return
@@ -207,7 +207,7 @@
             subscriber.renew_at = self.loop.now() + self._renew_ms(subscriber)
             since = "; ".join(map(finding_text, answer.since))
             subscriber.text = f"registered{f'; since it lapsed: {since}' if since else ''}"[:TEXT_MOST]
-            self._bell.ring()
+            self._wakeup.notify()
         if not subscriber.told.set(subscriber.text):
             subscriber.told.value = subscriber.text
 
@@ -219,7 +219,7 @@
         while True:
             registered = [s for s in self.subscribers.values() if s.number]
             if not registered:
-                self._bell.wait()
+                self._wakeup.wait()
                 continue
             now = self.loop.now()
             first = min(s.renew_at for s in registered)
@@ -231,7 +231,7 @@
             command = pb.ContractCommand(rules=NUMBER, renew=pb.Renew(numbers=[s.number for s in due]))
             try:
                 answer = self._ask(command)
-            except CouncilError as exc:
+            except ClusterError as exc:
                 self.counts[exc.code] += 1
                 self.loop.sleep(AGAIN_MS)
                 continue
@@ -251,7 +251,7 @@
     def publish(self, change: Publication, statement: str, until: float) -> list[str]:
         """Have a change judged and made; return what is to be known of it. Raises `GateError`."""
         if self.publishing >= PUBLISHERS_MOST:
-            raise ChangeNotNow(f"{PUBLISHERS_MOST} changes wait here", again_ms=1000)
+            raise SchemaChangeBlockedError(f"{PUBLISHERS_MOST} changes wait here", again_ms=1000)
         self.publishing += 1
         try:
             return self._publish(change, statement, until)
@@ -261,23 +261,25 @@
     def _publish(self, change: Publication, statement: str, until: float) -> list[str]:
         engines = tuple(sorted(self.engines()))
         if not engines:
-            raise ChangeNotNow("no engine is known here yet", again_ms=1000)
+            raise SchemaChangeBlockedError("no engine is known here yet", again_ms=1000)
         command = change.command(engines, (statement,))
         try:
             answer = self._ask(command, min(ASK_MS, until - self.loop.now()))
-        except OutcomeUnknown as exc:
-            raise ChangeOpen(f"{change.table}: {exc}") from None
-        except CouncilError as exc:
+        except OutcomeUnknownError as exc:
+            raise SchemaChangeInProgressError(f"{change.table}: {exc}") from None
+        except ClusterError as exc:
             again = int(exc.facts.get("again_ms", AGAIN_MS))
-            raise ChangeNotNow(f"{change.table}: {exc}", again_ms=again) from None
+            raise SchemaChangeBlockedError(f"{change.table}: {exc}", again_ms=again) from None
         told = verdict_lines(answer)
         if answer.refusal in (pb.CHANGING, pb.MOVING, pb.TOO_MANY):
-            raise ChangeNotNow(f"{change.table}: {pb.Refusal.Name(answer.refusal)}", again_ms=answer.again_ms)
+            raise SchemaChangeBlockedError(
+                f"{change.table}: {pb.Refusal.Name(answer.refusal)}", again_ms=answer.again_ms
+            )
         if answer.refusal:
             why = told or [pb.Refusal.Name(answer.refusal), answer.text]
             if answer.refusal == pb.VERSION:
                 why = [f"the table's version is {answer.version}: look at it and say that one"]
-            raise ChangeRefused(
+            raise SchemaChangeRejectedError(
                 f"{change.table}: {'; '.join(filter(None, why))}"[:TEXT_MOST],
                 refusal=pb.Refusal.Name(answer.refusal),
             )
@@ -286,8 +288,10 @@
         if outcome == FINISHED:
             return told
         if not outcome:
-            raise ChangeOpen(f"{change.table}: change {answer.number} goes on", number=answer.number)
-        raise ChangeTakenBack(
+            raise SchemaChangeInProgressError(
+                f"{change.table}: change {answer.number} goes on", number=answer.number
+            )
+        raise SchemaChangeRevertedError(
             f"{change.table}: change {answer.number} is {ENDS[outcome]}", number=answer.number
         )
 
@@ -301,7 +305,7 @@
                     seen = self.asker.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen).state
             except TimeoutError:
                 return 0
-            except CouncilError:
+            except ClusterError:
                 self.loop.sleep(min(AGAIN_MS, max(0.0, until - self.loop.now())))
                 continue
             told = gate_pb2.ChangeTold.FromString(seen)
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -16,11 +16,11 @@
 
 from fennelwind.cluster import gate_pb2
 from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
-from fennelwind.cluster.errors import CouncilError
+from fennelwind.cluster.errors import ClusterError
 from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
-from fennelwind.cluster.quiescence import Clearances
-from fennelwind.cluster.raft_client import Asker
-from fennelwind.cluster.running_work import Hands
+from fennelwind.cluster.quiescence import QuiescenceClient
+from fennelwind.cluster.raft_client import RaftClient
+from fennelwind.cluster.running_work import RunningWork
 from fennelwind.cluster.state_machines import CONTRACTS
 from fennelwind.errors import FennelwindError
 from fennelwind.leases.errors import LeaseNotHeldError
@@ -51,7 +51,7 @@
 Quieted = Callable[[int, Kept, list[tuple[str, str]], bool], None]
 
 
-class ChangeGivenUp(FennelwindError):
+class SchemaChangeAbandonedError(FennelwindError):
     """A change can't be carried on from this controller; another one is tried."""
 
     code = "gate-change-given-up"
@@ -82,15 +82,15 @@
     def __init__(
         self,
         loop: Loop,
-        asker: Asker,
+        asker: RaftClient,
         tasks: LeasedTasks,
         statements: Statements,
         engines: Callable[[], Iterable[str]],
         said: Callable[[str, dict], None],
     ) -> None:
         self.loop, self.asker, self.tasks, self.statements = loop, asker, tasks, statements
-        self.quieted: Quieted | None = None  # who keeps queries away here
-        self.clearances: Clearances | None = None  # whom a holder asks here; None: nobody
+        self.on_quiesced_tables: Quieted | None = None  # who keeps queries away here
+        self.quiescence: QuiescenceClient | None = None  # None: no barrier requests
         self.engines, self.said = engines, said
         self.counts: Counter[str] = Counter()
         self._wanted: dict[str, int] = {}  # tables and the change of each
@@ -106,12 +106,14 @@
             self._task.cancel()
 
     def _watch(self) -> None:
-        query = gate_pb2.ChangeQuery(open=True, behind=self.quieted is not None).SerializeToString()
+        query = gate_pb2.ChangeQuery(
+            open=True, behind=self.on_quiesced_tables is not None
+        ).SerializeToString()
         seen, wait = None, WATCH_MS
         while True:
             try:
                 view = self.asker.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen)
-            except CouncilError as exc:
+            except ClusterError as exc:
                 self.counts[exc.code] += 1
                 self.loop.sleep(AGAIN_MS)
                 continue
@@ -123,12 +125,14 @@
     def _tell_quiet(self, index: int, told: gate_pb2.ChangeTold) -> bool:
         """Let queries be kept away; tell whether anybody waits for that."""
         asked = [(change.table, engine) for change in told.open for engine in change.quiet]
-        if self.quieted is not None:
+        if self.on_quiesced_tables is not None:
             kept: dict[str, set[str]] = {each.table: set(each.engines) for each in told.behind}
             for table, engine in asked:
                 kept.setdefault(table, set()).add(engine)
-            self.quieted(index, {table: frozenset(of) for table, of in kept.items()}, asked, not told.cut)
-        return bool(asked) and self.quieted is not None
+            self.on_quiesced_tables(
+                index, {table: frozenset(of) for table, of in kept.items()}, asked, not told.cut
+            )
+        return bool(asked) and self.on_quiesced_tables is not None
 
     def _open(self, told: gate_pb2.ChangeTold) -> None:
         now = {change.table: change.number for change in told.open}
@@ -150,13 +154,13 @@
 
     def _carry_out(self, table: str, number: int, held: HeldLease) -> None:
         if not list(self.engines()):  # to who knows none, all seem gone
-            raise ChangeGivenUp(
+            raise SchemaChangeAbandonedError(
                 f"change {number} of {table}: no engine is known here", table=table, number=number
             )
         query = gate_pb2.ChangeQuery(number=number, whole=True).SerializeToString()
         try:
             seen = self.asker.read(CONTRACTS, query, within_ms=ASK_MS)
-        except CouncilError as exc:  # called again while the lease is held
+        except ClusterError as exc:  # called again while the lease is held
             raise LeaseNotHeldError(f"{held.name}: {exc}", task=held.name) from None
         told = gate_pb2.ChangeTold.FromString(seen.state)
         if not told.under_way:
@@ -167,7 +171,7 @@
         self.said("change " + over.how, {"table": table, "number": number, "reason": over.reason})
         self.counts[over.how] += 1
         if over.how not in ("finished", "undone"):
-            raise ChangeGivenUp(
+            raise SchemaChangeAbandonedError(
                 f"change {number} of {table}: {over.how}: {over.reason}", table=table, number=number
             )
 
@@ -185,7 +189,7 @@
         self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
         patience = rollout.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
         self.carrier = Carrier(change, old, held.fencing_token, patience)
-        self.hands: Hands[rollout.Event] = Hands(self.loop, held.name)
+        self.hands: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
         self._running: dict[str, Statement] = {}  # the last statement for each engine
         # One that the last holder noted as gone may be back: then it is told of as returned.
         self._there = {name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY}
@@ -219,7 +223,7 @@
         match action:
             case rollout.Tell():
                 self.hands.spawn(self._tell, action)
-            case rollout.Quiet(token, engine) if self.changes.clearances is None:
+            case rollout.Quiet(token, engine) if self.changes.quiescence is None:
                 self.hands.post(rollout.Drained(token, engine))  # the engine's own lock keeps them apart
             case rollout.Quiet(token, engine):
                 self._drains[engine] = token
@@ -233,18 +237,17 @@
 
     def _tell(self, action: rollout.Tell) -> None:
         try:
-            raw, index = self.changes.asker.propose_at(
-                CONTRACTS, action.command.SerializeToString(deterministic=True), ASK_MS
-            )
-        except CouncilError as exc:
+            command = action.command.SerializeToString(deterministic=True)
+            result = self.changes.asker.propose_with_index(CONTRACTS, command, ASK_MS)
+        except ClusterError as exc:
             self.changes.counts[exc.code] += 1
             self.hands.post(rollout.Recorded(action.token, None))
         else:
-            answer, mark = pb.ContractAnswer.FromString(raw), action.command.mark
+            answer, mark = pb.ContractAnswer.FromString(result.body), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
                 self._quiet_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
-                self._quiet_since.setdefault(mark.engine, index)
+                self._quiet_since.setdefault(mark.engine, result.index)
             self.hands.post(rollout.Recorded(action.token, answer))
 
     def _drain(self, token: int, engine: str) -> None:
@@ -253,7 +256,7 @@
         wish = clear.Wish(table=True, name=self.change.table, engine=engine)
         while self._drains.get(engine) == token:
             wish.since = self._quiet_since.get(engine, 2**62)
-            (state,) = self.changes.clearances.hear([wish])
+            (state,) = self.changes.quiescence.barrier_states([wish])
             now = self.loop.now()
             if state != clear.Heard.SILENT:
                 silent_since = None
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -16,8 +16,8 @@
 from google.protobuf import text_format
 
 from fennelwind.audit import Recorder
-from fennelwind.cluster.errors import CouncilError
-from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.errors import ClusterError
+from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.config import settings_pb2 as pb
 from fennelwind.emulators.client import Ask, Client
 from fennelwind.emulators.discovery import Discovery, Listed
@@ -157,7 +157,9 @@
         )
 
     def _surround(self) -> list[Row]:
-        self.asker = Asker(self.loop, "rig", "rig", {m: self.home(m) for m in self.members}, f"{self.seed}")
+        self.asker = RaftClient(
+            self.loop, "rig", "rig", {m: self.home(m) for m in self.members}, f"{self.seed}"
+        )
         self._names = {self.host(name): name for name in self.names}
         self.discovery = Discovery(self.loop, Address(f"127.{DISCOVERY}.0.1", self.port), self._wrap)
         for number, name in enumerate(self.engine_names):
@@ -411,7 +413,7 @@
         def state() -> Any:
             try:
                 return (self.asker.read(machine.name, within_ms=ASK_MS).state,)
-            except CouncilError:
+            except ClusterError:
                 return None
 
         machine.restore(self.until(state, f"the record's {machine.name}")[0])
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -15,10 +15,10 @@
 
 from fennelwind import config
 from fennelwind.cli.main import main
-from fennelwind.cluster import raft_client as asker_module
-from fennelwind.cluster.errors import CouncilLost
+from fennelwind.cluster import raft_client
+from fennelwind.cluster.errors import ClusterUnavailableError
 from fennelwind.cluster.member_folder import Folder
-from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.loop import RealLoop, SimLoop
 from fennelwind.loop.realdisk import RealDisk
 from fennelwind.raft import council_pb2 as cpb
@@ -163,7 +163,7 @@
         loop = RealLoop()
 
         def play():
-            asker = Asker(loop, "north", "c7", members, "1")
+            asker = RaftClient(loop, "north", "c7", members, "1")
             first = asker.read("leases", within_ms=60_000.0)
             until(lambda: len(voters()) == 2)  # with a leader of two, nobody could lead without it
             leader = said(tmp_path, "leader")[-1]["who"]
@@ -275,7 +275,7 @@
                 refused.append(loop.spawn(keeper.asker.propose, "leases", b"", 3000.0))
             ends.append((outcome(lambda: one(fleet)), loop.now()))
         for task in refused:
-            with pytest.raises(CouncilLost) as exc:
+            with pytest.raises(ClusterUnavailableError) as exc:
                 task.join()
             assert exc.value.facts["again_ms"] > 0
         assert not fleet.seen.failures
@@ -285,7 +285,9 @@
 
 
 def test_a_day_without_any_member_costs_no_query(monkeypatch):
-    monkeypatch.setattr(asker_module, "DIAL_MOST_MS", 60_000.0)  # a day of dials each 5 s takes 20 s to play
+    monkeypatch.setattr(
+        raft_client, "MAX_CONNECT_BACKOFF_MS", 60_000.0
+    )  # a day of dials each 5 s takes 20 s to play
     without, answers, _ = day("")
     ends, told, refused = day(FOLLOWER)
     assert len(ends) == ASKS and {what for what, _ in ends} == {"served"}
--- a/tests/support/council_world.py
+++ b/tests/support/council_world.py
@@ -2,8 +2,8 @@
 
 from random import Random
 
-from fennelwind.cluster.identity import Place
-from fennelwind.cluster.runtime import Keeper
+from fennelwind.cluster.identity import ClusterIdentity
+from fennelwind.cluster.runtime import ClusterRuntime
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address
 from fennelwind.loop.sim_network import FOREVER, Path, World
@@ -51,7 +51,7 @@
 
     def place(self, name, **more):
         member = name in self.addresses
-        return Place(
+        return ClusterIdentity(
             "f",
             name,
             self.addresses,
@@ -73,7 +73,7 @@
         def disk():
             return SimDisk(host, self.platters[name], costs=self.costs)
 
-        keeper = Keeper(host, self.place(name), self.lives, said, disk, more, level)
+        keeper = ClusterRuntime(host, self.place(name), self.lives, said, disk, more, level)
         host.start(keeper.start)
         self.hosts[name], self.keepers[name] = host, keeper
         return keeper
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -19,7 +19,7 @@
 from fennelwind.cluster.applied_state import State
 from fennelwind.cluster.leased_tasks import LeasedOperation
 from fennelwind.cluster.member_folder import Folder
-from fennelwind.cluster.raft_client import Asker
+from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.cluster.raft_host import Member
 from fennelwind.leases.fencing import FencedResource, FencingGuard
 from fennelwind.loop.simdisk import SimDisk
@@ -80,7 +80,7 @@
     ),
     Defect(
         "a command whose outcome nobody told is said to be refused",
-        [Line(Asker._command, "else told[1]), maybe[0]", "else told[1]), False")],
+        [Line(RaftClient.propose_with_index, "may_be_applied or outcome.may_be_applied", "False")],
     ),
     Defect(
         "what a deposed leader can't tell is answered as refused",
