--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -618,7 +618,7 @@
         node = start(loop, [instance("s-1", 1, started=500)])
         loop.sleep(700.0)
         before = node.driver.gateway.engines["s-1"]
-        assert before.entry.started_ms == pytest.approx(500.0)
+        assert before.endpoint.started_ms == pytest.approx(500.0)
         node.channel._take(nodes_event(2, [instance("s-1", 1, started=500)]), "full")
         loop.sleep(10.0)
         assert node.driver.gateway.engines["s-1"] is before
