--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -11,9 +11,9 @@
 from typing import Any
 
 from fennelwind import policy
-from fennelwind.adapter import Fields, WireError, read_settings
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.endpoint_watch import as_figure, as_text, as_whole, read_list, shown
+from fennelwind.simulator_wire import Fields, WireError, read_settings
 
 FILE_MOST = 16_000_000  # letters of the file; it holds hundreds of executors at most
 SOCKETS_LEAST = 16  # descriptors; fewer hold no listener, log, channel, client and executor beside each other
--- a/fennelwind/testbed/compare.py
+++ b/fennelwind/testbed/compare.py
@@ -27,7 +27,16 @@
 PACKAGE = Path(__file__).parent.parent
 # What another revision brings along: what decides and what carries decisions out. The rig stays this one's,
 # so a revision from before these packages had their names can't be played.
-BROUGHT = ("policy", "adapter.py", "node", "dispatch", "limits", "recovery", "load_balancing")
+BROUGHT = (
+    "policy",
+    "adapter.py",
+    "simulator_wire.py",
+    "node",
+    "dispatch",
+    "limits",
+    "recovery",
+    "load_balancing",
+)
 LONGEST_S = 1800.0  # s for one day
 METRICS = {
     "worth": "worth served",
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -22,7 +22,7 @@
     "emulators/engine.py": {"_Hang"},
     "emulators/shelves.py": {"Refused"},
     "emulators/platform/http.py": {"BadCall"},
-    "adapter.py": {"WireError"},
+    "simulator_wire.py": {"WireError"},
     "node/endpoint_watch.py": {"Unreadable"},
     "node/attempt.py": {"Useless"},
     "node/request_validation.py": {"Unusable"},
--- a/tests/engines/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -176,6 +176,7 @@
 LAYERS = [
     "errors",
     "policy",
+    "simulator_wire",
     "adapter",
     "loop",
     "thrift",
@@ -204,7 +205,8 @@
 ]
 MAY = {
     "policy": set(),
-    "adapter": {"policy"},
+    "simulator_wire": {"policy"},
+    "adapter": {"policy", "simulator_wire"},
     "errors": set(),
     "loop": {"errors"},
     "thrift": set(),
@@ -235,7 +237,7 @@
     "load_balancing": {"policy"},
     "engines": {"errors", "policy", "loop", "thrift", "config", "dispatch"},
     "frontends": {"errors", "policy", "loop", "thrift", "config", "dispatch", "limits", "engines", "cluster"},
-    "node": {"policy", "adapter", "loop", "limits", "dispatch", "load_balancing"},
+    "node": {"policy", "simulator_wire", "loop", "limits", "dispatch", "load_balancing"},
     "client": {"thrift"},
     "observability": {"dispatch", "loop", "limits"},
     "emulators": {"loop", "thrift", "config", "audit"},
--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -18,7 +18,16 @@
     "policy/actions.py": set(),
     "policy/model.py": {"USUAL_PRIORITY"},
     "policy/gateway.py": {"FLEET_REVIEW_MS"},
-    "adapter.py": {"FINITE"},
+    "adapter.py": set(),
+    "simulator_wire.py": {
+        "HAS_ESTIMATE",
+        "IS_CLIENT_RETRY",
+        "COST_MEMORY_BITS",
+        "COST_MEMORY_UNIT_MB",
+        "MAX_NUMBER",
+        "MAX_QUOTED_NAME",
+        "MAX_FAILURE_TEXT",
+    },
 }
 
 
