--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -143,7 +143,7 @@
         def homes() -> list[Home]:
             found = []
             for name, engine in self.driver.gateway.engines.items():
-                entry = engine.entry
+                entry = engine.endpoint
                 kind = kinds[entry.kind // parts]
                 found.append(
                     Home(
@@ -180,7 +180,7 @@
         book.on_excluded_engines = self.driver.update_quiesced
 
         def launched() -> dict[str, float]:
-            return {name: engine.entry.started_ms for name, engine in self.driver.gateway.engines.items()}
+            return {name: engine.endpoint.started_ms for name, engine in self.driver.gateway.engines.items()}
 
         keeper.serve_shards(
             self.engine_client,
@@ -197,7 +197,7 @@
     def _engines(self) -> list[str]:
         """Return the engines that are there now, as the module was told."""
         known = self.driver.gateway.engines
-        return [name for name, engine in known.items() if engine.entry.state != "gone"]
+        return [name for name, engine in known.items() if engine.endpoint.state != "gone"]
 
     def reload_certificates(self) -> str:
         """Read certificate and key anew, for new connections; return what became of it."""
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -12,10 +12,10 @@
 from typing import Any
 
 from fennelwind import policy
-from fennelwind.adapter import Fields, WireError, read_settings
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.endpoint_events import read_list
 from fennelwind.node.json_fields import JsonValueError, read_count, read_figure, read_text, shown
+from fennelwind.simulator_wire import Fields, WireError, read_settings
 
 MAX_FILE_LENGTH = 16_000_000  # letters of the file; it holds hundreds of executors at most
 MIN_DESCRIPTORS = 16  # fewer hold no listener, log, channel, client and executor beside each other
--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -48,11 +48,11 @@
         rows.append(
             ExecutorView(
                 name,
-                engine.entry.state if engine is not None else "unknown",
-                len(engine.out) if engine is not None else 0,
+                engine.endpoint.state if engine is not None else "unknown",
+                len(engine.running_attempts) if engine is not None else 0,
                 running.get(name, 0),
-                engine.lag_now if engine is not None else 0.0,
-                engine is not None and engine.suspect,
+                engine.current_slowdown if engine is not None else 0.0,
+                engine is not None and engine.is_outlier,
                 succeeded,
                 sum(count for status, count in ended.items() if status not in NOT_FAILED),
             )
@@ -63,5 +63,5 @@
 def drift(gateway: Gateway, client: ExecutorClient) -> int:
     """Return by how many attempts the two sides differ, over all executors."""
     running = client.in_flight.count_by_executor()
-    believed = {name: len(engine.out) for name, engine in gateway.engines.items()}
+    believed = {name: len(engine.running_attempts) for name, engine in gateway.engines.items()}
     return sum(abs(believed.get(name, 0) - running.get(name, 0)) for name in {*believed, *running})
--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -22,7 +22,7 @@
     "emulators/engine.py": {"_Hang"},
     "emulators/shelves.py": {"Refused"},
     "emulators/platform/http.py": {"BadCall"},
-    "adapter.py": {"WireError"},
+    "simulator_wire.py": {"WireError"},
     "node/endpoint_events.py": {"UnreadableFieldError"},
     "node/attempt.py": {"AnswerUnavailableError"},
     "node/request_validation.py": {"InvalidRequestError"},
