--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -149,7 +149,7 @@
             return AttemptEnd(AttemptStatus.NOT_STARTED, "the query had ended")
         if not router.may_send(entry.query, engine):
             return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine holds no valid replica any more")
-        router.begins(entry.query, request.number, engine)
+        router.attempt_started(entry.query, request.number, engine)
         end = self.engines.attempt(engine, request)
         return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
 
@@ -200,7 +200,7 @@
             return end
         if number + 1 >= self.settings.max_attempts:
             return end  # no other engine would be tried
-        updates = router.missed(entry.query, engine)
+        updates = router.replica_missing(entry.query, engine)
         if updates is None:
             return end
         for update in updates:
@@ -213,9 +213,9 @@
         """Report an attempt's end; `deadline_ms` is its deadline if its engine may go on, else 0."""
         stream = end.result.stream if end.result is not None else None
         if stream is not None:
-            stream.on_end = lambda: router.over(entry.query, number)
+            stream.on_end = lambda: router.attempt_ended(entry.query, number)
         else:
-            router.over(entry.query, number, deadline_ms + ENGINE_CLEANUP_MS if deadline_ms else 0.0)
+            router.attempt_ended(entry.query, number, deadline_ms + ENGINE_CLEANUP_MS if deadline_ms else 0.0)
 
     def finish(self, entry: Entry, number: int, engine: str, started_ms: float, end: AttemptEnd) -> None:
         """Record an attempt's end, once; answer its query if it succeeded; report it to the policy."""
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -98,7 +98,7 @@
         entry.deadline_timer = self.loop.at(last_moment_ms, lambda: self._answer_unanswered(entry))
         class_index = submission.class_index
         if self.router is not None and submission.shards:
-            class_index, updates = self.router.arrives(entry.query, class_index, submission.shards)
+            class_index, updates = self.router.classify(entry.query, class_index, submission.shards)
             for update in updates:
                 self.post_list(update)
         self._enqueue(
@@ -118,7 +118,7 @@
     def post(self, event: policy.Event) -> None:
         """Hand an event to the policy in the next turn."""
         if self.router is not None and isinstance(event, policy.EngineListUpdate):
-            event = self.router.listed(event)
+            event = self.router.rewrite_list(event)
         self._enqueue(event)
 
     def post_list(self, update: policy.EngineListUpdate) -> None:
@@ -128,13 +128,13 @@
     def update_replicas(self, locations: Any) -> None:
         """Take newer replica locations of shards; only with a router."""
         assert self.router is not None
-        for update in self.router.seen(locations):
+        for update in self.router.update_replicas(locations):
             self.post_list(update)
 
     def update_quiesced(self, quiesced: Any) -> None:
         """Take newer engines that get no query of some tables; only with a router."""
         assert self.router is not None
-        for update in self.router.quieted(quiesced):
+        for update in self.router.update_quiesced(quiesced):
             self.post_list(update)
 
     def delivered(self, entry: Entry) -> None:
@@ -207,7 +207,7 @@
         """Give a final answer; return whether it is the first."""
         is_first = self.ledger.finalize(entry, answer, self.loop.now())
         if is_first and self.router is not None:
-            self.router.ended(entry.query)
+            self.router.query_ended(entry.query)
         if is_first and not entry.is_internal:
             self.observer.answered(entry)
         return is_first
@@ -223,7 +223,7 @@
             actions = self.gateway.step(self.loop.now(), self._with_load_advice(events))
         except Exception as exc:  # the queries still get their answers, from `_answer_unanswered`
             self.step_errors += 1
-            self.observer.failed("module", exc)
+            self.observer.failed("policy", exc)
             return
         # Looked up before any action is carried out: giving an answer may show that the client has
         # disconnected, and that ends its other queries, for which an attempt may be among the actions.
@@ -236,7 +236,7 @@
                 self._carry_out(action, entry)
             except Exception as exc:  # the other actions must still be carried out
                 self.step_errors += 1
-                self.observer.failed(f"carrying out {type(action).__name__}", exc)
+                self.observer.failed(f"action {type(action).__name__}", exc)
 
     def _with_load_advice(self, events: list[policy.Event]) -> list[policy.Event]:
         """Return the events, with what is known of the fleet's load ahead of them."""
@@ -278,7 +278,7 @@
 
     def _start_attempt(self, entry: Entry | None, query: int, engine: str, timeout_ms: float) -> None:
         if entry is None:
-            error = KeyError(f"the module sent query {query}, which has ended")
+            error = KeyError(f"the policy started an attempt of query {query}, which has ended")
             self.observer.failed("driver", error)
             return
         self.attempts.start(entry, engine, timeout_ms)
@@ -286,10 +286,10 @@
     def _set_grant(self, entry: Entry, memory_mb: float, priority: int) -> None:
         entry.granted_memory_mb, entry.granted_priority = memory_mb, priority
         if entry.open_attempts:
-            self.engines.terms(entry.query, memory_mb, priority)
+            self.engines.update_grant(entry.query, memory_mb, priority)
 
     def _check_health(self, engine: str) -> None:
         started_ms = self.loop.now()
-        end = self.engines.probe(engine)
+        end = self.engines.check_health(engine)
         took_ms = self.loop.now() - started_ms
         self.post(policy.HealthChecked(engine, end.status, took_ms, end.load))
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -114,31 +114,31 @@
 
     classes: int  # of the settings; the policy has more of them
 
-    def listed(self, event: Any) -> Any:
+    def rewrite_list(self, event: Any) -> Any:
         """Return the list of engines as the policy is to get it."""
 
-    def arrives(self, query: int, cls: int, shards: tuple[str, ...]) -> tuple[int, list[Any]]:
+    def classify(self, query: int, cls: int, shards: tuple[str, ...]) -> tuple[int, list[Any]]:
         """Return the class index by which the policy gets a query, and the lists that precede it."""
 
-    def seen(self, places: Any) -> list[Any]:
+    def update_replicas(self, places: Any) -> list[Any]:
         """Take newer replica locations; return the lists that the policy is to get."""
 
-    def quieted(self, quiet: Any) -> list[Any]:
+    def update_quiesced(self, quiet: Any) -> list[Any]:
         """Take newer engines that get no query of some tables; return the lists that the policy is to get."""
 
     def may_send(self, query: int, engine: str) -> bool:
         """Return whether an engine holds what the query reads."""
 
-    def missed(self, query: int, engine: str) -> list[Any] | None:
+    def replica_missing(self, query: int, engine: str) -> list[Any] | None:
         """Note that an engine lacks what a query reads; None: that is the query's answer."""
 
-    def begins(self, query: int, number: int, engine: str) -> None:
+    def attempt_started(self, query: int, number: int, engine: str) -> None:
         """Note that an attempt is about to be sent, in the turn in which `may_send` allowed it."""
 
-    def over(self, query: int, number: int, until: float = 0.0) -> None:
+    def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
         """Note the end of an attempt; with `until` (ms), its engine may run it on until then at most."""
 
-    def ended(self, query: int) -> None:
+    def query_ended(self, query: int) -> None:
         """Forget a query."""
 
 
@@ -148,8 +148,8 @@
     def attempt(self, engine: str, request: AttemptRequest, /) -> AttemptEnd:
         """Make an attempt and wait for its end; a cancelled task cancels what it can at the engine."""
 
-    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+    def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Send a query's new grant to the engines that run its attempts; none may be lost by it."""
 
-    def probe(self, engine: str) -> AttemptEnd:
+    def check_health(self, engine: str) -> AttemptEnd:
         """Check an engine's health."""
--- a/fennelwind/engines/connection_pool.py
+++ b/fennelwind/engines/connection_pool.py
@@ -281,7 +281,7 @@
             if not left:
                 del self._out[order.query]
 
-    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+    def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Tell the engines at which attempts of a query are out of its new terms.
 
         It goes by `SetClientInfo` on a further link, as an attempt's own waits for its end. The last terms
@@ -331,7 +331,7 @@
             if link is not None:
                 pool.drop(link)
 
-    def probe(self, engine: str) -> AttemptEnd:
+    def check_health(self, engine: str) -> AttemptEnd:
         """Ask an engine for its name, over a link as any other."""
         pool = self.pool(engine)
         try:
--- a/fennelwind/load_balancing/load_estimate.py
+++ b/fennelwind/load_balancing/load_estimate.py
@@ -7,7 +7,6 @@
 
 import math
 from dataclasses import dataclass
-from typing import NamedTuple
 
 UTILIZATION_FIELDS = ("cpu", "x1")  # busy share of cores and of disks; the busiest one is the load
 QUEUE_FIELD = "waiting"  # threads that wait at the executor
@@ -21,13 +20,6 @@
 STUCK_MS = 3000.0  # ms that they span at least; noise never repeats a value for so long
 
 
-class LoadEstimate(NamedTuple):
-    """The load of one executor over its capacity, and its standard deviation."""
-
-    load: float
-    deviation: float
-
-
 @dataclass(slots=True)
 class LoadReport:
     """The last report of an executor."""
@@ -109,16 +101,19 @@
         report = self.reports.get(engine)
         return now - report.received_ms if report is not None and not report.is_stuck() else math.inf
 
-    def estimate(self, engine: str, zone: int, cores: int, now: float) -> LoadEstimate:
-        """Return an executor's load as it is taken to be now."""
+    def estimate(self, engine: str, zone: int, cores: int, now: float) -> tuple[float, float]:
+        """Return an executor's load as it is taken to be now, and its standard deviation.
+
+        A bare tuple, as this runs for each preferred executor in each step.
+        """
         zone_load = self.zones.get(zone) or self._busiest_zone()
         age_ms = self.age_ms(engine, now)
         if math.isinf(age_ms):
-            return LoadEstimate(zone_load.mean, math.sqrt(zone_load.variance))
+            return zone_load.mean, math.sqrt(zone_load.variance)
         report, weight = self.reports[engine], math.exp(-max(age_ms, 0.0) / FADE_MS)
         load = report.load * weight + zone_load.mean * (1.0 - weight) + report.sent_threads / cores * weight
         variance = REPORT_NOISE**2 * weight + zone_load.variance * (1.0 - weight * weight)
-        return LoadEstimate(load, math.sqrt(variance))
+        return load, math.sqrt(variance)
 
     def _busiest_zone(self) -> ZoneLoad:
         """Return the load of a zone without reports: as the busiest known, so that none is overrun."""
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -167,7 +167,7 @@
         """Return the number of attempts under way by executor, as counted here."""
         return Counter(attempt.host.name for attempts in self._out.values() for attempt in attempts)
 
-    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+    def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Tell the executors at which attempts of a query are out of its new priority; none may be lost."""
         for attempt in self.out(query):
             changed = attempt.order.priority != priority
@@ -199,7 +199,7 @@
             attempt.telling = False
             self._tellers -= 1
 
-    def probe(self, engine: str) -> AttemptEnd:
+    def check_health(self, engine: str) -> AttemptEnd:
         """Ask an executor for its gauges."""
         host = self.hosts.get(engine)
         if host is None:
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -87,12 +87,12 @@
         self._named: dict[int, tuple[str, ...]] = {}  # all that a query named
         self._uses = 0
 
-    def seen(self, places: Places) -> list[policy.EngineListUpdate]:
+    def update_replicas(self, places: Places) -> list[policy.EngineListUpdate]:
         """Take a newer view of the record; return what the module is to be told."""
         self.places = places
         return self._turned()
 
-    def quieted(self, quiet: Quiet) -> list[policy.EngineListUpdate]:
+    def update_quiesced(self, quiet: Quiet) -> list[policy.EngineListUpdate]:
         """Take a newer view of engines that get no query of some tables; return what the module is told."""
         if quiet == self.quiet:
             return []
@@ -118,7 +118,7 @@
             return frozenset()
         return frozenset().union(*(self.quiet.get(s.partition("/")[0].lower(), ()) for s in shards))
 
-    def listed(self, event: policy.EngineListUpdate) -> policy.EngineListUpdate:
+    def rewrite_list(self, event: policy.EngineListUpdate) -> policy.EngineListUpdate:
         """Return a list of engines as the module is to be told it."""
         if not self.slots:
             return event
@@ -135,7 +135,7 @@
         known = [frozenset(self.places[shard]) for shard in shards if shard in self.places]
         return frozenset.intersection(*known) if known else None
 
-    def arrives(
+    def classify(
         self, query: int, cls: int, shards: Iterable[str]
     ) -> tuple[int, list[policy.EngineListUpdate]]:
         """Return the class by which a query is handed to the module, and what it is told ahead of it."""
@@ -171,7 +171,7 @@
             return False
         return holders is None or engine in holders
 
-    def missed(self, query: int, engine: str) -> list[policy.EngineListUpdate] | None:
+    def replica_missing(self, query: int, engine: str) -> list[policy.EngineListUpdate] | None:
         """Take an engine's word that it has not what a query reads; return what the module is to be told.
 
         The engine knows better than the view, until that is told anew. None: the view does not say otherwise,
@@ -185,21 +185,21 @@
         }
         if not left or not all(left.values()):
             return None
-        return self.seen({**self.places, **left})
+        return self.update_replicas({**self.places, **left})
 
-    def begins(self, query: int, number: int, engine: str) -> None:
+    def attempt_started(self, query: int, number: int, engine: str) -> None:
         """An attempt that may be sent is about to be; asked for in the same turn as `may_send`."""
         if self.opened is not None and query in self._named:
             self.opened.began((query, number), self._named[query], engine)
 
-    def over(self, query: int, number: int, until: float = 0.0) -> None:
+    def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
         """An attempt has ended; with `until`, its engine may run it on until then at the longest."""
         if self.opened is not None and until:
             self.opened.unsure((query, number), until)
         elif self.opened is not None:
             self.opened.ended((query, number))
 
-    def ended(self, query: int) -> None:
+    def query_ended(self, query: int) -> None:
         """Forget a query that has its answer."""
         self._named.pop(query, None)
         slot, _ = self._of_query.pop(query, (None, ()))
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -117,7 +117,7 @@
     play(main)
 
 
-def test_refused_failed_and_cancelled_are_told_apart():
+def test_rejected_failed_and_cancelled_statements_have_different_errors():
     def main(fleet):
         client, other = fleet.client(), fleet.client()
         for engine in fleet.engines:
@@ -144,7 +144,7 @@
 # How attempts end.
 
 
-def test_each_way_an_attempt_ends_is_one_outcome():
+def test_each_way_an_attempt_ends_has_one_status():
     def main(fleet):
         (engine,) = fleet.engines
         client, seen = fleet.client(), []
@@ -187,7 +187,7 @@
 
 
 @pytest.mark.parametrize("fault", ["error", "cut", "refuse", "hang", "lose"])
-def test_a_safe_statement_goes_on_to_another_engine(fault):
+def test_an_idempotent_statement_is_retried_at_another_engine(fault):
     def main(fleet):
         setattr(fleet.engines[0].faults, fault, True)
         client = fleet.client()
@@ -197,7 +197,7 @@
     play(main)
 
 
-def test_an_engine_that_answers_twice_breaks_its_own_link_alone():
+def test_an_engine_that_answers_twice_breaks_its_own_connection_alone():
     def main(fleet):
         fleet.engines[0].faults.twice = True
         client = fleet.client()
@@ -210,7 +210,7 @@
     play(main)
 
 
-def test_an_engine_that_takes_connections_and_says_nothing_proves_nothing_ran():
+def test_an_engine_that_accepts_connections_and_sends_nothing_never_ran_the_statement():
     def main(fleet):
         silent = fleet.loop.listen(Address("127.0.0.1", 0))
         kept = []
@@ -232,7 +232,7 @@
     play(main)
 
 
-def test_all_engines_gone_is_a_quick_refusal_or_one_in_time():
+def test_without_engines_a_query_is_rejected_at_once_or_in_time():
     def main(fleet):
         client = fleet.client()
         for engine in fleet.engines:
@@ -257,7 +257,7 @@
     play(main, change=lambda text: text + 'discovery { address: "127.0.0.1:9" mode: PUSHED }')
 
 
-def test_discovery_that_is_asked_is_asked_again_after_a_failure():
+def test_discovery_is_polled_again_after_a_failure():
     def main(fleet):
         fleet.loop.sleep(3500)
         assert 3 <= fleet.program.discovery.failures <= 4  # the module asks anew each second
@@ -269,7 +269,7 @@
 
 
 @pytest.mark.parametrize("asynchronous", [False, True])
-def test_a_client_that_leaves_takes_its_attempt_with_it(asynchronous):
+def test_a_client_that_disconnects_cancels_its_attempt(asynchronous):
     def main(fleet):
         client = fleet.client()
         if asynchronous:
@@ -365,7 +365,7 @@
     play(main)
 
 
-def test_more_queries_than_may_be_open_are_refused_at_once():
+def test_queries_over_the_limit_of_open_ones_are_rejected_at_once():
     def main(fleet):
         clients = [fleet.client() for _ in range(6)]
         for client in clients[:5]:
@@ -446,7 +446,7 @@
     play(main)
 
 
-def test_an_unknown_method_is_told_and_the_connection_goes_on():
+def test_an_unknown_method_gets_an_error_and_its_connection_stays_open():
     def main(fleet):
         side = ClientSide(BUFFERED)
         stream = raw(fleet, open_session(side, 1).replace(b"OpenSession", b"OpenSezzion"))
@@ -511,7 +511,7 @@
     return text.replace("idle_ms: 60000", "idle_ms: 5000").replace("max_attempts: 3", "max_attempts: 1")
 
 
-def test_a_client_that_sends_a_byte_a_second_is_let_go_after_the_idle_time():
+def test_a_client_that_sends_a_byte_a_second_is_closed_after_the_idle_timeout():
     def main(fleet):
         stream = raw(fleet, b"")
         with pytest.raises(StreamReset):
@@ -523,7 +523,7 @@
     play(main, change=short_idle)
 
 
-def test_an_idle_client_is_let_go_but_not_one_that_waits_for_its_answer():
+def test_an_idle_client_is_closed_but_not_one_that_waits_for_its_answer():
     def main(fleet):
         for engine in fleet.engines:
             engine.faults.lose = True
@@ -553,7 +553,7 @@
     play(main, change=lambda text: short_idle(text.replace("max_connections: 100", "max_connections: 3000")))
 
 
-def test_descriptors_used_up_and_given_back():
+def test_running_out_of_descriptors_and_recovering():
     loop = RealLoop()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
@@ -604,7 +604,7 @@
     play(main, limit=200_000, change=lambda text: text.replace("idle_ms: 60000", "idle_ms: 600000"))
 
 
-def test_closing_gives_what_is_open_its_answer_and_takes_nothing_new():
+def test_closing_answers_open_queries_and_rejects_new_ones():
     def main(fleet):
         clients = [fleet.client() for _ in range(4)]
         seen = []
@@ -619,7 +619,7 @@
     play(main)
 
 
-def test_a_module_that_breaks_costs_no_query_its_answer():
+def test_a_policy_that_fails_costs_no_query_its_answer():
     loop = SimLoop(1)
 
     def main():
@@ -637,7 +637,7 @@
         assert outcome(lambda: execute(client, "select 1", timeout=1)) == "53000"  # it was never sent
         assert loop.now() - began < 1000
         assert fleet.program.driver.unanswered_by_policy == 1
-        assert [where for where, _ in fleet.seen.failures] == ["module"]
+        assert [where for where, _ in fleet.seen.failures] == ["policy"]
 
     loop.run(main)
 
@@ -652,7 +652,7 @@
         self.loop, self.random = loop, Random(seed)
         self.out = self.most = 0
 
-    def terms(self, query, memory_mb, priority):
+    def update_grant(self, query, memory_mb, priority):
         pass
 
     def attempt(self, engine, order):
@@ -669,7 +669,7 @@
         end = draw.choice(["ok"] * 8 + ["error", "full", "connect_failed", "reset"])
         return AttemptEnd(end, result=Result() if end == "ok" else None)
 
-    def probe(self, engine):
+    def check_health(self, engine):
         return AttemptEnd("ok")
 
 
@@ -763,7 +763,7 @@
     play(main)
 
 
-def test_set_and_use_hold_on_whatever_engine_a_statement_runs():
+def test_set_and_use_apply_at_whatever_engine_a_statement_runs():
     def main(fleet):
         client, other = fleet.client(), fleet.client()
         assert not execute(client, "use sales").hasResultSet
@@ -787,7 +787,7 @@
     play(main)
 
 
-def test_new_terms_reach_attempts_that_are_out():
+def test_a_new_grant_reaches_running_attempts():
     def main(fleet):
         client = fleet.client()
         execute(client, "build", work=1000, asynchronous=True, **{"standin.threads": "4"})
@@ -810,7 +810,7 @@
     play(main)
 
 
-def test_terms_that_change_while_a_statement_is_on_its_way_are_told_after_it():
+def test_a_grant_that_changes_while_a_statement_is_being_sent_follows_it():
     def main(fleet):
         client = fleet.client()
         for engine in fleet.engines:
@@ -826,7 +826,7 @@
     play(main)
 
 
-def test_a_repeat_by_name_joins_what_is_open_and_each_asking_gets_its_answer():
+def test_a_repeat_by_request_id_joins_the_open_request_and_each_client_gets_its_answer():
     def main(fleet):
         first, second, stranger = fleet.client(), fleet.client(), fleet.client(user="bo")
         name = {"fennelwind.request": "r1", "standin.threads": "4"}
@@ -852,7 +852,7 @@
     play(main)
 
 
-def test_closing_tells_all_who_ask_for_what_was_sent_that_it_may_have_run():
+def test_closing_fails_all_who_wait_for_a_sent_query_as_it_may_have_run():
     def main(fleet):
         clients = [fleet.client() for _ in range(3)]
         handles = [
@@ -867,7 +867,7 @@
     play(main)
 
 
-def test_a_joined_asking_fails_in_its_own_time_and_nobodys_query_is_called_off():
+def test_a_joined_request_fails_by_its_own_deadline_and_the_shared_query_runs_on():
     def main(fleet):
         clients = [fleet.client() for _ in range(3)]
         name = {"fennelwind.request": "r1", "fennelwind.work_ms": "400"}
@@ -904,7 +904,7 @@
     play(main)
 
 
-def test_connections_of_one_address_and_sessions_of_one_user_are_bounded():
+def test_connections_of_one_address_and_sessions_of_one_user_are_limited():
     def change(text):
         return text.replace("max_connections_per_address: 3000", "max_connections_per_address: 5").replace(
             "max_sessions_per_user: 100", "max_sessions_per_user: 3"
@@ -955,7 +955,7 @@
         assert (few, names) == ([[0, "row 0"], [1, "row 1"]], ["id", "name"])
 
 
-def test_memory_holds_nothing_of_queries_and_connections_that_are_gone():
+def test_ended_queries_and_connections_leave_nothing_in_memory():
     def main(fleet):
         def round_of_queries():
             for _ in range(10):
@@ -976,7 +976,7 @@
     play(main, limit=200_000)
 
 
-def test_frames_of_another_length_than_their_message_are_refused():
+def test_frames_of_another_length_than_their_message_are_rejected():
     def main(fleet):
         call = open_session(None, 1)
         stream = raw(fleet, pack(">i", len(call) + 3) + call + b"xyz")
--- a/tests/dispatch/test_hard_cases.py
+++ b/tests/dispatch/test_hard_cases.py
@@ -42,7 +42,7 @@
 
 
 @pytest.mark.parametrize("transport", ["sasl", "buffered", "framed", "http"])
-def test_a_statement_up_to_the_last_byte_is_taken_and_one_byte_more_is_not(transport):
+def test_a_statement_of_the_maximum_size_is_accepted_and_one_byte_more_is_not(transport):
     limit = 1_000_000  # the test fleet's max_request_bytes; 16 MiB passes the same lines
 
     def main(fleet):
@@ -63,7 +63,7 @@
     play(main)
 
 
-def test_a_time_out_shorter_than_a_round_trip_is_answered_at_once_and_costs_no_engine():
+def test_a_timeout_shorter_than_a_round_trip_is_answered_at_once_without_an_attempt():
     def main(fleet):
         client = fleet.client()
         for timeout in ("0", "0.001", "1", "29"):
--- a/tests/engines/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -328,7 +328,7 @@
         loop.spawn(answer_nonsense)
         fleet.engines[1].crash()
         ends = [
-            links.probe(name)
+            links.check_health(name)
             for name in (
                 fleet.engines[0].name,
                 fleet.engines[1].name,
--- a/tests/frontends/test_service.py
+++ b/tests/frontends/test_service.py
@@ -76,7 +76,7 @@
         client, seen = fleet.client(), []
         for _ in range(12):
             seen.append(outcome(lambda: ask(client, "GetTables")))
-            assert fleet.program.links.probe(fleet.engines[0].name).status == "ok"
+            assert fleet.program.links.check_health(fleet.engines[0].name).status == "ok"
         assert seen[4:] == ["served"] * 8
         assert len([a for a in fleet.seen.attempts if a[3] != "ok"]) <= 4
 
--- a/tests/shards/test_shard_routing.py
+++ b/tests/shards/test_shard_routing.py
@@ -27,9 +27,9 @@
     def __init__(self, slots, places):
         self.routing = Routing(SETTINGS, slots)
         self.gateway = Gateway(widen(SETTINGS, slots), 7)
-        self.routing.seen(places)
+        self.routing.update_replicas(places)
         self.sent, self.out, self.log = {}, {}, []
-        self.step(0.0, self.routing.listed(ENGINES))
+        self.step(0.0, self.routing.rewrite_list(ENGINES))
 
     def step(self, now, *events):
         for action in self.gateway.step(now, list(events)):
@@ -39,7 +39,7 @@
                 self.out[action.query] = (len(self.sent[action.query]) - 1, action.engine)
 
     def arrive(self, now, query, cls=0, shards=()):
-        handed, told = self.routing.arrives(query, cls, shards)
+        handed, told = self.routing.classify(query, cls, shards)
         self.step(now, *told, policy.QueryArrived(query, handed, now + 2_000.0, estimated_work_ms=50.0))
 
     def end(self, now, query, status="ok"):
@@ -61,8 +61,8 @@
 
 def test_without_slots_nothing_is_changed():
     routing = Routing(SETTINGS, 0)
-    assert widen(SETTINGS, 0) is SETTINGS and routing.listed(ENGINES) is ENGINES
-    assert routing.seen({"t/": ("e1",)}) == [] and routing.arrives(1, 1, ["t/"]) == (1, [])
+    assert widen(SETTINGS, 0) is SETTINGS and routing.rewrite_list(ENGINES) is ENGINES
+    assert routing.update_replicas({"t/": ("e1",)}) == [] and routing.classify(1, 1, ["t/"]) == (1, [])
     assert routing.may_send(1, "e0")
 
 
@@ -88,7 +88,7 @@
         rig.arrive(1.0, query, 0, ["t/"])
     first = len(rig.sent)
     assert {engine for sent in rig.sent.values() for engine in sent} == {"e1"} and first < 80
-    rig.step(2.0, *rig.routing.seen({"t/": ("e6",)}))
+    rig.step(2.0, *rig.routing.update_replicas({"t/": ("e6",)}))
     assert {sent[0] for query, sent in rig.sent.items() if query >= first} == {"e6"}
 
 
@@ -97,7 +97,7 @@
     rig.arrive(1.0, 1, 0, ["t/"])
     chosen = rig.sent[1][0]
     assert rig.routing.may_send(1, chosen)
-    rig.routing.seen({"t/": ("e3",) if chosen == "e1" else ("e1",)})
+    rig.routing.update_replicas({"t/": ("e3",) if chosen == "e1" else ("e1",)})
     assert not rig.routing.may_send(1, chosen)
 
 
@@ -105,11 +105,11 @@
     rig = Rig(6, {"a": ("e1", "e2")})
     rig.arrive(0.0, 1, shards=("a",))
     first = rig.out[1][1]
-    rig.step(1.0, *rig.routing.missed(1, first))
+    rig.step(1.0, *rig.routing.replica_missing(1, first))
     rig.end(1.0, 1, "moot")
     assert sorted(rig.sent[1]) == ["e1", "e2"] and not rig.routing.may_send(1, first)
-    assert rig.routing.missed(1, rig.out[1][1]) is None  # nobody else has it: that is the answer
-    rig.routing.seen({"a": ("e1", "e2")})
+    assert rig.routing.replica_missing(1, rig.out[1][1]) is None  # nobody else has it: that is the answer
+    rig.routing.update_replicas({"a": ("e1", "e2")})
     assert rig.routing.may_send(1, first)
 
 
@@ -119,7 +119,7 @@
         rig.arrive(1.0, query, 0, [f"t/d={query}"])
     assert rig.routing.overflows == 1
     assert rig.routing.may_send(2, "e2") and not rig.routing.may_send(2, "e1")
-    rig.routing.ended(0)
+    rig.routing.query_ended(0)
     rig.arrive(2.0, 3, 0, ["t/d=3"])
     assert rig.sent[3] == ["e3"] and rig.routing.overflows == 1
 
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -52,11 +52,11 @@
         Line(Book.word, "sorted(pair for pair in self.quiet if pair in self._count)", "[]")
     ],
     "a query whose answer nobody waits for is over": [
-        Line(Routing.over, "self.opened is not None and until", "False")
+        Line(Routing.attempt_ended, "self.opened is not None and until", "False")
     ],
     "a query is over with its client's answer": [
         Line(
-            Routing.ended,
+            Routing.query_ended,
             "self._named.pop(query, None)",
             "if self.opened is not None:\n        self.opened.ended((query, 0))\n"
             "    self._named.pop(query, None)",
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -108,20 +108,20 @@
         ("three tables are quiet", Book(), {t: frozenset({"e1"}) for t in "abt"}),
     ):
         routing = Routing(SETTINGS, SLOTS_MOST, book)
-        routing.listed(ENGINES)
-        routing.seen({"t/d=1": ("e1", "e3"), "t/d=2": ("e3", "e5")})
-        routing.quieted(quiet)
+        routing.rewrite_list(ENGINES)
+        routing.update_replicas({"t/d=1": ("e1", "e3"), "t/d=2": ("e3", "e5")})
+        routing.update_quiesced(quiet)
         for named in ((), ("t/d=1",)):
             took = []
             for _ in range(runs):
                 began = time.perf_counter()
                 for query in range(times):
                     if named:
-                        routing.arrives(query, 0, named)
+                        routing.classify(query, 0, named)
                     if routing.may_send(query, "e3"):
-                        routing.begins(query, 0, "e3")
-                        routing.over(query, 0)
-                    routing.ended(query)
+                        routing.attempt_started(query, 0, "e3")
+                        routing.attempt_ended(query, 0)
+                    routing.query_ended(query)
                 took.append((time.perf_counter() - began) / times * 1e6)
             print(f"| {what} | {len(named)} shards named | {min(took):.2f} us |", flush=True)
 
--- a/tests/support/clearance_play.py
+++ b/tests/support/clearance_play.py
@@ -38,7 +38,10 @@
         self.name, self.excused, self.awake_at, self.dead = name, excused, 0.0, False
         self.book = Book()
         self.routing = Routing(SETTINGS, 2, self.book)
-        self.book.route_copies, self.book.route_tables = self.routing.seen, self.routing.quieted
+        self.book.route_copies, self.book.route_tables = (
+            self.routing.update_replicas,
+            self.routing.update_quiesced,
+        )
         self.queries = itertools.count()
         self.heard_at = 0.0  # when the record last heard it
         self.since = NEVER if excused else 0  # the last sign-on: from a view of then on it is not excused
@@ -170,16 +173,16 @@
             return
         self.later(self.random.expovariate(1 / 150.0), self.query, each)
         query, shards = next(each.queries), tuple(self.random.sample(SHARDS, self.random.choice((1, 1, 2))))
-        each.routing.arrives(query, 0, shards)
+        each.routing.classify(query, 0, shards)
         self.later(self.random.choice((0.0, 0.0, 300.0, 2_000.0)), self.send, each, query, shards)
 
     def send(self, each, query, shards):
         if each.dead or each.awake_at > self.now:
-            return each.routing.ended(query)
+            return each.routing.query_ended(query)
         engine = self.random.choice(ENGINES)
         if not each.routing.may_send(query, engine):
             self.counts["kept away"] += 1
-            return each.routing.ended(query)
+            return each.routing.query_ended(query)
         self.counts["attempts"] += 1
         pairs = [("copy", (s, engine)) for s in shards] + [("table", (table_of(s), engine)) for s in shards]
         for pair in pairs:
@@ -187,8 +190,8 @@
                 self.counts["excused"] += 1
             elif pair in self.cleared:
                 raise Broken(f"{each.name} begins at {pair}, cleared at {self.cleared[pair]:.0f}")
-        each.routing.begins(query, 0, engine)
-        each.routing.ended(query)  # its client may be gone, or have its answer from another attempt
+        each.routing.attempt_started(query, 0, engine)
+        each.routing.query_ended(query)  # its client may be gone, or have its answer from another attempt
         attempt = (each, query)
         self.open[attempt] = pairs
         takes = (
@@ -199,11 +202,11 @@
         if self.random.random() < 0.2:  # nobody waits for it any more, and its engine runs it on for a while
             self.later(takes * 0.3, self.lost, each, query, self.now + takes)
         else:
-            self.later(takes, each.routing.over, query, 0)
+            self.later(takes, each.routing.attempt_ended, query, 0)
         self.later(takes, self.open.pop, attempt, None)
 
     def lost(self, each, query, until):
-        each.routing.over(query, 0, until + 1.0)
+        each.routing.attempt_ended(query, 0, until + 1.0)
 
     def trouble(self, each):
         """Stop a controller for a while, or begin it anew; what it had open runs on at the engines."""
