--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -47,7 +47,7 @@
     def load(self, status: Structure) -> dict[str, float]:
         """Return the load figures among a status's hints that the settings name."""
 
-    def update_grant(self, attempt: "Attempt") -> None:
+    def send_grant(self, attempt: "Attempt") -> None:
         """Send the engine the attempt's grant, if it knows another one."""
 
 
@@ -176,7 +176,7 @@
         self.handle = reply.operationHandle
         if self.handle is None:
             raise Malformed("an operation without a handle")
-        self.services.update_grant(self)  # it may have changed while the call was on its way
+        self.services.send_grant(self)  # it may have changed while the call was on its way
         self._wait()
         result = self._fetch() if self.handle.hasResultSet else Result()
         self._finish(result)
--- a/fennelwind/engines/engine_client.py
+++ b/fennelwind/engines/engine_client.py
@@ -62,18 +62,18 @@
             if not remaining:
                 del self._attempts[request.query]
 
-    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+    def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Send a query's new grant to the engines at which attempts of it are under way."""
         for attempt in self._attempts.get(query, ()):
             attempt.request.memory_mb, attempt.request.priority = memory_mb, priority
             if attempt.handle is not None:
-                self.update_grant(attempt)
+                self.send_grant(attempt)
 
-    def update_grant(self, attempt: Attempt) -> None:
+    def send_grant(self, attempt: Attempt) -> None:
         """Send an engine the grant of an attempt that is under way there, if it knows another one."""
         self.grant_updates.send(attempt)
 
-    def probe(self, engine: str) -> AttemptEnd:
+    def check_health(self, engine: str) -> AttemptEnd:
         """Check an engine's health: ask for its name, over a connection as any other."""
         pool = self.pool(engine)
         try:
--- a/fennelwind/node/executor_client.py
+++ b/fennelwind/node/executor_client.py
@@ -47,7 +47,7 @@
             executor.ended_attempts[status] += 1
             self.in_flight.remove(attempt)
 
-    def terms(self, query: int, memory_mb: float, priority: int) -> None:
+    def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Tell executors the new priority of a query's attempts; its memory grant stays as it was sent."""
         for attempt in self.in_flight.of(query):
             has_changed = attempt.order.priority != priority
@@ -55,7 +55,7 @@
             if has_changed and attempt.may_have_arrived:
                 self._services.priority_updates.send(attempt.priority)
 
-    def probe(self, engine: str) -> AttemptEnd:
+    def check_health(self, engine: str) -> AttemptEnd:
         """Check an executor's health."""
         executor = self.pool.executors.get(engine)
         if executor is None:
