--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -37,7 +37,7 @@
     timer: Any = None
 
 
-class State:
+class AppliedState:
     """Applies what is agreed; tells who waits for an entry, a state of at least an index, or a change."""
 
     def __init__(
@@ -69,14 +69,14 @@
         self._work.append(action)
         self._wakeup.notify()
 
-    def result_of(self, index: int, call: Callable[[Result], None]) -> None:
+    def when_applied(self, index: int, call: Callable[[Result], None]) -> None:
         """Make the call with what the entry brings; UNKNOWN if it was applied already: ask again."""
         if index <= self.record.index:
             call(Result(refusal=Result.UNKNOWN, index=index))
         else:
             self._results[index] = call
 
-    def when(self, index: int, call: Callable[[], None]) -> None:
+    def when_at_index(self, index: int, call: Callable[[], None]) -> None:
         """Make the call when the state is of this index or a later one."""
         if index <= self.record.index:
             call()
@@ -227,6 +227,6 @@
         return told
 
 
-def whole_state(machine: StateMachine, query: bytes) -> bytes:
+def complete_state(machine: StateMachine, query: bytes) -> bytes:
     """Answer any query by all that a machine keeps."""
     return machine.snapshot()
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -1,4 +1,4 @@
-"""Who a controller is towards the council, as its settings say; what all of the fleet have to agree on."""
+"""Who a controller is towards the Raft group, as its settings say, and the check of a peer's hello."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -8,8 +8,8 @@
 from fennelwind.loop import Address
 from fennelwind.raft.messages import Timing
 
-PROTOCOL = 1  # of the frames; raised where an older controller could not read them
-NAME_MOST = 64  # letters of a name
+PROTOCOL = 1  # version of the frames; raised where an older controller could not read them
+MAX_NAME_LENGTH = 64  # letters of a name
 
 
 @dataclass(slots=True, frozen=True)
@@ -19,29 +19,30 @@
     fleet: str
     me: str  # this controller's name; a member's stands among `members`
     members: dict[str, Address]  # where each is reached from here
-    folder: Path | None = None  # of the record; None: a follower
+    folder: Path | None = None  # of the log; None: this controller is a client only
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
-    reserve_bytes: int = 0  # held on the disk, so that the log can be cut when all else is full
-    handover_ms: float = 2000.0  # for another to lead, when this one ends
+    reserve_bytes: int = 0  # reserved on the disk, so that the log can be cut when all else is full
+    handover_ms: float = 2000.0  # ms for the transfer of leadership, when this one ends
 
     @property
-    def member(self) -> bool:
-        """Tell whether this controller keeps the record."""
+    def is_member(self) -> bool:
+        """Whether this controller is a member of the Raft group."""
         return self.folder is not None
 
 
 def hello_error(hello: pb.Hello, fleet: str) -> ClusterError | None:
-    """Return what keeps us from talking to whoever said this; None: nothing."""
+    """Return why the sender of this hello is not to be talked to; None: it may be."""
     if hello.fleet != fleet:
+        theirs = hello.fleet[:MAX_NAME_LENGTH]
         return FleetMismatchError(
-            f"{hello.name[:NAME_MOST]!r} is of the fleet {hello.fleet[:NAME_MOST]!r}, here is {fleet!r}",
-            theirs=hello.fleet[:NAME_MOST],
+            f"{hello.name[:MAX_NAME_LENGTH]!r} is of the fleet {theirs!r}, here is {fleet!r}",
+            theirs=theirs,
             ours=fleet,
         )
     if hello.protocol != PROTOCOL:
         return ProtocolMismatchError(
-            f"{hello.name[:NAME_MOST]!r} speaks protocol {hello.protocol}, here is {PROTOCOL}",
+            f"{hello.name[:MAX_NAME_LENGTH]!r} speaks protocol {hello.protocol}, here is {PROTOCOL}",
             theirs=hello.protocol,
             ours=PROTOCOL,
         )
--- a/fennelwind/cluster/member_folder.py
+++ b/fennelwind/cluster/member_folder.py
@@ -47,7 +47,7 @@
         """Let writes reach the disk as one. Raises `StoreError` and `DiskError`; nothing counts then."""
         self.store.write(*writes)
 
-    def room_short(self) -> bool:
+    def is_space_low(self) -> bool:
         """Tell whether the disk is nearly full."""
         try:
             return self.store.short()
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -1,8 +1,9 @@
-"""A member's ways to the others: one connection to each, which carries what this one says there.
+"""A member's outgoing connections: one to each other member, which carries this one's Raft messages there.
 
-What the other says comes on the connection that it opens here (`door`), so that a way that is cut one way
-alone is exactly that. The other one tells each second that it reads (`Frame.pulse`); a connection on which
-nothing comes for `QUIET_MS` is given up and opened anew, as the kernel may hold on to a dead one for minutes.
+What the other member sends comes on the connection that it opens here (`server`), so that a path that is cut
+in one direction alone is exactly that. The other one sends a heartbeat each second (`Frame.pulse`); a
+connection without one for `HEARTBEAT_TIMEOUT_MS` is closed and opened anew, as the kernel may keep a dead one
+for minutes.
 """
 
 from collections import Counter
@@ -24,92 +25,99 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
 
-DIAL_MS = 1000.0  # ms to connect and to hear the other's name
-PULSE_MS = 1000.0  # ms between two words of a reader
-QUIET_MS = 4000.0  # ms without one after which a connection is given up
+CONNECT_TIMEOUT_MS = 1000.0  # ms to connect, and again to receive the other's hello
+HEARTBEAT_MS = 1000.0  # ms between two heartbeats of a reader
+HEARTBEAT_TIMEOUT_MS = 4000.0  # ms without one after which a connection is closed
 
 
 class PeerConnection:
-    """The way to one member."""
+    """The connection to one member, opened again with backoff whenever it breaks."""
 
     def __init__(self, peers: "PeerConnections", name: str, address: Address) -> None:
-        self.peers, self.name, self.address = peers, name, address
+        self.name = name
+        self.address = address
         self.outbox = Outbox(peers.loop)
-        self.life = b""  # told by the last hello
-        self.level = 0
-        self.up = False
-        self.heard_ms = 0.0
-        self._again = Wakeup(peers.loop)
-        self.wrong: ClusterError | None = None  # why it is not talked to; None: nothing was wrong lately
+        self.incarnation = b""  # as the last hello said
+        self.level = 0  # the highest level of the log that the peer knows
+        self.is_connected = False
+        self._peers = peers
+        self._heartbeat_ms = 0.0  # when the last one came
+        self._reachable = Wakeup(peers.loop)
+        self._error: ClusterError | None = None  # why it is not talked to, as it was logged last
         self.task: Task = peers.loop.spawn(self._run, name=f"keeper: to {name}")
 
-    def back(self) -> None:
-        """It has just been heard: it can be reached again, so the wait for the next try is over."""
-        if not self.up:
-            self._again.notify()
+    def reconnect(self) -> None:
+        """End the wait for the next attempt: the peer has just connected here."""
+        if not self.is_connected:
+            self._reachable.notify()
 
     def _run(self) -> None:
-        loop, waits = self.peers.loop, Backoff(self.peers.random)
+        loop = self._peers.loop
+        backoff = Backoff(self._peers.random)
         while True:
             try:
-                self._talk(waits)
+                self._connect_and_read(backoff)
             except (OSError, TimeoutError, ClusterError) as exc:
-                if isinstance(exc, ClusterError) and type(exc) is not type(self.wrong):
-                    self.peers.said(exc)
-                self.wrong = exc if isinstance(exc, ClusterError) else None
-            self.up = False
+                self._note_error(exc)
+            self.is_connected = False
             self.outbox.clear()
             try:
-                with loop.deadline(waits.next_ms()):
-                    self._again.wait()
-                waits.reset()
+                with loop.deadline(backoff.next_ms()):
+                    self._reachable.wait()
+                backoff.reset()
             except TimeoutError:
                 pass
 
-    def _talk(self, waits: Backoff) -> None:
-        loop, peers = self.peers.loop, self.peers
-        with loop.deadline(DIAL_MS):
+    def _note_error(self, exc: Exception) -> None:
+        error = exc if isinstance(exc, ClusterError) else None
+        if error is not None and type(error) is not type(self._error):
+            self._peers.on_error(error)
+        self._error = error
+
+    def _connect_and_read(self, backoff: Backoff) -> None:
+        loop, peers = self._peers.loop, self._peers
+        with loop.deadline(CONNECT_TIMEOUT_MS):
             stream = loop.connect(self.address)
-        writer: Task | None = None
-        quiet = None
+        tasks: list[Task] = []
         try:
-            with loop.deadline(DIAL_MS):
+            with loop.deadline(CONNECT_TIMEOUT_MS):
                 stream.write(encode_frame(peers.hello()))
                 reader = FrameReader(stream)
-                self._check(reader.hello())
-            self.up, self.wrong = True, None
-            waits.reset()
-            peers.met(self)
-            writer = loop.spawn(self._write, stream, name=f"keeper: write to {self.name}")
-            self.heard_ms = loop.now()
-            quiet = loop.spawn(self._watch, stream, name=f"keeper: watch {self.name}")
+                self._check_hello(reader.hello())
+            self.is_connected = True
+            self._error = None
+            backoff.reset()
+            peers.on_connected(self)
+            tasks.append(loop.spawn(self._write, stream, name=f"keeper: write to {self.name}"))
+            self._heartbeat_ms = loop.now()
+            tasks.append(loop.spawn(self._watch_heartbeat, stream, name=f"keeper: watch {self.name}"))
             while (frame := reader.frame()) is not None:
                 if frame.WhichOneof("what") != "pulse":
-                    raise InvalidFrameError(f"{self.name} said what nobody asked for", peer=self.name)
-                self.heard_ms = loop.now()
+                    raise InvalidFrameError(f"{self.name} sent what is no heartbeat", peer=self.name)
+                self._heartbeat_ms = loop.now()
         finally:
-            for task in (writer, quiet):
-                if task is not None:
-                    task.cancel()
+            for task in tasks:
+                task.cancel()
             stream.abort()
 
-    def _check(self, hello: pb.Hello | None) -> None:
-        """Take the other's hello. Raises `FleetMismatchError` and its like."""
+    def _check_hello(self, hello: pb.Hello | None) -> None:
+        """Take the peer's hello. Raises a `ClusterError` that says why it is not to be talked to."""
         if hello is None:
-            raise InvalidFrameError(f"{self.name} closed without a word", peer=self.name)
-        wrong = hello_error(hello, self.peers.fleet)
-        if wrong is not None:
-            raise wrong
+            raise InvalidFrameError(f"{self.name} closed without a hello", peer=self.name)
+        error = hello_error(hello, self._peers.fleet)
+        if error is not None:
+            raise error
         if hello.name != self.name:
             raise MemberNameMismatchError(
-                f"{hello.name!r} answers where {self.name!r} is said to be",
+                f"{hello.name!r} answers where {self.name!r} should be",
                 address=str(self.address),
                 theirs=hello.name,
                 wanted=self.name,
             )
         if hello.refused:
-            raise FleetMismatchError(f"{self.name} refuses us: {hello.refused[:200]}", peer=self.name)
-        self.life, self.level = hello.life, hello.level
+            raise FleetMismatchError(f"{self.name} rejects us: {hello.refused[:200]}", peer=self.name)
+        self.incarnation = hello.life
+        self.level = hello.level
 
     def _write(self, stream: Stream) -> None:
         try:
@@ -117,15 +125,15 @@
         except (OSError, TimeoutError):
             stream.abort()
 
-    def _watch(self, stream: Stream) -> None:
-        loop = self.peers.loop
-        while loop.now() - self.heard_ms < QUIET_MS:
-            loop.sleep(QUIET_MS / 4.0)
+    def _watch_heartbeat(self, stream: Stream) -> None:
+        loop = self._peers.loop
+        while loop.now() - self._heartbeat_ms < HEARTBEAT_TIMEOUT_MS:
+            loop.sleep(HEARTBEAT_TIMEOUT_MS / 4.0)
         stream.abort()
 
 
 class PeerConnections:
-    """The ways to all other members."""
+    """The connections to all other members."""
 
     def __init__(
         self,
@@ -133,40 +141,45 @@
         fleet: str,
         hello: Callable[[], pb.Hello],
         seed: str,
-        said: Callable[[ClusterError], None],
-        met: Callable[[PeerConnection], None],
+        on_error: Callable[[ClusterError], None],
+        on_connected: Callable[[PeerConnection], None],
     ) -> None:
-        self.loop, self.fleet, self.hello, self.said, self.met = loop, fleet, hello, said, met
+        self.loop = loop
+        self.fleet = fleet
+        self.hello = hello
+        self.on_error = on_error
+        self.on_connected = on_connected
         self.random = Random(seed)
-        self.peers: dict[str, PeerConnection] = {}
+        self.by_name: dict[str, PeerConnection] = {}
         self.counts: Counter[str] = Counter()  # messages by what became of them
 
-    def reach(self, addresses: dict[str, Address]) -> None:
-        """Keep ways to these members and to no others."""
-        for name in [n for n, peer in self.peers.items() if addresses.get(n) != peer.address]:
-            self.peers.pop(name).task.cancel()
+    def set_members(self, addresses: dict[str, Address]) -> None:
+        """Keep connections to these members and to no others."""
+        removed = [name for name, peer in self.by_name.items() if addresses.get(name) != peer.address]
+        for name in removed:
+            self.by_name.pop(name).task.cancel()
         for name, address in addresses.items():
-            if name not in self.peers:
-                self.peers[name] = PeerConnection(self, name, address)
+            if name not in self.by_name:
+                self.by_name[name] = PeerConnection(self, name, address)
 
     def send(self, to: Incarnation, message: council_pb2.Message) -> None:
-        """Hand a message on, or lose it: to nobody we know, to another life, without a connection."""
-        peer = self.peers.get(to.name)
-        if peer is None or not peer.up or to.life and peer.life != to.life:
+        """Send a message, or lose it: to an unknown peer, another incarnation, without a connection."""
+        peer = self.by_name.get(to.name)
+        if peer is None or not peer.is_connected or to.life and peer.incarnation != to.life:
             self.counts["unsent"] += 1
             return
         frame = encode_frame(pb.Frame(council=message.SerializeToString()))
-        large = message.WhichOneof("body") in ("append", "piece")
-        self.counts["sent" if peer.outbox.put(frame, may_be_lost=large) else "dropped"] += 1
+        is_large = message.WhichOneof("body") in ("append", "piece")
+        self.counts["sent" if peer.outbox.put(frame, may_be_lost=is_large) else "dropped"] += 1
 
-    def heard(self, name: str) -> None:
-        """Somebody of this name has opened its way to us."""
-        peer = self.peers.get(name)
+    def reconnect(self, name: str) -> None:
+        """Connect to a peer at once, if it is known: it has just connected here."""
+        peer = self.by_name.get(name)
         if peer is not None:
-            peer.back()
+            peer.reconnect()
 
     def close(self) -> None:
-        """Give up all ways."""
-        for peer in self.peers.values():
+        """Close all connections."""
+        for peer in self.by_name.values():
             peer.task.cancel()
-        self.peers.clear()
+        self.by_name.clear()
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -1,18 +1,19 @@
-"""A member at work: its core decides, this carries out.
+"""Runs one Raft member: the core (`raft.member`) decides without I/O, this carries its actions out.
 
-One task gives the core what has happened and spreads what it wants done; one makes writes, in their order;
-one applies. Nobody on a query's way waits for any of them.
+One loop callback gives the core the events that have come and hands its actions on; one task makes the
+writes, in their order; one applies committed entries. No query waits for any of them. What can't be had (the
+folder, the listening address, the disk) is tried again with backoff, and logged once.
 """
 
 from collections import Counter, deque
 from collections.abc import Callable
 from functools import partial
-from typing import Protocol
+from typing import Any, Protocol
 
 from google.protobuf.message import DecodeError
 
 from fennelwind.cluster import keeper_pb2 as pb
-from fennelwind.cluster.applied_state import State, whole_state
+from fennelwind.cluster.applied_state import AppliedState, complete_state
 from fennelwind.cluster.backoff import Backoff
 from fennelwind.cluster.errors import AddressInUseError, ClusterError, LogTooNewError
 from fennelwind.cluster.identity import PROTOCOL, ClusterIdentity
@@ -22,6 +23,7 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, Loop, Once, Task, parse_address
 from fennelwind.loop.disk import DiskFull
+from fennelwind.loop.timers import Timer as LoopTimer
 from fennelwind.quiescence import clearance_pb2
 from fennelwind.quiescence.acknowledgements import MAX_BARRIER_REQUESTS, Acknowledgements
 from fennelwind.quiescence.registered_controllers import ControllerRegistry
@@ -55,195 +57,204 @@
 from fennelwind.raft.snapshot_chunks import head_of
 from fennelwind.raft.state_machine import StateMachine
 
-EVENTS_MOST = 8192  # messages that wait for the core; more are lost, as on any network
-STEP_MOST = 256  # events of one step; some 20 ms at the worst
-TOGETHER_MOST = 256  # writes made with one sync
-OPEN_FIRST_MS, OPEN_MOST_MS = 200.0, 5000.0  # ms between two tries to open the folder, or to write again
-ROOM_MS = 1000.0  # ms between two looks at the disk's room
-LEVEL_MS = 2000.0  # ms between two looks whether all members know a later level; upgrades take minutes
+MAX_QUEUED_EVENTS = 8192  # events that wait for the core; further messages are lost, as on any network
+MAX_EVENTS_PER_STEP = 256  # events of one step; some 20 ms at the worst
+MAX_WRITES_PER_SYNC = 256  # writes made with one sync
+MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS = 200.0, 5000.0  # ms between attempts to open, listen or write again
+DISK_SPACE_CHECK_MS = 1000.0  # ms between two checks of the disk's free space
+LEVEL_CHECK_MS = 2000.0  # ms between two checks whether all members know a later level; upgrades take minutes
 ROLL = ControllerRegistry.name
-BUSY_MS = 200  # ms after which one who found too many waiting may ask again
+OVERLOAD_RETRY_AFTER_MS = 200  # ms; told to a client that found too many requests waiting
 
 Result = council_pb2.Result
 
 
-class Deciding(Protocol):
-    """The core, as far as it is used here."""
+class RaftCore(Protocol):
+    """The core, as far as it is used here (`raft.member.RaftMember`)."""
 
     log: Log
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Decide."""
+        """Take events; return what is to be done."""
 
 
-class Keeping(Protocol):
-    """The folder, as far as it is used here. Its calls wait, and raise what a disk raises."""
+class MemberStorage(Protocol):
+    """The folder, as far as it is used here (`member_folder.MemberFolder`).
+
+    Its calls wait for the disk, and raise what it raises.
+    """
 
     def open(self) -> DurableState:
-        """Read what is kept."""
+        """Read what is stored."""
 
     def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> DurableState:
-        """Read anew what is kept after a write has failed; a full disk may take a snapshot for all else."""
+        """Read again what is stored after a failed write; on a full disk a snapshot may replace it."""
 
     def write(self, writes: list[Write]) -> None:
-        """Let writes reach the disk, in order, as one."""
+        """Write in order, with one sync."""
 
-    def room_short(self) -> bool:
+    def is_space_low(self) -> bool:
         """Tell whether the disk is nearly full."""
 
     def close(self) -> None:
-        """Give the folder up."""
+        """Close the folder."""
 
 
-class Member:
-    """Keeps the record with the others. `start` returns at once; what can't be had is tried again."""
+class RaftHost:
+    """One member of the Raft group. `start` returns at once; what can't be had is tried again."""
 
     def __init__(
         self,
         loop: Loop,
         place: ClusterIdentity,
         record: ReplicatedState,
-        store: Keeping,
-        core: Callable[[DurableState], Deciding],
+        store: MemberStorage,
+        make_core: Callable[[DurableState], RaftCore],
         seed: str,
-        said: Callable[[str, dict], None],
-        ask: Callable[[StateMachine, bytes], bytes] = whole_state,
+        log: Callable[[str, dict], None],
+        answer_query: Callable[[StateMachine, bytes], bytes] = complete_state,
     ) -> None:
-        self.loop, self.place, self.store, self.make_core = loop, place, store, core
-        self.said = said
-        self.core: Deciding | None = None
+        self.loop = loop
+        self.place = place
+        self.store = store
+        self.core: RaftCore | None = None
         self.me = Incarnation(place.me, b"")
-        self.part, self.term, self.leader = "closed", 0, ""
-        self.state = State(loop, record, self.post, ask)
-        self.peers = PeerConnections(loop, place.fleet, self.hello, seed, self._wrong, self._met)
-        self.door: ClusterServer | None = None
+        self.role = "closed"
+        self.term = 0
+        self.leader = ""  # by name; "": none is known
+        self.state = AppliedState(loop, record, self.post, answer_query)
+        self.peers = PeerConnections(
+            loop, place.fleet, self.hello, seed, self._log_rejected, self._log_connected
+        )
+        self.server: ClusterServer | None = None
         self.counts: Counter[str] = Counter()
         self.acknowledgements = Acknowledgements()
-        self.random = self.peers.random
+        self._make_core = make_core
+        self._log = log
+        self._random = self.peers.random
         self._events: deque[Event] = deque()
         self._writes_pending = Wakeup(loop)
-        self._turn_due, self._over = True, False  # no turn ahead of the first step, none after the end
+        self._is_step_due = True  # no step is scheduled ahead of the first one
+        self._is_stopped = False
         self._writes: deque[Write] = deque()
-        self._timer = None
-        self._token = 0
-        self._asked: dict[int, Callable[[ProposalOutcome | ReadOutcome], None]] = {}
-        self._parts: list[Once] = []  # who waits for a change of part
+        self._timer: LoopTimer | None = None
+        self._last_token = 0
+        self._outcome_handlers: dict[int, Callable[[Any], None]] = {}  # by the token of a proposal or read
+        self._role_waiters: list[Once] = []
         self._tasks: list[Task] = []
 
-    # Life.
+    # Start and end.
 
     def start(self) -> None:
-        """Open the folder and take part."""
-        self._tasks.append(self.loop.spawn(self._guarded, self._live, name="keeper: member"))
+        """Open the folder and take part in the Raft group."""
+        self._tasks.append(self.loop.spawn(self._guarded, self._run, name="keeper: member"))
 
     def _guarded(self, call: Callable[[], None]) -> None:
-        """Make a call that is not to end; where it breaks, a member that is gone beats half of one."""
+        """Make a call that must not fail; where it does, a member that has stopped beats half of one."""
         try:
             call()
         except Exception as exc:  # a defect; the loop reports all of it
-            self.said("broke", {"text": f"{type(exc).__name__}: {exc}"[:300]})
+            self._log("raft host failed", {"text": f"{type(exc).__name__}: {exc}"[:300]})
             self.loop.spawn(self.close, name="keeper: close")
             raise
 
-    def _live(self) -> None:
+    def _run(self) -> None:
         durable = self._opened()
         self.me = durable.me
-        self.core = self.make_core(durable)
+        self.core = self._make_core(durable)
         self._listen()
-        self._reach()
+        self._connect_members()
         for call, name in (
             (self._write, "keeper: writes"),
             (self.state.run, "keeper: applies"),
-            (self._look_for_room, "keeper: room"),
+            (self._check_disk_space, "keeper: room"),
             (self._raise_level, "keeper: level"),
         ):
             self._tasks.append(self.loop.spawn(self._guarded, call, name=name))
-        self.said(
-            "member",
-            {
-                "name": self.me.name,
-                "life": self.me.life.hex(),
-                "index": self.state.record.index,
-                "entries": len(durable.entries),
-            },
-        )
-        self._turn()
+        facts = {
+            "name": self.me.name,
+            "incarnation": self.me.life.hex(),
+            "index": self.state.record.index,
+            "entries": len(durable.entries),
+        }
+        self._log("raft member started", facts)
+        self._step()
 
     def _opened(self) -> DurableState:
-        """Open the folder, sooner or later."""
-        waits = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
-        told = ""
+        """Open the folder, sooner or later; each new reason why it can't be is logged."""
+        backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
+        logged_code = ""
         while True:
             try:
                 return self.store.open()
             except FennelwindError as exc:
-                if exc.code != told:
-                    self.said("cannot open", exc.told())
-                    told = exc.code
-                self.loop.sleep(waits.next_ms())
+                if exc.code != logged_code:
+                    self._log("cannot open", exc.told())
+                    logged_code = exc.code
+                self.loop.sleep(backoff.next_ms())
 
     def _listen(self) -> None:
-        waits, told = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS), False
-        while self.door is None:
+        backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
+        is_logged = False
+        while self.server is None:
             try:
                 listener = self.loop.listen(self.place.listen)
             except OSError as exc:
-                if not told:
-                    self.said(
-                        "cannot listen",
-                        AddressInUseError(
-                            f"{self.place.listen}: {exc.strerror}", address=str(self.place.listen)
-                        ).told(),
+                if not is_logged:
+                    error = AddressInUseError(
+                        f"{self.place.listen}: {exc.strerror}", address=str(self.place.listen)
                     )
-                    told = True
-                self.loop.sleep(waits.next_ms())
+                    self._log("cannot listen", error.told())
+                    is_logged = True
+                self.loop.sleep(backoff.next_ms())
             else:
-                self.door = ClusterServer(self.loop, listener, self.place.fleet, self, self._wrong)
-                self.door.start()
+                self.server = ClusterServer(self.loop, listener, self.place.fleet, self, self._log_rejected)
+                self.server.start()
 
     def hand_over(self, within_ms: float) -> bool:
-        """Let another lead, if this one does; tell whether it doesn't any more."""
-        if self.part == "leader":
+        """Transfer leadership, if this member leads; tell whether it does not lead any more."""
+        if self.role == "leader":
             self.post(TransferLeadership())
             # Until another leads: its election may need this one's vote, which has to reach the disk first.
-            self.wait_for(lambda: self.part != "leader" and self.leader != "", within_ms)
-        return self.part != "leader"
+            self.wait_for_role(lambda: self.role != "leader" and self.leader != "", within_ms)
+        return self.role != "leader"
 
-    def wait_for(self, true: Callable[[], bool], within_ms: float) -> bool:
-        """Wait until something holds of this member's part; tell whether it does."""
+    def wait_for_role(self, is_reached: Callable[[], bool], within_ms: float) -> bool:
+        """Wait until a condition on this member's role holds; tell whether it does."""
         try:
             with self.loop.deadline(within_ms):
-                while not true():
-                    once = Once(self.loop)
-                    self._parts.append(once)
-                    once.wait()
+                while not is_reached():
+                    change = Once(self.loop)
+                    self._role_waiters.append(change)
+                    change.wait()
         except TimeoutError:
             pass
-        return true()
+        return is_reached()
 
     def close(self) -> None:
-        """Take part no more; what is agreed stays."""
-        self.part, self._over = "closed", True
+        """Take part no more; what is committed stays."""
+        self.role = "closed"
+        self._is_stopped = True
         if self._timer is not None:
             self._timer.cancel()
         for task in self._tasks:
             task.cancel()
         self.peers.close()
-        if self.door is not None:
-            self.door.close()
+        if self.server is not None:
+            self.server.close()
         self.store.close()
 
-    # What happens.
+    # Events.
 
     def post(self, event: Event) -> None:
-        """Hand the core an event, in its next turn."""
+        """Hand the core an event, in its next step."""
         self._events.append(event)
-        if not self._turn_due:
-            self._turn_due = True
-            self.loop.last(self._turn)
+        if not self._is_step_due:
+            self._is_step_due = True
+            self.loop.last(self._step)
 
     def hello(self) -> pb.Hello:
-        """Return what this member says first."""
+        """Return the first message on each of this member's connections."""
         return pb.Hello(
             protocol=PROTOCOL,
             fleet=self.place.fleet,
@@ -252,178 +263,175 @@
             level=self.state.record.known,
         )
 
-    def greeted(self, sender: Incarnation) -> None:
-        """Take note that a member has opened its way to this one."""
-        self.peers.heard(sender.name)
+    def member_connected(self, sender: Incarnation) -> None:
+        """Note that a member has connected to this one, so it can be reached again."""
+        self.peers.reconnect(sender.name)
 
-    def received(self, sender: Incarnation, message: council_pb2.Message) -> None:
-        """Take a message of a member."""
-        if len(self._events) >= EVENTS_MOST:
+    def message_received(self, sender: Incarnation, message: council_pb2.Message) -> None:
+        """Take a Raft message of a member."""
+        if len(self._events) >= MAX_QUEUED_EVENTS:
             self.counts["lost, too busy"] += 1
             return
         self.post(MessageReceived(sender, message))
 
-    def asked(self, caller: ClientConnection, ask: pb.Ask) -> None:
-        """Take an ask; each is answered once."""
-        what = ask.WhichOneof("what")
-        if len(self._events) >= EVENTS_MOST:
-            self._refuse(caller, ask.token, Result(refusal=Result.TOO_MANY, again_ms=BUSY_MS))
-        elif what == "command":
+    def request_received(self, client: ClientConnection, request: pb.Ask) -> None:
+        """Take a client's request; each is answered once."""
+        kind = request.WhichOneof("what")
+        if len(self._events) >= MAX_QUEUED_EVENTS:
+            overloaded = Result(refusal=Result.TOO_MANY, again_ms=OVERLOAD_RETRY_AFTER_MS)
+            self._answer(client, request.token, overloaded)
+        elif kind == "command":
             try:
-                command = council_pb2.Command.FromString(ask.command)
+                command = council_pb2.Command.FromString(request.command)
             except DecodeError:
-                self._refuse(caller, ask.token, Result(refusal=Result.UNREADABLE))
+                self._answer(client, request.token, Result(refusal=Result.UNREADABLE))
                 return
-            self._propose(command, lambda result: self._refuse(caller, ask.token, result))
-        elif what == "view":
-            self._look(caller, ask.token, ask.view)
-        elif what in ("word", "cleared"):
-            caller.tell(pb.Told(token=ask.token, result=self._cleared(ask).SerializeToString()))
+            self._propose(command, lambda result: self._answer(client, request.token, result))
+        elif kind == "view":
+            self._read(client, request.token, request.view)
+        elif kind in ("word", "cleared"):
+            self._answer(client, request.token, self._quiescence_result(request))
         else:
-            self._refuse(caller, ask.token, Result(refusal=Result.UNREADABLE))
+            self._answer(client, request.token, Result(refusal=Result.UNREADABLE))
 
     @staticmethod
-    def _refuse(caller: ClientConnection, token: int, result: Result) -> None:
-        caller.tell(pb.Told(token=token, result=result.SerializeToString()))
+    def _answer(client: ClientConnection, token: int, result: Result) -> None:
+        client.answer(pb.Told(token=token, result=result.SerializeToString()))
 
-    def _cleared(self, ask: pb.Ask) -> Result:
-        """Take a controller's word, or tell how wishes stand by all words; the leader's alone.
+    def _quiescence_result(self, request: pb.Ask) -> Result:
+        """Take a controller's acknowledgement, or evaluate barrier requests; the leader's alone.
 
-        One that does not know yet that another leads may answer as well: words stay true.
+        A member that does not know yet that another leads may answer as well: acknowledgements stay true.
         """
-        roll = self.state.record.machines.get(ROLL)
-        if roll is None:
+        registry = self.state.record.machines.get(ROLL)
+        if registry is None:
             return Result(refusal=Result.NO_MACHINE)
-        if self.part != "leader":
+        if self.role != "leader":
             return Result(refusal=Result.NOT_LEADER, leader=self.leader)
+        record = self.state.record
         try:
-            if ask.HasField("word"):
+            if request.HasField("word"):
                 self.counts["words"] += 1
-                self.acknowledgements.accept(clearance_pb2.Word.FromString(ask.word), roll)
-                return Result(index=self.state.record.index)
-            wishes = clearance_pb2.Asked.FromString(ask.cleared).wishes
+                self.acknowledgements.accept(clearance_pb2.Word.FromString(request.word), registry)
+                return Result(index=record.index)
+            barriers = clearance_pb2.Asked.FromString(request.cleared).wishes
         except DecodeError:
             return Result(refusal=Result.UNREADABLE)
-        if len(wishes) > MAX_BARRIER_REQUESTS:
+        if len(barriers) > MAX_BARRIER_REQUESTS:
             return Result(refusal=Result.TOO_LARGE)
-        record = self.state.record
-        heard = self.acknowledgements.evaluate(wishes, roll, record.index, record.clock_ms)
-        return Result(body=heard.SerializeToString(), index=record.index)
+        states = self.acknowledgements.evaluate(barriers, registry, record.index, record.clock_ms)
+        return Result(body=states.SerializeToString(), index=record.index)
 
-    def _propose(self, command: council_pb2.Command, tell: Callable[[Result], None]) -> None:
-        def answered(answer: ProposalOutcome) -> None:
-            if answer.refusal:
-                tell(_refusal(answer))
+    def _propose(self, command: council_pb2.Command, answer: Callable[[Result], None]) -> None:
+        def decided(outcome: ProposalOutcome) -> None:
+            if outcome.refusal:
+                answer(_refusal(outcome))
             else:
-                self.state.result_of(answer.index, tell)
+                self.state.when_applied(outcome.index, answer)
 
-        self.post(Propose(self._new_token(answered), command))
+        self.post(Propose(self._await_outcome(decided), command))
 
-    def _look(self, caller: ClientConnection, token: int, view: pb.View) -> None:
-        def tell() -> None:
+    def _read(self, client: ClientConnection, token: int, view: pb.View) -> None:
+        def answer() -> None:
             told = self.state.view(view)
             told.token = token
-            caller.tell(told)
+            client.answer(told)
 
-        def watch() -> None:
+        def answer_or_watch() -> None:
             if not view.wait_ms:
-                tell()
-            elif not self.state.watch(view, tell, lambda: caller.gone):
-                self._refuse(caller, token, Result(refusal=Result.TOO_MANY, again_ms=BUSY_MS))
-
-        def readable(answer: ReadOutcome) -> None:
-            if answer.refusal:
-                self._refuse(caller, token, _refusal(answer))
+                answer()
+            elif not self.state.watch(view, answer, lambda: client.is_closed):
+                overloaded = Result(refusal=Result.TOO_MANY, again_ms=OVERLOAD_RETRY_AFTER_MS)
+                self._answer(client, token, overloaded)
+
+        def confirmed(outcome: ReadOutcome) -> None:
+            if outcome.refusal:
+                self._answer(client, token, _refusal(outcome))
             else:
-                self.state.when(answer.index, watch)
+                self.state.when_at_index(outcome.index, answer_or_watch)
 
         if view.fresh:
-            self.post(ReadRequested(self._new_token(readable)))
+            self.post(ReadRequested(self._await_outcome(confirmed)))
         else:
-            watch()
+            answer_or_watch()
 
-    def _new_token(self, call: Callable) -> int:
-        self._token += 1
-        self._asked[self._token] = call
-        return self._token
+    def _await_outcome(self, handler: Callable[[Any], None]) -> int:
+        self._last_token += 1
+        self._outcome_handlers[self._last_token] = handler
+        return self._last_token
 
-    def _met(self, peer: PeerConnection) -> None:
-        self.said("met", {"peer": peer.name, "life": peer.life.hex(), "knows_level": peer.level})
+    def _log_connected(self, peer: PeerConnection) -> None:
+        facts = {"peer": peer.name, "incarnation": peer.incarnation.hex(), "knows_level": peer.level}
+        self._log("peer connected", facts)
 
-    def _wrong(self, exc: ClusterError) -> None:
+    def _log_rejected(self, exc: ClusterError) -> None:
         if exc.code != "council-frame-refused":  # strangers may not fill the log; they are counted
-            self.said("refused", exc.told())
+            self._log("connection rejected", exc.told())
 
-    # The core's turns.
+    # Steps of the core.
 
-    def _turn(self) -> None:
-        """Have a step made of what has come in this turn of the loop; what comes of that is for the next."""
-        if self._over:
+    def _step(self) -> None:
+        """Have the core step over the events of this turn of the loop; later ones are for the next."""
+        if self._is_stopped:
             return
-        events = [self._events.popleft() for _ in range(min(len(self._events), STEP_MOST))]
+        events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
         try:
-            self._carry(self.core.step(self.loop.now(), events))
-        except Exception as exc:  # told by a task of the member's, as whatever else breaks in it
-            self._over = True
-            self.loop.spawn(self._guarded, partial(self._raise, exc), name="keeper: member")
+            self._carry_out(self.core.step(self.loop.now(), events))
+        except Exception as exc:  # raised in a task of the member's, as any other defect of it
+            self._is_stopped = True
+            self.loop.spawn(self._guarded, partial(_raise, exc), name="keeper: member")
             return
-        self._turn_due = bool(self._events)
+        self._is_step_due = bool(self._events)
         if self._events:
-            self.loop.soon(self._turn)  # the loop's other tasks come first, queries above all
-
-    @staticmethod
-    def _raise(exc: Exception) -> None:
-        raise exc
+            self.loop.soon(self._step)  # the loop's other tasks come first, queries above all
 
-    def _carry(self, actions: list[Action]) -> None:
+    def _carry_out(self, actions: list[Action]) -> None:
         for action in actions:  # who waits for an entry has to be known before it is applied
             if isinstance(action, ProposalOutcome | ReadOutcome):
-                call = self._asked.pop(action.token, None)
-                if call is not None:
-                    call(action)
+                handler = self._outcome_handlers.pop(action.token, None)
+                if handler is not None:
+                    handler(action)
         for action in actions:
-            if isinstance(action, Send):
-                self.peers.send(action.to, action.message)
-            elif isinstance(action, Write):
-                self._writes.append(action)
-                self._writes_pending.notify()
-            elif isinstance(action, Apply | Restore | TakeSnapshot):
-                self.state.take(action)
-            elif isinstance(action, Timer):
-                self._set_timer(action.at)
-            elif isinstance(action, RoleChanged):
-                self._become(action)
+            self._carry_out_one(action)
         self._stop_if_too_new()
-        if any(
-            isinstance(action, Restore)
-            or isinstance(action, Apply)
-            and any(entry.WhichOneof("what") == "members" for entry in action.entries)
-            for action in actions
-        ):
-            self._reach()
-
-    def _set_timer(self, at: float) -> None:
+        if any(map(_changes_members, actions)):
+            self._connect_members()
+
+    def _carry_out_one(self, action: Action) -> None:
+        if isinstance(action, Send):
+            self.peers.send(action.to, action.message)
+        elif isinstance(action, Write):
+            self._writes.append(action)
+            self._writes_pending.notify()
+        elif isinstance(action, Apply | Restore | TakeSnapshot):
+            self.state.take(action)
+        elif isinstance(action, Timer):
+            self._set_timer(action.at)
+        elif isinstance(action, RoleChanged):
+            self._change_role(action)
+
+    def _set_timer(self, at_ms: float) -> None:
         if self._timer is not None:
             self._timer.cancel()
-        self._timer = self.loop.at(at, lambda: self.post(TimerFired()))
-
-    def _become(self, became: RoleChanged) -> None:
-        self.part, self.term, self.leader = became.part, became.term, became.leader
-        self.said(
-            "part",
-            {
-                "part": became.part,
-                "term": became.term,
-                "leader": became.leader,
-                "index": self.state.record.index,
-            },
-        )
-        parts, self._parts = self._parts, []
-        for once in parts:
-            once.set()
-
-    def _reach(self) -> None:
-        """Keep ways to the members of the settings, and to those of the record that these don't name."""
+        self._timer = self.loop.at(at_ms, lambda: self.post(TimerFired()))
+
+    def _change_role(self, change: RoleChanged) -> None:
+        self.role = change.part
+        self.term = change.term
+        self.leader = change.leader
+        facts = {
+            "role": change.part,
+            "term": change.term,
+            "leader": change.leader,
+            "index": self.state.record.index,
+        }
+        self._log("role changed", facts)
+        waiters, self._role_waiters = self._role_waiters, []
+        for waiter in waiters:
+            waiter.set()
+
+    def _connect_members(self) -> None:
+        """Keep connections to the members of the settings, and to those of the log that these don't name."""
         addresses: dict[str, Address] = {}
         for member in self.core.log.config.members.members:
             try:
@@ -432,74 +440,75 @@
                 self.counts["no address"] += 1
         addresses |= self.place.members
         addresses.pop(self.me.name, None)
-        self.peers.reach(addresses)
+        self.peers.set_members(addresses)
 
     def _stop_if_too_new(self) -> None:
-        """Take part no more in a record that a later version goes on with; queries go on as without it."""
+        """Take part no more in a log that a later version writes; queries go on as without the Raft group."""
         record = self.state.record
-        if self.state.too_new and self.part != "closed":
-            self.said(
-                "takes part no more",
-                LogTooNewError(
-                    f"the record is of level {record.level}, this version knows {record.known}",
-                    record_level=record.level,
-                    known=record.known,
-                ).told(),
+        if self.state.too_new and self.role != "closed":
+            error = LogTooNewError(
+                f"the log is of level {record.level}, this version knows {record.known}",
+                record_level=record.level,
+                known=record.known,
             )
-            self.part = "closed"
+            self._log("raft member stopped", error.told())
+            self.role = "closed"
             self.loop.spawn(self.close, name="keeper: close")
 
     def _raise_level(self) -> None:
-        """Have the level raised, while leading, once all members have said that they know the next."""
+        """Raise the log's level, while leading, once all members have reported that they know the next."""
         record = self.state.record
         while record.level < record.known:
-            self.loop.sleep(LEVEL_MS)
-            others = [m for m in self.core.log.config.members.members if (m.name, m.life) != self.me]
-            known = [
-                peer.level
-                if (peer := self.peers.peers.get(m.name)) is not None and peer.up and peer.life == m.life
-                else 0
-                for m in others
-            ]
-            if self.part == "leader" and min(known, default=0) > record.level:
+            self.loop.sleep(LEVEL_CHECK_MS)
+            members = self.core.log.config.members.members
+            others = [member for member in members if (member.name, member.life) != self.me]
+            known_level = min((self._known_level(member) for member in others), default=0)
+            if self.role == "leader" and known_level > record.level:
                 self._propose(
                     council_pb2.Command(machine=ITSELF, body=b"%d" % (record.level + 1)),
-                    lambda result: self.said("level", {"record_level": result.body.decode()}),
+                    lambda result: self._log("level raised", {"record_level": result.body.decode()}),
                 )
 
+    def _known_level(self, member: council_pb2.Member) -> int:
+        """Return the highest level that a member knows; 0 where it can't be reached now."""
+        peer = self.peers.by_name.get(member.name)
+        if peer is None or not peer.is_connected or peer.incarnation != member.life:
+            return 0
+        return peer.level
+
     # The folder.
 
     def _write(self) -> None:
         while True:
             while not self._writes:
                 self._writes_pending.wait()
-            writes = [self._writes.popleft() for _ in range(min(len(self._writes), TOGETHER_MOST))]
+            writes = [self._writes.popleft() for _ in range(min(len(self._writes), MAX_WRITES_PER_SYNC))]
             try:
                 self.store.write(writes)
             except FennelwindError as exc:
-                self.said("cannot write", exc.told())
+                self._log("cannot write", exc.told())
                 self.counts["failed writes"] += 1
                 self.post(WriteFailed(writes[0].number, isinstance(exc, DiskFull)))
-                self._write_again(isinstance(exc, DiskFull))
+                self._recover_storage(isinstance(exc, DiskFull))
             else:
                 self.post(WriteCompleted(writes[-1].number))
 
-    def _write_again(self, full: bool) -> None:
-        """Wait until the folder takes writes; what was asked for behind a failed one counts for nothing."""
-        waits = Backoff(self.random, OPEN_FIRST_MS, OPEN_MOST_MS)
+    def _recover_storage(self, is_full: bool) -> None:
+        """Wait until the folder takes writes again; writes queued behind a failed one count for nothing."""
+        backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         while True:
-            self.loop.sleep(waits.next_ms())
+            self.loop.sleep(backoff.next_ms())
             try:
-                durable = self.store.reopen(*(self._compact() if full else (None, b"")))
+                durable = self.store.reopen(*(self._snapshot() if is_full else (None, b"")))
                 break
             except FennelwindError:
                 self.counts["still cannot write"] += 1
         self._writes.clear()
-        self.said("can write again", {"entries": len(durable.entries)})
+        self._log("can write again", {"entries": len(durable.entries)})
         self.post(StorageRecovered(durable))
 
-    def _compact(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
-        """Return a snapshot of what is agreed and applied, which makes room in place of a long log."""
+    def _snapshot(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
+        """Return a snapshot of what is committed and applied, which makes room in place of a long log."""
         record, log = self.state.record, self.core.log
         term = log.term(record.index)
         if not record.index or term is None:
@@ -507,15 +516,26 @@
         data = record.snapshot()
         return head_of(record.index, term, record.clock_ms, log.config_at(record.index).members, data), data
 
-    def _look_for_room(self) -> None:
-        short = False
+    def _check_disk_space(self) -> None:
+        is_low = False
         while True:
-            self.loop.sleep(ROOM_MS)
-            was, short = short, self.store.room_short()
-            if short and not was:
-                self.said("room is short", {})
+            self.loop.sleep(DISK_SPACE_CHECK_MS)
+            was_low, is_low = is_low, self.store.is_space_low()
+            if is_low and not was_low:
+                self._log("disk space low", {})
                 self.post(DiskSpaceLow())
 
 
-def _refusal(answer: ProposalOutcome | ReadOutcome) -> Result:
-    return Result(refusal=answer.refusal, leader=answer.leader, again_ms=getattr(answer, "again_ms", 0))
+def _changes_members(action: Action) -> bool:
+    if isinstance(action, Apply):
+        return any(entry.WhichOneof("what") == "members" for entry in action.entries)
+    return isinstance(action, Restore)
+
+
+def _raise(exc: Exception) -> None:
+    raise exc
+
+
+def _refusal(outcome: ProposalOutcome | ReadOutcome) -> Result:
+    retry_after_ms = outcome.again_ms if isinstance(outcome, ProposalOutcome) else 0
+    return Result(refusal=outcome.refusal, leader=outcome.leader, again_ms=retry_after_ms)
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -10,7 +10,7 @@
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.quiescence import QuiescenceClient
 from fennelwind.cluster.raft_client import RaftClient
-from fennelwind.cluster.raft_host import Member
+from fennelwind.cluster.raft_host import RaftHost
 from fennelwind.cluster.replica_locations import Copies
 from fennelwind.cluster.schema_gate import Gate
 from fennelwind.cluster.schema_rollout import Changes
@@ -50,7 +50,9 @@
         """Make it. `disk`, `more` machines and another `level` that is known are for rigs."""
         self.loop, self.place, self.said = loop, place, said
         self.member = (
-            self._member(seed, disk, ReplicatedState([*machines(), *more], level)) if place.member else None
+            self._member(seed, disk, ReplicatedState([*machines(), *more], level))
+            if place.is_member
+            else None
         )
         self.asker = RaftClient(loop, place.fleet, place.me, place.members, f"asker {seed}", self._wrong)
         self.tasks = LeasedTasks(loop, self.asker, place.me, seed, said)
@@ -64,7 +66,7 @@
         self.quiescence: QuiescenceClient | None = None
         self._seed = seed
 
-    def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> Member:
+    def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> RaftHost:
         place, loop = self.place, self.loop
         limits = Limits(reserve=place.reserve_bytes, low=2 * place.reserve_bytes)
         stated = [Stated(name=name, address=str(address)) for name, address in sorted(place.members.items())]
@@ -75,7 +77,7 @@
         folder = Folder(
             disk or self._disk, place.fleet, place.me, loop.token, limits, lambda: loop.sleep(0.0)
         )
-        return Member(loop, place, record, folder, core, f"member {seed}", self.said, answer)
+        return RaftHost(loop, place, record, folder, core, f"member {seed}", self.said, answer)
 
     def _disk(self) -> Disk:
         from fennelwind.loop.realdisk import RealDisk  # in virtual time the disk is handed in
@@ -176,11 +178,11 @@
         if member is not None and member.core is not None:
             record = member.state.record
             told += [
-                ("leads", "1 where this member leads.", member.part == "leader"),
+                ("leads", "1 where this member leads.", member.role == "leader"),
                 (
                     "votes",
                     "1 where this member has a vote and can write.",
-                    member.part in ("leader", "follower", "asking"),
+                    member.role in ("leader", "follower", "asking"),
                 ),
                 ("term", "The member's term.", member.term),
                 ("index", "The last entry that was applied.", record.index),
@@ -188,7 +190,7 @@
                 (
                     "members_reached",
                     "Other members that can be sent to.",
-                    sum(peer.up for peer in member.peers.peers.values()),
+                    sum(peer.is_connected for peer in member.peers.by_name.values()),
                 ),
                 ("watchers", "Watches that wait here.", member.state.watchers),
             ]
@@ -207,8 +209,8 @@
         member = self.member
         if member is not None:
             found |= {"member": member.counts, "peers": member.peers.counts}
-            if member.door is not None:
-                found["door"] = member.door.counts
+            if member.server is not None:
+                found["door"] = member.server.counts
         return [(where, event, count) for where, counts in found.items() for event, count in counts.items()]
 
     def hand_over(self) -> None:
--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -1,6 +1,8 @@
-"""Where a member is reached: by other members, whose messages it takes, and by those who ask.
+"""The server of a Raft member: accepts the connections of other members and of clients.
 
-Whoever connects is a stranger until its hello was read: so many at once, for so long, with so few bytes.
+A connection's first frame says who it is: with an incarnation a member, whose Raft messages follow, without
+one a client, whose requests follow and are answered on the same connection. Whoever sends anything else is
+disconnected and counted. What is received goes to a `RequestHandler` (the Raft host).
 """
 
 from collections import Counter
@@ -12,204 +14,227 @@
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.errors import ClusterError, InvalidFrameError
 from fennelwind.cluster.framing import FrameReader, Outbox, encode_frame
-from fennelwind.cluster.identity import NAME_MOST, hello_error
-from fennelwind.cluster.peer_connections import PULSE_MS
+from fennelwind.cluster.identity import MAX_NAME_LENGTH, hello_error
+from fennelwind.cluster.peer_connections import HEARTBEAT_MS
 from fennelwind.loop import Listener, Loop, Stream, StreamReset, Task
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
 
-HELLO_MS = 2000.0  # ms in which a stranger has to say who it is
-STRANGERS_MOST = 128  # connections without a hello; one more is broken at once
-ASKERS_MOST = 1024  # connections that ask: five for each of two hundred controllers
-MEMBERS_MOST = 16  # connections of members: seven, and their lives that are not known to be over
-IDLE_MS = 120_000.0  # ms without an ask, twice the longest wait of one; who asks again connects anew
-ASKED_MOST = 128  # asks of one connection that wait; twice what one client may have under way
+HELLO_TIMEOUT_MS = 2000.0  # ms in which a new connection has to say who it is
+MAX_UNIDENTIFIED = 128  # connections without a hello; one more is closed at once
+MAX_CLIENTS = 1024  # connections of clients: five for each of two hundred controllers
+MAX_MEMBERS = 16  # connections of members: seven, and their incarnations that are not known to be over
+IDLE_TIMEOUT_MS = 120_000.0  # ms without a request, twice the longest wait of one; a client connects anew
+MAX_PENDING_REQUESTS = 128  # requests of one connection that wait; twice what one client may have under way
+OVERLOAD_RETRY_AFTER_MS = 100  # ms; told to a client that has too many requests pending
 
 
-class Taker(Protocol):
-    """What becomes of what comes in."""
+class RequestHandler(Protocol):
+    """Takes what the server receives."""
 
     def hello(self) -> pb.Hello:
-        """Return what this member says first."""
+        """Return the first message on each of this member's connections."""
 
-    def greeted(self, sender: Incarnation) -> None:
-        """Take note that a member has opened its way to this one."""
+    def member_connected(self, sender: Incarnation) -> None:
+        """Note that a member has connected to this one."""
 
-    def received(self, sender: Incarnation, message: council_pb2.Message) -> None:
-        """Take a message of a member."""
+    def message_received(self, sender: Incarnation, message: council_pb2.Message) -> None:
+        """Take a Raft message of a member."""
 
-    def asked(self, caller: "ClientConnection", ask: pb.Ask) -> None:
-        """Take an ask, to be answered by `ClientConnection.tell` once."""
+    def request_received(self, client: "ClientConnection", request: pb.Ask) -> None:
+        """Take a request, to be answered by `ClientConnection.answer` once."""
 
 
 class ClientConnection:
-    """One that asks, on one connection."""
+    """One client's connection."""
 
     def __init__(self, loop: Loop, name: str) -> None:
-        self.name, self.waiting, self.gone = name, 0, False
-        self.heard_ms = loop.now()
+        self.name = name
+        self.pending_requests = 0
+        self.is_closed = False
+        self.last_request_ms = loop.now()
         self.outbox = Outbox(loop)
 
-    def tell(self, told: pb.Told) -> None:
-        """Answer an ask; one that doesn't read its answers is let go."""
-        self.waiting -= 1
-        if not self.gone and not self.outbox.put(encode_frame(pb.Frame(told=told))):
-            self.gone = True
+    def answer(self, answer: pb.Told) -> None:
+        """Answer a request; a client that doesn't read its answers is disconnected."""
+        self.pending_requests -= 1
+        if not self.is_closed and not self.outbox.put(encode_frame(pb.Frame(told=answer))):
+            self.is_closed = True
 
 
 class ClusterServer:
-    """Accepts, and reads what comes."""
+    """Accepts connections, and reads what comes on them."""
 
     def __init__(
-        self, loop: Loop, listener: Listener, fleet: str, taker: Taker, said: Callable[[ClusterError], None]
+        self,
+        loop: Loop,
+        listener: Listener,
+        fleet: str,
+        handler: RequestHandler,
+        on_error: Callable[[ClusterError], None],
     ) -> None:
-        self.loop, self.listener, self.fleet, self.taker, self.said = loop, listener, fleet, taker, said
+        """Make it; `on_error` is called with each reason why a connection was rejected."""
         self.counts: Counter[str] = Counter()  # connections by what became of them
-        self.strangers = 0
+        self.unidentified = 0
         self.members: dict[Incarnation, Stream] = {}  # the newest connection of each
-        self.callers: set[ClientConnection] = set()
-        self._task: Task | None = None
+        self.clients: set[ClientConnection] = set()
+        self._loop = loop
+        self._listener = listener
+        self._fleet = fleet
+        self._handler = handler
+        self._on_error = on_error
+        self._accept_task: Task | None = None
         self._tasks: set[Task] = set()
 
     def start(self) -> None:
         """Accept from now on."""
-        self._task = self.loop.spawn(self._accept, name="keeper: accept")
+        self._accept_task = self._loop.spawn(self._accept, name="keeper: accept")
 
     def close(self) -> None:
-        """Take nothing more and let all go."""
-        self.listener.close()
-        for task in [self._task, *self._tasks]:
+        """Accept nothing more, and close all connections."""
+        self._listener.close()
+        for task in [self._accept_task, *self._tasks]:
             if task is not None:
                 task.cancel()
 
     def _accept(self) -> None:
         while True:
             try:
-                stream = self.listener.accept()
+                stream = self._listener.accept()
             except StreamReset:
                 return
-            if self.strangers >= STRANGERS_MOST:
+            if self.unidentified >= MAX_UNIDENTIFIED:
                 self.counts["too many"] += 1
                 stream.abort()
                 continue
-            self.strangers += 1
-            self._tasks.add(self.loop.spawn(self._serve, stream, name="keeper: connection"))
+            self.unidentified += 1
+            self._tasks.add(self._loop.spawn(self._serve, stream, name="keeper: connection"))
 
     def _serve(self, stream: Stream) -> None:
         reader = FrameReader(stream)
         try:
             try:
-                hello = self._greet(stream, reader)
+                hello = self._exchange_hellos(stream, reader)
             finally:
-                self.strangers -= 1
+                self.unidentified -= 1
             if hello is not None:
                 self.counts["taken"] += 1
-                (self._member if hello.life else self._asker)(stream, reader, hello)
+                serve = self._serve_member if hello.life else self._serve_client
+                serve(stream, reader, hello)
         except InvalidFrameError as exc:
             self.counts["dropped"] += 1
-            self.said(exc)
+            self._on_error(exc)
         except TimeoutError:
             self.counts["silent"] += 1
         except StreamReset:
             self.counts["reset"] += 1
         finally:
             stream.abort()
-            self._tasks.discard(self.loop.current)
+            self._tasks.discard(self._loop.current)
 
-    def _greet(self, stream: Stream, reader: FrameReader) -> pb.Hello | None:
-        """Read the other's hello and say ours; None: it is not talked to."""
-        with self.loop.deadline(HELLO_MS):
+    def _exchange_hellos(self, stream: Stream, reader: FrameReader) -> pb.Hello | None:
+        """Read the other's hello and send ours; None: the connection is not served."""
+        with self._loop.deadline(HELLO_TIMEOUT_MS):
             hello = reader.hello()
             if hello is None:
                 self.counts["silent"] += 1
                 return None
-            ours = self.taker.hello()
-            wrong = hello_error(hello, self.fleet)
-            if wrong is None:
-                full = (
-                    len(self.members) >= MEMBERS_MOST
-                    and Incarnation(hello.name, hello.life) not in self.members
-                    if hello.life
-                    else len(self.callers) >= ASKERS_MOST
-                )
-                if full or not 0 < len(hello.name) <= NAME_MOST:
-                    self.counts["too many" if full else "dropped"] += 1
-                    return None
+            ours = self._handler.hello()
+            error = hello_error(hello, self._fleet)
+            if error is not None:
+                self.counts["refused"] += 1
+                self._on_error(error)
+                ours.refused = str(error)
                 stream.write(encode_frame(ours))
-                return hello
-            self.counts["refused"] += 1
-            self.said(wrong)
-            ours.refused = str(wrong)
+                stream.close()
+                return None
+            is_full = self._is_full(hello)
+            if is_full or not 0 < len(hello.name) <= MAX_NAME_LENGTH:
+                self.counts["too many" if is_full else "dropped"] += 1
+                return None
             stream.write(encode_frame(ours))
-            stream.close()
-            return None
+            return hello
+
+    def _is_full(self, hello: pb.Hello) -> bool:
+        if not hello.life:
+            return len(self.clients) >= MAX_CLIENTS
+        is_known = Incarnation(hello.name, hello.life) in self.members
+        return len(self.members) >= MAX_MEMBERS and not is_known
+
+    # Members.
 
-    def _member(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
+    def _serve_member(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
         sender = Incarnation(hello.name, hello.life)
         before = self.members.get(sender)
         self.members[sender] = stream
         if before is not None:
             before.abort()
-        self.taker.greeted(sender)
-        pulse = self.loop.spawn(self._pulse, stream, name="keeper: pulse")
+        self._handler.member_connected(sender)
+        heartbeat = self._loop.spawn(self._send_heartbeats, stream, name="keeper: pulse")
         try:
             while (frame := reader.frame()) is not None:
-                if frame.WhichOneof("what") != "council":
-                    raise InvalidFrameError(f"{hello.name} asks where members talk", peer=hello.name)
-                try:
-                    message = council_pb2.Message.FromString(frame.council)
-                except DecodeError:
-                    raise InvalidFrameError(
-                        f"{hello.name} sent what is no message", peer=hello.name
-                    ) from None
-                self.taker.received(sender, message)
+                self._handler.message_received(sender, _raft_message(frame, hello.name))
         finally:
-            pulse.cancel()
+            heartbeat.cancel()
             if self.members.get(sender) is stream:
                 del self.members[sender]
 
-    def _pulse(self, stream: Stream) -> None:
-        word = encode_frame(pb.Frame(pulse=True))
+    def _send_heartbeats(self, stream: Stream) -> None:
+        frame = encode_frame(pb.Frame(pulse=True))
         try:
             while True:
-                self.loop.sleep(PULSE_MS)
-                stream.write(word, PULSE_MS)
+                self._loop.sleep(HEARTBEAT_MS)
+                stream.write(frame, HEARTBEAT_MS)
         except (StreamReset, TimeoutError):
             stream.abort()
 
-    def _asker(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
-        caller = ClientConnection(self.loop, hello.name)
-        self.callers.add(caller)
-        writer = self.loop.spawn(self._answer, stream, caller, name="keeper: answers")
-        idle = self.loop.spawn(self._look, stream, caller, name="keeper: idle")
+    # Clients.
+
+    def _serve_client(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
+        client = ClientConnection(self._loop, hello.name)
+        self.clients.add(client)
+        writer = self._loop.spawn(self._write_answers, stream, client, name="keeper: answers")
+        idle = self._loop.spawn(self._close_when_idle, stream, client, name="keeper: idle")
         try:
-            while not caller.gone and (frame := reader.frame()) is not None:
+            while not client.is_closed and (frame := reader.frame()) is not None:
                 if frame.WhichOneof("what") != "ask":
-                    raise InvalidFrameError(f"{hello.name} says what it may not", peer=hello.name)
-                caller.waiting += 1
-                caller.heard_ms = self.loop.now()
-                if caller.waiting > ASKED_MOST:
-                    self.counts["asked too much"] += 1
-                    result = council_pb2.Result(refusal=council_pb2.Result.TOO_MANY, again_ms=100)
-                    caller.tell(pb.Told(token=frame.ask.token, result=result.SerializeToString()))
-                    continue
-                self.taker.asked(caller, frame.ask)
+                    raise InvalidFrameError(f"{hello.name} sends what a client may not", peer=hello.name)
+                client.pending_requests += 1
+                client.last_request_ms = self._loop.now()
+                if client.pending_requests > MAX_PENDING_REQUESTS:
+                    self._reject_overload(client, frame.ask)
+                else:
+                    self._handler.request_received(client, frame.ask)
         finally:
-            caller.gone = True
+            client.is_closed = True
             writer.cancel()
             idle.cancel()
-            self.callers.discard(caller)
+            self.clients.discard(client)
+
+    def _reject_overload(self, client: ClientConnection, request: pb.Ask) -> None:
+        self.counts["asked too much"] += 1
+        result = council_pb2.Result(refusal=council_pb2.Result.TOO_MANY, again_ms=OVERLOAD_RETRY_AFTER_MS)
+        client.answer(pb.Told(token=request.token, result=result.SerializeToString()))
 
-    def _look(self, stream: Stream, caller: ClientConnection) -> None:
-        """Let go who asks nothing any more: its machine may be lost, and its place is another's."""
-        while caller.waiting or self.loop.now() - caller.heard_ms < IDLE_MS:
-            self.loop.sleep(IDLE_MS)
+    def _close_when_idle(self, stream: Stream, client: ClientConnection) -> None:
+        """Disconnect a client without requests: its machine may be lost, and its place is another's."""
+        while client.pending_requests or self._loop.now() - client.last_request_ms < IDLE_TIMEOUT_MS:
+            self._loop.sleep(IDLE_TIMEOUT_MS)
         self.counts["idle"] += 1
         stream.abort()
 
-    def _answer(self, stream: Stream, caller: ClientConnection) -> None:
+    def _write_answers(self, stream: Stream, client: ClientConnection) -> None:
         try:
-            caller.outbox.run(stream)
+            client.outbox.run(stream)
         except (StreamReset, TimeoutError):
-            caller.gone = True
+            client.is_closed = True
             stream.abort()
+
+
+def _raft_message(frame: pb.Frame, sender: str) -> council_pb2.Message:
+    if frame.WhichOneof("what") != "council":
+        raise InvalidFrameError(f"{sender} sends what a member may not", peer=sender)
+    try:
+        return council_pb2.Message.FromString(frame.council)
+    except DecodeError:
+        raise InvalidFrameError(f"{sender} sent what is no message", peer=sender) from None
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -2,7 +2,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.cluster.applied_state import whole_state
+from fennelwind.cluster.applied_state import complete_state
 from fennelwind.cluster.schema_queries import asked
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.model import ControllerIncarnation
@@ -41,4 +41,4 @@
             return asked(machine, query)
         except DecodeError:
             return b""
-    return whole_state(machine, query)
+    return complete_state(machine, query)
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -28,9 +28,7 @@
 MAX_TERM_MS = 600_000  # ms; a longer one leaves a task idle for too long
 OFFER_TERM_DIVISOR = 2  # an offer stands for the term over this: a dead one at the head costs half a term
 WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
-WAITER_QUIET_MS = (
-    WAITER_TIMEOUT_MS // 2
-)  # ms without a command, which come every 8 to 12 s: others come first
+WAITER_QUIET_MS = WAITER_TIMEOUT_MS // 2  # ms without a command (one comes every 8 to 12 s): others first
 MIN_EXCLUSION_MS = 2000  # ms for which one that failed is passed over at first
 MAX_EXCLUSION_MS = 120_000  # ms for which it is at most
 MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum cuts to 120 s
--- a/fennelwind/testbed/councilbench.py
+++ b/fennelwind/testbed/councilbench.py
@@ -267,8 +267,8 @@
                                 facts["at_ms"]
                                 for who, what, facts in rig.said[seen:]
                                 if who != leader
-                                and what == "part"
-                                and facts["part"] == "leader"
+                                and what == "role changed"
+                                and facts["role"] == "leader"
                                 and facts["term"] > term
                             ),
                             0,
@@ -351,7 +351,7 @@
             rig.start(late)
             rig.until(
                 lambda: any(
-                    who == late and what == "member" and facts["at_ms"] > began
+                    who == late and what == "raft member started" and facts["at_ms"] > began
                     for who, what, facts in rig.said
                 ),
                 "it has opened its folder",
--- a/fennelwind/testbed/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -207,7 +207,8 @@
                     "lives": {m.name: m.life.hex() for m in view.members.members},
                     "counts": view.counts | member.counts | member.peers.counts,
                     "ways": {
-                        name: peer.life.hex() if peer.up else "" for name, peer in member.peers.peers.items()
+                        name: peer.incarnation.hex() if peer.is_connected else ""
+                        for name, peer in member.peers.by_name.items()
                     },
                 },
             ]
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -53,7 +53,7 @@
     "fennelwind.cluster.schema_rollout:TERM_MS": 6000,
     "fennelwind.cluster.schema_rollout:STATEMENT_MS": 1500.0,
     "fennelwind.cluster.schema_rollout:STOP_MS": 1000.0,
-    "fennelwind.cluster.raft_host:LEVEL_MS": 300.0,
+    "fennelwind.cluster.raft_host:LEVEL_CHECK_MS": 300.0,
     "fennelwind.shards.state_machine:ShardMachine.rest_ms": 4000,
 }
 TIMING = {
--- a/tests/cluster/test_council_processes.py
+++ b/tests/cluster/test_council_processes.py
@@ -191,7 +191,11 @@
         rig.lose(hurt)  # as an operator does with what is damaged
         rig.start(hurt)
         rig.until(lambda: (rig.state(hurt) or {}).get("part") == "follower", "a vote for its new life")
-        lives = {facts["life"] for who, what, facts in rig.said if (who, what) == (hurt, "member")}
+        lives = {
+            facts["incarnation"]
+            for who, what, facts in rig.said
+            if (who, what) == (hurt, "raft member started")
+        }
         assert len(lives) == 2
         other = next(name for name in rig.members if name != hurt)
         rig.kill(other)  # a majority rests on the new life now
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -190,13 +190,13 @@
             child.wait()
 
 
-def said(folder, part):
-    """Return what members said of their parts, with who said it."""
+def said(folder, role):
+    """Return the role changes that members logged, with their names."""
     lines = []
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8").splitlines():
             told = json.loads(line)
-            if told.get("what") == "part" and told["part"] == part:
+            if told.get("what") == "role changed" and told["role"] == role:
                 lines.append(told | {"who": path.stem})
     return sorted(lines, key=lambda line: line["timestamp"])
 
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -92,14 +92,14 @@
         council.start("m0")  # back to the older version: it must not go on
         council.until(
             lambda: any(
-                what == "takes part no more" and facts["code"] == "council-record-too-new"
+                what == "raft member stopped" and facts["code"] == "council-record-too-new"
                 for _, _, what, facts in council.said
             )
         )
         assert council.on("f0", ask) == b"2"
         council.kill("m0")
         council.start("m0", **newer | {"more": (Tally(),)})
-        council.until(lambda: council.keepers["m0"].member.part in ("follower", "leader"))
+        council.until(lambda: council.keepers["m0"].member.role in ("follower", "leader"))
         records = [k.member.state.record for k in council.keepers.values() if k.member]
         council.until(lambda: len({r.index for r in records}) == 1)
         assert len({r.snapshot() for r in records}) == 1
@@ -199,7 +199,7 @@
         asked = [
             name
             for at, name, what, facts in council.said
-            if at > began and what == "part" and facts["part"] == "asking"
+            if at > began and what == "role changed" and facts["role"] == "asking"
         ]
         assert len(asked) < 8, asked
 
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -19,8 +19,8 @@
 from fennelwind.cluster.framing import FRAME_MOST, LENGTH, FrameReader, Outbox, encode_frame
 from fennelwind.cluster.identity import PROTOCOL, ClusterIdentity
 from fennelwind.cluster.raft_client import RaftClient
-from fennelwind.cluster.raft_host import Member
-from fennelwind.cluster.server import STRANGERS_MOST, ClusterServer
+from fennelwind.cluster.raft_host import RaftHost
+from fennelwind.cluster.server import MAX_UNIDENTIFIED, ClusterServer
 from fennelwind.loop import Address, SimLoop, StreamReset
 from fennelwind.raft import council_pb2 as cpb
 from fennelwind.raft.log import Log
@@ -86,7 +86,7 @@
     def write(self, writes):
         pass
 
-    def room_short(self):
+    def is_space_low(self):
         return False
 
     def close(self):
@@ -97,7 +97,7 @@
     place = ClusterIdentity(fleet, name, HERE, listen=HERE[name], timing=Timing())
     core = Alone([] if log is None else log)
     folder = Folder(Incarnation(name, name.encode()))
-    made = Member(loop, place, ReplicatedState([Sum()]), folder, lambda _: core, "1", said)
+    made = RaftHost(loop, place, ReplicatedState([Sum()]), folder, lambda _: core, "1", said)
     made.start()
     loop.sleep(5.0)
     return made
@@ -261,7 +261,7 @@
         there = member(loop, said=lambda what, facts: said.append(facts.get("code")))
         with pytest.raises(FleetMismatchError):
             asker(loop, fleet="g").propose("sum", b"1", 1500)
-        assert "council-fleet-mismatch" in said and there.door.counts["refused"] >= 1
+        assert "council-fleet-mismatch" in said and there.server.counts["refused"] >= 1
         with pytest.raises(MemberNameMismatchError):
             RaftClient(loop, "f", "me", {"b": HERE["a"]}, "1").propose("sum", b"1", 1500)
         assert there.core.asked == 0
@@ -278,12 +278,12 @@
             with pytest.raises(StreamReset):
                 while stream.read():
                     pass
-        assert there.door.counts["dropped"] == 3
-        silent = [loop.connect(HERE["a"]) for _ in range(STRANGERS_MOST + 5)]
+        assert there.server.counts["dropped"] == 3
+        silent = [loop.connect(HERE["a"]) for _ in range(MAX_UNIDENTIFIED + 5)]
         loop.sleep(100.0)
-        assert there.door.counts["too many"] == 5
+        assert there.server.counts["too many"] == 5
         loop.sleep(5000.0)
-        assert there.door.counts["silent"] == STRANGERS_MOST and there.door.strangers == 0
+        assert there.server.counts["silent"] == MAX_UNIDENTIFIED and there.server.unidentified == 0
         assert asker(loop).propose("sum", b"1", 1000) == b"1" and silent
 
     play(main)
@@ -294,7 +294,7 @@
         there, ours = member(loop), asker(loop)
         ours.propose("sum", b"1", 1000)
         loop.sleep(300_000.0)
-        assert not there.door.callers and there.door.counts["idle"] == 1
+        assert not there.server.clients and there.server.counts["idle"] == 1
         assert ours.propose("sum", b"1", 1000) == b"2"
 
     play(main)
@@ -315,7 +315,7 @@
             with pytest.raises(StreamReset):
                 while stream.read():
                     pass
-        assert there.door.counts["dropped"] == 2 and not there.door.members and not there.door.callers
+        assert there.server.counts["dropped"] == 2 and not there.server.members and not there.server.clients
 
     play(main)
 
@@ -359,9 +359,9 @@
             loop.sleep(5.0)
             stream.close()
         loop.sleep(3000.0)
-        counts = there.door.counts
-        assert counts["dropped"] > 20 and counts["taken"] > 20 and not there.door.strangers
-        assert not there.door.callers and not there.door.members
+        counts = there.server.counts
+        assert counts["dropped"] > 20 and counts["taken"] > 20 and not there.server.unidentified
+        assert not there.server.clients and not there.server.members
         assert asker(loop).propose("sum", b"5", 1000)
 
     play(main)
@@ -390,7 +390,7 @@
     def main(loop):
         heard = []
         one, two = member(loop, "a"), member(loop, "b")
-        two.received = lambda sender, message: heard.append((sender, message.term))
+        two.message_received = lambda sender, message: heard.append((sender, message.term))
         loop.sleep(3000.0)
         one.peers.send(Incarnation("b", b"b"), cpb.Message(term=3))
         one.peers.send(Incarnation("b", b"another"), cpb.Message(term=4))
@@ -398,9 +398,9 @@
         assert heard == [(Incarnation("a", b"a"), 3)] and one.peers.counts["unsent"] == 1
         two.close()
         loop.sleep(6000.0)
-        assert not one.peers.peers["b"].up
+        assert not one.peers.by_name["b"].is_connected
         again = member(loop, "b")
-        again.received = lambda sender, message: heard.append((sender, message.term))
+        again.message_received = lambda sender, message: heard.append((sender, message.term))
         loop.sleep(20.0)  # it has opened its way here, so the way there is tried at once
         one.peers.send(Incarnation("b", b""), cpb.Message(term=5))
         loop.sleep(50.0)
@@ -449,22 +449,22 @@
         there.state.record.machines["sum"].apply = lambda *_: 1 / 0
         with pytest.raises(OutcomeUnknownError):
             ours.propose("sum", b"1", 3000)
-        assert there.part == "closed" and not loop.listeners
+        assert there.role == "closed" and not loop.listeners
 
     loop.run(main)
-    assert broke == [("keeper: member", "ZeroDivisionError")] and "broke" in said
+    assert broke == [("keeper: member", "ZeroDivisionError")] and "raft host failed" in said
 
 
 def test_a_door_that_closes_lets_all_go():
     def main(loop):
         there = member(loop)
-        assert isinstance(there.door, ClusterServer)
+        assert isinstance(there.server, ClusterServer)
         ours = asker(loop)
         ours.propose("sum", b"1", 1000)
         there.close()
         with pytest.raises(ClusterUnavailableError):
             ours.read("sum", within_ms=500)
         loop.sleep(100.0)
-        assert not there.door.callers
+        assert not there.server.clients
 
     play(main)
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -170,8 +170,8 @@
         holder = scene.holder()
         platter = scene.council.platters[holder]
         platter.fails = True
-        scene.council.until(lambda: scene.council.keepers[holder].member.part == "mute")
-        scene.council.keepers[holder].member.door.close()  # and it hears nothing any more
+        scene.council.until(lambda: scene.council.keepers[holder].member.role == "mute")
+        scene.council.keepers[holder].member.server.close()  # and it hears nothing any more
         stands = scene.council.keepers[holder].member.state.record.index
         scene.drain()
         scene.council.until(lambda: scene.settled(), 120_000.0)
--- a/tests/support/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -236,7 +236,7 @@
             before = council.keepers[self.lost].member
             stood = (
                 not council.hosts[self.lost].dead
-                and before.part in ("leader", "follower")
+                and before.role in ("leader", "follower")
                 and (
                     before.state.record.index
                     >= max(council.keepers[each].member.state.record.index for each in council.names)
--- a/tests/support/council_storm.py
+++ b/tests/support/council_storm.py
@@ -207,7 +207,7 @@
             not self.lost
             or self.lost_at
             and any(
-                who == self.lost and what == "part" and facts["part"] in ("follower", "leader")
+                who == self.lost and what == "role changed" and facts["role"] in ("follower", "leader")
                 for who, what, facts in self.rig.said[self.lost_at :]
             )
         )
--- a/tests/support/council_world.py
+++ b/tests/support/council_world.py
@@ -89,7 +89,7 @@
         leading = [
             (k.member.term, name)
             for name, k in self.keepers.items()
-            if k.member and k.member.part == "leader" and not self.hosts[name].dead
+            if k.member and k.member.role == "leader" and not self.hosts[name].dead
         ]
         return max(leading)[1] if leading else ""
 
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -16,11 +16,11 @@
 from council_chaos import FAULTS, Chaos
 from planted import Line, broken, planted, row
 
-from fennelwind.cluster.applied_state import State
+from fennelwind.cluster.applied_state import AppliedState
 from fennelwind.cluster.leased_tasks import LeasedOperation
 from fennelwind.cluster.member_folder import Folder
 from fennelwind.cluster.raft_client import RaftClient
-from fennelwind.cluster.raft_host import Member
+from fennelwind.cluster.raft_host import RaftHost
 from fennelwind.leases.fencing import FencedResource, FencingGuard
 from fennelwind.loop.simdisk import SimDisk
 from fennelwind.raft.replicated_state import ReplicatedState
@@ -42,9 +42,9 @@
         "a write is told as done before it is made",
         [
             Line(
-                Member._write,
+                RaftHost._write,
                 "self.store.write(writes)",
-                "self.post(Written(writes[-1].number)); self.store.write(writes)",
+                "self.post(WriteCompleted(writes[-1].number)); self.store.write(writes)",
             )
         ],
         ("all", "all", "power"),
@@ -54,10 +54,10 @@
         "a write that failed is told as done",
         [
             Line(
-                Member._write,
+                RaftHost._write,
                 "WriteFailed(writes[0].number, isinstance(exc, DiskFull))",
-                "Written(writes[-1].number)",
-                "self._write_again(isinstance(exc, DiskFull))",
+                "WriteCompleted(writes[-1].number)",
+                "self._recover_storage(isinstance(exc, DiskFull))",
                 "pass",
             )
         ],
@@ -65,7 +65,7 @@
     ),
     Defect(
         "a read is answered from what the member has, whoever leads",
-        [Line(Member._look, "if view.fresh:", "if False:")],
+        [Line(RaftHost._read, "if view.fresh:", "if False:")],
     ),
     Defect(
         "answers are not kept: what is asked again is done again",
@@ -86,10 +86,11 @@
         "what a deposed leader can't tell is answered as refused",
         [
             Line(
-                Member._propose,
-                "def answered(answer: Answer)",
-                "tell = (lambda real: lambda result: real(Result(refusal=Result.TOO_LARGE)"
-                " if result.refusal == Result.UNKNOWN else result))(tell)\n    def answered(answer: Answer)",
+                RaftHost._propose,
+                "def decided(outcome: ProposalOutcome)",
+                "answer = (lambda real: lambda result: real(Result(refusal=Result.TOO_LARGE)"
+                " if result.refusal == Result.UNKNOWN else result))(answer)\n"
+                "    def decided(outcome: ProposalOutcome)",
             )
         ],
     ),
@@ -101,10 +102,10 @@
         "one entry in forty is left out",
         [
             Line(
-                State._apply,
-                "changed = [name for",
+                AppliedState._apply,
+                "changed = [",
                 "if self.applied % 40 == 39:\n            self.applied += 1; record.index = entry.index\n"
-                "            continue\n        changed = [name for",
+                "            continue\n        changed = [",
             )
         ],
     ),
@@ -117,8 +118,8 @@
         "a message counts as its name's latest life's",
         [
             Line(
-                Member.received,
-                "Received(sender, message)",
+                RaftHost.message_received,
+                "MessageReceived(sender, message)",
                 "MessageReceived(next((Incarnation(m.name, m.life)"
                 " for m in self.core.log.config.members.members"
                 " if m.name == sender.name), sender), message)",
--- a/tests/testbed/test_whole.py
+++ b/tests/testbed/test_whole.py
@@ -117,7 +117,7 @@
         rig.end("m0")
         rig.start("m0")  # it must not go on with the record, and serves queries
         told = rig.until(
-            lambda: [facts for who, what, facts in rig.said if (who, what) == ("m0", "takes part no more")],
+            lambda: [facts for who, what, facts in rig.said if (who, what) == ("m0", "raft member stopped")],
             "m0 says so",
         )
         assert told[0]["code"] == "council-record-too-new" and told[0]["record_level"] == LEVEL + 1
