--- a/fennelwind/policy/actions.py
+++ b/fennelwind/policy/actions.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; a time-out of 0 means until the client gives up."""
+    """Start an attempt; a timeout of 0 means until the client gives up."""
 
     query: int
     engine: str
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectQuery:
-    """Final answer: rejected, a further try is harmless."""
+    """Final answer: rejected; a retry by the client is harmless."""
 
     query: int
     retry_after_ms: float = 0.0
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailQuery:
-    """Final answer: failed, nothing promised."""
+    """Final answer: failed; the query may have run."""
 
     query: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Stop waiting for an attempt."""
+    """Cancel an attempt; its outcome is still awaited."""
 
     query: int
     attempt: int
--- a/fennelwind/policy/events.py
+++ b/fennelwind/policy/events.py
@@ -22,7 +22,7 @@
 
 
 class AttemptStatus(StrEnum):
-    """How an attempt or a health check ended."""
+    """How an attempt or a health check ended; rules on what may be repeated rest on it."""
 
     OK = "ok"
     ERROR = "error"
@@ -35,7 +35,7 @@
 
 
 class ProgressKind(IntEnum):
-    """What a progress report tells of a running attempt."""
+    """What a progress report says of a running attempt."""
 
     SHARE_DONE = 1
     SPILLING = 2
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineEndpoint:
-    """One line of the list of engines."""
+    """An engine, as the list of engines has it."""
 
     engine: str
     state: EngineState = EngineState.READY
@@ -69,7 +69,7 @@
 
     query: int
     class_index: int
-    deadline_ms: float  # clock time at which the client gives this try up
+    deadline_ms: float  # clock time at which the client gives this attempt up
     tenant: int = 0
     key: str | None = None
     estimated_work_ms: float | None = None  # estimate of the work of all its threads
@@ -103,7 +103,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has left; no answer is owed."""
+    """The client has disconnected; no answer is owed."""
 
     query: int
 
@@ -135,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class HealthChecked:
-    """The result of a probe."""
+    """The result of a health check."""
 
     engine: str
     status: AttemptStatus
@@ -145,7 +145,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadAdvice:
-    """News of whole loads: engines to lean to, in order, with the load that each is taken to have now.
+    """Engines to prefer, in order, with the whole load that each is taken to have now, over all gateways.
 
     A load is the busy share of the engine's busiest resource; the price of another zone is added to it.
     """
--- a/tests/policy/test_cold_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,4 +1,4 @@
-"""Cold engines under the sum of all gateways: a small sample of `cold_model.py`, and planted defects."""
+"""Slow start under the sum of all gateways: a small sample of `cold_model.py`, and planted defects."""
 
 from dataclasses import replace
 
@@ -49,14 +49,14 @@
 
 
 @pytest.mark.parametrize("case", [FULL, MIXED, FEW], ids=["full", "mixed", "few"])
-def test_cold_engines_do_not_fall_by_what_gateways_told_of_them_send(case):
+def test_engines_in_slow_start_do_not_fall_by_gateways_that_know_of_it(case):
     result = sample(case, range(1, 4))
     assert result.lives >= 3
     assert result.broken == 0
     assert max(result.told) < 1.0  # what came from those alone stays under a fall as well
 
 
-def test_where_no_work_is_told_few_gateways_push_over_no_more_than_measured():
+def test_without_estimates_no_more_engines_fall_than_measured():
     result = sample(replace(FEW, estimates="none"), range(1, 21))
     assert result.lives == 60
     assert result.broken <= UNTOLD * result.lives
@@ -78,7 +78,7 @@
     assert 0.05 < low < 0.1 < high < 0.18
 
 
-def test_calls_to_a_cold_engine_keep_to_the_bound_whatever_their_work():
+def test_calls_in_a_slow_start_keep_to_the_limit_whatever_their_work():
     few = Case(gateways=4, engines=6, trouble="all", length_ms=6000.0)
     result = sample(few, range(1, 7))
     assert result.lives >= 30
