--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -24,7 +24,7 @@
     "emulators/platform/http.py": {"BadCall"},
     "adapter.py": {"WireError"},
     "node/endpoint_events.py": {"UnreadableFieldError"},
-    "node/attempt.py": {"AnswerUnavailableError"},
+    "node/attempt_connection.py": {"AnswerUnavailableError"},
     "node/request_validation.py": {"InvalidRequestError"},
     "node/http1.py": {"MalformedResponseError"},
     "node/msgrpc.py": {"MalformedMessageError"},
