--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -88,7 +88,7 @@
         self.loop = services.pool.loop
         self.query_id = order.submission.engine_id
         self.may_have_arrived = False  # its POST has begun to leave
-        self.priority = AttemptPriority(executor, order, order.priority)
+        self.priority = AttemptPriority(executor, order)
         self.connection = AttemptConnection(services.pool, executor)
 
     def run(self) -> AttemptEnd:
--- a/fennelwind/node/cancellation_queue.py
+++ b/fennelwind/node/cancellation_queue.py
@@ -35,7 +35,7 @@
     def add(self, executor: Executor, query_id: str, waiter: Waiter | None = None) -> None:
         """End a query at an executor; the waiter is woken with whether it is known to have ended."""
         if executor.is_removed or len(executor.cancellations) >= MAX_QUEUED:
-            self.pool.counts["undeleted"] += 1
+            self.pool.counts["not_deleted"] += 1
             if waiter is not None:
                 waiter.wake(False)
             return
@@ -80,5 +80,5 @@
             if response.status in ENDED_STATUSES:
                 self.pool.counts["deleted"] += 1
                 return True
-        self.pool.counts["undeleted"] += 1
+        self.pool.counts["not_deleted"] += 1
         return False
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -212,8 +212,8 @@
     def _answer_invalid(self, message_id: int, error: InvalidRequestError) -> None:
         self.frontend.note_invalid_request(str(error))
         self.invalid_requests += 1
-        fields = {ErrorField.MESSAGE.value: str(error)}
-        self.send(msgrpc.encode_error(message_id, ClientError.INVALID_REQUEST.value, fields), None)
+        fields = {ErrorField.MESSAGE: str(error)}
+        self.send(msgrpc.encode_error(message_id, ClientError.INVALID_REQUEST, fields), None)
         if self.invalid_requests >= MAX_INVALID_REQUESTS and not self.has_open_or_unread():
             self.close()
 
@@ -243,14 +243,14 @@
         elif answer.kind == REFUSED:
             self.reject(message_id, answer.retry_after_ms, entry)
         else:
-            fields = {ErrorField.MESSAGE.value: answer.reason[:MAX_REASON_LENGTH]}
-            self.send(msgrpc.encode_error(message_id, ClientError.FAILED.value, fields), entry)
+            fields = {ErrorField.MESSAGE: answer.reason[:MAX_REASON_LENGTH]}
+            self.send(msgrpc.encode_error(message_id, ClientError.FAILED, fields), entry)
 
     def reject(self, message_id: int, retry_after_ms: float, entry: Entry | None = None) -> None:
         """Answer that a retry is harmless, and after what time, where the settings allow that time."""
         retry_after_ms = min(retry_after_ms, self.frontend.driver.longest_wait_ms)
-        fields = {ErrorField.RETRY_AFTER_MS.value: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
-        self.send(msgrpc.encode_error(message_id, ClientError.REJECTED.value, fields), entry)
+        fields = {ErrorField.RETRY_AFTER_MS: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
+        self.send(msgrpc.encode_error(message_id, ClientError.REJECTED, fields), entry)
 
     def send(self, raw: bytes, entry: Entry | None) -> None:
         """Send a response; what the client does not take at once is queued, up to the bounds."""
--- a/fennelwind/node/endpoint_events.py
+++ b/fennelwind/node/endpoint_events.py
@@ -167,9 +167,7 @@
         return EndpointChange(name, state, endpoint, _read_field(item, EventField.ADDRESS, _read_address))
 
 
-def _read_field(
-    item: dict[str, Any], field: EventField, read: Callable[[Any], Any], default: Any = None
-) -> Any:
+def _read_field(item: dict[str, Any], field: str, read: Callable[[Any], Any], default: Any = None) -> Any:
     value = item.get(field)
     if value is None and default is not None:
         return default
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -181,7 +181,7 @@
         return self.loop.now() >= max(next_open_ms, self._connections[-1].silent_from_ms())
 
     def _open(self, address: Address) -> WatchConnection:
-        self.counts["asked"] += 1
+        self.counts["connections"] += 1
         return WatchConnection(self.loop, address, self)
 
     def _keep_only(self, connections: list[WatchConnection]) -> None:
@@ -232,7 +232,7 @@
                 self._hold_drains(event, number)
             raise MalformedEventError(number, self.cursor, problem)
         else:
-            self.counts["in_part"] += 1
+            self.counts["applied_in_part"] += 1
             self.log_message(f"command channel: event {number} after {self.cursor}: {problem}; taken in part")
         if number is not None:
             self.endpoints.apply(event, number, ListForm.FULL)
--- a/fennelwind/node/executor_connection.py
+++ b/fennelwind/node/executor_connection.py
@@ -6,7 +6,7 @@
 """
 
 from collections import Counter, deque
-from dataclasses import dataclass, field
+from dataclasses import dataclass
 
 from fennelwind.loop.scheduler import Waiter
 from fennelwind.loop.streams import Address, Stream, StreamReset
@@ -49,16 +49,26 @@
     waiter: Waiter | None
 
 
-@dataclass(slots=True, eq=False)
 class Executor:
-    """One executor: where it is, its idle connections (longest idle first), and what is to be ended there."""
-
-    name: str
-    address: Address
-    idle_connections: deque[ExecutorConnection] = field(default_factory=deque)
-    is_removed: bool = False  # it has left the list, or its address belongs to another now
-    is_draining: bool = False  # nothing new is to be sent to it
-    # One queue each, so that an executor which answers nothing delays no other's cancellations.
-    cancellations: deque[Cancellation] = field(default_factory=deque)
-    cancellation_workers: int = 0
-    ended_attempts: Counter[str] = field(default_factory=Counter)  # by status, since they were last reported
+    """One executor: where it is, its idle connections, and what is to be ended there."""
+
+    __slots__ = (
+        "name",
+        "address",
+        "idle_connections",
+        "is_removed",
+        "is_draining",
+        "cancellations",
+        "cancellation_workers",
+        "ended_attempts",
+    )
+
+    def __init__(self, name: str, address: Address, is_draining: bool = False) -> None:
+        self.name, self.address = name, address
+        self.idle_connections: deque[ExecutorConnection] = deque()  # the longest idle first
+        self.is_removed = False  # it has left the list, or its address belongs to another now
+        self.is_draining = is_draining  # nothing new is to be sent to it
+        # One queue each, so that an executor which answers nothing delays no other's cancellations.
+        self.cancellations: deque[Cancellation] = deque()
+        self.cancellation_workers = 0
+        self.ended_attempts: Counter[str] = Counter()  # by status, since they were last reported
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -73,7 +73,7 @@
     def _admit(self, stream: PushStream) -> None:
         self.counts["accepted"] += 1
         if len(self.places) >= self.places.most and not self._make_room():
-            self.counts["turned_away"] += 1
+            self.counts["rejected_connections"] += 1
             stream.close()
             return
         connection = ClientConnection(self, stream)
@@ -122,7 +122,7 @@
         while self.partial_bytes > MAX_PARTIAL_BYTES:
             half_sent = cast("dict[ClientConnection, float]", self.places.half)
             largest = max(half_sent, key=lambda each: (not each.has_open_or_unread(), each.partial_bytes))
-            self.counts["half_sent_most"] += 1
+            self.counts["closed_largest_half_sent"] += 1
             largest.close()
 
     def linger(self, connection: ClientConnection) -> None:
@@ -180,5 +180,5 @@
 
     def note_invalid_request(self, reason: str) -> None:
         """Count and log a request that is not valid."""
-        self.counts["unusable"] += 1
+        self.counts["invalid_requests"] += 1
         self.log_message(f"a request that can't be used: {reason}")
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -105,7 +105,7 @@
             self.log.write("reload", f"the settings are as before: {exc}")
             return
         if config.settings != self.config.settings:
-            self.log.write("reload", "the module's settings differ; they hold from the next start on")
+            self.log.write("reload", "the policy's settings differ; they take effect at the next start")
         self.endpoint_watch.apply_known(config.known_cursor, config.known_events, ListForm.FULL)
         if config.channel != self.endpoint_watch.address:
             self.endpoint_watch.move(config.channel)
--- a/fennelwind/node/priority_updates.py
+++ b/fennelwind/node/priority_updates.py
@@ -4,8 +4,6 @@
 running has its priority compared again after each poll, which repeats a lost update.
 """
 
-from dataclasses import dataclass
-
 from fennelwind.dispatch.types import Order
 from fennelwind.node.executor_connection import Executor
 from fennelwind.node.executor_pool import ExecutorPool
@@ -16,15 +14,16 @@
 UPDATE_TIMEOUT_MS = 400.0  # ms for one update
 
 
-@dataclass(slots=True, eq=False)
 class AttemptPriority:
     """The priority of one attempt, as its executor knows it; the wanted one stands in the order."""
 
-    executor: Executor
-    order: Order
-    sent: int  # the priority that the executor was last told
-    is_running: bool = False  # the attempt is still under way
-    is_updating: bool = False  # a task of its own is sending the priority
+    __slots__ = ("executor", "order", "sent", "is_running", "is_updating")
+
+    def __init__(self, executor: Executor, order: Order) -> None:
+        self.executor, self.order = executor, order
+        self.sent = order.priority  # what the executor was last told
+        self.is_running = False  # the attempt is still under way
+        self.is_updating = False  # a task of its own is sending the priority
 
     @property
     def is_current(self) -> bool:
--- a/fennelwind/node/wire_names.py
+++ b/fennelwind/node/wire_names.py
@@ -1,22 +1,21 @@
 """The names on the platform's wire, each mapped once to this project's term.
 
 The parsers and writers at the edge (`request_validation`, `client_connection`, `executor_requests`,
-`load_report`, `endpoint_events`, `config`) read and write these names; no other code knows them.
+`load_report`, `endpoint_events`, `config`) read and write these names; no other code knows them. They are
+plain constants, as they are looked up in every request.
 """
 
-from enum import StrEnum
-
 from fennelwind.policy import EngineState
 
 
-class ClientMethod(StrEnum):
+class ClientMethod:
     """Methods of MessagePack-RPC that name no query class."""
 
     HEALTH = "isWell"  # request: does this controller serve?
     WITHDRAW = "forget"  # notification: the client wants no answer to these message ids any more
 
 
-class RequestField(StrEnum):
+class RequestField:
     """Fields of a client's query request."""
 
     QUERY_ID = "i"
@@ -28,7 +27,7 @@
     IDEMPOTENCY_KEY = "k"
 
 
-class ClientError(StrEnum):
+class ClientError:
     """Names of errors that clients get."""
 
     REJECTED = "Shed"  # the query did not run; a retry is harmless
@@ -36,14 +35,14 @@
     FAILED = "Failed"
 
 
-class ErrorField(StrEnum):
+class ErrorField:
     """Fields of an error that clients get."""
 
     RETRY_AFTER_MS = "w"
     MESSAGE = "m"
 
 
-class EventField(StrEnum):
+class EventField:
     """Fields of the command channel's events, and of the endpoints in them."""
 
     CURSOR = "cursor"
--- a/tests/node/test_crossings_list.py
+++ b/tests/node/test_crossings_list.py
@@ -1530,7 +1530,10 @@
             name: (str(executor.address), executor.is_draining)
             for name, executor in node.executor_pool.executors.items()
         } == {name: (one["hostPort"], one["lifecycle"] == "terminating") for name, one in truth.items()}
-        assert not node.endpoint_watch.endpoints.drained_ahead and not node.endpoint_watch.counts["in_part"]
+        assert (
+            not node.endpoint_watch.endpoints.drained_ahead
+            and not node.endpoint_watch.counts["applied_in_part"]
+        )
         assert not node.log.broke and not node.driver.step_errors
         assert "channel" in {task.name for task in loop.tasks}
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -863,7 +863,7 @@
         assert well.deleted == [name(999)] and hung.open <= 3
         loop.sleep(200 * 1300.0)
         assert (
-            not node.executor_client.cancellations.pending and node.executor_pool.counts["undeleted"] == 200
+            not node.executor_client.cancellations.pending and node.executor_pool.counts["not_deleted"] == 200
         )
 
     run(33, main)
