--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -120,11 +120,17 @@
             self.frontend.close_outright(self)
 
     def _note_burst(self, is_full: bool) -> None:
+        """Note that what the client has sent by now may not be read completely.
+
+        Its withdrawal or its end may stand behind a long burst. An attempt that started before these are read
+        would run for a client that has left; `Submission` therefore says when an attempt may start earliest.
+        """
         now = self.frontend.loop.now()
         if is_full or now < self.burst_until_ms:
             self.burst_until_ms = now + BURST_MS
 
     def _take(self, data: bytes) -> None:
+        """Handle the complete messages of some bytes; those before malformed bytes are still handled."""
         try:
             for message in self.reader.feed(data):
                 self._handle(message)
--- a/fennelwind/node/http1.py
+++ b/fennelwind/node/http1.py
@@ -45,12 +45,12 @@
 
 @dataclass(slots=True)
 class Response:
-    """An answer; `is_reusable` if nothing about its connection was out of order so far."""
+    """A response."""
 
     status: int
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes = b""
-    is_reusable: bool = True
+    is_reusable: bool = True  # nothing about its connection was out of order so far
 
 
 def parse_head(raw: bytes) -> Response:
--- a/tests/node/test_crossings_attempt.py
+++ b/tests/node/test_attempt_races.py
@@ -1,6 +1,6 @@
 """What comes between the decision on an attempt and its first byte, or between two attempts.
 
-Each crossing is forced by the order of events, on the virtual loop and on loopback sockets: a connection
+Each race is forced by the order of events, on the virtual loop and on loopback sockets: a connection
 comes up when the script lets it, and time is moved on where the rule is one of time.
 """
 
--- a/tests/node/test_crossings_list.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -1,7 +1,7 @@
 """The list of executors when something comes between: silence, moves, gaps, spoilt events, bad files.
 
-Each crossing is forced by the order of events, on the virtual loop or on loopback sockets; the last test
-samples them by seeds against the feed's own truth. `docs/design/crossings_list.md` lists them.
+Each race is forced by the order of events, on the virtual loop or on loopback sockets; the last test
+samples them by seeds against the feed's own truth. `docs/design/crossings-list.md` lists them.
 """
 
 import copy
--- a/tests/node/test_crossings_front.py
+++ b/tests/node/test_frontend_races.py
@@ -1,6 +1,6 @@
-"""What crosses at the clients' side: closes of ours, clients that leave, the end of service, descriptors.
+"""Races at the clients' side: closes of ours, clients that leave, the end of service, descriptors.
 
-On real sockets a crossing is forced by the order of calls in one turn of the loop, or by a peer that waits
+On real sockets a race is forced by the order of calls in one turn of the loop, or by a peer that waits
 for a state before it acts.
 """
 
@@ -619,7 +619,7 @@
 def in_a_process(call, **more):
     """Run one of this file's calls in a process of its own; return how it ended and what it wrote."""
     found = "import sys; sys.path.insert(0, 'tests/support'); import search_paths"
-    code = f"{found}; import test_crossings_front as t; t.{call}()"
+    code = f"{found}; import test_frontend_races as t; t.{call}()"
     return subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, timeout=4 * WAIT_S, **more
     )
--- a/tests/node/test_crossings_sampled.py
+++ b/tests/node/test_sampled_races.py
@@ -1,4 +1,4 @@
-"""Days on which everything crosses, sampled on the virtual loop, and defects that they have to find."""
+"""Days of races between all parts, sampled on the virtual loop, and defects that they have to find."""
 
 from contextlib import nullcontext
 from unittest.mock import patch
@@ -21,7 +21,7 @@
 RARE = {"window": 280, "two out": 240}  # first of the days for defects that need two rare things at once
 
 
-def test_days_of_crossings_break_no_rule():
+def test_days_of_races_break_no_rule():
     found = [f"seed {seed}: {fault}" for seed in SEEDS for fault in play(seed)]
     assert not found, "\n".join(found)
 
