--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -120,11 +120,17 @@
             self.frontend.close_outright(self)
 
     def _note_burst(self, is_full: bool) -> None:
+        """Note that what the client has sent by now may not be read completely.
+
+        Its withdrawal or its end may stand behind a long burst. An attempt that started before these are read
+        would run for a client that has left; `Submission` therefore says when an attempt may start earliest.
+        """
         now = self.frontend.loop.now()
         if is_full or now < self.burst_until_ms:
             self.burst_until_ms = now + BURST_MS
 
     def _take(self, data: bytes) -> None:
+        """Handle the complete messages of some bytes; those before malformed bytes are still handled."""
         try:
             for message in self.reader.feed(data):
                 self._handle(message)
@@ -212,8 +218,8 @@
     def _answer_invalid(self, message_id: int, error: InvalidRequestError) -> None:
         self.frontend.note_invalid_request(str(error))
         self.invalid_requests += 1
-        fields = {ErrorField.MESSAGE.value: str(error)}
-        self.send(msgrpc.encode_error(message_id, ClientError.INVALID_REQUEST.value, fields), None)
+        fields = {ErrorField.MESSAGE: str(error)}
+        self.send(msgrpc.encode_error(message_id, ClientError.INVALID_REQUEST, fields), None)
         if self.invalid_requests >= MAX_INVALID_REQUESTS and not self.has_open_or_unread():
             self.close()
 
@@ -243,14 +249,14 @@
         elif answer.kind == AnswerKind.REJECTED:
             self.reject(message_id, answer.retry_after_ms, entry)
         else:
-            fields = {ErrorField.MESSAGE.value: answer.reason[:MAX_REASON_LENGTH]}
-            self.send(msgrpc.encode_error(message_id, ClientError.FAILED.value, fields), entry)
+            fields = {ErrorField.MESSAGE: answer.reason[:MAX_REASON_LENGTH]}
+            self.send(msgrpc.encode_error(message_id, ClientError.FAILED, fields), entry)
 
     def reject(self, message_id: int, retry_after_ms: float, entry: Entry | None = None) -> None:
         """Answer that a retry is harmless, and after what time, where the settings allow that time."""
         retry_after_ms = min(retry_after_ms, self.frontend.driver.max_retry_after_ms)
-        fields = {ErrorField.RETRY_AFTER_MS.value: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
-        self.send(msgrpc.encode_error(message_id, ClientError.REJECTED.value, fields), entry)
+        fields = {ErrorField.RETRY_AFTER_MS: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
+        self.send(msgrpc.encode_error(message_id, ClientError.REJECTED, fields), entry)
 
     def send(self, raw: bytes, entry: Entry | None) -> None:
         """Send a response; what the client does not take at once is queued, up to the bounds."""
--- a/tests/node/test_crossings_list.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -1,7 +1,7 @@
 """The list of executors when something comes between: silence, moves, gaps, spoilt events, bad files.
 
-Each crossing is forced by the order of events, on the virtual loop or on loopback sockets; the last test
-samples them by seeds against the feed's own truth. `docs/design/crossings_list.md` lists them.
+Each race is forced by the order of events, on the virtual loop or on loopback sockets; the last test
+samples them by seeds against the feed's own truth. `docs/design/crossings-list.md` lists them.
 """
 
 import copy
@@ -1530,7 +1530,10 @@
             name: (str(executor.address), executor.is_draining)
             for name, executor in node.executor_pool.executors.items()
         } == {name: (one["hostPort"], one["lifecycle"] == "terminating") for name, one in truth.items()}
-        assert not node.endpoint_watch.endpoints.drained_ahead and not node.endpoint_watch.counts["in_part"]
+        assert (
+            not node.endpoint_watch.endpoints.drained_ahead
+            and not node.endpoint_watch.counts["applied_in_part"]
+        )
         assert not node.log.broke and not node.driver.step_errors
         assert "channel" in {task.name for task in loop.tasks}
 
