--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -144,7 +144,7 @@
             return  # its time is as much this gateway's own as the engine's
         if event.status == OK:
             self.estimates.record_answer(query, event)
-        elif not self.outliers.is_news(attempt, slowdown):
+        elif not self.outliers.is_slower_than_known(attempt, slowdown):
             return  # an attempt cut short tells only that it would have taken longer
         self.outliers.record_slowdown(engine, slowdown)
         self.concurrency.record_answer(query, engine, event.took_ms)
@@ -221,7 +221,7 @@
             if not engine.running_attempts:  # engines that run attempts are looked at on each tick
                 self.outliers.update(engine, self.now_ms)
         self.selector.update_ready_engines(self.engines)
-        self.outliers.update_usual_slowdown(self.selector.ready_engines)
+        self.outliers.update_median_slowdown(self.selector.ready_engines)
         self.concurrency.update_fair_share(self.selector.ready_engines)
         self.queue.forget_expired_holds(self.now_ms)
 
@@ -242,9 +242,9 @@
 
     def _restart_if_timed_out(self, attempt: Attempt) -> None:
         """Cancel an attempt that has timed out, or hedge it where it can't be cancelled."""
-        query, usual_slowdown = attempt.query, self.outliers.usual_slowdown
+        query, median_slowdown = attempt.query, self.outliers.median_slowdown
         has_load_advice = bool(self.selector.load_advice)
-        if not self.retries.has_timed_out(attempt, usual_slowdown, has_load_advice, self.now_ms):
+        if not self.retries.has_timed_out(attempt, median_slowdown, has_load_advice, self.now_ms):
             return
         if not self.retries.spend_restart_credit(query, self.now_ms):
             return
@@ -273,7 +273,7 @@
         if self._is_barred(query):
             return False
         self.slow_start.weigh(query)
-        engine = self.selector.choose(query, self.engines, self.outliers.usual_slowdown, self.now_ms)
+        engine = self.selector.choose(query, self.engines, self.outliers.median_slowdown, self.now_ms)
         if engine is None:
             return False
         attempt = query.start_attempt(engine, self.now_ms)
--- a/fennelwind/policy/outliers.py
+++ b/fennelwind/policy/outliers.py
@@ -34,12 +34,12 @@
 
     def __init__(self, estimates: Estimates) -> None:
         self.estimates = estimates
-        self.usual_slowdown = 1.0  # median of the fleet
+        self.median_slowdown = 1.0  # median of the fleet
 
-    def update_usual_slowdown(self, ready_engines: list[Engine]) -> None:
-        """Learn what is usual from all ready engines."""
+    def update_median_slowdown(self, ready_engines: list[Engine]) -> None:
+        """Set the median of all ready engines, with which each is compared."""
         # The lower one of two: with the mean of both, one of two engines could never stand out.
-        self.usual_slowdown = median_low([engine.current_slowdown for engine in ready_engines] or [1.0])
+        self.median_slowdown = median_low([engine.current_slowdown for engine in ready_engines] or [1.0])
 
     def update(self, engine: Engine, now_ms: float) -> None:
         """Look at an engine by its answers and by the ages of what it has not answered."""
@@ -51,7 +51,7 @@
             if slowdown > engine.mean_slowdown and attempt.started_ms > engine.last_answered_start_ms:
                 total, weight = total + min(slowdown, MAX_RELATIVE_SLOWDOWN), weight + 1
         engine.current_slowdown = total / weight
-        is_slow = engine.current_slowdown > OUTLIER_SLOWDOWN * self.usual_slowdown
+        is_slow = engine.current_slowdown > OUTLIER_SLOWDOWN * self.median_slowdown
         engine.is_outlier = engine.ejected_until_ms > now_ms or is_slow
 
     def record_failure(self, engine: Engine, status: policy.AttemptStatus, now_ms: float) -> bool:
@@ -74,8 +74,8 @@
             engine.failures = 0
         engine.last_answered_start_ms = max(engine.last_answered_start_ms, attempt.started_ms)
 
-    def is_news(self, attempt: Attempt, slowdown: float) -> bool:
-        """Return whether an attempt cut short tells that the engine is slower than known."""
+    def is_slower_than_known(self, attempt: Attempt, slowdown: float) -> bool:
+        """Return whether an attempt cut short shows that the engine is slower than its mean."""
         engine = attempt.engine
         return slowdown > engine.mean_slowdown and attempt.started_ms > engine.last_answered_start_ms
 
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -92,7 +92,7 @@
         return now_ms + settings.resolution_ms < remembered_until_ms
 
     def has_timed_out(
-        self, attempt: Attempt, usual_slowdown: float, has_load_advice: bool, now_ms: float
+        self, attempt: Attempt, median_slowdown: float, has_load_advice: bool, now_ms: float
     ) -> bool:
         """Return whether an attempt takes so long, or its engine is removed, that another should begin."""
         query = attempt.query
@@ -105,7 +105,7 @@
             return False
         if attempt.engine.endpoint.state == REMOVED:
             return True
-        timeout_ms = self._timeout_ms(attempt, usual_slowdown, has_load_advice)
+        timeout_ms = self._timeout_ms(attempt, median_slowdown, has_load_advice)
         if attempt.age_ms(now_ms) < timeout_ms:
             return False
         # What reports progress is left alone, though a busy engine or its low priority makes it late:
@@ -114,13 +114,13 @@
         reports_progress = now_ms - attempt.progress_at_ms < max_progress_age_ms
         return not (reports_progress and attempt.remaining_ms < timeout_ms)
 
-    def _timeout_ms(self, attempt: Attempt, usual_slowdown: float, has_load_advice: bool) -> float:
+    def _timeout_ms(self, attempt: Attempt, median_slowdown: float, has_load_advice: bool) -> float:
         """Return the time after which an attempt is taken to be lost or stuck."""
         query, index, estimates = attempt.query, attempt.query.class_index, self.estimates
         min_time_ms = MIN_TIMEOUT_WORK_SHARE * estimates.mean_work_ms[index] / query.query_class.threads
         time_ms = max(query.service_time_ms, min_time_ms)
         factor = TIMEOUT_SLOWDOWN * (ADVISED_TIMEOUT_FACTOR if has_load_advice else 1.0)
-        slowdown = max(usual_slowdown, attempt.engine.mean_slowdown, 1.0)
+        slowdown = max(median_slowdown, attempt.engine.mean_slowdown, 1.0)
         return factor * slowdown * time_ms * estimates.baseline_slowdown[index]
 
     def spend_restart_credit(self, query: Query, now_ms: float) -> bool:
--- a/fennelwind/policy/selection.py
+++ b/fennelwind/policy/selection.py
@@ -1,6 +1,6 @@
 """Engine selection: which engine an attempt goes to.
 
-Of a few engines that the constraints permit, the one with the fewest own queries for its size and pace.
+Of a few engines that the constraints permit, the one with the fewest own queries for its size and speed.
 Engines that are about as loaded are tied; zone, cached tables and load settle a tie. Where load advice has
 come (whole loads of engines, over all gateways), it names the engines to consider. No engine is chosen if
 every permitted one is full: the query stays queued. Draws from the gateway's random generator only in
@@ -20,7 +20,7 @@
 SAMPLE_SIZE = 12  # engines looked at for an attempt; a dozen nearly always hold a good one, at any size
 TIE_THREADS_PER_CORE = 0.5  # engines closer than this are tied: zone and cached tables are worth that much
 TIE_LOAD_SHARE = 0.25  # of the capacity; the same where whole loads are reported, a second old and noisy
-MIN_PACE = 0.1  # of the usual; a mean that one bad plan has spoilt must not hide an engine for good
+MIN_RELATIVE_SPEED = 0.1  # of the usual; a mean that one bad plan has spoilt must not hide an engine for good
 MAX_CACHED_TABLE_GROUPS = 4  # groups of tables that an engine is taken to keep in its caches
 GOLDEN_RATIO = 0.6180339887  # multiples of it spread gateways evenly over a ring of engines
 
@@ -51,7 +51,7 @@
             self.ready_engines += ring[start:] + ring[:start]
 
     def choose(
-        self, query: Query, engines: dict[str, Engine], usual_slowdown: float, now_ms: float
+        self, query: Query, engines: dict[str, Engine], median_slowdown: float, now_ms: float
     ) -> Engine | None:
         """Return the engine for the query's next attempt, or None if none has room."""
         is_share_used = self.concurrency.is_share_used(query)
@@ -63,7 +63,7 @@
             for engine in preferred:
                 engine.is_limit_reached = True
             return None
-        loads = self._loads(query, preferred, limit_factor, usual_slowdown, now_ms)
+        loads = self._loads(query, preferred, limit_factor, median_slowdown, now_ms)
         return self._least_loaded(query, loads) if loads else None
 
     def _sample(self, engines: dict[str, Engine]) -> list[Engine]:
@@ -98,10 +98,10 @@
         query: Query,
         preferred: list[Engine],
         limit_factor: float,
-        usual_slowdown: float,
+        median_slowdown: float,
         now_ms: float,
     ) -> dict[Engine, float]:
-        """Return the load that each engine with room would have with the query, for its size and pace."""
+        """Return the load that each engine with room would have with the query, for its size and speed."""
         threads, advice = query.query_class.threads, self.load_advice
         highest_load = max(advice.values(), default=0.0)  # for engines that the advice does not name
         limit, warm_up_fraction = self.concurrency.limit, self.slow_start.warm_up_fraction
@@ -111,11 +111,11 @@
             if running_threads and running_threads + threads > limit(engine) * limit_factor:
                 engine.is_limit_reached = True
                 continue
-            pace = min(1.0, max(MIN_PACE, usual_slowdown / engine.current_slowdown))
-            pace *= warm_up_fraction(engine, now_ms)
-            load = (running_threads + threads) / (engine.cores * pace)
+            relative_speed = min(1.0, max(MIN_RELATIVE_SPEED, median_slowdown / engine.current_slowdown))
+            relative_speed *= warm_up_fraction(engine, now_ms)
+            load = (running_threads + threads) / (engine.cores * relative_speed)
             if advice:
-                load += advice.get(engine.endpoint.engine, highest_load) / pace
+                load += advice.get(engine.endpoint.engine, highest_load) / relative_speed
             loads[engine] = load
         return loads
 
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -53,7 +53,7 @@
 
 
 def past_its_objective(**changes):
-    """Return a drive whose only query was called off after its aim, with what was then done about it."""
+    """Return a drive whose only query ran beyond its objective, and the engine that it ran at."""
     late = dataclasses.replace(LOOKUP, late_weight_share=0.4, client_timeout_ms=6000.0)
     elsewhere = dataclasses.replace(LOOKUP, zones=(9,))
     drive = Drive(engines=2, classes=(dataclasses.replace(late, **changes), elsewhere))
--- a/tests/policy/test_faults.py
+++ b/tests/policy/test_faults.py
@@ -84,7 +84,7 @@
         for n in range(first, first + 6):
             drive.answer(n, took=250.0)
     assert not any(e.is_outlier for e in drive.gateway.engines.values())
-    assert not cancels and drive.gateway.outliers.usual_slowdown > 1.5
+    assert not cancels and drive.gateway.outliers.median_slowdown > 1.5
     for first in range(100, 220, 6):
         for n in range(first, first + 6):
             drive.ask(n)
@@ -92,7 +92,7 @@
         for n in range(first, first + 6):
             drive.answer(n)
     drive.run(500.0)
-    assert drive.gateway.outliers.usual_slowdown < 1.2  # back to normal within 20 answers of each engine
+    assert drive.gateway.outliers.median_slowdown < 1.2  # back to normal within 20 answers of each engine
 
 
 @pytest.mark.parametrize("gateways", [1, 20])
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -74,5 +74,5 @@
     slow.mean_slowdown = 4.0
     drive.gateway._review_fleet()
     drive.gateway._review_fleet()
-    assert (drive.gateway.outliers.usual_slowdown, slow.is_outlier, fine.is_outlier) == (1.0, True, False)
+    assert (drive.gateway.outliers.median_slowdown, slow.is_outlier, fine.is_outlier) == (1.0, True, False)
     assert sends(drive.ask(1)) == [(1, "e1")]
