--- a/fennelwind/dispatch/__init__.py
+++ b/fennelwind/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""The life of a query: the ledger that owns its final answer, the driver between module and engines."""
+"""Dispatch of queries: from submission to final answer, between frontends, the policy and the engines."""
--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -33,7 +33,7 @@
 ENGINE_CLEANUP_MS = 10_000.0
 
 
-class AttemptOwner(Protocol):
+class Dispatcher(Protocol):
     """What the runner needs of the driver."""
 
     def post(self, event: policy.Event) -> None:
@@ -57,7 +57,7 @@
         """Pass progress on to the policy."""
         if kind == ProgressKind.SHARE_DONE:
             self.entry.share_done = value
-        self.runner.owner.post(policy.AttemptProgress(self.query, self.number, kind, value))
+        self.runner.dispatcher.post(policy.AttemptProgress(self.query, self.number, kind, value))
 
     def reason_not_to_start(self) -> str:
         """Return why the attempt may not start now, "" if it may, and then does."""
@@ -74,12 +74,12 @@
         engines: Engines,
         observer: Observer,
         ledger: Ledger,
-        owner: AttemptOwner,
+        dispatcher: Dispatcher,
         advisor: LoadAdvisor | None,
         router: Router | None,
     ) -> None:
         self.loop, self.settings, self.engines, self.observer = loop, settings, engines, observer
-        self.ledger, self.owner, self.advisor, self.router = ledger, owner, advisor, router
+        self.ledger, self.dispatcher, self.advisor, self.router = ledger, dispatcher, advisor, router
         self.tasks: dict[tuple[int, int], Task] = {}  # by query and number of the attempt
         self.ends: Counter[str] = Counter()
         self.retry_budget = RetryBudget(
@@ -204,7 +204,7 @@
         if updates is None:
             return end
         for update in updates:
-            self.owner.post_list(update)
+            self.dispatcher.post_list(update)
         return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine has no replica, whatever the log says")
 
     def _notify_router(
@@ -230,7 +230,7 @@
         if end.status == AttemptStatus.OK:
             self._deliver(entry, end, now)
         self.observer.attempted(entry, number, engine, end, now - started_ms)
-        self.owner.post(
+        self.dispatcher.post(
             policy.AttemptEnded(
                 query=entry.query,
                 attempt=number,
@@ -247,7 +247,7 @@
     def _deliver(self, entry: Entry, end: AttemptEnd, now: float) -> None:
         if entry.answer is None:
             self.retry_budget.count_served(now, entry.received_ms)
-            self.owner.finalize(entry, Answer(AnswerKind.SERVED, result=end.result))
+            self.dispatcher.finalize(entry, Answer(AnswerKind.SERVED, result=end.result))
         elif end.result is not None:
             # The query was answered in this turn, or its client has disconnected: nobody reads the result.
             end.result.close()
--- a/fennelwind/dispatch/shared_executions.py
+++ b/fennelwind/dispatch/shared_executions.py
@@ -19,7 +19,7 @@
 )
 
 
-class ExecutionOwner(Protocol):
+class Dispatcher(Protocol):
     """What shared executions need of the driver."""
 
     is_closing: bool
@@ -38,8 +38,8 @@
 class SharedExecutions:
     """The entries that wait for a query of another entry."""
 
-    def __init__(self, loop: Loop, settings: policy.Settings, ledger: Ledger, owner: ExecutionOwner) -> None:
-        self.loop, self.settings, self.ledger, self.owner = loop, settings, ledger, owner
+    def __init__(self, loop: Loop, settings: policy.Settings, ledger: Ledger, dispatcher: Dispatcher) -> None:
+        self.loop, self.settings, self.ledger, self.dispatcher = loop, settings, ledger, dispatcher
         self.coalescer: RequestCoalescer[Entry] = RequestCoalescer()
         self.waiting_for: dict[Entry, SharedRequest[Entry]] = {}
 
@@ -63,7 +63,9 @@
             self._wait(entry, request)
         else:
             reason = "too many wait for the same request already"
-            self.owner.finalize(entry, Answer(AnswerKind.REJECTED, reason, self.owner.max_retry_after_ms))
+            self.dispatcher.finalize(
+                entry, Answer(AnswerKind.REJECTED, reason, self.dispatcher.max_retry_after_ms)
+            )
         return True
 
     def is_waiting(self, entry: Entry) -> bool:
@@ -92,14 +94,14 @@
             self.ledger.finalize(executing, Answer(AnswerKind.CANCELLED), self.loop.now())
             return False
         self._wait(entry, request)
-        self.owner.send_to_policy(executing)
+        self.dispatcher.send_to_policy(executing)
         return True
 
     def _wait(self, entry: Entry, request: SharedRequest[Entry]) -> None:
         self.waiting_for[entry], entry.executing_entry = request, request.executing
         if entry.deadline_timer is None:
             entry.deadline_timer = self.loop.at(
-                entry.answer_deadline_ms, lambda: self.owner.end_waiting(entry)
+                entry.answer_deadline_ms, lambda: self.dispatcher.end_waiting(entry)
             )
 
     def _on_executed(self, executing: Entry) -> None:
@@ -113,13 +115,13 @@
             if self._should_run_again(executing, answer, entry):
                 continuing.append(entry)
             else:
-                self.owner.finalize(entry, answer)
+                self.dispatcher.finalize(entry, answer)
         if continuing:
             self._execute_again(fingerprint, continuing, answer)
 
     def _should_run_again(self, executing: Entry, answer: Answer, entry: Entry) -> bool:
         query_class = self.settings.classes[executing.submission.class_index]
-        return not self.owner.is_closing and should_run_again(
+        return not self.dispatcher.is_closing and should_run_again(
             is_rejected=answer.kind == AnswerKind.REJECTED,
             is_failed=answer.kind == AnswerKind.FAILED,
             is_idempotent=query_class.idempotency == policy.Idempotency.IDEMPOTENT,
@@ -133,7 +135,7 @@
         first, *others = entries
         if not self._execute(fingerprint, first):
             for entry in entries:
-                self.owner.finalize(entry, answer)
+                self.dispatcher.finalize(entry, answer)
             return
         request = self.waiting_for[first]
         for entry in others:
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -114,16 +114,16 @@
 
     classes: int  # of the settings; the policy has more of them
 
-    def rewrite_list(self, event: Any) -> Any:
+    def rewrite_list(self, update: Any, /) -> Any:
         """Return the list of engines as the policy is to get it."""
 
-    def classify(self, query: int, cls: int, shards: tuple[str, ...]) -> tuple[int, list[Any]]:
+    def classify(self, query: int, class_index: int, shards: tuple[str, ...], /) -> tuple[int, list[Any]]:
         """Return the class index by which the policy gets a query, and the lists that precede it."""
 
-    def update_replicas(self, places: Any) -> list[Any]:
+    def update_replicas(self, locations: Any, /) -> list[Any]:
         """Take newer replica locations; return the lists that the policy is to get."""
 
-    def update_quiesced(self, quiet: Any) -> list[Any]:
+    def update_quiesced(self, quiesced: Any, /) -> list[Any]:
         """Take newer engines that get no query of some tables; return the lists that the policy is to get."""
 
     def may_send(self, query: int, engine: str) -> bool:
@@ -135,8 +135,8 @@
     def attempt_started(self, query: int, number: int, engine: str) -> None:
         """Note that an attempt is about to be sent, in the turn in which `may_send` allowed it."""
 
-    def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
-        """Note the end of an attempt; with `until` (ms), its engine may run it on until then at most."""
+    def attempt_ended(self, query: int, number: int, until_ms: float = 0.0, /) -> None:
+        """Note the end of an attempt; with `until_ms`, its engine may run it on until then at most."""
 
     def query_ended(self, query: int) -> None:
         """Forget a query."""
