--- a/tests/node/test_crossings_list.py
+++ b/tests/node/test_crossings_list.py
@@ -988,7 +988,13 @@
             loop.on_error = lambda task, exc, log=log: log.failed(task.name, exc)
             links = Executors(loop, report_fields=(), idle_ms=15e3, dial_ms=250.0, most=10, parallel=False)
             channel = Channel(
-                loop, CHANNEL, links, zones={"east": 0}, kinds={"std": 0}, post=lambda _: None, said=log.logged
+                loop,
+                CHANNEL,
+                links,
+                zones={"east": 0},
+                kinds={"std": 0},
+                post=lambda _: None,
+                said=log.logged,
             )
             channel.take_known(cursor, tuple(told))
             assert channel.cursor == asked
