--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -14,7 +14,7 @@
 from dataclasses import replace
 from unittest import mock
 
-from fennelwind.cluster.access_load import TELL_MS
+from fennelwind.cluster.access_load import REPORT_INTERVAL_MS
 from fennelwind.raft.state_machine import At
 from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
@@ -56,7 +56,7 @@
         self.machine = ShardMachine()
         self.machine.shards = dict(self.world.shards)
         self.named = [Named() for _ in range(CONTROLLERS)]
-        self.at = [self.random.randrange(int(TELL_MS) // MINUTE_MS) for _ in range(CONTROLLERS)]
+        self.at = [self.random.randrange(int(REPORT_INTERVAL_MS) // MINUTE_MS) for _ in range(CONTROLLERS)]
         for _ in range(8):  # even by the true rates, as far as the tolerances ask for it
             self._take(plan(replace(self.world, counted=self.rates), Bounds()))
         self.moves.clear()
@@ -75,7 +75,7 @@
                 for _ in range(poisson(self.random, rate)):
                     self.random.choice(self.named).count((name,))
             for n, named in enumerate(self.named):
-                if self.minute % (int(TELL_MS) // MINUTE_MS) == self.at[n]:
+                if self.minute % (int(REPORT_INTERVAL_MS) // MINUTE_MS) == self.at[n]:
                     self._tell(named)
             heats = self.machine.heats()
             if heats:
--- a/fennelwind/cli/council.py
+++ b/fennelwind/cli/council.py
@@ -23,9 +23,9 @@
 
     What only the lost members had agreed on is lost. Read docs/operators/council.md first.
     """
-    from fennelwind.cluster.disaster_recovery import found_alone, look
+    from fennelwind.cluster.disaster_recovery import restart_alone, summarize
     from fennelwind.cluster.member_folder import (
-        Folder,  # the council's rooms are loaded where they are needed
+        MemberFolder,  # the council's rooms are loaded where they are needed
     )
     from fennelwind.loop.realdisk import RealDisk
     from fennelwind.raft_storage.store import META, Limits
@@ -45,16 +45,16 @@
             click.echo(f"{place.folder}: no such folder, or none of a member", err=True)
             return 2
         disk = RealDisk(loop, str(place.folder))
-        folder = Folder(lambda: disk, place.fleet, place.me, loop.token, Limits())
+        folder = MemberFolder(lambda: disk, place.fleet, place.me, loop.token, Limits())
         try:
             durable = folder.open()
-            left = look(durable)
+            left = summarize(durable)
             click.echo(
                 f"{left.name}: last entry {left.last} of term {left.last_term}, members "
                 f"{', '.join(left.members) or 'none'}; {left.majority} of them go on without this"
             )
             if yes:
-                now = found_alone(folder, durable, str(place.members[place.me]))
+                now = restart_alone(folder, durable, str(place.members[place.me]))
                 click.echo(f"{now.name} is the only member now, from entry {now.last} on")
             else:
                 click.echo("nothing is changed; --yes makes it the only member")
--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -1,7 +1,7 @@
-"""Tells the record what this controller's queries named, in rare batches.
+"""Reports how often this controller's queries name each shard to the replicated state, in rare batches.
 
-A batch every ten minutes, if there is anything to tell, the first after a part of that by chance: two
-hundred controllers make twenty commands a minute, each of some 70 kB at the most, and no watch is woken.
+A batch every ten minutes, if there is anything to report, the first after a random part of that: two hundred
+controllers make twenty commands a minute, each of some 70 kB at the most, and no watch is woken.
 """
 
 from collections import Counter
@@ -14,39 +14,44 @@
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import Named
 
-TELL_MS = 600_000.0  # ms from one batch to the next, a third of the half-life
-ASK_MS = 20_000.0  # ms for one command: nobody waits for it
+REPORT_INTERVAL_MS = 600_000.0  # ms from one batch to the next, a third of the half-life
+PROPOSE_TIMEOUT_MS = 20_000.0  # ms for one command: nobody waits for it
 
 
-class Heat:
-    """One controller's part."""
+class AccessLoadReporter:
+    """One controller's reports."""
 
-    def __init__(self, loop: Loop, asker: RaftClient, named: Named, seed: int) -> None:
-        self.loop, self.asker, self.named, self.random = loop, asker, named, Random(seed)
+    def __init__(self, loop: Loop, client: RaftClient, named: Named, seed: int) -> None:
+        """Make it; `named` counts the shards that queries name."""
         self.counts: Counter[str] = Counter()
+        self._loop = loop
+        self._client = client
+        self._named = named
+        self._random = Random(seed)
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Tell from now on."""
-        self._task = self.loop.spawn(self._tell, name="heat: tell")
+        """Report from now on."""
+        self._task = self._loop.spawn(self._report_forever, name="heat: tell")
 
     def close(self) -> None:
-        """Tell no more."""
+        """Report no more."""
         if self._task is not None:
             self._task.cancel()
 
-    def _tell(self) -> None:
-        self.loop.sleep(TELL_MS * self.random.random())
+    def _report_forever(self) -> None:
+        self._loop.sleep(REPORT_INTERVAL_MS * self._random.random())
         while True:
-            batch = self.named.batch(self.loop.now())
+            batch = self._named.batch(self._loop.now())
             if batch:
                 queries = [pb.Counted.Queries(shard=shard, count=count) for shard, count in batch]
                 command = pb.Command(counted=pb.Counted(queries=queries))
+                body = command.SerializeToString(deterministic=True)
                 try:
-                    self.asker.propose(SHARDS, command.SerializeToString(deterministic=True), ASK_MS)
-                except ClusterError as exc:  # told with the next one; a lost answer doubles it
+                    self._client.propose(SHARDS, body, PROPOSE_TIMEOUT_MS)
+                except ClusterError as exc:  # reported with the next one; a lost answer doubles it
                     self.counts[exc.code] += 1
                 else:
                     self.counts["told"] += 1
-                    self.named.told(batch)
-            self.loop.sleep(TELL_MS)
+                    self._named.told(batch)
+            self._loop.sleep(REPORT_INTERVAL_MS)
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from fennelwind.cluster import keeper_pb2 as pb
-from fennelwind.cluster.framing import FRAME_MOST
+from fennelwind.cluster.framing import MAX_FRAME_BYTES
 from fennelwind.cluster.wakeup import Wakeup
 from fennelwind.loop import Loop
 from fennelwind.raft import council_pb2
@@ -18,13 +18,13 @@
 from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
 
-AT_ONCE = 8  # entries that are applied in the turn that agreed on them: a command's answer waits for it
-SLICE = 64  # entries applied in one turn of the loop; some 2 ms
-WATCHERS_MOST = 4096  # watches that wait here: two hundred controllers with twenty tables each
+MAX_IMMEDIATE_ENTRIES = 8  # entries applied in the turn that committed them: a command's answer waits for it
+ENTRIES_PER_SLICE = 64  # entries applied in one turn of the loop; some 2 ms
+MAX_WATCHERS = 4096  # watches that wait here: two hundred controllers with twenty tables each
 SWEEP_MS = 1000.0  # ms between two searches for watches of askers that have gone; one costs some ms
-VIEW_MOST = FRAME_MOST - 4096  # bytes of a state that is told in one frame
-WATCH_MOST = 4096  # bytes of what one watch compares with; a longer one is answered at once
-WAIT_MOST_MS = 60_000  # ms that one watch waits; longer ones ask again
+MAX_VIEW_BYTES = MAX_FRAME_BYTES - 4096  # bytes of a state that is told in one frame
+MAX_WATCH_QUERY_BYTES = 4096  # bytes of what one watch compares with; a longer one is answered at once
+MAX_WAIT_MS = 60_000  # ms that one watch waits; longer ones ask again
 
 Result = council_pb2.Result
 
@@ -62,7 +62,7 @@
 
     def take(self, action: Apply | Restore | TakeSnapshot) -> None:
         """Take what is to be done, in order; few entries are applied at once, if nothing is ahead of them."""
-        small = isinstance(action, Apply) and len(action.entries) <= AT_ONCE
+        small = isinstance(action, Apply) and len(action.entries) <= MAX_IMMEDIATE_ENTRIES
         if small and not self._work and not self._busy:
             self._do(action)
             return
@@ -87,7 +87,7 @@
     def watch(self, view: pb.View, call: Callable[[], None], gone: Callable[[], bool]) -> bool:
         """Make the call once what is watched has changed, or after its time; False: too many wait."""
         machine = self.record.machines.get(view.machine)
-        if machine is None or view.ByteSize() > WATCH_MOST:
+        if machine is None or view.ByteSize() > MAX_WATCH_QUERY_BYTES:
             call()
             return True
 
@@ -99,7 +99,7 @@
         if holds():
             call()
             return True
-        if self.watchers >= WATCHERS_MOST and not self._drop_gone():
+        if self.watchers >= MAX_WATCHERS and not self._drop_gone():
             return False
         watch = _Watch(holds, call, gone)
 
@@ -108,7 +108,7 @@
             self.watchers -= 1
             call()
 
-        watch.timer = self.loop.after(min(view.wait_ms, WAIT_MOST_MS), late)
+        watch.timer = self.loop.after(min(view.wait_ms, MAX_WAIT_MS), late)
         self._watches[view.machine].append(watch)
         self.watchers += 1
         return True
@@ -146,10 +146,10 @@
             record.restore(action.data)
             self._changed(list(record.machines))
         else:
-            for start in range(0, len(action.entries), SLICE):
+            for start in range(0, len(action.entries), ENTRIES_PER_SLICE):
                 if start:
                     self.loop.sleep(0.0)
-                self._apply(action.entries[start : start + SLICE])
+                self._apply(action.entries[start : start + ENTRIES_PER_SLICE])
         self._settle()
         due = record.due()
         if due != self._due:  # all that the core wants to know of what was applied
@@ -220,7 +220,7 @@
             result.refusal = Result.NO_MACHINE
         else:
             result.body = self.ask(machine, view.query)
-            if len(result.body) > VIEW_MOST:
+            if len(result.body) > MAX_VIEW_BYTES:
                 result.ClearField("body")
                 result.refusal = Result.TOO_LARGE
         told.result = result.SerializeToString()
--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -1,22 +1,22 @@
-"""The way back when a majority of the members is lost for good: one that is left founds the record anew.
+"""The way back when a majority of the members is lost for good: one that is left restarts the log alone.
 
-What it has and the others had not agreed on is agreed from then on; what the others had agreed on and it has
-not is lost. Fences are indexes of the record, and none may come twice: so it begins far behind all that the
-lost ones can have given out.
+What it has and the others had not committed is committed from then on; what the others had committed and it
+has not is lost. Fencing tokens are indexes of the log, and none may come twice: so the log goes on far behind
+all that the lost members can have given out. `cli.council` calls this while the member is down.
 """
 
 from dataclasses import dataclass
 
-from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import DurableState, Write
 
-JUMP = 100_000  # entries left out; a member that is further behind takes a snapshot and is no fit heir
+SKIPPED_ENTRIES = 100_000  # a member that is further behind takes a snapshot and is no fit survivor
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class FolderSummary:
     """What a member's folder holds; of several the one with the highest (last_term, last) lost least."""
 
     name: str
@@ -27,38 +27,38 @@
 
     @property
     def majority(self) -> int:
-        """How many of its members could go on without any rescue."""
+        """How many of its members could go on without any recovery."""
         return len(self.members) // 2 + 1
 
 
-def look(durable: DurableState) -> Left:
-    """Return what there is."""
+def summarize(durable: DurableState) -> FolderSummary:
+    """Return what a folder holds."""
     log = Log(durable.head, durable.entries)
-    return Left(
+    return FolderSummary(
         durable.me.name,
         log.last_term,
         log.last,
-        _clock(durable),
+        _clock_ms(durable),
         tuple(member.name for member in log.config.members.members),
     )
 
 
-def found_alone(folder: Folder, durable: DurableState, address: str) -> Left:
+def restart_alone(folder: MemberFolder, durable: DurableState, address: str) -> FolderSummary:
     """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
-    left, me = look(durable), durable.me
-    term = max(durable.hard.term, left.last_term) + 1
+    before, me = summarize(durable), durable.me
+    term = max(durable.hard.term, before.last_term) + 1
     alone = pb.Members(members=[pb.Member(name=me.name, life=me.life, address=address, votes=True)])
-    entries = [pb.Entry(term=term, index=left.last + 1, clock_ms=left.clock_ms, members=alone)]
+    entries = [pb.Entry(term=term, index=before.last + 1, clock_ms=before.clock_ms, members=alone)]
     entries += [
-        pb.Entry(term=term, index=left.last + 1 + n, clock_ms=left.clock_ms, nothing=True)
-        for n in range(1, JUMP)
+        pb.Entry(term=term, index=before.last + 1 + offset, clock_ms=before.clock_ms, nothing=True)
+        for offset in range(1, SKIPPED_ENTRIES)
     ]
     hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.life)
     folder.write([Write(1, hard=hard, entries=tuple(entries))])
-    return Left(me.name, term, entries[-1].index, left.clock_ms, (me.name,))
+    return FolderSummary(me.name, term, entries[-1].index, before.clock_ms, (me.name,))
 
 
-def _clock(durable: DurableState) -> int:
+def _clock_ms(durable: DurableState) -> int:
     if durable.entries:
         return durable.entries[-1].clock_ms
     return durable.head.clock_ms if durable.head is not None else 0
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -119,7 +119,7 @@
             self.link.drop()
 
 
-class Statements:
+class EngineStatements:
     """Makes statements for engines, by the settings of the links to them."""
 
     def __init__(self, loop: Loop, links: settings.EngineLinks, tls: object = None) -> None:
--- a/fennelwind/cluster/replica_locations.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -1,9 +1,10 @@
-"""One controller's view of where copies of shards are: read from the record again whenever it has changed.
+"""One controller's view of where replicas of shards are, read again whenever it has changed.
 
-Without the council the last view stands, and queries go on by it: the record takes no step of a move then
-either. A controller that alone can't reach the council goes on as well; what it sends to a copy that went
-meanwhile is refused there, and another attempt follows. A controller that starts takes clients once it has
-a view, or has waited `FIRST_MS` for one: without any, queries go to engines that may not have what they read.
+Without the Raft group the last view stands, and queries go on by it: no migration takes a step then either. A
+controller that alone can't reach the group goes on as well; a query that it sends to a replica that was
+dropped meanwhile is rejected there, and another attempt follows. A controller that starts takes clients once
+it has a view, or has waited `FIRST_VIEW_TIMEOUT_MS` for one: without any, queries go to engines that may not
+have what they read.
 """
 
 from collections import Counter
@@ -17,61 +18,64 @@
 from fennelwind.shards import shards_pb2 as pb
 
 WATCH_MS = 20_000.0  # ms of one watch
-READ_MS = 4000.0  # ms for one piece of the state
-PACE_MS = 500.0  # ms between two readings, however much changes; a view may be 5 s old
-AGAIN_MS = 1000.0  # ms until a watch that failed is tried again
-FIRST_MS = 4000.0  # ms that a controller which starts waits for its first view: an election and a few dials
+READ_TIMEOUT_MS = 4000.0  # ms for one page of the state
+MIN_READ_INTERVAL_MS = 500.0  # ms between two readings, however much changes; a view may be 5 s old
+WATCH_RETRY_MS = 1000.0  # ms until a watch that failed is started again
+FIRST_VIEW_TIMEOUT_MS = 4000.0  # ms that a starting controller waits: an election and a few connects
 
-Places = dict[str, tuple[str, ...]]
+Places = dict[str, tuple[str, ...]]  # by shard: the engines with good replicas
 
+# Takes a revision, where good replicas are, which replicas drain, and whether these are all that drain.
+ViewCallback = Callable[[int, Places, list[tuple[str, str]], bool], None]
 
-# Takes a revision, where good copies are, which copies wait for their drop, and whether these are all.
-Told = Callable[[int, Places, list[tuple[str, str]], bool], None]
 
+def read_locations(client: RaftClient, known: Places, after: int) -> tuple[Places, pb.Places]:
+    """Return where good replicas are now, from those known of an earlier revision, and the first page.
 
-def read_places(asker: RaftClient, known: Places, after: int) -> tuple[Places, pb.Places]:
-    """Return where good copies are now, from what was known of an earlier revision, and the first page.
-
-    That one tells the revision of it all, and the copies that wait for their drop.
+    That page has the revision of the whole, and the replicas that drain.
 
     Raises `ClusterError`.
     """
-    heard: Places = {}
+    received: Places = {}
     name, first = "", pb.Places()
     while True:
-        query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name))
-        told = pb.Places.FromString(asker.read(SHARDS, query.SerializeToString(), within_ms=READ_MS).state)
-        if not name:  # what changes between two pages is told behind the first one's revision
-            first = told
-        elif told.whole and not first.whole:
-            heard, name, after = {}, "", 0  # another member, which knows no changes of so early
+        query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name)).SerializeToString()
+        page = pb.Places.FromString(client.read(SHARDS, query, within_ms=READ_TIMEOUT_MS).state)
+        if not name:  # what changes between two pages comes with a revision behind the first one's
+            first = page
+        elif page.whole and not first.whole:
+            received, name, after = {}, "", 0  # another member, which knows no changes of so early
             continue
-        heard.update((place.shard, tuple(told.engines[n] for n in place.engines)) for place in told.places)
-        if not told.more:
-            return heard if first.whole else {**known, **heard}, first
-        name = told.places[-1].shard
+        received.update(
+            (place.shard, tuple(page.engines[number] for number in place.engines)) for place in page.places
+        )
+        if not page.more:
+            return received if first.whole else {**known, **received}, first
+        name = page.places[-1].shard
 
 
-class Copies:
-    """Watches the record for one controller."""
+class ReplicaLocations:
+    """Watches the replica locations for one controller."""
 
-    def __init__(self, loop: Loop, asker: RaftClient, told: Told) -> None:
-        """Make it. `told` gets each view."""
-        self.loop, self.asker, self.told = loop, asker, told
+    def __init__(self, loop: Loop, client: RaftClient, on_view: ViewCallback) -> None:
+        """Make it; `on_view` gets each view."""
         self.counts: Counter[str] = Counter()
-        self.places: Places = {}  # as they were told last
-        self.first = Once(loop)  # the first view was told
+        self.places: Places = {}  # of the last view
+        self._loop = loop
+        self._client = client
+        self._on_view = on_view
+        self._first_view = Once(loop)
         self._task: Task | None = None
 
     def start(self) -> None:
         """Watch from now on."""
-        self._task = self.loop.spawn(self._watch, name="copies: watch")
+        self._task = self._loop.spawn(self._watch, name="copies: watch")
 
     def wait(self) -> bool:
-        """Wait for the first view, for so long at most; tell whether it is there."""
-        with suppress(DeadlineExceeded), self.loop.deadline(FIRST_MS):
-            self.first.wait()
-        return self.first.ready
+        """Wait for the first view, for `FIRST_VIEW_TIMEOUT_MS` at most; tell whether it is there."""
+        with suppress(DeadlineExceeded), self._loop.deadline(FIRST_VIEW_TIMEOUT_MS):
+            self._first_view.wait()
+        return self._first_view.ready
 
     def close(self) -> None:
         """Watch no more."""
@@ -79,17 +83,19 @@
             self._task.cancel()
 
     def _watch(self) -> None:
-        after, beyond = 0, pb.ShardQuery(skip=2**62).SerializeToString()  # the revision alone
-        seen = 0  # the revision that they are of
+        after = 0
+        revision_only = pb.ShardQuery(skip=2**62).SerializeToString()
+        revision = 0  # that the last view is of
         while True:
             try:
-                after = self.asker.watch(SHARDS, after, wait_ms=WATCH_MS, query=beyond).revision
-                self.places, first = read_places(self.asker, self.places, seen)
+                after = self._client.watch(SHARDS, after, wait_ms=WATCH_MS, query=revision_only).revision
+                self.places, first = read_locations(self._client, self.places, revision)
             except ClusterError as exc:
                 self.counts[exc.code] += 1
-                self.loop.sleep(AGAIN_MS)
+                self._loop.sleep(WATCH_RETRY_MS)
                 continue
-            seen = first.revision
-            self.told(seen, self.places, [(copy.shard, copy.engine) for copy in first.leaving], not first.cut)
-            self.first.set()
-            self.loop.sleep(PACE_MS)
+            revision = first.revision
+            draining = [(replica.shard, replica.engine) for replica in first.leaving]
+            self._on_view(revision, self.places, draining, not first.cut)
+            self._first_view.set()
+            self._loop.sleep(MIN_READ_INTERVAL_MS)
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -103,18 +103,18 @@
     text: str = ""
 
 
-class Gate:
+class SchemaGate:
     """One controller's part in it."""
 
     def __init__(
         self,
         loop: Loop,
-        asker: RaftClient,
+        client: RaftClient,
         engines: Callable[[], Iterable[str]],
         seed: str,
         said: Callable[[str, dict], None],
     ) -> None:
-        self.loop, self.asker, self.engines, self.said = loop, asker, engines, said
+        self.loop, self.client, self.engines, self.said = loop, client, engines, said
         self.random = Random(seed)
         self.subscribers: dict[Subscription, Subscriber] = {}
         self.publishing = 0
@@ -302,7 +302,7 @@
             wait = min(WATCH_MS, max(0.0, until - self.loop.now()))
             try:
                 with self.loop.deadline_at(until):
-                    seen = self.asker.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen).state
+                    seen = self.client.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen).state
             except TimeoutError:
                 return 0
             except ClusterError:
@@ -314,7 +314,7 @@
         return 0
 
     def _ask(self, command: pb.ContractCommand, within_ms: float = ASK_MS) -> pb.ContractAnswer:
-        raw = self.asker.propose(CONTRACTS, command.SerializeToString(deterministic=True), within_ms)
+        raw = self.client.propose(CONTRACTS, command.SerializeToString(deterministic=True), within_ms)
         self.lost = False
         return pb.ContractAnswer.FromString(raw)
 
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -15,7 +15,7 @@
 from math import inf
 
 from fennelwind.cluster import gate_pb2
-from fennelwind.cluster.engine_statements import FENCED, LOST, OK, Statement, Statements
+from fennelwind.cluster.engine_statements import FENCED, LOST, OK, EngineStatements, Statement
 from fennelwind.cluster.errors import ClusterError
 from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
 from fennelwind.cluster.quiescence import QuiescenceClient
@@ -76,19 +76,19 @@
     return tuple(found)
 
 
-class Changes:
+class SchemaRollouts:
     """This controller's part in carrying changes out."""
 
     def __init__(
         self,
         loop: Loop,
-        asker: RaftClient,
+        client: RaftClient,
         tasks: LeasedTasks,
-        statements: Statements,
+        statements: EngineStatements,
         engines: Callable[[], Iterable[str]],
         said: Callable[[str, dict], None],
     ) -> None:
-        self.loop, self.asker, self.tasks, self.statements = loop, asker, tasks, statements
+        self.loop, self.client, self.tasks, self.statements = loop, client, tasks, statements
         self.on_quiesced_tables: Quieted | None = None  # who keeps queries away here
         self.quiescence: QuiescenceClient | None = None  # None: no barrier requests
         self.engines, self.said = engines, said
@@ -112,7 +112,7 @@
         seen, wait = None, WATCH_MS
         while True:
             try:
-                view = self.asker.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen)
+                view = self.client.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen)
             except ClusterError as exc:
                 self.counts[exc.code] += 1
                 self.loop.sleep(AGAIN_MS)
@@ -159,7 +159,7 @@
             )
         query = gate_pb2.ChangeQuery(number=number, whole=True).SerializeToString()
         try:
-            seen = self.asker.read(CONTRACTS, query, within_ms=ASK_MS)
+            seen = self.client.read(CONTRACTS, query, within_ms=ASK_MS)
         except ClusterError as exc:  # called again while the lease is held
             raise LeaseNotHeldError(f"{held.name}: {exc}", task=held.name) from None
         told = gate_pb2.ChangeTold.FromString(seen.state)
@@ -180,7 +180,7 @@
     """One change, under one fence."""
 
     def __init__(
-        self, changes: Changes, held: HeldLease, change: Underway, old: Schema | None, seen: int
+        self, changes: SchemaRollouts, held: HeldLease, change: Underway, old: Schema | None, seen: int
     ) -> None:
         # By engine: an entry at which it was quiet, and has been since. What was so at `seen` is, as only
         # the holder of the lease can let queries go there again.
@@ -238,7 +238,7 @@
     def _tell(self, action: rollout.Tell) -> None:
         try:
             command = action.command.SerializeToString(deterministic=True)
-            result = self.changes.asker.propose_with_index(CONTRACTS, command, ASK_MS)
+            result = self.changes.client.propose_with_index(CONTRACTS, command, ASK_MS)
         except ClusterError as exc:
             self.changes.counts[exc.code] += 1
             self.hands.post(rollout.Recorded(action.token, None))
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -11,7 +11,7 @@
 from functools import partial
 
 from fennelwind.cluster import gate_pb2
-from fennelwind.cluster.engine_statements import FAILED, LOST, OK, Statement, Statements
+from fennelwind.cluster.engine_statements import FAILED, LOST, OK, EngineStatements, Statement
 from fennelwind.cluster.errors import ClusterError
 from fennelwind.cluster.leased_tasks import HeldLease, LeasedTasks
 from fennelwind.cluster.quiescence import QuiescenceClient
@@ -101,15 +101,15 @@
             return (LOST if self.link is not None else FAILED), []
 
 
-class Moves:
+class ShardMigrations:
     """This controller's part in the moves of shards."""
 
     def __init__(
         self,
         loop: Loop,
-        asker: RaftClient,
+        client: RaftClient,
         tasks: LeasedTasks,
-        statements: Statements,
+        statements: EngineStatements,
         homes: Callable[[], Iterable[Home]],
         staging: str,
         said: Callable[[str, dict], None],
@@ -124,7 +124,7 @@
         With the record at hand, as a member has it, its state is read in place; else all of it is asked for
         after each command, which is for small ones: 20,000 shards take some 300 ms to be read.
         """
-        self.loop, self.asker, self.tasks, self.statements = loop, asker, tasks, statements
+        self.loop, self.client, self.tasks, self.statements = loop, client, tasks, statements
         self.homes, self.staging, self.said = homes, staging, said
         self.bounds, self.timing, self.planner, self.record = bounds, timing, planner, record
         self.shards = tuple(shards)
@@ -150,8 +150,8 @@
 class _Carrying:
     """One time that the lease is held."""
 
-    def __init__(self, moves: Moves, held: HeldLease) -> None:
-        self.moves, self.loop, self.held, self.asker = moves, moves.loop, held, moves.asker
+    def __init__(self, moves: ShardMigrations, held: HeldLease) -> None:
+        self.moves, self.loop, self.held, self.client = moves, moves.loop, held, moves.client
         self.carrier = api.Carrier(held.fencing_token, 0, moves.staging, moves.bounds, moves.timing)
         self.machine: ShardMachine | None = None
         self.index = 0  # up to which the record is seen
@@ -212,7 +212,7 @@
         for start in range(0, len(new), PLAN_MOST):
             command = pb.Command(declare=pb.Declare(shards=new[start : start + PLAN_MOST]))
             try:
-                raw = self.asker.propose(SHARDS, command.SerializeToString(deterministic=True), ASK_MS)
+                raw = self.client.propose(SHARDS, command.SerializeToString(deterministic=True), ASK_MS)
             except ClusterError as exc:  # whoever holds the lease next tells it
                 self.moves.counts[exc.code] += 1
                 return
@@ -227,7 +227,7 @@
         record, index = self.moves.record, 0
         while not index:
             try:
-                index = self.asker.read(SHARDS, BEYOND, within_ms=ASK_MS).index
+                index = self.client.read(SHARDS, BEYOND, within_ms=ASK_MS).index
             except ClusterError as exc:  # the lease ends meanwhile, if it lasts
                 self.moves.counts[exc.code] += 1
                 self.loop.sleep(NEWS_MS)
@@ -251,7 +251,7 @@
         while True:
             try:
                 query = pb.ShardQuery(skip=len(data)).SerializeToString()
-                seen = self.asker.read(SHARDS, query, within_ms=ASK_MS)
+                seen = self.client.read(SHARDS, query, within_ms=ASK_MS)
                 told = pb.ShardSeen.FromString(seen.state)
                 if revision is not None and told.revision != revision:
                     data, revision = b"", None  # it changed between two pieces
@@ -275,7 +275,7 @@
         """Return the tables under change, by their names here; what can't be heard is left to the record."""
         try:
             told = gate_pb2.ChangeTold.FromString(
-                self.asker.read(
+                self.client.read(
                     CONTRACTS, gate_pb2.ChangeQuery(open=True).SerializeToString(), within_ms=ASK_MS
                 ).state
             )
@@ -289,7 +289,7 @@
         after = 0
         while True:
             try:
-                after = self.asker.watch(SHARDS, after, wait_ms=WATCH_MS, query=BEYOND).revision
+                after = self.client.watch(SHARDS, after, wait_ms=WATCH_MS, query=BEYOND).revision
             except ClusterError as exc:
                 self.moves.counts[exc.code] += 1
                 self.loop.sleep(NEWS_MS)
@@ -298,7 +298,7 @@
 
     def _propose(self, action: api.Propose) -> None:
         try:
-            raw = self.asker.propose(SHARDS, action.command, ASK_MS)
+            raw = self.client.propose(SHARDS, action.command, ASK_MS)
         except ClusterError as exc:
             self.moves.counts[exc.code] += 1
             self.hands.post(api.Proposed(action.token, None))
--- a/fennelwind/testbed/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -101,7 +101,7 @@
     # Clients.
 
     def _client(self, number: int) -> None:
-        asker, random = self.keeper.asker, self.random
+        asker, random = self.keeper.client, self.random
         who = f"{self.name}/{self.spec['life']}/{number}"
         for ask in count():
             key, what = random.choice(KEYS), random.choice(("get", "put", "swap"))
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -17,7 +17,7 @@
 from fennelwind.cli.main import main
 from fennelwind.cluster import raft_client
 from fennelwind.cluster.errors import ClusterUnavailableError
-from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.loop import RealLoop, SimLoop
 from fennelwind.loop.realdisk import RealDisk
@@ -225,7 +225,9 @@
     loop = RealLoop()
 
     def fill():
-        folder = Folder(lambda: RealDisk(loop, str(tmp_path / "record")), "north", "m0", loop.token, Limits())
+        folder = MemberFolder(
+            lambda: RealDisk(loop, str(tmp_path / "record")), "north", "m0", loop.token, Limits()
+        )
         members = cpb.Members(members=[cpb.Member(name=f"m{n}", life=b"x", votes=True) for n in range(3)])
         folder.open()
         folder.write(
@@ -272,7 +274,7 @@
         for number in range(ASKS):
             loop.sleep(DAY_MS / ASKS * (number + 1) - loop.now())
             if keeper is not None and not number % 20:
-                refused.append(loop.spawn(keeper.asker.propose, "leases", b"", 3000.0))
+                refused.append(loop.spawn(keeper.client.propose, "leases", b"", 3000.0))
             ends.append((outcome(lambda: one(fleet)), loop.now()))
         for task in refused:
             with pytest.raises(ClusterUnavailableError) as exc:
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -8,9 +8,9 @@
 from sums import Sum
 
 from fennelwind.cluster import disaster_recovery
-from fennelwind.cluster.disaster_recovery import found_alone, look
+from fennelwind.cluster.disaster_recovery import restart_alone, summarize
 from fennelwind.cluster.errors import ClusterError, CommandRejectedError
-from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.observability.metrics import Collector
 from fennelwind.raft_storage.store import Limits
@@ -46,15 +46,15 @@
 def test_commands_go_on_while_a_majority_is_there_and_come_back_with_it(members):
     def main(council):
         follower = council.start("f0", "10.0.1.1")
-        read = council.on("f0", lambda: follower.asker.read("leases", within_ms=30_000))
+        read = council.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
         assert read.index > 0
         for name in council.names[: members // 2 + 1]:
             council.kill(name)
         with pytest.raises(ClusterError):
-            council.on("f0", lambda: follower.asker.read("leases", within_ms=5000))
+            council.on("f0", lambda: follower.client.read("leases", within_ms=5000))
         for name in council.names[: members // 2 + 1]:
             council.start(name)
-        again = council.on("f0", lambda: follower.asker.read("leases", within_ms=30_000))
+        again = council.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
         assert again.index >= read.index
 
     Council(2, members).play(main)
@@ -69,7 +69,7 @@
 def test_a_fleet_of_two_versions_takes_up_the_new_only_when_all_members_know_it():
     def main(council):
         newer = {"more": (Tally(),), "level": 2}
-        asker = council.start("f0", "10.0.1.1").asker
+        asker = council.start("f0", "10.0.1.1").client
 
         def ask():
             return asker.propose("tally", b"1", 10_000)
@@ -117,7 +117,7 @@
 
 
 def test_three_of_five_lost_for_good_and_the_way_back(monkeypatch):
-    monkeypatch.setattr(disaster_recovery, "JUMP", 2000)  # the whole jump takes 5 s to play
+    monkeypatch.setattr(disaster_recovery, "SKIPPED_ENTRIES", 2000)  # the whole jump takes 5 s to play
     fences = []
 
     def main(council):
@@ -125,7 +125,7 @@
             council.kill(name)
             council.platters[name] = Platter()
             council.start(name, more=(Registers(),))
-        asker = council.start("f0", "10.0.1.1").asker
+        asker = council.start("f0", "10.0.1.1").client
 
         def put(number):
             asker.propose("registers", b'["put", "a", %d]' % number, 20_000)
@@ -143,7 +143,7 @@
         council.platters = {n: p if n in ("m3", "m4") else Platter() for n, p in council.platters.items()}
         left = {}
         for name in ("m3", "m4"):
-            folder = Folder(
+            folder = MemberFolder(
                 lambda name=name: SimDisk(None, council.platters[name]),
                 "f",
                 name,
@@ -151,10 +151,10 @@
                 Limits(reserve=1 << 20, low=2 << 20),
             )
             durable = folder.open()
-            left[look(durable).last_term, look(durable).last, name] = folder, durable
+            left[summarize(durable).last_term, summarize(durable).last, name] = folder, durable
         heir, (folder, durable) = max(left)[2], left[max(left)]
-        before = look(durable)
-        after = found_alone(folder, durable, str(council.addresses[heir]))
+        before = summarize(durable)
+        after = restart_alone(folder, durable, str(council.addresses[heir]))
         for folder, _ in left.values():
             folder.close()
         assert before.members == tuple(council.names) and after.members == (heir,)
@@ -187,7 +187,7 @@
         council.kill(behind)
         for _ in range(150):
             with pytest.raises(CommandRejectedError):  # nobody of that name: it is in the log all the same
-                council.on("f0", lambda: follower.asker.propose("none", bytes(10_000), 5000))
+                council.on("f0", lambda: follower.client.propose("none", bytes(10_000), 5000))
         council.kill(other)  # from here on the one that is behind is needed for each majority
         path = council.ways.path
         council.ways.path = lambda *way: path(*way)._replace(bytes_per_ms=500.0)
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -16,7 +16,7 @@
     NoLeaderError,
     OutcomeUnknownError,
 )
-from fennelwind.cluster.framing import FRAME_MOST, LENGTH, FrameReader, Outbox, encode_frame
+from fennelwind.cluster.framing import LENGTH, MAX_FRAME_BYTES, FrameReader, Outbox, encode_frame
 from fennelwind.cluster.identity import PROTOCOL, ClusterIdentity
 from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.cluster.raft_host import RaftHost
@@ -237,7 +237,7 @@
 
 
 def test_watches_of_askers_that_have_gone_take_nobodys_place(monkeypatch):
-    monkeypatch.setattr("fennelwind.cluster.applied_state.WATCHERS_MOST", 3)
+    monkeypatch.setattr("fennelwind.cluster.applied_state.MAX_WATCHERS", 3)
 
     def main(loop):
         host = member(loop)
@@ -411,9 +411,9 @@
 
 def test_an_outbox_drops_the_oldest_that_may_be_lost_first():
     def main(loop):
-        box = Outbox(loop, most=100)
+        box = Outbox(loop, max_bytes=100)
         assert box.put(b"a" * 40, True) and box.put(b"b" * 40) and box.put(b"c" * 40, True)
-        assert (len(box), box.held, box.dropped) == (2, 80, 1)
+        assert (len(box), box.queued_bytes, box.dropped) == (2, 80, 1)
         assert not box.put(b"d" * 70)
         assert (len(box), box.dropped) == (1, 3)  # what could be lost made room, though not enough
 
@@ -431,7 +431,7 @@
         assert [reader.frame() for _ in frames] == frames and reader.frame() is None
         far = loop.connect(HERE["a"])
         reader = FrameReader(listener.accept())
-        far.write(LENGTH.pack(FRAME_MOST + 1))
+        far.write(LENGTH.pack(MAX_FRAME_BYTES + 1))
         with pytest.raises(InvalidFrameError):
             reader.frame()
 
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -6,9 +6,9 @@
 from council_world import Council
 from move_play import QuickMachine
 
-from fennelwind.cluster.access_load import Heat
-from fennelwind.cluster.engine_statements import Statements
-from fennelwind.cluster.shard_migration import SHARDS, Moves
+from fennelwind.cluster.access_load import AccessLoadReporter
+from fennelwind.cluster.engine_statements import EngineStatements
+from fennelwind.cluster.shard_migration import SHARDS, ShardMigrations
 from fennelwind.config import settings_pb2
 from fennelwind.emulators.engine import Engine
 from fennelwind.emulators.model import Machine
@@ -62,7 +62,7 @@
                     self.begin_moves(name, council.keepers[name].member.state.record)
             council.on(
                 "c0",
-                lambda: council.keepers["c0"].asker.propose(
+                lambda: council.keepers["c0"].client.propose(
                     SHARDS,
                     pb.Command(
                         declare=pb.Declare(
@@ -87,11 +87,11 @@
 
     def begin_moves(self, name, record=None):
         keeper, host = self.council.keepers[name], self.council.hosts[name]
-        moves = Moves(
+        moves = ShardMigrations(
             host,
-            keeper.asker,
+            keeper.client,
             keeper.tasks,
-            Statements(host, LINKS),
+            EngineStatements(host, LINKS),
             self.homes,
             "/staging",
             lambda what, facts: self.council.said.append((what, facts)),
@@ -211,8 +211,8 @@
 
     def call():
         for number, name in enumerate(("c0", "c1")):
-            asker = scene.council.keepers[name].asker
-            told_by = Heat(scene.council.hosts[name], asker, named[number], number)
+            asker = scene.council.keepers[name].client
+            told_by = AccessLoadReporter(scene.council.hosts[name], asker, named[number], number)
             scene.council.hosts[name].start(told_by.start)
             named[number].count(NAMES[:2])
         scene.council.until(lambda: told(NAMES[0]) > 1.9 * UNIT)
@@ -220,5 +220,5 @@
         scene.council.until(lambda: told(NAMES[2]))
         assert told(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
 
-    with mock.patch("fennelwind.cluster.access_load.TELL_MS", 2_000.0):
+    with mock.patch("fennelwind.cluster.access_load.REPORT_INTERVAL_MS", 2_000.0):
         scene.play(call)
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -78,7 +78,7 @@
         parts = []
         for n in range(controllers):
             keeper = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
-            keeper.quiescence = QuiescenceClient(keeper.loop, keeper.asker, f"c{n}", InFlightTracker())
+            keeper.quiescence = QuiescenceClient(keeper.loop, keeper.client, f"c{n}", InFlightTracker())
             parts.append(keeper.quiescence)
         council.until(
             lambda: sum(p.in_flight.registration_number > 0 for p in parts) == controllers, 300_000.0
--- a/tests/support/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -108,11 +108,11 @@
                 self.operations.append(Operation(who, key, began, None, what, argument))
             try:
                 if what == "get":
-                    got = json.loads(keeper.asker.read("registers", key.encode(), within_ms=WITHIN_MS).state)
+                    got = json.loads(keeper.client.read("registers", key.encode(), within_ms=WITHIN_MS).state)
                     self.operations.append(Operation(who, key, began, host.now(), what, None, got))
                 else:
                     body = [what, key, new] if what == "put" else [what, key, old, new]
-                    got = json.loads(keeper.asker.propose("registers", json.dumps(body).encode(), WITHIN_MS))
+                    got = json.loads(keeper.client.propose("registers", json.dumps(body).encode(), WITHIN_MS))
                     self.operations[place] = Operation(
                         who, key, began, host.now(), what, argument, got if what == "swap" else None
                     )
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -28,7 +28,7 @@
 from prometheus_client.parser import text_string_to_metric_families
 
 from fennelwind.cli.main import main as command_line
-from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.cluster.state_machines import CONTRACTS, LEASES, ROLL, SHARDS, machines
 from fennelwind.config import settings_pb2
 from fennelwind.errors import FennelwindError
@@ -216,7 +216,7 @@
         council.start("c0", "10.0.2.0", level=2)
         record = council.keepers[council.leader()].member.state.record
         council.until(lambda: record.level == 2)
-        client = council.keepers["c0"].asker
+        client = council.keepers["c0"].client
         for index, (machine, body) in enumerate(commands(30)):
             try:
                 answer = council.on("c0", client.propose, machine, body, 5_000.0)
@@ -351,7 +351,9 @@
 
 
 def _folder(loop, platter):
-    return Folder(lambda: SimDisk(loop, platter), FLEET, MEMBER, lambda size: INCARNATION[:size], LIMITS)
+    return MemberFolder(
+        lambda: SimDisk(loop, platter), FLEET, MEMBER, lambda size: INCARNATION[:size], LIMITS
+    )
 
 
 def read_folder(files, torn=0):
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -18,7 +18,7 @@
 
 from fennelwind.cluster.applied_state import AppliedState
 from fennelwind.cluster.leased_tasks import LeasedOperation
-from fennelwind.cluster.member_folder import Folder
+from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.cluster.raft_client import RaftClient
 from fennelwind.cluster.raft_host import RaftHost
 from fennelwind.leases.fencing import FencedResource, FencingGuard
@@ -111,7 +111,13 @@
     ),
     Defect(
         "a folder made anew gets the life of the lost one",
-        [Line(Folder.open, "self.token(LIFE)", "self.name.encode().ljust(LIFE)")],
+        [
+            Line(
+                MemberFolder.open,
+                "self._draw_token(INCARNATION_BYTES)",
+                "self._name.encode().ljust(INCARNATION_BYTES)",
+            )
+        ],
         LOSSES,
     ),
     Defect(
