--- a/fennelwind/benchmarks/store.py
+++ b/fennelwind/benchmarks/store.py
@@ -98,7 +98,7 @@
     ours, bares, data = [], [], os.urandom(size)
     for index in range(1, 21):
         head = pb.SnapshotHead(index=index, term=1)
-        ours.append(timed(lambda: store.write(Write(1, head=head, snapshot=data))))  # noqa: B023
+        ours.append(timed(lambda: store.write(Write(1, snapshot_head=head, snapshot=data))))  # noqa: B023
 
         def bare() -> None:
             name = os.path.join(folder, "bare")
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -111,7 +111,7 @@
             c.members,
             c.folder,
             c.listen,
-            Timing(heartbeat_ms=c.heartbeat_ms, election_ms=c.election_ms),
+            Timing(heartbeat_ms=c.heartbeat_ms, election_timeout_ms=c.election_ms),
             c.reserve_bytes,
             c.handover_ms,
         )
--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -33,20 +33,20 @@
 
 def look(durable: DurableState) -> Left:
     """Return what there is."""
-    log = Log(durable.head, durable.entries)
+    log = Log(durable.snapshot_head, durable.entries)
     return Left(
         durable.me.name,
         log.last_term,
-        log.last,
+        log.last_index,
         _clock(durable),
-        tuple(member.name for member in log.config.members.members),
+        tuple(member.name for member in log.configuration.members.members),
     )
 
 
 def found_alone(folder: Folder, durable: DurableState, address: str) -> Left:
     """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
     left, me = look(durable), durable.me
-    term = max(durable.hard.term, left.last_term) + 1
+    term = max(durable.hard_state.term, left.last_term) + 1
     alone = pb.Members(members=[pb.Member(name=me.name, life=me.life, address=address, votes=True)])
     entries = [pb.Entry(term=term, index=left.last + 1, clock_ms=left.clock_ms, members=alone)]
     entries += [
@@ -54,11 +54,11 @@
         for n in range(1, JUMP)
     ]
     hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.life)
-    folder.write([Write(1, hard=hard, entries=tuple(entries))])
+    folder.write([Write(1, hard_state=hard, entries=tuple(entries))])
     return Left(me.name, term, entries[-1].index, left.clock_ms, (me.name,))
 
 
 def _clock(durable: DurableState) -> int:
     if durable.entries:
         return durable.entries[-1].clock_ms
-    return durable.head.clock_ms if durable.head is not None else 0
+    return durable.snapshot_head.clock_ms if durable.snapshot_head is not None else 0
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -28,7 +28,7 @@
 from fennelwind.cluster.identity import PROTOCOL, wrong_hello
 from fennelwind.loop import Address, Loop, Once, Stream, Task
 from fennelwind.raft import council_pb2
-from fennelwind.raft.replicated_state import KEPT_MOST
+from fennelwind.raft.replicated_state import MAX_RETAINED_RESULTS
 
 Result = council_pb2.Result
 DIAL_MS = 500.0  # ms to connect and hear a member's name; a member that runs needs few
@@ -235,7 +235,7 @@
     def _take_number(self, until: float) -> int:
         """Return the next number, when the record has room to keep its answer."""
         client = self._client
-        while self._number - self._heard >= KEPT_MOST and client == self._client:
+        while self._number - self._heard >= MAX_RETAINED_RESULTS and client == self._client:
             if len(self._lined) >= LINED_MOST:
                 raise AskerFull(f"{LINED_MOST} commands wait here already", most=LINED_MOST)
             turn = Once(self.loop)
@@ -256,7 +256,7 @@
         while self._heard + 1 in self._over:
             self._heard += 1
             self._over.discard(self._heard)
-        for _ in range(min(len(self._lined), KEPT_MOST - (self._number - self._heard))):
+        for _ in range(min(len(self._lined), MAX_RETAINED_RESULTS - (self._number - self._heard))):
             self._lined.popleft().set()
 
     # Reads.
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -51,8 +51,8 @@
     WriteCompleted,
     WriteFailed,
 )
-from fennelwind.raft.replicated_state import ITSELF, ReplicatedState
-from fennelwind.raft.snapshot_chunks import head_of
+from fennelwind.raft.replicated_state import LEVEL_COMMAND_TARGET, ReplicatedState
+from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft.state_machine import StateMachine
 
 EVENTS_MOST = 8192  # messages that wait for the core; more are lost, as on any network
@@ -390,7 +390,7 @@
             elif isinstance(action, Apply | Restore | TakeSnapshot):
                 self.state.take(action)
             elif isinstance(action, Timer):
-                self._set_timer(action.at)
+                self._set_timer(action.at_ms)
             elif isinstance(action, RoleChanged):
                 self._become(action)
         self._stop_if_too_new()
@@ -408,11 +408,11 @@
         self._timer = self.loop.at(at, lambda: self.post(TimerFired()))
 
     def _become(self, became: RoleChanged) -> None:
-        self.part, self.term, self.leader = became.part, became.term, became.leader
+        self.part, self.term, self.leader = became.role, became.term, became.leader
         self.said(
             "part",
             {
-                "part": became.part,
+                "part": became.role,
                 "term": became.term,
                 "leader": became.leader,
                 "index": self.state.record.index,
@@ -425,7 +425,7 @@
     def _reach(self) -> None:
         """Keep ways to the members of the settings, and to those of the record that these don't name."""
         addresses: dict[str, Address] = {}
-        for member in self.core.log.config.members.members:
+        for member in self.core.log.configuration.members.members:
             try:
                 addresses[member.name] = parse_address(member.address)
             except ValueError:
@@ -454,7 +454,7 @@
         record = self.state.record
         while record.level < record.known:
             self.loop.sleep(LEVEL_MS)
-            others = [m for m in self.core.log.config.members.members if (m.name, m.life) != self.me]
+            others = [m for m in self.core.log.configuration.members.members if (m.name, m.life) != self.me]
             known = [
                 peer.level
                 if (peer := self.peers.peers.get(m.name)) is not None and peer.up and peer.life == m.life
@@ -463,7 +463,7 @@
             ]
             if self.part == "leader" and min(known, default=0) > record.level:
                 self._propose(
-                    council_pb2.Command(machine=ITSELF, body=b"%d" % (record.level + 1)),
+                    council_pb2.Command(machine=LEVEL_COMMAND_TARGET, body=b"%d" % (record.level + 1)),
                     lambda result: self.said("level", {"record_level": result.body.decode()}),
                 )
 
@@ -505,7 +505,9 @@
         if not record.index or term is None:
             return None, b""
         data = record.snapshot()
-        return head_of(record.index, term, record.clock_ms, log.config_at(record.index).members, data), data
+        return make_snapshot_head(
+            record.index, term, record.clock_ms, log.configuration_at(record.index).members, data
+        ), data
 
     def _look_for_room(self) -> None:
         short = False
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -10,398 +10,459 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import ChangeMembership, Incarnation, ProposalOutcome, Propose
 from fennelwind.raft.progress import PIECES, PROBE, STREAM, Progress
-from fennelwind.raft.read_index import Reads
-from fennelwind.raft.replicated_state import COMMAND_MOST
+from fennelwind.raft.read_index import ReadIndexQueue
+from fennelwind.raft.replicated_state import MAX_COMMAND_BYTES
 
 if TYPE_CHECKING:
     from fennelwind.raft.member import RaftMember
 
-NEAR = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
-VOTERS_MOST = 7  # more only make each commit wait for more disks
-MEMBERS_MOST = 9  # with those who catch up
-LATE_PART = 4.0  # of an election time-out: a round that takes longer came over a slow way
-ROUNDS_MOST = 64  # rounds of which it is known when they began; a way that is later than that is cut
-LEAVE_TIMEOUTS = 10  # election time-outs for which a removed member is told so
+PROMOTION_LAG_ENTRIES = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
+MAX_VOTERS = 7  # more only make each commit wait for more disks
+MAX_MEMBERS = 9  # with those who catch up
+SLOW_ROUND_DIVISOR = 4.0  # of an election time-out: a round that takes longer came over a slow way
+MAX_TRACKED_ROUNDS = 64  # rounds of which it is known when they began; a way that is later than that is cut
+REMOVAL_NOTICE_TIMEOUTS = 10  # election time-outs for which a removed member is told so
 
 
 class Leader:
-    """The leader's part of the core."""
+    """The leader's part of the member."""
 
-    def __init__(self, core: "RaftMember", now: float) -> None:
-        self.core, self.term = core, core.term
-        self.began = now
-        self.clock_base = core.log_clock()
-        self.clock_at = now  # when an entry was last stamped
+    def __init__(self, member: "RaftMember", now: float) -> None:
+        self.member, self.term = member, member.term
+        self.started_ms = now
+        self.clock_base_ms = member.last_entry_clock_ms()
+        self.last_entry_ms = now  # when an entry was last stamped
         self.peers: dict[Incarnation, Progress] = {}
-        self.waiting: deque[tuple[int, int]] = deque()  # index of the entry, token
-        self.reads = Reads(core.timing.reads_most)
+        self.pending_proposals: deque[tuple[int, int]] = deque()  # index of the entry, token
+        self.pending_reads = ReadIndexQueue(member.timing.max_pending_reads)
         self.round = 0
-        self.rounds: deque[tuple[int, float]] = deque(maxlen=ROUNDS_MOST)  # when each began
-        self.next_beat = now
-        self.hand_over_by: float | None = None  # ms: until then nothing is proposed
-        self.asked_over: Incarnation | None = None
+        self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # when each began
+        self.next_heartbeat_ms = now
+        self.transfer_deadline_ms: float | None = None  # ms: until then nothing is proposed
+        self.transfer_target: Incarnation | None = None
         self._append(pb.Entry(nothing=True), now)
         self.sync_peers(now)
 
     # Entries
 
-    def clock(self, now: float) -> int:
+    def clock_ms(self, now: float) -> int:
         """Return the record's clock: the log's, and what this member's has measured since it led."""
-        return max(self.clock_base + int(now - self.began), self.core.log_clock())
+        return max(self.clock_base_ms + int(now - self.started_ms), self.member.last_entry_clock_ms())
 
     def _append(self, entry: pb.Entry, now: float) -> int:
-        core = self.core
-        entry.term, entry.index, entry.clock_ms = self.term, core.log.last + 1, self.clock(now)
-        self.clock_at = now
-        core.add([entry])
+        member = self.member
+        entry.term, entry.index, entry.clock_ms = self.term, member.log.last_index + 1, self.clock_ms(now)
+        self.last_entry_ms = now
+        member.append_entries([entry])
         return entry.index
 
     def propose(self, event: Propose, now: float) -> None:
         """Enter a command, or say why not."""
-        timing, core = self.core.timing, self.core
-        if event.command.ByteSize() > COMMAND_MOST + 1024:  # its machine's name and numbers beside the body
-            core.out.append(ProposalOutcome(event.token, pb.Result.TOO_LARGE))
-        elif self.hand_over_by is not None or not core.founded():
-            core.out.append(
-                ProposalOutcome(event.token, pb.Result.NO_LEADER, again_ms=int(timing.election_ms))
+        timing, member = self.member.timing, self.member
+        if (
+            event.command.ByteSize() > MAX_COMMAND_BYTES + 1024
+        ):  # its machine's name and numbers beside the body
+            member.actions.append(ProposalOutcome(event.token, pb.Result.TOO_LARGE))
+        elif self.transfer_deadline_ms is not None or not member.accepts_commands():
+            member.actions.append(
+                ProposalOutcome(
+                    event.token, pb.Result.NO_LEADER, retry_after_ms=int(timing.election_timeout_ms)
+                )
             )
-        elif len(self.waiting) >= timing.waiting_most or core.log.size >= 2 * timing.log_most:
-            core.out.append(
-                ProposalOutcome(event.token, pb.Result.TOO_MANY, again_ms=int(timing.election_ms))
+        elif (
+            len(self.pending_proposals) >= timing.max_pending_proposals
+            or member.log.size_bytes >= 2 * timing.max_log_bytes
+        ):
+            member.actions.append(
+                ProposalOutcome(
+                    event.token, pb.Result.TOO_MANY, retry_after_ms=int(timing.election_timeout_ms)
+                )
             )
         else:
-            self.waiting.append((self._append(pb.Entry(command=event.command), now), event.token))
+            self.pending_proposals.append((self._append(pb.Entry(command=event.command), now), event.token))
 
-    def may_change(self) -> bool:
+    def can_change_membership(self) -> bool:
         """Whether the members may change: one at a time, and only once an entry of the own term is agreed."""
-        core = self.core
+        member = self.member
         return (
-            core.log.config.index <= core.commit
-            and core.log.term(core.commit) == self.term
-            and self.hand_over_by is None
+            member.log.configuration.index <= member.commit_index
+            and member.log.term(member.commit_index) == self.term
+            and self.transfer_deadline_ms is None
         )
 
-    def change(self, event: ChangeMembership, now: float) -> None:
+    def change_membership(self, event: ChangeMembership, now: float) -> None:
         """Change the members by one, or say why not."""
-        core, config = self.core, self.core.log.config
-        known = dict(zip(config.lives, config.members.members, strict=True))
+        member, configuration = self.member, self.member.log.configuration
+        known = dict(zip(configuration.incarnations, configuration.members.members, strict=True))
         refusal = pb.Result.NONE
-        if not self.may_change():
+        if not self.can_change_membership():
             refusal = pb.Result.TOO_MANY
         elif event.add is not None:
             life = Incarnation(event.add.name, event.add.life)
             if life in known:
-                core.out.append(ProposalOutcome(event.token, index=config.index))
+                member.actions.append(ProposalOutcome(event.token, index=configuration.index))
                 return
-            if not life.life or len(known) >= MEMBERS_MOST or self.lives_still(life.name, now):
+            if not life.life or len(known) >= MAX_MEMBERS or self.is_name_alive(life.name, now):
                 refusal = pb.Result.NOT_MEMBER
-        elif event.remove not in known or config.voters == (event.remove,):
+        elif event.remove not in known or configuration.voters == (event.remove,):
             refusal = pb.Result.NOT_MEMBER
         if refusal:
-            core.out.append(ProposalOutcome(event.token, refusal, again_ms=int(core.timing.election_ms)))
+            member.actions.append(
+                ProposalOutcome(event.token, refusal, retry_after_ms=int(member.timing.election_timeout_ms))
+            )
         elif event.add is not None:
-            self.waiting.append((self.let_in(event.add, now), event.token))
+            self.pending_proposals.append((self.add_learner(event.add, now), event.token))
         else:
             kept = [m for life, m in known.items() if life != event.remove]
-            self.waiting.append((self._members(kept, now), event.token))
+            self.pending_proposals.append((self._append_members(kept, now), event.token))
 
-    def lives_still(self, name: str, now: float) -> bool:
+    def is_name_alive(self, name: str, now: float) -> bool:
         """Whether a member of this name was heard of late: then nobody else comes under it."""
-        return name == self.core.me.name or any(
-            life.name == name and now - peer.heard < self.core.timing.election_ms and peer.round
+        return name == self.member.me.name or any(
+            life.name == name
+            and now - peer.last_response_ms < self.member.timing.election_timeout_ms
+            and peer.acknowledged_round
             for life, peer in self.peers.items()
         )
 
-    def let_in(self, member: pb.Member, now: float) -> int:
+    def add_learner(self, joiner: pb.Member, now: float) -> int:
         """Add a member without a vote, in place of an earlier life of its name; return the entry's index."""
-        kept = [m for m in self.core.log.config.members.members if m.name != member.name]
-        added = pb.Member(name=member.name, life=member.life, address=member.address)
-        return self._members([*kept, added], now)
+        kept = [m for m in self.member.log.configuration.members.members if m.name != joiner.name]
+        added = pb.Member(name=joiner.name, life=joiner.life, address=joiner.address)
+        return self._append_members([*kept, added], now)
 
-    def _members(self, members: list[pb.Member], now: float) -> int:
+    def _append_members(self, members: list[pb.Member], now: float) -> int:
         members = sorted(members, key=lambda m: m.name)
         index = self._append(pb.Entry(members=pb.Members(members=members)), now)
         self.sync_peers(now)
         return index
 
-    def join(self, sender: Incarnation, member: pb.Member, now: float) -> "pb.JoinAnswer.Word":
+    def handle_join(self, sender: Incarnation, joiner: pb.Member, now: float) -> "pb.JoinAnswer.Word":
         """Answer one that asks to be let in."""
-        core, words = self.core, pb.JoinAnswer
-        if sender in core.log.config.lives:
+        member, words = self.member, pb.JoinAnswer
+        if sender in member.log.configuration.incarnations:
             return words.LEARNING
-        if sender.name not in {*core.stated, *(life.name for life in core.log.config.lives)}:
+        if sender.name not in {
+            *member.configured_members,
+            *(life.name for life in member.log.configuration.incarnations),
+        }:
             return words.REFUSED
-        if self.lives_still(sender.name, now) or len(core.log.config.lives) >= MEMBERS_MOST:
+        if self.is_name_alive(sender.name, now) or len(member.log.configuration.incarnations) >= MAX_MEMBERS:
             return words.REFUSED
-        if not self.may_change():
+        if not self.can_change_membership():
             return words.WAIT
-        self.let_in(member, now)
+        self.add_learner(joiner, now)
         return words.LEARNING
 
     def sync_peers(self, now: float) -> None:
         """Follow the present members; one that was removed is told so for a while."""
-        log = self.core.log
-        present = [life for life in log.config.lives if life != self.core.me]
+        log = self.member.log
+        present = [life for life in log.configuration.incarnations if life != self.member.me]
         for life in present:
             if life not in self.peers:
-                self.peers[life] = Progress(log.last + 1, now)
-            self.peers[life].leaves_at = 0
+                self.peers[life] = Progress(log.last_index + 1, now)
+            self.peers[life].removal_index = 0
         for life, peer in self.peers.items():
-            if life not in present and not peer.leaves_at:
-                peer.leaves_at = log.config.index
-                peer.leaves_by = now + LEAVE_TIMEOUTS * self.core.timing.election_ms
+            if life not in present and not peer.removal_index:
+                peer.removal_index = log.configuration.index
+                peer.removal_notice_until_ms = (
+                    now + REMOVAL_NOTICE_TIMEOUTS * self.member.timing.election_timeout_ms
+                )
 
     # Answers
 
     def voters(self) -> tuple[Incarnation, ...]:
         """Return those whose disks and words count."""
-        return self.core.log.config.voters
+        return self.member.log.configuration.voters
 
-    def answered(self, sender: Incarnation, answer: pb.AppendAnswer, now: float) -> None:
+    def handle_append_response(self, sender: Incarnation, answer: pb.AppendAnswer, now: float) -> None:
         """Take a member's word on entries."""
         peer = self.peers[sender]
-        self._heard(peer, answer.round, now)
+        self._record_response(peer, answer.round, now)
         peer.cannot_write = answer.cannot_write
-        if answer.index > self.core.log.last and answer.took:
-            self.core.counts["beyond the log"] += 1
+        if answer.index > self.member.log.last_index and answer.took:
+            self.member.counters["beyond the log"] += 1
             return
         if answer.cannot_write:
-            if peer.way != PIECES:
-                peer.way, peer.waits = PROBE, False
-                peer.next = max(peer.match, min(answer.index, self.core.log.last)) + 1
-                peer.under_way.clear()
+            if peer.mode != PIECES:
+                peer.mode, peer.is_awaiting_response = PROBE, False
+                peer.next_index = max(peer.match_index, min(answer.index, self.member.log.last_index)) + 1
+                peer.in_flight.clear()
         elif answer.took:
-            peer.took(answer.index)
+            peer.record_match(answer.index)
         else:
-            peer.back(answer.index)
+            peer.backtrack(answer.index)
 
-    def _heard(self, peer: Progress, number: int, now: float) -> None:
+    def _record_response(self, peer: Progress, number: int, now: float) -> None:
         """Take note of a word; how long a round took tells what the way bears, as it waits for no disk."""
         number = min(number, self.round)
-        if number > peer.round:
-            peer.round = number
-            began = next((at for one, at in self.rounds if one == number), None)
+        if number > peer.acknowledged_round:
+            peer.acknowledged_round = number
+            began = next((at for one, at in self.round_starts if one == number), None)
             if began is not None:
-                timing = self.core.timing
-                peer.pace(now - began > timing.election_ms / LATE_PART, timing.append_most)
-        peer.heard = now
+                timing = self.member.timing
+                peer.adapt_message_size(
+                    now - began > timing.election_timeout_ms / SLOW_ROUND_DIVISOR, timing.max_append_bytes
+                )
+        peer.last_response_ms = now
 
-    def piece_answered(self, sender: Incarnation, answer: pb.PieceAnswer, now: float) -> None:
+    def handle_chunk_response(self, sender: Incarnation, answer: pb.PieceAnswer, now: float) -> None:
         """Take a member's word on a snapshot's pieces."""
         peer = self.peers[sender]
-        self._heard(peer, answer.round, now)
-        if peer.way == PIECES and peer.head is not None and answer.index == peer.head.index:
-            peer.offset, peer.waits = min(answer.offset, len(peer.data)), False
+        self._record_response(peer, answer.round, now)
+        if (
+            peer.mode == PIECES
+            and peer.snapshot_head is not None
+            and answer.index == peer.snapshot_head.index
+        ):
+            peer.snapshot_offset, peer.is_awaiting_response = (
+                min(answer.offset, len(peer.snapshot_data)),
+                False,
+            )
 
     # What follows from it
 
     def tick(self, now: float) -> bool:
         """Do what is due; tell whether it still leads."""
-        timing = self.core.timing
-        if now >= self.next_beat:
-            self.next_beat, self.asked_over = now + timing.heartbeat_ms, None
-            if not self.has_majority(now):
+        timing = self.member.timing
+        if now >= self.next_heartbeat_ms:
+            self.next_heartbeat_ms, self.transfer_target = now + timing.heartbeat_ms, None
+            if not self.has_quorum(now):
                 return False
             for peer in self.peers.values():  # lost ones are sent anew; a heartbeat's answer tells earlier
-                peer.waits &= now < peer.asked + timing.election_ms
+                peer.is_awaiting_response &= now < peer.sent_ms + timing.election_timeout_ms
             self.start_round()
             for life in [
                 life
                 for life, p in self.peers.items()
-                if p.leaves_at
-                and (now >= p.leaves_by or (p.match >= p.leaves_at and p.commit >= p.leaves_at))
+                if p.removal_index
+                and (
+                    now >= p.removal_notice_until_ms
+                    or (p.match_index >= p.removal_index and p.sent_commit_index >= p.removal_index)
+                )
             ]:
                 del self.peers[life]
-        if self.hand_over_by is not None and now >= self.hand_over_by:
-            self.hand_over_by = self.asked_over = None
-        if (time_at := self.time_alone_at()) is not None and now >= time_at:
+        if self.transfer_deadline_ms is not None and now >= self.transfer_deadline_ms:
+            self.transfer_deadline_ms = self.transfer_target = None
+        if (time_at := self.clock_entry_due_ms()) is not None and now >= time_at:
             self._append(pb.Entry(nothing=True), now)
         return True
 
-    def time_alone_at(self) -> float | None:
+    def clock_entry_due_ms(self) -> float | None:
         """Return when time alone is to be written: something lapses and nobody proposes."""
-        due, timing = self.core.due, self.core.timing
+        due, timing = self.member.next_expiry_clock_ms, self.member.timing
         if due is None:
             return None
-        at = self.clock_at + timing.clock_ms
-        reaches = self.began + (due - self.clock_base)  # when the clock will say so
-        if self.core.log_clock() < due and self.core.log.last == self.core.commit:
+        at = self.last_entry_ms + timing.clock_entry_interval_ms
+        reaches = self.started_ms + (due - self.clock_base_ms)  # when the clock will say so
+        if self.member.last_entry_clock_ms() < due and self.member.log.last_index == self.member.commit_index:
             at = min(at, reaches)
         return at
 
-    def next_at(self) -> float:
+    def next_deadline_ms(self) -> float:
         """Return when `tick` is wanted next."""
-        times = (self.next_beat, self.hand_over_by, self.time_alone_at())
+        times = (self.next_heartbeat_ms, self.transfer_deadline_ms, self.clock_entry_due_ms())
         return min(at for at in times if at is not None)
 
-    def has_majority(self, now: float) -> bool:
+    def has_quorum(self, now: float) -> bool:
         """Whether a majority's word came within an election time-out."""
         voters = self.voters()
-        since = now - self.core.timing.election_ms
-        heard = sum(life == self.core.me or self.peers[life].heard > since for life in voters)
+        since = now - self.member.timing.election_timeout_ms
+        heard = sum(life == self.member.me or self.peers[life].last_response_ms > since for life in voters)
         return 2 * heard > len(voters)
 
-    def _agreed(self, own: int, others: dict[Incarnation, int]) -> int:
+    def _quorum_value(self, own: int, others: dict[Incarnation, int]) -> int:
         """Return what more than half of the voters have reached."""
         voters = self.voters()
-        reached = sorted(own if life == self.core.me else others[life] for life in voters)
+        reached = sorted(own if life == self.member.me else others[life] for life in voters)
         return reached[(len(reached) - 1) // 2] if reached else 0
 
-    def committed(self) -> int:
+    def quorum_commit_index(self) -> int:
         """Return up to where entries are agreed: on more than half of the disks, the last of this term."""
-        core = self.core
-        index = self._agreed(core.writes.durable, {life: p.match for life, p in self.peers.items()})
-        return index if index > core.commit and core.log.term(index) == self.term else core.commit
+        member = self.member
+        index = self._quorum_value(
+            member.pending_writes.durable_index, {life: p.match_index for life, p in self.peers.items()}
+        )
+        return (
+            index
+            if index > member.commit_index and member.log.term(index) == self.term
+            else member.commit_index
+        )
 
     def start_round(self) -> None:
         """Ask all members for their word anew."""
         self.round += 1
-        self.rounds.append((self.round, self.core.now))
+        self.round_starts.append((self.round, self.member.now_ms))
         for life, peer in self.peers.items():
             self._send_entries(life, peer, True)
 
-    def settle(self, now: float) -> bool:
+    def finish_step(self, now: float) -> bool:
         """Send what there is to send, answer what can be answered; tell whether it still leads."""
-        core = self.core
-        commit = self.committed()
-        if commit > core.commit:
-            core.commit = commit
-            core.give()
-            while self.waiting and self.waiting[0][0] <= commit:
-                index, token = self.waiting.popleft()
-                core.out.append(ProposalOutcome(token, index=index))
-            if core.me not in core.log.config.lives and core.log.config.index <= commit:
+        member = self.member
+        commit = self.quorum_commit_index()
+        if commit > member.commit_index:
+            member.commit_index = commit
+            member.deliver_committed()
+            while self.pending_proposals and self.pending_proposals[0][0] <= commit:
+                index, token = self.pending_proposals.popleft()
+                member.actions.append(ProposalOutcome(token, index=index))
+            if (
+                member.me not in member.log.configuration.incarnations
+                and member.log.configuration.index <= commit
+            ):
                 self.start_round()  # the others learn that it is agreed
-                self._ask_over(now)
+                self._send_timeout_now(now)
                 return False
-        config = core.log.config
-        if len(config.voters) < min(len(config.lives), VOTERS_MOST) and self.may_change():
-            self._promote(now)
-        if len(self.reads):
+        configuration = member.log.configuration
+        if (
+            len(configuration.voters) < min(len(configuration.incarnations), MAX_VOTERS)
+            and self.can_change_membership()
+        ):
+            self._promote_learner(now)
+        if len(self.pending_reads):
             self._serve_reads()
         for life, peer in self.peers.items():
             self._send_entries(life, peer, False)
-        if self.hand_over_by is not None:
-            self._ask_over(now)
+        if self.transfer_deadline_ms is not None:
+            self._send_timeout_now(now)
         return True
 
-    def _promote(self, now: float) -> None:
-        members = list(self.core.log.config.members.members)
-        for place, member in enumerate(members):
-            peer = self.peers.get(Incarnation(member.name, member.life))
-            if member.votes or peer is None or peer.cannot_write or peer.way != STREAM:
+    def _promote_learner(self, now: float) -> None:
+        members = list(self.member.log.configuration.members.members)
+        for place, candidate in enumerate(members):
+            peer = self.peers.get(Incarnation(candidate.name, candidate.life))
+            if candidate.votes or peer is None or peer.cannot_write or peer.mode != STREAM:
                 continue
-            if peer.match + NEAR >= self.core.log.last and now - peer.heard < self.core.timing.election_ms:
+            if (
+                peer.match_index + PROMOTION_LAG_ENTRIES >= self.member.log.last_index
+                and now - peer.last_response_ms < self.member.timing.election_timeout_ms
+            ):
                 members[place] = pb.Member(
-                    name=member.name, life=member.life, address=member.address, votes=True
+                    name=candidate.name, life=candidate.life, address=candidate.address, votes=True
                 )
-                self._members(members, now)
+                self._append_members(members, now)
                 return
 
     # Reads
 
     def read(self, token: int) -> None:
         """Let somebody read once a majority has said again that this member leads."""
-        if not self.reads.take(token):
-            self.core.refuse_read(token, pb.Result.TOO_MANY)
+        if not self.pending_reads.add(token):
+            self.member.reject_read(token, pb.Result.TOO_MANY)
 
     def _serve_reads(self) -> None:
-        core, reads = self.core, self.reads
-        if core.log.term(core.commit) != self.term:
+        member, reads = self.member, self.pending_reads
+        if member.log.term(member.commit_index) != self.term:
             return  # what earlier leaders agreed on isn't known yet
-        confirmed = self._agreed(self.round, {life: p.round for life, p in self.peers.items()})
-        reads.place(core.commit, self.round + 1)
-        if reads.wants(self.round) and confirmed >= self.round:
+        confirmed = self._quorum_value(
+            self.round, {life: p.acknowledged_round for life, p in self.peers.items()}
+        )
+        reads.assign_index(member.commit_index, self.round + 1)
+        if reads.needs_round(self.round) and confirmed >= self.round:
             self.start_round()
-            confirmed = self._agreed(self.round, {life: p.round for life, p in self.peers.items()})
-        core.out += reads.served(confirmed)
+            confirmed = self._quorum_value(
+                self.round, {life: p.acknowledged_round for life, p in self.peers.items()}
+            )
+        member.actions += reads.pop_confirmed(confirmed)
 
     # Messages
 
     def _send_entries(self, life: Incarnation, peer: Progress, beat: bool) -> None:
         """Send a member what it lacks, within the bounds; with `beat` a message goes in any case."""
-        core, timing = self.core, self.core.timing
+        member, timing = self.member, self.member.timing
         while True:
-            if peer.way != PIECES and core.log.term(peer.next - 1) is None:
-                if core.snapshots.index < peer.next - 1:
+            if peer.mode != PIECES and member.log.term(peer.next_index - 1) is None:
+                if member.snapshots.index < peer.next_index - 1:
                     return  # can't be: what is not held is in the snapshot
-                peer.send_pieces(core.snapshots.head, core.snapshots.data)
-            if peer.way == PIECES:
-                self._send_piece(life, peer, beat)
+                peer.start_snapshot(member.snapshots.head, member.snapshots.data)
+            if peer.mode == PIECES:
+                self._send_snapshot_chunk(life, peer, beat)
                 return
             entries: list[pb.Entry] = []
-            most = min(peer.most, timing.append_most)
+            most = min(peer.max_message_bytes, timing.max_append_bytes)
             free = (
-                not peer.waits
-                if peer.way == PROBE
-                else len(peer.under_way) < max(1, timing.under_way_most * most // timing.append_most)
+                not peer.is_awaiting_response
+                if peer.mode == PROBE
+                else len(peer.in_flight)
+                < max(1, timing.max_in_flight_appends * most // timing.max_append_bytes)
             )
             if peer.cannot_write and not beat:
                 free = False
-            if free and peer.next <= core.log.last:
-                entries = core.log.batch(peer.next, core.log.last, most)
+            if free and peer.next_index <= member.log.last_index:
+                entries = member.log.batch(peer.next_index, member.log.last_index, most)
             if not entries and not beat:
                 return
-            before = peer.next - 1
-            core.send(
+            before = peer.next_index - 1
+            member.send(
                 life,
                 pb.Message(
                     term=self.term,
                     append=pb.Append(
                         before_index=before,
-                        before_term=core.log.term(before),
-                        commit=core.commit,
+                        before_term=member.log.term(before),
+                        commit=member.commit_index,
                         round=self.round,
                         entries=entries,
                     ),
                 ),
             )
-            peer.commit, beat = core.commit, False
-            if peer.way == PROBE:
+            peer.sent_commit_index, beat = member.commit_index, False
+            if peer.mode == PROBE:
                 if entries:
-                    peer.waits, peer.asked = True, core.now
+                    peer.is_awaiting_response, peer.sent_ms = True, member.now_ms
                 return
             if entries:
-                peer.next = entries[-1].index + 1
-                peer.under_way.append(entries[-1].index)
+                peer.next_index = entries[-1].index + 1
+                peer.in_flight.append(entries[-1].index)
 
-    def _send_piece(self, life: Incarnation, peer: Progress, beat: bool) -> None:
-        if peer.head is None or (peer.waits and not beat):
+    def _send_snapshot_chunk(self, life: Incarnation, peer: Progress, beat: bool) -> None:
+        if peer.snapshot_head is None or (peer.is_awaiting_response and not beat):
             return
         if beat:  # it has to hear its leader, whatever becomes of the pieces
-            self.core.send(life, pb.Message(term=self.term, append=pb.Append(round=self.round)))
-        if peer.waits or peer.cannot_write:
+            self.member.send(life, pb.Message(term=self.term, append=pb.Append(round=self.round)))
+        if peer.is_awaiting_response or peer.cannot_write:
             return
-        data = peer.data[peer.offset : peer.offset + min(self.core.timing.piece_most, peer.most)]
-        peer.waits, peer.asked = True, self.core.now
-        self.core.send(
+        data = peer.snapshot_data[
+            peer.snapshot_offset : peer.snapshot_offset
+            + min(self.member.timing.max_chunk_bytes, peer.max_message_bytes)
+        ]
+        peer.is_awaiting_response, peer.sent_ms = True, self.member.now_ms
+        self.member.send(
             life,
             pb.Message(
                 term=self.term,
-                piece=pb.Piece(head=peer.head, offset=peer.offset, data=data, round=self.round),
+                piece=pb.Piece(
+                    head=peer.snapshot_head, offset=peer.snapshot_offset, data=data, round=self.round
+                ),
             ),
         )
 
     # Handing over
 
-    def hand_over(self, now: float) -> None:
+    def start_transfer(self, now: float) -> None:
         """Let another lead: nothing more is proposed until it does, or until it didn't in time."""
-        if self.hand_over_by is None:
-            self.hand_over_by = now + self.core.timing.election_ms
+        if self.transfer_deadline_ms is None:
+            self.transfer_deadline_ms = now + self.member.timing.election_timeout_ms
 
-    def _ask_over(self, now: float) -> None:
+    def _send_timeout_now(self, now: float) -> None:
         """Ask the one that lacks least to ask for votes, once it lacks nothing."""
-        life = self.heir(now)
-        if life is not None and life != self.asked_over and self.peers[life].match == self.core.log.last:
-            self.asked_over = life
-            self.core.send(life, pb.Message(term=self.term, take_over=pb.TakeOver()))
-
-    def heir(self, now: float) -> Incarnation | None:
+        life = self.best_successor(now)
+        if (
+            life is not None
+            and life != self.transfer_target
+            and self.peers[life].match_index == self.member.log.last_index
+        ):
+            self.transfer_target = life
+            self.member.send(life, pb.Message(term=self.term, take_over=pb.TakeOver()))
+
+    def best_successor(self, now: float) -> Incarnation | None:
         """Return the voter that is best to lead next; None: nobody is."""
-        since = now - self.core.timing.election_ms
+        since = now - self.member.timing.election_timeout_ms
         fit = [
             life
             for life in self.voters()
-            if life != self.core.me and self.peers[life].heard > since and not self.peers[life].cannot_write
+            if life != self.member.me
+            and self.peers[life].last_response_ms > since
+            and not self.peers[life].cannot_write
         ]
-        return max(fit, key=lambda life: self.peers[life].match, default=None)
+        return max(fit, key=lambda life: self.peers[life].match_index, default=None)
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -8,18 +8,18 @@
 from fennelwind.raft.messages import Incarnation
 
 
-class Config(NamedTuple):
+class Configuration(NamedTuple):
     """Who counts from an entry on."""
 
     index: int
     members: pb.Members
-    lives: tuple[Incarnation, ...]  # all of them, in order of their names
+    incarnations: tuple[Incarnation, ...]  # all of them, in order of their names
     voters: tuple[Incarnation, ...]  # those whose votes and disks count
 
 
-def config(index: int, members: pb.Members) -> Config:
+def make_configuration(index: int, members: pb.Members) -> Configuration:
     """Return who counts from an entry on."""
-    return Config(
+    return Configuration(
         index,
         members,
         tuple(Incarnation(m.name, m.life) for m in members.members),
@@ -34,32 +34,32 @@
     """
 
     def __init__(self, head: pb.SnapshotHead | None, entries: Sequence[pb.Entry]) -> None:
-        self.base, self.base_term = (head.index, head.term) if head is not None else (0, 0)
+        self.base_index, self.base_term = (head.index, head.term) if head is not None else (0, 0)
         self.entries: list[pb.Entry] = list(entries)
-        self.size = sum(entry.ByteSize() for entry in self.entries)
-        self.configs: list[Config] = [config(0, pb.Members())]
-        if self.entries and self.entries[0].index <= self.base:  # some are kept behind the snapshot
+        self.size_bytes = sum(entry.ByteSize() for entry in self.entries)
+        self.configurations: list[Configuration] = [make_configuration(0, pb.Members())]
+        if self.entries and self.entries[0].index <= self.base_index:  # some are kept behind the snapshot
             first = self.entries.pop(0)
-            self.size -= first.ByteSize()
-            self.base, self.base_term = first.index, first.term
+            self.size_bytes -= first.ByteSize()
+            self.base_index, self.base_term = first.index, first.term
         if head is not None:
-            self.configs += [
-                config(e.index, e.members)
+            self.configurations += [
+                make_configuration(e.index, e.members)
                 for e in self.entries
                 if e.index < head.index and e.WhichOneof("what") == "members"
             ]
-            self.configs.append(config(head.index, head.members))
+            self.configurations.append(make_configuration(head.index, head.members))
         start = head.index if head is not None else 0
-        self.configs += [
-            config(e.index, e.members)
+        self.configurations += [
+            make_configuration(e.index, e.members)
             for e in self.entries
             if e.index > start and e.WhichOneof("what") == "members"
         ]
 
     @property
-    def last(self) -> int:
+    def last_index(self) -> int:
         """The last entry's index; 0 in an empty log."""
-        return self.base + len(self.entries)
+        return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
@@ -67,31 +67,33 @@
         return self.entries[-1].term if self.entries else self.base_term
 
     @property
-    def config(self) -> Config:
+    def configuration(self) -> Configuration:
         """Who counts now: the latest that is written, agreed or not."""
-        return self.configs[-1]
+        return self.configurations[-1]
 
-    def config_at(self, index: int) -> Config:
+    def configuration_at(self, index: int) -> Configuration:
         """Return who counted as of an entry."""
-        return next(found for found in reversed(self.configs) if found.index <= index)
+        return next(found for found in reversed(self.configurations) if found.index <= index)
 
-    def configs_from(self, index: int) -> list[Config]:
+    def configurations_from(self, index: int) -> list[Configuration]:
         """Return who counted as of an entry, and all later ones."""
-        if self.configs[-1].index <= index:
-            return self.configs[-1:]
-        return self.configs[bisect_right(self.configs, index, key=lambda found: found.index) - 1 :]
+        if self.configurations[-1].index <= index:
+            return self.configurations[-1:]
+        return self.configurations[
+            bisect_right(self.configurations, index, key=lambda found: found.index) - 1 :
+        ]
 
     def term(self, index: int) -> int | None:
         """Return an entry's term; None where the log doesn't hold it."""
-        if index == self.base:
+        if index == self.base_index:
             return self.base_term
-        if self.base < index <= self.last:
-            return self.entries[index - self.base - 1].term
+        if self.base_index < index <= self.last_index:
+            return self.entries[index - self.base_index - 1].term
         return None
 
     def slice(self, first: int, last: int) -> list[pb.Entry]:
         """Return the entries from `first` to `last`, both included, as far as they are held."""
-        return self.entries[max(first - self.base - 1, 0) : max(last - self.base, 0)]
+        return self.entries[max(first - self.base_index - 1, 0) : max(last - self.base_index, 0)]
 
     def batch(self, first: int, last: int, most: int) -> list[pb.Entry]:
         """Return entries from `first` on of at most so many bytes, but one at least if there is one."""
@@ -107,31 +109,31 @@
         """Add entries that follow the last one."""
         for entry in entries:
             self.entries.append(entry)
-            self.size += entry.ByteSize()
+            self.size_bytes += entry.ByteSize()
             if entry.WhichOneof("what") == "members":
-                self.configs.append(config(entry.index, entry.members))
+                self.configurations.append(make_configuration(entry.index, entry.members))
 
-    def cut(self, after: int) -> None:
+    def truncate_after(self, after: int) -> None:
         """Drop what lies behind an index; the members are again who they were there."""
-        self.size -= sum(entry.ByteSize() for entry in self.slice(after + 1, self.last))
-        del self.entries[max(after - self.base, 0) :]
-        while self.configs[-1].index > after:
-            self.configs.pop()
+        self.size_bytes -= sum(entry.ByteSize() for entry in self.slice(after + 1, self.last_index))
+        del self.entries[max(after - self.base_index, 0) :]
+        while self.configurations[-1].index > after:
+            self.configurations.pop()
 
     def compact(self, base: int) -> None:
         """Forget entries up to `base`, which a snapshot holds."""
         term = self.term(base)
-        if term is None or base <= self.base:
+        if term is None or base <= self.base_index:
             return
-        self.size -= sum(entry.ByteSize() for entry in self.slice(self.base + 1, base))
-        del self.entries[: base - self.base]
-        self.base, self.base_term = base, term
-        place = bisect_right(self.configs, base, key=lambda found: found.index) - 1
-        del self.configs[:place]
+        self.size_bytes -= sum(entry.ByteSize() for entry in self.slice(self.base_index + 1, base))
+        del self.entries[: base - self.base_index]
+        self.base_index, self.base_term = base, term
+        place = bisect_right(self.configurations, base, key=lambda found: found.index) - 1
+        del self.configurations[:place]
 
-    def back_to(self, term: int, index: int) -> int:
+    def find_conflict_index(self, term: int, index: int) -> int:
         """Return the last index up to `index` whose term is not above `term`: none behind it can agree."""
-        index = min(index, self.last)
-        while index > self.base and self.entries[index - self.base - 1].term > term:
+        index = min(index, self.last_index)
+        while index > self.base_index and self.entries[index - self.base_index - 1].term > term:
             index -= 1
         return index
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -23,15 +23,19 @@
     """How long a member waits, in ms, and what it holds at most."""
 
     heartbeat_ms: float = 50.0
-    election_ms: float = 300.0  # to twice that is drawn anew for each wait
-    append_most: int = 512 * 1024  # bytes of entries in one message
-    under_way_most: int = 4  # messages of entries unanswered by one member
-    piece_most: int = 256 * 1024  # bytes of a snapshot in one message
-    waiting_most: int = 4096  # proposals that wait for their entry's commit
-    reads_most: int = 4096  # reads that wait for a majority's word
-    kept_entries: int = 10_000  # entries kept behind a snapshot for those who are a little behind
-    log_most: int = 64 * 1024 * 1024  # bytes of log: a snapshot is due; at twice that nothing is proposed
-    clock_ms: float = 1000.0  # time alone is written so often while something is going to lapse
+    election_timeout_ms: float = 300.0  # to twice that is drawn anew for each wait
+    max_append_bytes: int = 512 * 1024  # bytes of entries in one message
+    max_in_flight_appends: int = 4  # messages of entries unanswered by one member
+    max_chunk_bytes: int = 256 * 1024  # bytes of a snapshot in one message
+    max_pending_proposals: int = 4096  # proposals that wait for their entry's commit
+    max_pending_reads: int = 4096  # reads that wait for a majority's word
+    retained_entries: int = 10_000  # entries kept behind a snapshot for those who are a little behind
+    max_log_bytes: int = (
+        64 * 1024 * 1024
+    )  # bytes of log: a snapshot is due; at twice that nothing is proposed
+    clock_entry_interval_ms: float = (
+        1000.0  # time alone is written so often while something is going to lapse
+    )
 
 
 @dataclass(slots=True)
@@ -39,8 +43,8 @@
     """What a member's folder held when it was opened."""
 
     me: Incarnation
-    hard: pb.HardState = field(default_factory=pb.HardState)
-    head: pb.SnapshotHead | None = None
+    hard_state: pb.HardState = field(default_factory=pb.HardState)
+    snapshot_head: pb.SnapshotHead | None = None
     snapshot: bytes = b""
     entries: list[pb.Entry] = field(default_factory=list)  # behind the snapshot, without gaps
 
@@ -71,7 +75,7 @@
     """
 
     number: int
-    full: bool
+    is_disk_full: bool
 
 
 @dataclass(slots=True, frozen=True)
@@ -106,7 +110,7 @@
     """The carrier has applied entries up to this index; `due` is when the record lapses something next."""
 
     index: int
-    due: int | None
+    next_expiry_clock_ms: int | None
 
 
 @dataclass(slots=True, frozen=True)
@@ -175,12 +179,12 @@
     """
 
     number: int
-    hard: pb.HardState | None = None
-    cut_after: int | None = None
+    hard_state: pb.HardState | None = None
+    truncate_after: int | None = None
     entries: tuple[pb.Entry, ...] = ()
-    head: pb.SnapshotHead | None = None
+    snapshot_head: pb.SnapshotHead | None = None
     snapshot: bytes = b""
-    keep_from: int = 0
+    retain_from: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -211,7 +215,7 @@
     refusal: int = 0  # pb.Result.Refusal; 0: done, or to be done, at `index`
     index: int = 0
     leader: str = ""
-    again_ms: int = 0
+    retry_after_ms: int = 0
 
 
 @dataclass(slots=True, frozen=True)
@@ -228,14 +232,14 @@
 class Timer:
     """`TimerFired` is wanted at this time; the last one counts."""
 
-    at: float
+    at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class RoleChanged:
     """The member's part: `leader`, `follower`, `asking`, `learner`, `outside` or `mute` (can't write)."""
 
-    part: str
+    role: str
     term: int
     leader: str  # by name; "": none is known
 
--- a/fennelwind/raft/read_index.py
+++ b/fennelwind/raft/read_index.py
@@ -5,44 +5,44 @@
 from fennelwind.raft.messages import ReadOutcome
 
 
-class Reads:
+class ReadIndexQueue:
     """Reads in order: first those without an index, then those that wait for a round."""
 
     def __init__(self, most: int) -> None:
-        self.most = most
-        self.fresh: list[int] = []  # tokens
-        self.placed: deque[tuple[int, int, int]] = deque()  # token, index, the round that confirms it
+        self.max_reads = most
+        self.unindexed: list[int] = []  # tokens
+        self.indexed: deque[tuple[int, int, int]] = deque()  # token, index, the round that confirms it
 
     def __len__(self) -> int:
-        return len(self.fresh) + len(self.placed)
+        return len(self.unindexed) + len(self.indexed)
 
-    def take(self, token: int) -> bool:
+    def add(self, token: int) -> bool:
         """Let a read wait; False: too many do."""
-        if len(self) >= self.most:
+        if len(self) >= self.max_reads:
             return False
-        self.fresh.append(token)
+        self.unindexed.append(token)
         return True
 
-    def place(self, index: int, number: int) -> None:
+    def assign_index(self, index: int, number: int) -> None:
         """Say from where on the fresh ones are true, if the round of this number, yet to come, says so."""
-        self.placed.extend((token, index, number) for token in self.fresh)
-        self.fresh.clear()
+        self.indexed.extend((token, index, number) for token in self.unindexed)
+        self.unindexed.clear()
 
-    def wants(self, begun: int) -> bool:
+    def needs_round(self, begun: int) -> bool:
         """Whether a round is needed that has not begun."""
-        return bool(self.placed) and self.placed[-1][2] > begun
+        return bool(self.indexed) and self.indexed[-1][2] > begun
 
-    def served(self, confirmed: int) -> list[ReadOutcome]:
+    def pop_confirmed(self, confirmed: int) -> list[ReadOutcome]:
         """Return the reads that rounds up to this one have confirmed."""
         done = []
-        while self.placed and self.placed[0][2] <= confirmed:
-            token, index, _ = self.placed.popleft()
+        while self.indexed and self.indexed[0][2] <= confirmed:
+            token, index, _ = self.indexed.popleft()
             done.append(ReadOutcome(token, index))
         return done
 
-    def drop(self) -> list[int]:
+    def pop_all(self) -> list[int]:
         """Return the tokens of all that wait, which nobody serves any more."""
-        tokens = [token for token, _, _ in self.placed] + self.fresh
-        self.placed.clear()
-        self.fresh.clear()
+        tokens = [token for token, _, _ in self.indexed] + self.unindexed
+        self.indexed.clear()
+        self.unindexed.clear()
         return tokens
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -13,14 +13,14 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.state_machine import At, StateMachine, UnreadableCommandError
 
-CLIENTS_MOST = 4096  # clients remembered; the one that was quiet for longest goes first
-KEPT_MOST = 64  # answers kept for one client; it may have as many commands under way
+MAX_CLIENTS = 4096  # clients remembered; the one that was quiet for longest goes first
+MAX_RETAINED_RESULTS = 64  # answers kept for one client; it may have as many commands under way
 LEVEL = 2  # that this version knows; a new machine, or command of an old one, comes with the next
-ITSELF = "record"  # the machine that a command to raise the level names
-COMMAND_MOST = 256 * 1024  # bytes of one command's body; what is larger is cut into several by who asks
+LEVEL_COMMAND_TARGET = "record"  # the machine that a command to raise the level names
+MAX_COMMAND_BYTES = 256 * 1024  # bytes of one command's body; what is larger is cut into several by who asks
 
 
-class _Client:
+class _ClientSession:
     __slots__ = ("heard", "last_index", "kept")
 
     def __init__(self, last_index: int) -> None:
@@ -39,7 +39,7 @@
         self._tellers: dict[str, StateMachine] = {}
         self._set_level(1)
         self.index = self.clock_ms = 0
-        self._clients: dict[int, _Client] = {}  # in the order in which they were last heard
+        self._clients: dict[int, _ClientSession] = {}  # in the order in which they were last heard
 
     def apply(self, entry: pb.Entry) -> pb.Result:
         """Carry an entry out; return what became of its command."""
@@ -78,12 +78,12 @@
         return pb.Result(body=b"%d" % self.level, index=at.index)
 
     def _command(self, at: At, command: pb.Command) -> pb.Result:
-        if command.machine == ITSELF:
+        if command.machine == LEVEL_COMMAND_TARGET:
             return self._raise_level(at, command.body)
         if not command.client:
-            while len(self._clients) >= CLIENTS_MOST:
+            while len(self._clients) >= MAX_CLIENTS:
                 del self._clients[next(iter(self._clients))]
-            self._clients[at.index] = _Client(at.index)
+            self._clients[at.index] = _ClientSession(at.index)
             return pb.Result(index=at.index)
         client = self._clients.pop(command.client, None)
         if client is None:
@@ -97,7 +97,7 @@
             return pb.Result.FromString(client.kept[command.number])
         if command.number <= client.heard:
             return pb.Result(refusal=pb.Result.NUMBER_GONE, index=at.index)
-        if len(client.kept) >= KEPT_MOST:
+        if len(client.kept) >= MAX_RETAINED_RESULTS:
             return pb.Result(refusal=pb.Result.TOO_MANY, index=at.index)
         result = self._done(at, command)
         client.kept[command.number] = result.SerializeToString(deterministic=True)
@@ -107,7 +107,7 @@
         machine = self.machines.get(command.machine)
         if machine is None:
             return pb.Result(refusal=pb.Result.NO_MACHINE, index=at.index)
-        if len(command.body) > COMMAND_MOST:
+        if len(command.body) > MAX_COMMAND_BYTES:
             return pb.Result(refusal=pb.Result.TOO_LARGE, index=at.index)
         try:
             return pb.Result(body=machine.apply(at, command.body, self), index=at.index)
@@ -131,7 +131,7 @@
         self._set_level(max(state.level, 1))
         self._clients = {}
         for told in state.clients:
-            client = self._clients[told.client] = _Client(told.last_index)
+            client = self._clients[told.client] = _ClientSession(told.last_index)
             client.heard = told.heard
             client.kept = {kept.number: kept.result for kept in told.kept}
         parts = {part.machine: part.state for part in state.parts}
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -33,7 +33,7 @@
 from fennelwind.loop.disk import READ_MOST, Disk, DiskError, DiskFull, NameMissing
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import DurableState, Incarnation, Write
-from fennelwind.raft.snapshot_chunks import SNAPSHOT_MOST
+from fennelwind.raft.snapshot_chunks import MAX_SNAPSHOT_BYTES
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage import store_pb2 as kept
 from fennelwind.raft_storage.errors import (
@@ -70,7 +70,7 @@
 
     segment: int = 8 << 20  # the next write begins a new segment; short enough that little outlives its use
     group: int = 160 << 20  # of one write at most; the council proposes nothing with 128 MB of log
-    snapshot: int = SNAPSHOT_MOST  # at most; the council takes and sends no larger one
+    snapshot: int = MAX_SNAPSHOT_BYTES  # at most; the council takes and sends no larger one
     reserve: int = 16 << 20  # held for a snapshot while the disk is full
     again: int = 64 << 10  # a last segment of so much is written again at an opening: restarts add no files
     low: int = 32 << 20  # free: below it room is short, and a full store waits for as much
@@ -170,8 +170,8 @@
         try:
             durable = self._load(self.group)
             if head is not None and self.full:
-                if durable.head is None or durable.head.index < head.index:
-                    self.write(Write(0, head=head, snapshot=snapshot))
+                if durable.snapshot_head is None or durable.snapshot_head.index < head.index:
+                    self.write(Write(0, snapshot_head=head, snapshot=snapshot))
                 self.failed = self.full = True
                 durable = self._load(self.group, generations=1)
                 self.failed = True
@@ -427,16 +427,16 @@
         if self.size >= self.limits.segment:
             self._begin(self._head(self.segment + 1, self.group + 1, self._first(self.shape)), may_take=False)
         for write in writes:
-            if write.head is not None:
-                self.shape.snapshot(write.head, write.keep_from)
-            if write.cut_after is not None:
-                self.shape.cut(write.cut_after, write.head is not None)
+            if write.snapshot_head is not None:
+                self.shape.snapshot(write.snapshot_head, write.retain_from)
+            if write.truncate_after is not None:
+                self.shape.cut(write.truncate_after, write.snapshot_head is not None)
             self.shape.append(write.entries)
-            if write.hard is not None:
-                self.shape.hard = write.hard.SerializeToString()
+            if write.hard_state is not None:
+                self.shape.hard = write.hard_state.SerializeToString()
         for write in writes:
-            if write.head is not None:
-                self._put(_snapshot(write.head), _pieces(write.head, write.snapshot))
+            if write.snapshot_head is not None:
+                self._put(_snapshot(write.snapshot_head), _pieces(write.snapshot_head, write.snapshot))
                 self.shape.trim()
                 group.first_segment = self._first(self.shape)
         data = record_format.parts(self.group + 1, group.SerializeToString())
@@ -583,12 +583,12 @@
     group = kept.Group()
     for write in writes:
         step = group.steps.add(entries=[entry.SerializeToString() for entry in write.entries])
-        if write.head is not None:
-            step.head, step.keep_from = write.head.SerializeToString(), write.keep_from
-        if write.cut_after is not None:
-            step.cut_after = write.cut_after
-        if write.hard is not None:
-            step.hard = write.hard.SerializeToString()
+        if write.snapshot_head is not None:
+            step.head, step.keep_from = write.snapshot_head.SerializeToString(), write.retain_from
+        if write.truncate_after is not None:
+            step.cut_after = write.truncate_after
+        if write.hard_state is not None:
+            step.hard = write.hard_state.SerializeToString()
     return group
 
 
--- a/fennelwind/testbed/councilbench.py
+++ b/fennelwind/testbed/councilbench.py
@@ -235,7 +235,10 @@
 
 def leaders(faults: list[str]) -> None:
     """Print the time without a leader after each sort of fault."""
-    print(f"Election time-outs of {TIMING['election_ms']:.0f} to {2 * TIMING['election_ms']:.0f} ms.\n")
+    print(
+        "Election time-outs of "
+        f"{TIMING['election_timeout_ms']:.0f} to {2 * TIMING['election_timeout_ms']:.0f} ms.\n"
+    )
     print(
         "| fault | plays | without a leader (ms): median / 99th / most | below 3 time-outs "
         "| first command done after: median / most |"
@@ -280,7 +283,7 @@
                 return without, first
 
             without, first = CouncilRig(place, 3).play(script)
-            below = sum(ms < 3.0 * TIMING["election_ms"] for ms in without)
+            below = sum(ms < 3.0 * TIMING["election_timeout_ms"] for ms in without)
             print(
                 f"| {fault} | {len(without)} | {figures(without)} / {max(without):.0f} | {below} of "
                 f"{len(without)} | {median(first):.0f} / {max(first):.0f} |",
--- a/fennelwind/testbed/councilrig.py
+++ b/fennelwind/testbed/councilrig.py
@@ -24,7 +24,7 @@
 WITHIN_S = 60.0  # s; a wait for an event that is over much sooner, but for a machine that stands still
 END_S = 60.0  # s in which a process has to end when it is told to; it may just have been started
 ACT = {"name": "sweep", "term_ms": 1500, "act_ms": 120.0, "steps": 3, "gap_ms": 20.0}
-TIMING = {"heartbeat_ms": 50.0, "election_ms": 300.0}
+TIMING = {"heartbeat_ms": 50.0, "election_timeout_ms": 300.0}
 
 
 class Seen(NamedTuple):
--- a/fennelwind/testbed/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -183,24 +183,24 @@
         if member is None or member.core is None:
             say(state=[token, None])
             return
-        view = member.core.state()
+        view = member.core.status()
         say(
             state=[
                 token,
                 {
-                    "part": view.part,
+                    "part": view.role,
                     "term": view.term,
                     "leader": view.leader,
-                    "commit": view.commit,
+                    "commit": view.commit_index,
                     "applied": member.state.record.index,
                     "members": len(view.members.members),
                     "memory_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
                     "now_kb": _memory_kb(),
                     "log_bytes": view.log_bytes,
-                    "base": view.base,
+                    "base": view.base_index,
                     "votes": sum(m.votes for m in view.members.members),
                     "lives": {m.name: m.life.hex() for m in view.members.members},
-                    "counts": view.counts | member.counts | member.peers.counts,
+                    "counts": view.counters | member.counts | member.peers.counts,
                     "ways": {
                         name: peer.life.hex() if peer.up else "" for name, peer in member.peers.peers.items()
                     },
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -232,7 +232,7 @@
             [
                 Write(
                     1,
-                    hard=cpb.HardState(term=4),
+                    hard_state=cpb.HardState(term=4),
                     entries=(
                         cpb.Entry(term=4, index=1, members=members),
                         cpb.Entry(term=4, index=2, nothing=True),
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -22,7 +22,7 @@
         council.until(
             lambda: (
                 council.leader()
-                and len(council.keepers[council.leader()].member.core.log.config.members.members) == 3
+                and len(council.keepers[council.leader()].member.core.log.configuration.members.members) == 3
             )
         )
         council.world.rig.sleep(2000.0)
@@ -166,7 +166,7 @@
         assert council.on("f0", lambda: asker.read("registers", b"a", within_ms=60_000)).state == b"29"
         council.on("f0", put, 7)
         log = council.keepers[heir].member.core.log
-        council.until(lambda: sum(member.votes for member in log.config.members.members) == 5)
+        council.until(lambda: sum(member.votes for member in log.configuration.members.members) == 5)
         council.kill(heir)
         assert council.on("f0", lambda: asker.read("registers", b"a", within_ms=60_000)).state == b"7"
 
@@ -179,7 +179,8 @@
         follower = council.start("f0", "10.0.1.1", (Registers(),))
         council.until(
             lambda: (
-                council.leader() and len(council.keepers[council.leader()].member.core.log.config.voters) == 3
+                council.leader()
+                and len(council.keepers[council.leader()].member.core.log.configuration.voters) == 3
             )
         )
         leader = council.leader()
@@ -193,8 +194,8 @@
         council.ways.path = lambda *way: path(*way)._replace(bytes_per_ms=500.0)
         began = council.world.time
         council.start(behind)
-        last = council.keepers[leader].member.core.log.last
-        council.until(lambda: (core := council.keepers[behind].member.core) and core.commit >= last)
+        last = council.keepers[leader].member.core.log.last_index
+        council.until(lambda: (core := council.keepers[behind].member.core) and core.commit_index >= last)
         assert council.world.time - began < 6000.0  # the bytes alone take 3 s
         asked = [
             name
--- a/tests/loop/test_disks.py
+++ b/tests/loop/test_disks.py
@@ -399,13 +399,14 @@
     except (DiskError, StoreError) as exc:
         print(exc.code, flush=True)
         return
-    last = durable.entries[-1].index if durable.entries else durable.head.index if durable.head else 0
+    head = durable.snapshot_head
+    last = durable.entries[-1].index if durable.entries else head.index if head else 0
     print("open", durable.me.life.hex(), last, flush=True)
     while last < 100_000:
         entry = pb.Entry(term=1, index=last + 1, command=pb.Command(body=b"%d " % (last + 1) * 50))
-        writes = [Write(1, entries=(entry,), hard=pb.HardState(term=last + 1))]
+        writes = [Write(1, entries=(entry,), hard_state=pb.HardState(term=last + 1))]
         if last % 100 == 99:
-            writes.append(Write(2, head=pb.SnapshotHead(index=last, term=1), snapshot=b"s" * last))
+            writes.append(Write(2, snapshot_head=pb.SnapshotHead(index=last, term=1), snapshot=b"s" * last))
         try:
             store.write(*writes)
         except DiskError as exc:
@@ -416,7 +417,7 @@
                     durable = store.reopen()
                 except DiskError:
                     print("not yet", flush=True)
-            assert durable.hard.term == last
+            assert durable.hard_state.term == last
             print("back", last, flush=True)
             continue
         last += 1
--- a/tests/raft/test_council.py
+++ b/tests/raft/test_council.py
@@ -11,7 +11,7 @@
 from fennelwind.raft import messages as api
 from fennelwind.raft.member import RaftMember
 from fennelwind.raft.messages import DurableState, Incarnation, Timing
-from fennelwind.raft.replicated_state import COMMAND_MOST
+from fennelwind.raft.replicated_state import MAX_COMMAND_BYTES
 
 A, B, C, OLD = (
     Incarnation("a", b"a"),
@@ -72,7 +72,7 @@
 
     def written(self) -> list[api.Action]:
         """Say that all writes are done."""
-        return self.do(api.WriteCompleted(self.core.writes.number))
+        return self.do(api.WriteCompleted(self.core.pending_writes.last_number))
 
     def lead(self) -> "One":
         """Have it elected by b."""
@@ -81,7 +81,7 @@
         self.hear(B, asked, vote_answer=pb.VoteAnswer(before=True, granted=True))
         self.written()
         self.hear(B, asked, vote_answer=pb.VoteAnswer(granted=True))
-        assert self.core.part == "leader"
+        assert self.core.role == "leader"
         return self
 
     def agree(self) -> "One":
@@ -90,9 +90,11 @@
         self.hear(
             B,
             self.core.term,
-            append_answer=pb.AppendAnswer(took=True, index=self.core.log.last, round=self.core.leading.round),
+            append_answer=pb.AppendAnswer(
+                took=True, index=self.core.log.last_index, round=self.core.leader_state.round
+            ),
         )
-        assert self.core.commit == self.core.log.last
+        assert self.core.commit_index == self.core.log.last_index
         return self
 
     def propose(self, token: int, size: int = 1) -> list[api.ProposalOutcome]:
@@ -136,10 +138,10 @@
     one = One()
     one.hear(B, 2, append=pb.Append(before_index=1, before_term=1))
     one.hear(OLD, 50, append=pb.Append(before_index=1, before_term=1))
-    assert (one.core.term, one.core.leader, one.core.counts["stranger"]) == (2, B, 1)
+    assert (one.core.term, one.core.leader, one.core.counters["stranger"]) == (2, B, 1)
     leader = One().lead()
     leader.hear(OLD, 50, append_answer=pb.AppendAnswer())
-    assert leader.core.part == "leader" and leader.core.counts["stranger"] == 1
+    assert leader.core.role == "leader" and leader.core.counters["stranger"] == 1
 
 
 def test_asking_before_a_term_costs_no_term():
@@ -156,7 +158,7 @@
     one.do(api.ReadRequested(8))
     one.do(wait=100.0)
     one.do(wait=250.0)
-    assert one.core.part == "follower"
+    assert one.core.role == "follower"
     assert [(a.token, a.refusal) for a in one.of(api.ProposalOutcome)] == [(7, pb.Result.UNKNOWN)]
     assert [(a.token, a.refusal) for a in one.of(api.ReadOutcome)] == [(8, pb.Result.NO_LEADER)]
     assert one.propose(9)[0].refusal == pb.Result.NO_LEADER
@@ -198,7 +200,7 @@
 def test_malformed_entries_are_dropped_and_counted(append):
     one = One()
     one.hear(B, 2, append=append)
-    assert one.core.log.last == 1 and one.core.counts["malformed"] == 1
+    assert one.core.log.last_index == 1 and one.core.counters["malformed"] == 1
 
 
 def test_bytes_that_make_no_sense_move_nothing_that_is_agreed():
@@ -231,16 +233,18 @@
         if part % 2:
             one.lead().agree()
         for _ in range(100):
-            before = one.core.commit, one.core.term
-            fine = one.core.log.slice(1, one.core.commit)
+            before = one.core.commit_index, one.core.term
+            fine = one.core.log.slice(1, one.core.commit_index)
             sender, message = random.choice((A, B, C, OLD)), fill(pb.Message())
             one.do(api.MessageReceived(sender, message), wait=random.choice((0, 50)))
-            assert (one.core.commit, one.core.term) >= before and one.core.log.slice(1, before[0]) == fine
+            assert (one.core.commit_index, one.core.term) >= before and one.core.log.slice(
+                1, before[0]
+            ) == fine
 
 
 def test_a_timer_that_comes_early_is_wanted_again():
     one = One()
-    at = one.core.ask_at
+    at = one.core.election_deadline_ms
     one.now = at - 1e-6
     assert one.do(api.TimerFired()) == [api.Timer(at)]
 
@@ -251,18 +255,18 @@
     one.hear(A, 5, append=pb.Append())
     one.hear(B, 1 << 63, append=pb.Append())
     one.hear(B, 0, join=pb.Join(member=pb.Member(name="c", life=b"c")))
-    assert one.core.counts["malformed"] == 4 and one.core.term == 1
+    assert one.core.counters["malformed"] == 4 and one.core.term == 1
 
 
 def test_entries_under_way_are_bounded_by_count_and_bytes():
-    one = One(timing=Timing(append_most=1000, under_way_most=3)).lead().agree()
+    one = One(timing=Timing(max_append_bytes=1000, max_in_flight_appends=3)).lead().agree()
     for token in range(30):
         one.propose(token, 400)
     one.do()
-    assert one.core.leading.peers[B].next < one.core.log.last
-    assert len(one.core.leading.peers[B].under_way) == 3
+    assert one.core.leader_state.peers[B].next_index < one.core.log.last_index
+    assert len(one.core.leader_state.peers[B].in_flight) == 3
     one.written()
-    sent = one.core.leading.peers[B].next - 1
+    sent = one.core.leader_state.peers[B].next_index - 1
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=sent, round=1))
     assert all(len(m.append.entries) <= 2 for m in one.sent("append"))
 
@@ -271,42 +275,42 @@
 
 
 def test_proposals_and_reads_that_wait_are_bounded():
-    one = One(timing=replace(TIGHT, log_most=1 << 20)).lead().agree()
-    for token in range(TIGHT.waiting_most):
+    one = One(timing=replace(TIGHT, max_log_bytes=1 << 20)).lead().agree()
+    for token in range(TIGHT.max_pending_proposals):
         assert not one.propose(token)
     assert one.propose(99)[0].refusal == pb.Result.TOO_MANY
-    one.do(*(api.ReadRequested(token) for token in range(TIGHT.reads_most + 1)))
+    one.do(*(api.ReadRequested(token) for token in range(TIGHT.max_pending_reads + 1)))
     assert [a.refusal for a in one.of(api.ReadOutcome)] == [pb.Result.TOO_MANY]
 
 
 def test_a_log_that_no_snapshot_shortens_takes_nothing_more():
-    one = One(timing=Timing(log_most=1000)).lead().agree()
+    one = One(timing=Timing(max_log_bytes=1000)).lead().agree()
     assert not one.propose(1, 800) and not one.of(api.TakeSnapshot)
     one.propose(2, 400)
     assert one.of(api.TakeSnapshot)
     answers = [answer for token in range(3, 9) for answer in one.propose(token, 400)]
-    assert {answer.refusal for answer in answers} == {pb.Result.TOO_MANY} and one.core.log.size < 3000
+    assert {answer.refusal for answer in answers} == {pb.Result.TOO_MANY} and one.core.log.size_bytes < 3000
     one.agree()
-    one.do(api.Snapshot(one.core.given, 0, b"state"))
+    one.do(api.Snapshot(one.core.delivered_index, 0, b"state"))
     one.written()
-    assert one.core.log.size < 1000 and not one.propose(50)
+    assert one.core.log.size_bytes < 1000 and not one.propose(50)
 
 
 def test_a_state_too_large_for_a_snapshot_is_not_asked_for_at_each_step(monkeypatch):
-    monkeypatch.setattr("fennelwind.raft.snapshots.SNAPSHOT_MOST", 4)
-    one = One(timing=Timing(log_most=1000, kept_entries=10)).lead().agree()
+    monkeypatch.setattr("fennelwind.raft.snapshots.MAX_SNAPSHOT_BYTES", 4)
+    one = One(timing=Timing(max_log_bytes=1000, retained_entries=10)).lead().agree()
     one.propose(1, 800)
     one.propose(2, 400)
     assert one.of(api.TakeSnapshot)
-    one.do(api.Snapshot(one.core.given, 0, b"state"))
-    assert one.core.counts["snapshot too large"] == 1 and not one.of(api.TakeSnapshot)
+    one.do(api.Snapshot(one.core.delivered_index, 0, b"state"))
+    assert one.core.counters["snapshot too large"] == 1 and not one.of(api.TakeSnapshot)
     one.propose(3, 100)
     one.agree()
     assert not one.of(api.TakeSnapshot)
 
 
 def test_a_command_that_is_too_large_is_refused_at_the_door():
-    assert One().lead().agree().propose(1, COMMAND_MOST + 2000)[0].refusal == pb.Result.TOO_LARGE
+    assert One().lead().agree().propose(1, MAX_COMMAND_BYTES + 2000)[0].refusal == pb.Result.TOO_LARGE
 
 
 def test_messages_held_back_by_a_slow_disk_are_bounded():
@@ -314,7 +318,7 @@
     one.hear(B, 5, vote=pb.Vote(last_index=9, last_term=1))
     for _ in range(2000):
         one.hear(C, 4, vote=pb.Vote(last_index=9, last_term=1))
-    assert len(one.core.writes.held) == 1024 and one.core.counts["held too many"] == 977
+    assert len(one.core.pending_writes.held_sends) == 1024 and one.core.counters["held too many"] == 977
 
 
 # A disk that takes no writes
@@ -324,7 +328,7 @@
     one = One()
     one.hear(B, 2, append=pb.Append(before_index=1, before_term=1, entries=[entry(2, 2)]))
     one.do(api.WriteFailed(1, True))
-    assert one.core.part == "mute" and not one.of(api.Send)
+    assert one.core.role == "mute" and not one.of(api.Send)
     one.hear(B, 2, append=pb.Append(before_index=2, before_term=2, commit=3, entries=[entry(3, 2)], round=1))
     answer = one.sent("append_answer")[0].append_answer
     assert (answer.took, answer.cannot_write) == (False, True)
@@ -337,20 +341,20 @@
 def test_a_leader_that_cannot_write_hands_over_first():
     one = One().lead().agree()
     one.propose(1)
-    one.do(api.WriteFailed(one.core.writes.number, True))
+    one.do(api.WriteFailed(one.core.pending_writes.last_number, True))
     assert [(a.to, a.message.WhichOneof("body")) for a in one.of(api.Send)] == [(B, "take_over")]
-    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.UNKNOWN and one.core.part == "mute"
+    assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.UNKNOWN and one.core.role == "mute"
 
 
 def test_a_leader_whose_disk_stands_while_others_agree_hands_over():
     one = One().lead().agree()
-    took = one.propose(1) or pb.AppendAnswer(took=True, index=one.core.log.last)
+    took = one.propose(1) or pb.AppendAnswer(took=True, index=one.core.log.last_index)
     for life in (B, C):
         one.hear(life, one.core.term, append_answer=took)
-    assert one.core.commit == one.core.log.last and not one.of(api.ProposalOutcome)[0].refusal
+    assert one.core.commit_index == one.core.log.last_index and not one.of(api.ProposalOutcome)[0].refusal
     for _ in range(59):  # ten election time-outs are over with the 60th
         one.do(wait=50.0)
-        took.round = one.core.leading.round
+        took.round = one.core.leader_state.round
         one.hear(B, one.core.term, append_answer=took)
         assert not one.sent("take_over")
     one.do(wait=50.0)
@@ -363,20 +367,24 @@
     one.do(api.WriteFailed(1, False))
     first = entry(1, members=members(A, B, C))
     one.do(api.StorageRecovered(DurableState(A, pb.HardState(term=2), entries=[first, entry(2, 2)])))
-    assert one.core.writes.durable == 2 and not one.of(api.Write)[0].entries
+    assert one.core.pending_writes.durable_index == 2 and not one.of(api.Write)[0].entries
     old = One(entry(2), entry(3))
     old.hear(B, 2, append=pb.Append(before_index=1, before_term=1, entries=[entry(2, 2)]))
     old.do(api.WriteFailed(1, False))
     old.do(api.StorageRecovered(DurableState(A, pb.HardState(term=1), entries=[first, entry(2), entry(3)])))
     (write,) = old.of(api.Write)
-    assert write.cut_after == 1 and list(write.entries) == [entry(2, 2)] and old.core.writes.durable == 1
+    assert (
+        write.truncate_after == 1
+        and list(write.entries) == [entry(2, 2)]
+        and old.core.pending_writes.durable_index == 1
+    )
 
 
 def test_a_folder_that_lost_all_gets_snapshot_and_log_again():
-    one = One(*(entry(i) for i in range(2, 20)), timing=replace(TIGHT, log_most=100)).lead().agree()
+    one = One(*(entry(i) for i in range(2, 20)), timing=replace(TIGHT, max_log_bytes=100)).lead().agree()
     one.do(api.Snapshot(15, 0, b"state"))
     one.written()
-    one.do(api.WriteFailed(one.core.writes.number + 1, False))
+    one.do(api.WriteFailed(one.core.pending_writes.last_number + 1, False))
     one.do(api.StorageRecovered(DurableState(A, pb.HardState())))
     image = Image()
     for write in one.of(api.Write):
@@ -399,7 +407,7 @@
     one.do(wait=100.0)
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=3, round=3))
     one.do(wait=250.0)
-    assert one.core.part == "leader" and not one.propose(3)  # nobody took it: it goes on
+    assert one.core.role == "leader" and not one.propose(3)  # nobody took it: it goes on
 
 
 def test_who_is_asked_takes_over_at_once_but_not_from_a_stranger():
@@ -446,9 +454,9 @@
     }
     core.step(0.0, [empty[B]])
     core.step(60_000.0, [empty[C]])  # b may have been let in by others meanwhile
-    assert core.empty
+    assert core.is_empty
     core.step(60_100.0, [empty[B]])
-    assert not core.empty
+    assert not core.is_empty
 
 
 def test_a_founder_alone_takes_no_command():
@@ -469,8 +477,8 @@
     cluster.wipe(name)
     cluster.start(name)
     node = cluster.nodes[name]
-    while node.me not in cluster.leader().core.log.config.voters:
-        assert node.core.part in ("outside", "learner")
+    while node.me not in cluster.leader().core.log.configuration.voters:
+        assert node.core.role in ("outside", "learner")
         cluster.run(cluster.now + 5.0)
     assert node.applied >= index and len(cluster.voters()) == 3
 
@@ -484,8 +492,10 @@
     )  # nothing of the own term is agreed yet
     one.agree()
     one.do(change)
-    assert not one.of(api.ProposalOutcome) and Incarnation("d", b"d") in one.core.log.config.lives
-    assert Incarnation("d", b"d") not in one.core.log.config.voters
+    assert (
+        not one.of(api.ProposalOutcome) and Incarnation("d", b"d") in one.core.log.configuration.incarnations
+    )
+    assert Incarnation("d", b"d") not in one.core.log.configuration.voters
     one.do(api.ChangeMembership(2, remove=C))
     assert one.of(api.ProposalOutcome)[0].refusal == pb.Result.TOO_MANY
     one.agree()
@@ -544,7 +554,7 @@
     before = cluster.counts["piece"]
     while cluster.nodes[name].applied < 60:
         cluster.run(cluster.now + 50.0)
-    pieces = -(-len(cluster.leader().core.snapshots.data) // TIGHT.piece_most)
+    pieces = -(-len(cluster.leader().core.snapshots.data) // TIGHT.max_chunk_bytes)
     assert pieces > 1 and cluster.counts["restores"] and cluster.counts["piece"] - before < 20 * pieces
 
 
@@ -556,7 +566,7 @@
     assert one.sent("piece_answer")[0].piece_answer.offset == 0 and one.core.snapshots.head is None
     huge = pb.SnapshotHead(index=9, term=2, size=1 << 40)
     one.hear(B, 2, piece=pb.Piece(head=huge, data=b"abcd"))
-    assert one.core.counts["malformed"] == 1
+    assert one.core.counters["malformed"] == 1
 
 
 def test_time_alone_is_written_while_something_is_due_and_only_then():
@@ -574,7 +584,7 @@
 
 def test_a_read_waits_for_a_round_that_began_after_it():
     one = One().lead().agree()
-    one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=one.core.leading.round))
+    one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=one.core.leader_state.round))
     one.do(api.ReadRequested(1))
     number = one.sent("append")[0].append.round
     one.hear(B, 2, append_answer=pb.AppendAnswer(took=True, index=2, round=number - 1))
--- a/tests/raft/test_record.py
+++ b/tests/raft/test_record.py
@@ -7,7 +7,7 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import replicated_state as record_module
-from fennelwind.raft.replicated_state import COMMAND_MOST, ReplicatedState
+from fennelwind.raft.replicated_state import MAX_COMMAND_BYTES, ReplicatedState
 
 
 class Lapsing(Sum):
@@ -41,7 +41,7 @@
 
 
 def test_a_forgotten_client_is_refused_not_done_anew(monkeypatch):
-    monkeypatch.setattr(record_module, "CLIENTS_MOST", 2)
+    monkeypatch.setattr(record_module, "MAX_CLIENTS", 2)
     record, first = opened()
     record.apply(entry(2, client=first, number=1, body=b"5"))
     _, second = opened(record)
@@ -57,7 +57,7 @@
     [
         (pb.Command(machine="sum", body=b"x"), pb.Result.UNREADABLE),
         (pb.Command(machine="none", body=b"1"), pb.Result.NO_MACHINE),
-        (pb.Command(machine="sum", body=b"1" * (COMMAND_MOST + 1)), pb.Result.TOO_LARGE),
+        (pb.Command(machine="sum", body=b"1" * (MAX_COMMAND_BYTES + 1)), pb.Result.TOO_LARGE),
     ],
 )
 def test_what_cannot_be_done_changes_nothing(command, refusal):
--- a/tests/raft_storage/test_store.py
+++ b/tests/raft_storage/test_store.py
@@ -162,11 +162,11 @@
         play.write(Write(1, entries=(entry(index, 1),)))
         if index % 10 == 0:
             head = pb.SnapshotHead(index=index - 2, term=1)
-            play.write(Write(1, head=head, snapshot=b"state %d" % index))
+            play.write(Write(1, snapshot_head=head, snapshot=b"state %d" % index))
     play.kill()
     newest = max(name for name in play.platter.names if name.startswith("snapshot-"))
     held = damaged(play, lambda platter: platter.flip(newest, 300))
-    assert (held.head.index, held.snapshot) == (28, b"state 30")
+    assert (held.snapshot_head.index, held.snapshot) == (28, b"state 30")
     assert [e.index for e in held.entries] == list(range(29, 41))
     assert play.model.says_as_much(held)
     assert damaged(play, lambda platter: platter.lose(newest)) == held
@@ -183,8 +183,8 @@
 def test_a_snapshot_over_a_gap_has_nothing_to_fall_back_to():
     play = Play(1)
     play.write(Write(1, entries=(entry(1, 1), entry(2, 1))))
-    play.write(Write(1, head=pb.SnapshotHead(index=2, term=1), snapshot=b"two"))
-    play.write(Write(1, head=pb.SnapshotHead(index=90, term=3), snapshot=b"ninety"))
+    play.write(Write(1, snapshot_head=pb.SnapshotHead(index=2, term=1), snapshot=b"two"))
+    play.write(Write(1, snapshot_head=pb.SnapshotHead(index=90, term=3), snapshot=b"ninety"))
     play.kill()
     newest = max(name for name in play.platter.names if name.startswith("snapshot-"))
     assert damaged(play, lambda platter: platter.flip(newest, 300)) is SnapshotDamagedError
@@ -247,10 +247,10 @@
         play.write(Write(1, entries=(entry(index, 1),)))
         if index % 10 == 0:
             head = pb.SnapshotHead(index=index, term=1)
-            play.write(Write(1, head=head, snapshot=b"s", keep_from=index - 3))
+            play.write(Write(1, snapshot_head=head, snapshot=b"s", retain_from=index - 3))
     play.kill()
     _, durable = Store.open(SimDisk(None, play.platter), "fleet", "a", LIFE, TINY)
-    assert durable.head.index == 30 and [e.index for e in durable.entries] == [27, 28, 29, 30]
+    assert durable.snapshot_head.index == 30 and [e.index for e in durable.entries] == [27, 28, 29, 30]
 
 
 def test_a_long_log_is_read_with_pauses():
@@ -266,9 +266,9 @@
 def test_reading_may_begin_in_a_segment_that_cuts_what_was_before_it():
     play = Play(1, limits=Limits(segment=2000, reserve=0, low=0))
     play.write(Write(1, entries=tuple(entry(index, 1, 300) for index in range(1, 11))))
-    play.write(Write(1, cut_after=8, entries=tuple(entry(index, 2, 20) for index in range(9, 12))))
+    play.write(Write(1, truncate_after=8, entries=tuple(entry(index, 2, 20) for index in range(9, 12))))
     for index in (10, 11):
-        play.write(Write(1, head=pb.SnapshotHead(index=index, term=2), snapshot=b"s"))
+        play.write(Write(1, snapshot_head=pb.SnapshotHead(index=index, term=2), snapshot=b"s"))
     assert play.store.first == 2
     play.kill()
     assert play.start()
@@ -277,7 +277,7 @@
 def test_restarts_alone_do_not_pile_up_files():
     play = Play(1, limits=Limits(reserve=0, low=0))
     for index in range(1, 31):
-        play.write(Write(1, hard=pb.HardState(term=index)))
+        play.write(Write(1, hard_state=pb.HardState(term=index)))
         play.write(Write(1, entries=(entry(index, index, 4000),)))
         (play.kill if index % 2 else play.crash)()
         assert play.start()
@@ -298,7 +298,7 @@
     """Return a play that has a snapshot and wrote until there was no room."""
     play = Play(1, room=12_000)
     play.write(Write(1, entries=(entry(1, 1), entry(2, 1))))
-    play.write(Write(1, head=pb.SnapshotHead(index=1, term=1), snapshot=b"s"))
+    play.write(Write(1, snapshot_head=pb.SnapshotHead(index=1, term=1), snapshot=b"s"))
     while play.write(Write(1, entries=(entry(play.model.last + 1, 1, 200),))):
         assert play.model.last < 100
     return play
@@ -311,7 +311,7 @@
         play.store.reopen()
     assert told.value.facts["wanted"] == SMALL.low
     play.platter.room += 4000
-    assert play.again(tries=1) and play.write(Write(1, hard=pb.HardState(term=2)))
+    assert play.again(tries=1) and play.write(Write(1, hard_state=pb.HardState(term=2)))
     assert not play.store.short()
 
 
@@ -320,7 +320,7 @@
     while not play.store.short():
         assert play.write(Write(1, entries=(entry(play.model.last + 1, 1, 200),)))
     for _ in range(3):  # who leads can still hand over in order
-        assert play.write(Write(1, hard=pb.HardState(term=play.model.hard.term + 1)))
+        assert play.write(Write(1, hard_state=pb.HardState(term=play.model.hard.term + 1)))
 
 
 def test_the_reserve_lets_a_full_folder_shrink_by_itself():
@@ -329,9 +329,9 @@
     assert "reserve" in play.platter.names
     head = pb.SnapshotHead(index=last - 1, term=1)
     durable = play.store.reopen(head, b"s" * 500)
-    assert durable.head == head and [e.index for e in durable.entries] == [last]
+    assert durable.snapshot_head == head and [e.index for e in durable.entries] == [last]
     assert play.platter.used() < used - 3000 and not play.store.short()
-    play.models = [play.model.after(Write(1, head=head, snapshot=b"s" * 500))]
+    play.models = [play.model.after(Write(1, snapshot_head=head, snapshot=b"s" * 500))]
     for index in range(last + 1, last + 4):
         assert play.write(Write(1, entries=(entry(index, 1),)))
     play.kill()
@@ -366,7 +366,7 @@
     calls = play.calls
     for write in (
         Write(1, entries=(entry(1, 1, SMALL.group),)),
-        Write(1, head=pb.SnapshotHead(index=1), snapshot=bytes(SMALL.snapshot + 1)),
+        Write(1, snapshot_head=pb.SnapshotHead(index=1), snapshot=bytes(SMALL.snapshot + 1)),
     ):
         with pytest.raises(WriteTooLargeError):
             play.store.write(write)
@@ -375,12 +375,12 @@
 
 
 @pytest.mark.parametrize(
-    "write", [Write(1, entries=(entry(9, 1),)), Write(1, entries=(entry(3, 1),)), Write(1, cut_after=1)]
+    "write", [Write(1, entries=(entry(9, 1),)), Write(1, entries=(entry(3, 1),)), Write(1, truncate_after=1)]
 )
 def test_a_write_that_does_not_fit_is_refused(write):
     play = Play(1)
     play.write(Write(1, entries=(entry(1, 2), entry(2, 2))))
-    play.write(Write(1, head=pb.SnapshotHead(index=2, term=2), snapshot=b"s"))
+    play.write(Write(1, snapshot_head=pb.SnapshotHead(index=2, term=2), snapshot=b"s"))
     with pytest.raises(InvalidWriteError):
         play.store.write(write)
     assert play.again()
@@ -391,7 +391,7 @@
     play = Play(1, limits=limits, room=1 << 30)
     large = Write(1, entries=tuple(entry(i, 1, 700_000, play.random) for i in range(1, 6)))
     assert play.write(large)
-    assert play.write(Write(1, head=pb.SnapshotHead(index=4, term=1), snapshot=bytes(3 << 20)))
+    assert play.write(Write(1, snapshot_head=pb.SnapshotHead(index=4, term=1), snapshot=bytes(3 << 20)))
     play.kill()
     assert play.start()
     play.next_fault("late", 0)
--- a/tests/support/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -32,7 +32,7 @@
 FAULTS = ("kill", "power", "stop", "cut", "full", "sync", "all", "lost")
 HARD = (*FAULTS, "all full", "hang", "slow way", "together", "again", "leave")
 COSTS = Costs(sync_ms=8.0)  # slow, so that many commands are met between a write and its sync
-TIMING = Timing(heartbeat_ms=100.0, election_ms=500.0, kept_entries=200, log_most=64 * 1024)
+TIMING = Timing(heartbeat_ms=100.0, election_timeout_ms=500.0, retained_entries=200, max_log_bytes=64 * 1024)
 
 
 class Chaos:
@@ -230,7 +230,7 @@
         """Let a folder be gone, once the one lost before has all again: one loss at a time is stood."""
         council = self.council
         leader = council.leader()
-        members = council.keepers[leader].member.core.log.config.members.members if leader else ()
+        members = council.keepers[leader].member.core.log.configuration.members.members if leader else ()
         stood = sum(member.votes for member in members) == len(council.names)
         if stood and self.lost:
             before = council.keepers[self.lost].member
--- a/tests/support/council_cluster.py
+++ b/tests/support/council_cluster.py
@@ -24,15 +24,15 @@
 
 TIGHT = Timing(
     heartbeat_ms=50,
-    election_ms=300,
-    append_most=300,
-    under_way_most=3,
-    piece_most=64,
-    waiting_most=8,
-    reads_most=8,
-    kept_entries=4,
-    log_most=2000,
-    clock_ms=400,
+    election_timeout_ms=300,
+    max_append_bytes=300,
+    max_in_flight_appends=3,
+    max_chunk_bytes=64,
+    max_pending_proposals=8,
+    max_pending_reads=8,
+    retained_entries=4,
+    max_log_bytes=2000,
+    clock_entry_interval_ms=400,
 )
 
 
@@ -57,20 +57,20 @@
 
     def take(self, write: api.Write) -> None:
         """Make a write sure."""
-        if write.head is not None:
-            self.head, self.snapshot = write.head, write.snapshot
-            self.entries = [e for e in self.entries if e.index >= write.keep_from]
-        if write.cut_after is not None:
-            self.entries = [e for e in self.entries if e.index <= write.cut_after]
+        if write.snapshot_head is not None:
+            self.head, self.snapshot = write.snapshot_head, write.snapshot
+            self.entries = [e for e in self.entries if e.index >= write.retain_from]
+        if write.truncate_after is not None:
+            self.entries = [e for e in self.entries if e.index <= write.truncate_after]
         for entry in write.entries:
             last = self.entries[-1].index if self.entries else self.head.index if self.head else 0
             if entry.index != last + 1:
                 raise Broken(f"entry {entry.index} written behind {last}")
             self.entries.append(entry)
-        if write.hard is not None:
-            if write.hard.term < self.hard.term:
+        if write.hard_state is not None:
+            if write.hard_state.term < self.hard.term:
                 raise Broken("a term goes back on the disk")
-            self.hard = write.hard
+            self.hard = write.hard_state
 
     def durable(self, me: Incarnation) -> DurableState:
         """Return what is read when the folder is opened."""
@@ -103,7 +103,7 @@
         if self.agreed:
             last = self.agreed[-1]
             held = core.log.term(last.index)
-            if last.term < core.term and core.log.base < last.index and held != last.term:
+            if last.term < core.term and core.log.base_index < last.index and held != last.term:
                 raise Broken(f"the leader of term {core.term} lacks agreed entry {last.index}")
 
     def voted(self, voter: Incarnation, term: int, candidate: Incarnation) -> None:
@@ -116,7 +116,7 @@
         """A member knows whom it has given its vote, whatever became of it since."""
         core = node.core
         given = self.votes.get((node.me, core.term))
-        if core.term < self.terms.get(node.me, 0) or given not in (None, core.voted):
+        if core.term < self.terms.get(node.me, 0) or given not in (None, core.voted_for):
             raise Broken(f"{node.name} has forgotten a promise")
 
     def headed(self, head: pb.SnapshotHead) -> None:
@@ -149,7 +149,7 @@
             # by those who counted when it was agreed: new members may have been written in the same step
             if not any(
                 2 * len(held.intersection(voters)) > len(voters)
-                for voters in (config.voters for config in node.core.log.configs[-2:])
+                for voters in (configuration.voters for configuration in node.core.log.configurations[-2:])
             ):
                 raise Broken(f"entry {entry.index} agreed with {len(held)} disks")
             self.agreed.append(entry)
@@ -318,11 +318,11 @@
         self.counts["steps"] += 1
         actions = core.step(self.clock(node), events)
         self.checks.remembers(node)
-        if core.leading is not None:
+        if core.leader_state is not None:
             self.checks.leads(node)
         for action in actions:
             self._act(node, action)
-        if core.given != node.applied:
+        if core.delivered_index != node.applied:
             raise Broken("not all that is agreed was handed over")
 
     def _act(self, node: Node, action: api.Action) -> None:
@@ -331,8 +331,8 @@
                 self._send(node, to, message)
             case api.Write(number):
                 self.checks.logged(node.core.log, action.entries)
-                if action.head is not None:
-                    self.checks.headed(action.head)
+                if action.snapshot_head is not None:
+                    self.checks.headed(action.snapshot_head)
                 node.image.pending.append(action)
                 self.at(self.random.uniform(*self.sync) * node.slow, self._synced, node, node.epoch, number)
             case api.Apply(entries):
@@ -425,7 +425,7 @@
                 self.at(self.random.uniform(*self.delay), self._deliver, node.me, to, message)
 
     def _promised(self, node: Node, message: pb.Message) -> None:
-        if node.core.mute:
+        if node.core.storage_failed:
             raise Broken(f"{node.name} can't write and promises")
         index = message.append_answer.index
         if index and not node.image.holds(index, node.core.log.term(index) or 0):
@@ -505,7 +505,7 @@
 
     def leading(self) -> list[Node]:
         """Return all who think that they lead."""
-        return [n for n in self.nodes.values() if n.core is not None and n.core.leading is not None]
+        return [n for n in self.nodes.values() if n.core is not None and n.core.leader_state is not None]
 
     def leader(self) -> Node | None:
         """Return who leads in the latest term."""
@@ -524,7 +524,7 @@
     def voters(self) -> list[str]:
         """Return the names of those who vote, as the leader has it."""
         leader = self.leader()
-        return [life.name for life in leader.core.log.config.voters] if leader else []
+        return [life.name for life in leader.core.log.configuration.voters] if leader else []
 
     def await_done(self, most: float = 10_000.0, size: int = 8) -> int:
         """Have a command done, however often it takes; return its index."""
@@ -562,7 +562,7 @@
         leader = self.await_leader()
         return [
             life.name
-            for life in leader.core.log.config.lives
+            for life in leader.core.log.configuration.incarnations
             if self.nodes[life.name].applied < index and self.nodes[life.name].me == life
         ]
 
@@ -649,7 +649,7 @@
             for a in near:
                 for b in set(names) - near:
                     cluster.cut(a, b)
-            if not wiped and leader.core.founded() and random.random() < 0.5:
+            if not wiped and leader.core.accepts_commands() and random.random() < 0.5:
                 for each in random.sample(sorted(set(names) - near), min(2, len(names) - len(near))):
                     if leader.core is not None:
                         cluster.change(leader.name, remove=cluster.nodes[each].me)
@@ -670,9 +670,9 @@
             for leader in cluster.leading():
                 for each in random.sample(names, random.choice((1, 1, min(2, len(names))))):
                     node = cluster.nodes[each]
-                    if leader.core is None or wiped or not leader.core.founded():
+                    if leader.core is None or wiped or not leader.core.accepts_commands():
                         continue
-                    if node.me in leader.core.log.config.lives:
+                    if node.me in leader.core.log.configuration.incarnations:
                         cluster.change(leader.name, remove=node.me)
                     else:
                         cluster.change(leader.name, add=pb.Member(name=each, life=node.me.life, address=each))
@@ -691,7 +691,7 @@
                 or leader.name == name
                 or 2 * len(fresh) <= len(voters)
                 or len(voters) < 3
-                or leader.core.log.config.index > leader.core.commit
+                or leader.core.log.configuration.index > leader.core.commit_index
             ):
                 return False
             cluster.wipe(name)
@@ -743,7 +743,7 @@
                 case api.ProposalOutcome(_, refusal):
                     counts["done" if not refusal else "refused"] += 1
                 case api.TakeSnapshot():
-                    boxes[life].append(api.Snapshot(cores[life].given, 0, bytes(1000)))
+                    boxes[life].append(api.Snapshot(cores[life].delivered_index, 0, bytes(1000)))
 
     def quiet() -> None:
         while any(boxes.values()):
@@ -754,8 +754,8 @@
 
     for life in lives:
         step(life, [])
-    while cores[leader].leading is None:
-        now += Timing().election_ms
+    while cores[leader].leader_state is None:
+        now += Timing().election_timeout_ms
         step(leader, [api.TimerFired()])
         quiet()
     counts.clear()
--- a/tests/support/council_defects.py
+++ b/tests/support/council_defects.py
@@ -21,12 +21,12 @@
 from planted import Line, broken, planted, row
 
 from fennelwind.raft import election, snapshots
-from fennelwind.raft.election import Ballot
+from fennelwind.raft.election import Campaign
 from fennelwind.raft.leader import Leader
 from fennelwind.raft.log import Log
 from fennelwind.raft.member import RaftMember
-from fennelwind.raft.pending_writes import Writes
-from fennelwind.raft.snapshot_chunks import Incoming
+from fennelwind.raft.pending_writes import PendingWrites
+from fennelwind.raft.snapshot_chunks import SnapshotReceiver
 
 PART = 0.2  # of a day, for what is found soon
 
@@ -43,21 +43,23 @@
     "acknowledge before sync": Defect(
         [
             Line(
-                RaftMember._answer_leader,
-                "min(self.writes.durable, self.agreed)",
-                "min(self.log.last, self.agreed)",
+                RaftMember._send_append_response,
+                "min(self.pending_writes.durable_index, self.leader_match_index)",
+                "min(self.log.last_index, self.leader_match_index)",
             )
         ],
         ("led", 1000),
     ),
     "leader counts itself early": Defect(
-        [Line(Leader.committed, "core.writes.durable", "core.log.last")], ("led", 3000)
+        [Line(Leader.quorum_commit_index, "member.pending_writes.durable_index", "member.log.last_index")],
+        ("led", 3000),
     ),
     "vote forgotten at a crash": Defect(
         [
             Line(
                 RaftMember.__init__,
-                "Incarnation(hard.voted_name, hard.voted_life) if hard.voted_name else None",
+                "Incarnation(hard_state.voted_name, hard_state.voted_life) if hard_state.voted_name else "
+                "None",
                 "None",
             )
         ],
@@ -65,97 +67,136 @@
     ),
     # Messages leave before the term and vote that they rest on are on the disk.
     "vote before it is written": Defect(
-        [Line(RaftMember.send, "if self.mute or self.writes.hard_done:", "if True:")], (1, PART)
+        [
+            Line(
+                RaftMember.send,
+                "if self.storage_failed or self.pending_writes.is_hard_state_durable:",
+                "if True:",
+            )
+        ],
+        (1, PART),
     ),
     # A leader answers reads without asking whether it still leads.
     "read from a deposed leader": Defect(
         [
             Line(
                 Leader._serve_reads,
-                "reads.place(core.commit, self.round + 1)",
-                "reads.place(core.commit, 0)",
+                "reads.assign_index(member.commit_index, self.round + 1)",
+                "reads.assign_index(member.commit_index, 0)",
             )
         ],
         ("contested", 100),
     ),
     # A new leader answers reads before it knows what earlier leaders agreed on.
     "read before an own entry": Defect(
-        [Line(Leader._serve_reads, "if core.log.term(core.commit) != self.term:", "if False:")], (42, PART)
+        [Line(Leader._serve_reads, "if member.log.term(member.commit_index) != self.term:", "if False:")],
+        (42, PART),
     ),
     # Entries that differ from the leader's are left where they are.
     "tail kept after a conflict": Defect(
         [
             Line(
-                RaftMember._append, "e.index > log.base and log.term(e.index) != e.term", "e.index > log.last"
+                RaftMember._handle_append,
+                "entry.index > log.base_index and log.term(entry.index) != entry.term",
+                "entry.index > log.last_index",
             )
         ],
         (19, PART),
     ),
     "commit by counting old terms": Defect(
-        [Line(Leader.committed, " and core.log.term(index) == self.term", "")], ("old_term", 12_000)
+        [Line(Leader.quorum_commit_index, " and member.log.term(index) == self.term", "")],
+        ("old_term", 12_000),
+    ),
+    "two changes at once": Defect(
+        [patch.object(Leader, "can_change_membership", lambda self: True)], (56, 1.0)
     ),
-    "two changes at once": Defect([patch.object(Leader, "may_change", lambda self: True)], (56, 1.0)),
     # Who catches up counts for what is agreed, and for votes.
     "learners count": Defect(
         [
-            Line(Leader.voters, "config.voters", "config.lives"),
-            Line(Ballot.won, "sum(life in self.granted for life in voters)", "len(self.granted)"),
+            Line(Leader.voters, "configuration.voters", "configuration.incarnations"),
+            Line(Campaign.is_won, "sum(voter in self.granted for voter in voters)", "len(self.granted)"),
         ],
         (71, 1.0),
     ),
-    "snapshot without its term": Defect([Line(snapshots.head_of, "term=term", "term=0")], (1, PART)),
+    "snapshot without its term": Defect(
+        [Line(snapshots.make_snapshot_head, "term=term", "term=0")], (1, PART)
+    ),
     # It says who counts now, not who counted as of its last entry.
     "snapshot with later members": Defect(
-        [patch.object(Log, "config_at", lambda self, index: self.config)], (1, PART)
+        [patch.object(Log, "configuration_at", lambda self, index: self.configuration)], (1, PART)
     ),
     "vote for a shorter log": Defect(
-        [patch.object(election, "lacks_nothing", lambda vote, term, index: True)], (1, PART)
+        [patch.object(election, "is_log_up_to_date", lambda vote, term, index: True)], (1, PART)
     ),
-    "half is enough": Defect([Line(Ballot.won, "> len(voters)", ">= len(voters)")], (1, PART)),
+    "half is enough": Defect([Line(Campaign.is_won, "> len(voters)", ">= len(voters)")], (1, PART)),
     # It takes the leader's word for its own entries without having compared them.
     "follower commits what it has": Defect(
         [
             Line(
-                RaftMember._append,
-                "newer = append.round > self.round",
-                "newer = append.round > self.round; "
-                "self.commit = max(self.commit, min(append.commit, log.last))",
+                RaftMember._handle_append,
+                "is_new_round = append.round > self.leader_round",
+                "is_new_round = append.round > self.leader_round; "
+                "self.commit_index = max(self.commit_index, min(append.commit, log.last_index))",
             )
         ],
         ("contested", 1000),
     ),
     "failed write taken as done": Defect(
-        [Line(RaftMember._take, "self._fall_mute()", "self._written(self.writes.number)")], ("led", 1000)
+        [
+            Line(
+                RaftMember._handle_event,
+                "self._handle_write_failed()",
+                "self._handle_write_completed(self.pending_writes.last_number)",
+            )
+        ],
+        ("led", 1000),
     ),
     # A member whose disk takes no writes goes on as if it had one.
     "mute member votes": Defect(
-        [patch.object(RaftMember, "_fall_mute", lambda self: self.writes.written(self.writes.number))],
+        [
+            patch.object(
+                RaftMember,
+                "_handle_write_failed",
+                lambda self: self.pending_writes.complete(self.pending_writes.last_number),
+            )
+        ],
         ("led", 3000),
     ),
     "promise forgotten when it can write": Defect(
         [
             Line(
-                RaftMember._speak_again,
-                "self.writes.failed()",
-                "self.writes.failed(); self.term, self.voted, self.leader = durable.hard.term, None, None",
+                RaftMember._recover_storage,
+                "self.pending_writes.discard()",
+                "self.pending_writes.discard(); "
+                "self.term, self.voted_for, self.leader = durable.hard_state.term, None, None",
             )
         ],
         (7, PART),
     ),
     # What was on the disk before a tail was cut counts for what came in its place.
     "cut entries still count": Defect(
-        [Line(Writes.cut_after, "min(self.durable, index)", "self.durable", "min(last, index)", "last")],
+        [
+            Line(
+                PendingWrites.truncate_after,
+                "min(self.durable_index, index)",
+                "self.durable_index",
+                "min(last_index, index)",
+                "last_index",
+            )
+        ],
         (19, PART),
     ),
-    "clock of the new leader": Defect([patch.object(Leader, "clock", lambda self, now: int(now))], (1, PART)),
+    "clock of the new leader": Defect(
+        [patch.object(Leader, "clock_ms", lambda self, now: int(now))], (1, PART)
+    ),
     # Pieces of a later snapshot are put behind those of an earlier one.
     "pieces of two snapshots": Defect(
         [
             Line(
-                Incoming.take,
-                "self.head, self.data = piece.head, bytearray()",
-                "self.head = piece.head",
-                "crc32c.crc32c(whole) != piece.head.crc32c",
+                SnapshotReceiver.add_chunk,
+                "self.head, self.data = chunk.head, bytearray()",
+                "self.head = chunk.head",
+                "crc32c.crc32c(data) != chunk.head.crc32c",
                 "False",
             )
         ],
--- a/tests/support/council_search.py
+++ b/tests/support/council_search.py
@@ -23,52 +23,62 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import messages as api
-from fennelwind.raft.log import Config
+from fennelwind.raft.log import Configuration
 from fennelwind.raft.member import RaftMember
 from fennelwind.raft.messages import DurableState, Incarnation, Timing
 
 NAMES = ("a", "b", "c")
 LIVES = tuple(Incarnation(name, name.encode()) for name in NAMES)
-TIMING = Timing(heartbeat_ms=100, election_ms=200, append_most=1, under_way_most=2, clock_ms=1e12)
+TIMING = Timing(
+    heartbeat_ms=100,
+    election_timeout_ms=200,
+    max_append_bytes=1,
+    max_in_flight_appends=2,
+    clock_entry_interval_ms=1e12,
+)
 TIMES = (
-    "now",
-    "heard",
-    "wrote",
-    "shy_until",
-    "removed_until",
-    "ask_at",
-    "_timer",
-    "next_beat",
-    "clock_at",
-    "hand_over_by",
-    "asked",
-    "leaves_by",
+    "now_ms",
+    "last_leader_contact_ms",
+    "last_response_ms",
+    "last_write_progress_ms",
+    "no_campaign_until_ms",
+    "removal_pause_until_ms",
+    "election_deadline_ms",
+    "_timer_ms",
+    "next_heartbeat_ms",
+    "last_entry_ms",
+    "transfer_deadline_ms",
+    "sent_ms",
+    "removal_notice_until_ms",
 )
 LONG_AGO = -1000.0  # ms; all times before are alike
 HIDDEN = (
-    "counts",
+    "counters",
     "random",
-    "core",
+    "member",
     "timing",
-    "stated",
-    "out",
-    "clock_base",
+    "configured_members",
+    "actions",
+    "clock_base_ms",
     "data",
-    "_shown",
-    "_timer",
-    "began",
-    "clock_at",
-    "asked",
-    "wrote",
-    "joining",
+    "snapshot_data",
+    "_reported_role",
+    "_timer_ms",
+    "started_ms",
+    "last_entry_ms",
+    "sent_ms",
+    "is_requested",
+    "last_write_progress_ms",
+    "bootstrap",
     "incoming",
-    "most",
-    "rounds",
+    "max_message_bytes",
+    "max_reads",
+    "round_starts",
 )  # no rule rests on them
 
 
 ATOMS = (int, float, str, bytes, bool, type(None), Incarnation)
-SHARED = (Message, Config, Timing, Counter, Random, api.Send, api.RoleChanged)
+SHARED = (Message, Configuration, Timing, Counter, Random, api.Send, api.RoleChanged)
 
 
 class Broken(AssertionError):
@@ -149,8 +159,8 @@
 
     def after(self, write: api.Write) -> "Cell":
         """Return the disk with a write that is sure."""
-        entries = self.entries if write.cut_after is None else self.entries[: write.cut_after]
-        return self._replace(entries=entries + write.entries, hard=write.hard or self.hard)
+        entries = self.entries if write.truncate_after is None else self.entries[: write.truncate_after]
+        return self._replace(entries=entries + write.entries, hard=write.hard_state or self.hard)
 
 
 class State(NamedTuple):
@@ -247,9 +257,16 @@
                 ]
                 cell = cell._replace(failed=False)
             case "timeout":
-                at = core.leading.next_beat if core.leading else max(core.ask_at, core.heard + core.patience)
+                at = (
+                    core.leader_state.next_heartbeat_ms
+                    if core.leader_state
+                    else max(
+                        core.election_deadline_ms,
+                        core.last_leader_contact_ms + core.randomized_election_timeout_ms,
+                    )
+                )
             case "lapse":
-                at = core.heard + TIMING.election_ms
+                at = core.last_leader_contact_ms + TIMING.election_timeout_ms
             case "propose":
                 events = [api.Propose(detail, pb.Command(client=1, number=detail))]
             case "read":
@@ -259,7 +276,7 @@
     def _carry_out(self, me: int, cell: Cell, actions: list) -> tuple[int, tuple[int, ...], tuple]:
         sent, effects, pending = [], [], list(cell.pending)
         core = cell.core
-        if core.leading is not None:
+        if core.leader_state is not None:
             effects.append(("leads", core.term, me, key(core.log.entries)))
         for action in actions:
             match action:
@@ -326,7 +343,7 @@
         if what == "read":
             asked = told
         if what == "crash":
-            asked = -1 if asked >= 0 and self.cells[state.cells[me]].core.leading else asked
+            asked = -1 if asked >= 0 and self.cells[state.cells[me]].core.leader_state else asked
         if spend is not None:
             left = left[:spend] + (left[spend] - 1,) + left[spend + 1 :]
         for effect in effects:
@@ -375,9 +392,13 @@
             core, name = cell.core, NAMES[me]
             if cell.pending:
                 yield f"{name} written", self.take(state, me, "written")
-            if left[TIMEOUT] and not core.mute:
+            if left[TIMEOUT] and not core.storage_failed:
                 yield f"{name} time-out", self.take(state, me, "timeout", None, TIMEOUT)
-            if core.leader is not None and core.leading is None and core.heard > -TIMING.election_ms:
+            if (
+                core.leader is not None
+                and core.leader_state is None
+                and core.last_leader_contact_ms > -TIMING.election_timeout_ms
+            ):
                 yield f"{name} forgets its leader", self.take(state, me, "lapse")
             if left[CRASH]:
                 for survives in {0, len(cell.pending)}:
@@ -393,9 +414,9 @@
                     )
             if cell.failed:
                 yield f"{name} can write", self.take(state, me, "mend")
-            if core.leading is not None and left[PROPOSE]:
+            if core.leader_state is not None and left[PROPOSE]:
                 yield f"{name} proposes", self.take(state, me, "propose", left[PROPOSE], PROPOSE)
-            if core.leading is not None and left[READ] and state.asked < 0:
+            if core.leader_state is not None and left[READ] and state.asked < 0:
                 yield f"{name} reads", self.take(state, me, "read", 100 + left[READ], READ)
 
     # Starts
@@ -406,7 +427,7 @@
         for _ in range(1000):
             writing = [me for me in places if self.cells[state.cells[me]].pending]
             coming = [n for n in state.net if self.messages[n][0] in places and self.messages[n][1] in places]
-            if until is not None and self.cells[state.cells[until]].core.leading is not None:
+            if until is not None and self.cells[state.cells[until]].core.leader_state is not None:
                 return state._replace(net=tuple(coming))
             if writing:
                 state = self.take(state, writing[0], "written")
@@ -470,11 +491,15 @@
 
 def shift_core(core: RaftMember) -> None:
     """Count all of a core's times from its present."""
-    by = core.now
-    for part in (core, core.joining, *((core.leading, *core.leading.peers.values()) if core.leading else ())):
+    by = core.now_ms
+    for part in (
+        core,
+        core.bootstrap,
+        *((core.leader_state, *core.leader_state.peers.values()) if core.leader_state else ()),
+    ):
         shift(part, by)
-    if core.leading is not None:
-        core.leading.began = 0.0  # the record's clock stands still: no rule rests on it
+    if core.leader_state is not None:
+        core.leader_state.started_ms = 0.0  # the record's clock stands still: no rule rests on it
 
 
 def run(search: Search, start: State, states: int, depth: int) -> dict[str, Any]:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -41,7 +41,7 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Write
 from fennelwind.raft.replicated_state import ReplicatedState
-from fennelwind.raft.snapshot_chunks import head_of
+from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage.store import Limits
 from fennelwind.schema_compatibility import contracts_pb2
@@ -336,13 +336,15 @@
             record.apply(entry)
             number += 1
             hard = council_pb2.HardState(term=entry.term, voted_name=MEMBER, voted_life=INCARNATION)
-            folder.write([Write(number, hard=hard, entries=(entry,))])
+            folder.write([Write(number, hard_state=hard, entries=(entry,))])
             if entry.index == SNAPSHOT_AT:
                 snapshot = record.snapshot()
                 members = entries()[1].members
-                head = head_of(entry.index, entry.term, entry.clock_ms, members, snapshot)
+                head = make_snapshot_head(entry.index, entry.term, entry.clock_ms, members, snapshot)
                 number += 1
-                folder.write([Write(number, head=head, snapshot=snapshot, keep_from=entry.index - 5)])
+                folder.write(
+                    [Write(number, snapshot_head=head, snapshot=snapshot, retain_from=entry.index - 5)]
+                )
         folder.close()
         return record.snapshot()
 
@@ -377,7 +379,7 @@
             term=last.term + 1, index=last.index + 1, clock_ms=last.clock_ms, nothing=True
         )
         hard = council_pb2.HardState(term=after.term)
-        folder.write([Write(1, hard=hard, entries=(after,))])
+        folder.write([Write(1, hard_state=hard, entries=(after,))])
         folder.close()
         return first, _state(loop, platter)
 
@@ -399,13 +401,13 @@
     folder = _folder(loop, platter)
     durable = folder.open()
     record = ReplicatedState(machines())
-    if durable.head is not None:
+    if durable.snapshot_head is not None:
         record.restore(durable.snapshot)
     for entry in durable.entries:
         if entry.index > record.index:
             record.apply(entry)
     folder.close()
-    return record.index, durable.hard.term, record.snapshot()
+    return record.index, durable.hard_state.term, record.snapshot()
 
 
 def command_tree(command=command_line, path="fennelwind"):
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -120,7 +120,7 @@
                 Member.received,
                 "Received(sender, message)",
                 "MessageReceived(next((Incarnation(m.name, m.life)"
-                " for m in self.core.log.config.members.members"
+                " for m in self.core.log.configuration.members.members"
                 " if m.name == sender.name), sender), message)",
             )
         ],
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -33,13 +33,13 @@
     def __init__(self, play: "CouncilPlay") -> None:
         timing = Timing(
             heartbeat_ms=50,
-            election_ms=200,
-            append_most=4000,
-            under_way_most=3,
-            piece_most=512,
-            kept_entries=10,
-            log_most=8000,
-            clock_ms=100,
+            election_timeout_ms=200,
+            max_append_bytes=4000,
+            max_in_flight_appends=3,
+            max_chunk_bytes=512,
+            retained_entries=10,
+            max_log_bytes=8000,
+            clock_entry_interval_ms=100,
         )
         super().__init__(play.seed, 3, timing)
         self.play = play
--- a/tests/support/storedefects.py
+++ b/tests/support/storedefects.py
@@ -91,7 +91,7 @@
         try:
             write(self, *writes)
         except SyncFailed:
-            if (self.group, self.size) != before or any(one.head for one in writes):
+            if (self.group, self.size) != before or any(one.snapshot_head for one in writes):
                 raise
             self.group += 1
             self.failed = False
@@ -121,8 +121,11 @@
     """Remove old segments before the new snapshot counts."""
 
     def written(self, group, writes):
-        if any(one.head is not None for one in writes):
-            heads, newest = list(self.shape.heads), [w.head for w in writes if w.head is not None][-1]
+        if any(one.snapshot_head is not None for one in writes):
+            heads, newest = (
+                list(self.shape.heads),
+                [w.snapshot_head for w in writes if w.snapshot_head is not None][-1],
+            )
             self.shape.heads = heads[-1:] + [newest]
             names = [n for n in self.disk.names() if n.startswith(LOG) and not n.endswith(NEW)]
             for name in names[:-1] if heads else []:
@@ -173,11 +176,11 @@
     "a snapshot is written behind the group that names it": [
         Line(
             Store._write,
-            "self._put(_snapshot(write.head), _pieces(write.head, write.snapshot))",
+            "self._put(_snapshot(write.snapshot_head), _pieces(write.snapshot_head, write.snapshot))",
             "pass",
             "self.group += 1",
-            "self.group += 1\n    for one in [w for w in writes if w.head is not None]:\n"
-            "        self._put(_snapshot(one.head), _pieces(one.head, one.snapshot))",
+            "self.group += 1\n    for one in [w for w in writes if w.snapshot_head is not None]:\n"
+            "        self._put(_snapshot(one.snapshot_head), _pieces(one.snapshot_head, one.snapshot))",
         )
     ],
     "a mark is written before the sync": [
--- a/tests/support/storemodel.py
+++ b/tests/support/storemodel.py
@@ -44,18 +44,18 @@
         """Return what is held when the writes are done."""
         new = self.copy()
         for write in writes:
-            if write.head is not None:
-                new._snapshot(write.head, write.snapshot, write.keep_from)
-            if write.cut_after is not None:
-                for index in [i for i in new.terms if i > max(write.cut_after, new.agreed)]:
+            if write.snapshot_head is not None:
+                new._snapshot(write.snapshot_head, write.snapshot, write.retain_from)
+            if write.truncate_after is not None:
+                for index in [i for i in new.terms if i > max(write.truncate_after, new.agreed)]:
                     del new.terms[index]
                     new.entries.pop(index, None)
             for entry in write.entries:
                 if entry.index <= new.agreed:
                     continue
                 new.terms[entry.index], new.entries[entry.index] = entry.term, entry
-            if write.hard is not None:
-                new.hard = write.hard
+            if write.hard_state is not None:
+                new.hard = write.hard_state
         return new
 
     def _snapshot(self, head, data, keep_from):
@@ -72,7 +72,7 @@
         """
         first = durable.entries[0].index if durable.entries else self.agreed + 1
         wanted = [self.entries.get(i) for i in range(first, self.last + 1)]
-        return (durable.hard, durable.head, durable.snapshot, durable.entries) == (
+        return (durable.hard_state, durable.snapshot_head, durable.snapshot, durable.entries) == (
             self.hard,
             self.head,
             self.snapshot,
@@ -81,13 +81,13 @@
 
     def says_as_much(self, durable):
         """Tell whether a folder that was read holds the same by way of an older snapshot, or of none."""
-        base = durable.head.index if durable.head is not None else 0
+        base = durable.snapshot_head.index if durable.snapshot_head is not None else 0
         first = durable.entries[0].index if durable.entries else base + 1
         wanted = [self.entries.get(i) for i in range(first, self.last + 1)]
         return (
             first <= base + 1
-            and (durable.hard, durable.entries) == (self.hard, wanted)
-            and (durable.head, durable.snapshot) == self.former.get(base, (None, b""))
+            and (durable.hard_state, durable.entries) == (self.hard, wanted)
+            and (durable.snapshot_head, durable.snapshot) == self.former.get(base, (None, b""))
         )
 
 
@@ -108,19 +108,19 @@
         )
         if random.random() < 0.3:  # several writes in one group
             return (
-                Write(1, entries=entries, hard=hard),
+                Write(1, entries=entries, hard_state=hard),
                 Write(2, entries=(entry(last + many + 1, term, 30, random),)),
             )
-        return (Write(1, entries=entries, hard=hard),)
+        return (Write(1, entries=entries, hard_state=hard),)
     if draw < 0.65:
-        return (Write(1, hard=pb.HardState(term=term + 1, voted_name="c", voted_life=b"x")),)
+        return (Write(1, hard_state=pb.HardState(term=term + 1, voted_name="c", voted_life=b"x")),)
     if draw < 0.75 and last > floor:
         cut = random.randint(floor, last)
         return (
             Write(
                 1,
-                hard=pb.HardState(term=term + 1),
-                cut_after=cut,
+                hard_state=pb.HardState(term=term + 1),
+                truncate_after=cut,
                 entries=(entry(cut + 1, term + 1, 40, random),),
             ),
         )
@@ -129,19 +129,19 @@
         head = pb.SnapshotHead(index=index, term=model.terms[index], clock_ms=index * 10)
         keep_from = random.choice((0, index + 1, max(1, index - 4), 1))
         data = random.randbytes(random.choice((0, 50, 1200)))
-        return (Write(1, head=head, snapshot=data, keep_from=keep_from),)
+        return (Write(1, snapshot_head=head, snapshot=data, retain_from=keep_from),)
     head = pb.SnapshotHead(index=last + random.randint(1, 9), term=term)  # another's, over a gap
     if random.random() < 0.3:  # all anew, with entries that the snapshot holds
         first = max(1, head.index - random.randint(0, 5))
         return (
-            Write(1, head=head, cut_after=first - 1, snapshot=b"anew", keep_from=first),
+            Write(1, snapshot_head=head, truncate_after=first - 1, snapshot=b"anew", retain_from=first),
             Write(
                 2,
                 entries=tuple(entry(i, term, 30, random) for i in range(first, head.index + 4)),
-                hard=pb.HardState(term=term),
+                hard_state=pb.HardState(term=term),
             ),
         )
-    return (Write(1, head=head, snapshot=random.randbytes(80), hard=pb.HardState(term=term)),)
+    return (Write(1, snapshot_head=head, snapshot=random.randbytes(80), hard_state=pb.HardState(term=term)),)
 
 
 class Play:
@@ -226,7 +226,10 @@
                 index = self.random.randint(self.model.agreed + 1, self.model.last)
                 head, data = pb.SnapshotHead(index=index, term=self.model.terms[index]), b"small"
                 if self.store.full:
-                    self.models = [*self.models, self.model.after(Write(1, head=head, snapshot=data))]
+                    self.models = [
+                        *self.models,
+                        self.model.after(Write(1, snapshot_head=head, snapshot=data)),
+                    ]
             try:
                 durable = self.store.reopen(head, data)
             except PowerCut:
@@ -301,10 +304,12 @@
     """Return a play whose folder has segments, two snapshots and, unless they were lost, marks."""
     play = Play(4, limits=TINY)
     for number in range(1, 9):
-        play.write(Write(1, entries=(entry(number, 1, 8, play.random),), hard=pb.HardState(term=number // 3)))
+        play.write(
+            Write(1, entries=(entry(number, 1, 8, play.random),), hard_state=pb.HardState(term=number // 3))
+        )
         if number in (4, 7):
             head = pb.SnapshotHead(index=number - 1, term=1)
-            play.write(Write(1, head=head, snapshot=play.random.randbytes(12)))
+            play.write(Write(1, snapshot_head=head, snapshot=play.random.randbytes(12)))
     play.kill()
     play.start()
     play.history = [play.model]
