--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -33,20 +33,20 @@
 
 def summarize(durable: DurableState) -> FolderSummary:
     """Return what a folder holds."""
-    log = Log(durable.head, durable.entries)
+    log = Log(durable.snapshot_head, durable.entries)
     return FolderSummary(
         durable.me.name,
         log.last_term,
-        log.last,
+        log.last_index,
         _clock_ms(durable),
-        tuple(member.name for member in log.config.members.members),
+        tuple(member.name for member in log.configuration.members.members),
     )
 
 
 def restart_alone(folder: MemberFolder, durable: DurableState, address: str) -> FolderSummary:
     """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
     before, me = summarize(durable), durable.me
-    term = max(durable.hard.term, before.last_term) + 1
+    term = max(durable.hard_state.term, before.last_term) + 1
     alone = pb.Members(members=[pb.Member(name=me.name, life=me.life, address=address, votes=True)])
     entries = [pb.Entry(term=term, index=before.last + 1, clock_ms=before.clock_ms, members=alone)]
     entries += [
@@ -54,11 +54,11 @@
         for offset in range(1, SKIPPED_ENTRIES)
     ]
     hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.life)
-    folder.write([Write(1, hard=hard, entries=tuple(entries))])
+    folder.write([Write(1, hard_state=hard, entries=tuple(entries))])
     return FolderSummary(me.name, term, entries[-1].index, before.clock_ms, (me.name,))
 
 
 def _clock_ms(durable: DurableState) -> int:
     if durable.entries:
         return durable.entries[-1].clock_ms
-    return durable.head.clock_ms if durable.head is not None else 0
+    return durable.snapshot_head.clock_ms if durable.snapshot_head is not None else 0
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -30,7 +30,7 @@
 from fennelwind.cluster.member_connection import MemberConnection
 from fennelwind.loop import Address, Loop, Once
 from fennelwind.raft import council_pb2
-from fennelwind.raft.replicated_state import KEPT_MOST
+from fennelwind.raft.replicated_state import MAX_RETAINED_RESULTS
 
 Result = council_pb2.Result
 CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a member that runs needs few
@@ -200,7 +200,7 @@
     def _take_number(self, until_ms: float) -> int:
         """Return the next number, once the replicated state has room to retain its answer."""
         client_id = self._client_id
-        while self._under_way >= KEPT_MOST and client_id == self._client_id:
+        while self._under_way >= MAX_RETAINED_RESULTS and client_id == self._client_id:
             if len(self._queue) >= MAX_QUEUED_COMMANDS:
                 raise ClientOverloadedError(
                     f"{MAX_QUEUED_COMMANDS} commands wait here already", most=MAX_QUEUED_COMMANDS
@@ -227,7 +227,7 @@
         while self._ended_up_to + 1 in self._ended_numbers:
             self._ended_up_to += 1
             self._ended_numbers.discard(self._ended_up_to)
-        for _ in range(min(len(self._queue), KEPT_MOST - self._under_way)):
+        for _ in range(min(len(self._queue), MAX_RETAINED_RESULTS - self._under_way)):
             self._queue.popleft().set()
 
     # Reads.
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -53,8 +53,8 @@
     WriteCompleted,
     WriteFailed,
 )
-from fennelwind.raft.replicated_state import ITSELF, ReplicatedState
-from fennelwind.raft.snapshot_chunks import head_of
+from fennelwind.raft.replicated_state import LEVEL_COMMAND_TARGET, ReplicatedState
+from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft.state_machine import StateMachine
 
 MAX_QUEUED_EVENTS = 8192  # events that wait for the core; further messages are lost, as on any network
@@ -406,7 +406,7 @@
         elif isinstance(action, Apply | Restore | TakeSnapshot):
             self.state.take(action)
         elif isinstance(action, Timer):
-            self._set_timer(action.at)
+            self._set_timer(action.at_ms)
         elif isinstance(action, RoleChanged):
             self._change_role(action)
 
@@ -416,11 +416,11 @@
         self._timer = self.loop.at(at_ms, lambda: self.post(TimerFired()))
 
     def _change_role(self, change: RoleChanged) -> None:
-        self.role = change.part
+        self.role = change.role
         self.term = change.term
         self.leader = change.leader
         facts = {
-            "role": change.part,
+            "role": change.role,
             "term": change.term,
             "leader": change.leader,
             "index": self.state.record.index,
@@ -433,7 +433,7 @@
     def _connect_members(self) -> None:
         """Keep connections to the members of the settings, and to those of the log that these don't name."""
         addresses: dict[str, Address] = {}
-        for member in self.core.log.config.members.members:
+        for member in self.core.log.configuration.members.members:
             try:
                 addresses[member.name] = parse_address(member.address)
             except ValueError:
@@ -460,12 +460,12 @@
         record = self.state.record
         while record.level < record.known:
             self.loop.sleep(LEVEL_CHECK_MS)
-            members = self.core.log.config.members.members
+            members = self.core.log.configuration.members.members
             others = [member for member in members if (member.name, member.life) != self.me]
             known_level = min((self._known_level(member) for member in others), default=0)
             if self.role == "leader" and known_level > record.level:
                 self._propose(
-                    council_pb2.Command(machine=ITSELF, body=b"%d" % (record.level + 1)),
+                    council_pb2.Command(machine=LEVEL_COMMAND_TARGET, body=b"%d" % (record.level + 1)),
                     lambda result: self._log("level raised", {"record_level": result.body.decode()}),
                 )
 
@@ -514,7 +514,9 @@
         if not record.index or term is None:
             return None, b""
         data = record.snapshot()
-        return head_of(record.index, term, record.clock_ms, log.config_at(record.index).members, data), data
+        return make_snapshot_head(
+            record.index, term, record.clock_ms, log.configuration_at(record.index).members, data
+        ), data
 
     def _check_disk_space(self) -> None:
         is_low = False
@@ -537,5 +539,5 @@
 
 
 def _refusal(outcome: ProposalOutcome | ReadOutcome) -> Result:
-    retry_after_ms = outcome.again_ms if isinstance(outcome, ProposalOutcome) else 0
+    retry_after_ms = outcome.retry_after_ms if isinstance(outcome, ProposalOutcome) else 0
     return Result(refusal=outcome.refusal, leader=outcome.leader, again_ms=retry_after_ms)
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -127,7 +127,7 @@
                 RaftHost.message_received,
                 "MessageReceived(sender, message)",
                 "MessageReceived(next((Incarnation(m.name, m.life)"
-                " for m in self.core.log.config.members.members"
+                " for m in self.core.log.configuration.members.members"
                 " if m.name == sender.name), sender), message)",
             )
         ],
