--- a/Makefile
+++ b/Makefile
@@ -1,5 +1,5 @@
 # Two commands do all: `make demo` sets up and plays a bad day, `make test` sets up and tests.
-.PHONY: demo test setup proto clean
+.PHONY: demo test typecheck setup proto clean
 
 STAMP := .venv/.fennelwind-ready
 
@@ -14,7 +14,10 @@
 demo: $(STAMP)
 	.venv/bin/fennelwind demo
 
-test: $(STAMP)
+typecheck: $(STAMP)
+	.venv/bin/mypy
+
+test: $(STAMP) typecheck
 	.venv/bin/ruff check .
 	.venv/bin/ruff format --check .
 	.venv/bin/python -m pytest -n 4 --dist loadgroup
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -1,4 +1,4 @@
-"""Carries admitted changes of schemas out on this controller, wherever it holds the lease of a table.
+"""Carries admitted schema changes out on this controller, wherever it holds the lease of a table.
 
 Every controller with tasks watches for changes under way and wants the lease `table:NAME` of each; the record
 gives it to one. That one's carrier (`contracts.carrying`) decides; this makes its statements and its looks. A
