--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -144,7 +144,7 @@
             self.changes.quiescence = self.moves.quiescence
 
     def start(self) -> None:
-        """Start all parts; returns at once, or once replica locations are known (or after `FIRST_MS`)."""
+        """Start all parts; returns at once, or once replica locations are known or their time is up."""
         if self.member is not None:
             self.member.start()
         self.tasks.start()
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -1,5 +1,7 @@
-"""The gate for schema changes on one controller: what its sessions read is kept on the record, what its
-publishers change is judged there, and an admitted change is carried out under the lease of its table.
+"""The gate for schema changes on one controller.
+
+What its sessions read is registered in the replicated state, what its publishers change is checked there, and
+an admitted change is carried out under the lease of its table.
 
 A subscriber's session opens at once: its subscription is registered beside it, and told with its answer where
 that comes within `TOLD_MS`. Sessions that read alike share one subscription, renewed while any is open; then
