--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -520,4 +520,4 @@
 
 
 def _refusal(answer: ProposalOutcome | ReadOutcome) -> Result:
-    return Result(refusal=answer.refusal, leader=answer.leader, again_ms=getattr(answer, "again_ms", 0))
+    return Result(refusal=answer.refusal, leader=answer.leader, again_ms=getattr(answer, "retry_after_ms", 0))
