--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -325,6 +325,7 @@
             self.pending_writes.entries += entries
 
     def save_hard_state(self) -> None:
+        """Have term and vote written, with the next write."""
         if not self.storage_failed:
             voted = self.voted_for or Incarnation("", b"")
             self.pending_writes.set_hard_state(
