--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -129,43 +129,43 @@
             return self._forget(at, sender, name, request.forget.fence)
         if kind == "give_up" and not request.give_up.fence:
             return self._leave_queue(at, sender, name)
-        return self._apply_holder_request(at, sender, name, kind, getattr(request, kind))
+        return self._apply_holder_request(at, sender, name, getattr(request, kind))
 
     def _apply_holder_request(
         self,
         at: At,
         sender: ControllerIncarnation,
         name: str,
-        kind: str,
         body: pb.Renew | pb.HandOver | pb.GiveUp,
     ) -> pb.Told:
         lease = self._leases.get(name)
         if lease is None or not lease.is_held_by(sender, body.fence):
             return pb.Told(refusal=pb.NOT_HOLDER, holder=lease.holder_name if lease is not None else "")
-        refusal = self._holder_refusal(lease, kind, body)
+        refusal = self._holder_refusal(lease, body)
         if refusal:
             return self._reject_holder(lease, refusal)
         if body.HasField("checkpoint"):
             self._set_checkpoint(lease, body.checkpoint)
-        if kind == "renew" or kind == "hand_over" and body.only_spare and not self._has_surplus(at, lease):
+        if isinstance(body, pb.Renew):
             return self._renew(at, name, lease)
-        if kind == "give_up" and body.reason == pb.GiveUp.CANNOT:
+        if isinstance(body, pb.HandOver) and body.only_spare and not self._has_surplus(at, lease):
+            return self._renew(at, name, lease)
+        if isinstance(body, pb.GiveUp) and body.reason == pb.GiveUp.CANNOT:
             self._exclude(at, lease, sender.name)
-        self._release(at, name, lease, body.to if kind == "hand_over" else "")
+        self._release(at, name, lease, body.to if isinstance(body, pb.HandOver) else "")
         return pb.Told(holder=lease.holder_name)
 
-    def _holder_refusal(
-        self, lease: TaskLease, kind: str, body: pb.Renew | pb.HandOver | pb.GiveUp
-    ) -> pb.Refusal:
+    def _holder_refusal(self, lease: TaskLease, body: pb.Renew | pb.HandOver | pb.GiveUp) -> pb.Refusal:
         if body.HasField("checkpoint"):
             if len(body.checkpoint) > MAX_CHECKPOINT_BYTES:
                 return pb.TOO_LARGE
             growth_bytes = len(body.checkpoint) - len(lease.checkpoint)
             if growth_bytes > 0 and self._checkpoint_bytes + growth_bytes > MAX_TOTAL_CHECKPOINT_BYTES:
                 return pb.NO_ROOM
-        if kind == "hand_over" and body.to and not any(waiter.name == body.to for waiter in lease.waiters):
-            return pb.NOT_WAITING
-        return pb.NONE
+        if not isinstance(body, pb.HandOver) or not body.to:
+            return pb.NONE
+        is_waiting = any(waiter.name == body.to for waiter in lease.waiters)
+        return pb.NONE if is_waiting else pb.NOT_WAITING
 
     def _acquire(self, at: At, sender: ControllerIncarnation, name: str, gain: pb.Gain) -> pb.Told:
         if not MIN_TERM_MS <= gain.term_ms <= MAX_TERM_MS:
