--- a/fennelwind/cluster/__init__.py
+++ b/fennelwind/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Carries the council out: its streams, its folder, its clients, on the loop."""
+"""Runs the Raft group on the loop: members, connections, clients, leased tasks and what rests on them."""
--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -49,7 +49,7 @@
                 body = command.SerializeToString(deterministic=True)
                 try:
                     self._client.propose(SHARDS, body, PROPOSE_TIMEOUT_MS)
-                except ClusterError as exc:  # reported with the next one; a lost answer doubles it
+                except ClusterError as exc:  # reported with the next; if only the answer was lost, twice
                     self.counts[exc.code] += 1
                 else:
                     self.counts["told"] += 1
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -150,7 +150,7 @@
         self._tasks.append(self.loop.spawn(self._guarded, self._run, name="keeper: member"))
 
     def _guarded(self, call: Callable[[], None]) -> None:
-        """Make a call that must not fail; where it does, a member that has stopped beats half of one."""
+        """Run a call that must not fail; if it does, close the whole member rather than run on in part."""
         try:
             call()
         except Exception as exc:  # a defect; the loop reports all of it
@@ -371,7 +371,7 @@
     # Steps of the core.
 
     def _step(self) -> None:
-        """Have the core step over the events of this turn of the loop; later ones are for the next."""
+        """Pass the queued events to the core, `MAX_EVENTS_PER_STEP` at most, and carry its actions out."""
         if self._is_stopped:
             return
         events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
--- a/fennelwind/cluster/replica_locations.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -41,10 +41,10 @@
     while True:
         query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name)).SerializeToString()
         page = pb.Places.FromString(client.read(SHARDS, query, within_ms=READ_TIMEOUT_MS).state)
-        if not name:  # what changes between two pages comes with a revision behind the first one's
+        if not name:  # what changes between two pages has a later revision
             first = page
         elif page.whole and not first.whole:
-            received, name, after = {}, "", 0  # another member, which knows no changes of so early
+            received, name, after = {}, "", 0  # another member, without changes so far back: read all
             continue
         received.update(
             (place.shard, tuple(page.engines[number] for number in place.engines)) for place in page.places
--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -60,7 +60,7 @@
         self.runner.dispatcher.post(policy.AttemptProgress(self.query, self.number, kind, value))
 
     def reason_not_to_start(self) -> str:
-        """Return why the attempt may not start now, "" if it may, and then does."""
+        """Return why the attempt may not start now; "" if it may, which charges a retry to the budget."""
         return self.runner.reason_not_to_start(self.entry, self.number, self.deadline_ms)
 
 
@@ -154,7 +154,7 @@
         return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
 
     def reason_not_to_start(self, entry: Entry, number: int, deadline_ms: float) -> str:
-        """Return why an attempt may not start now, "" if it may, and then does.
+        """Return why an attempt may not start now; "" if it may, and then a retry is charged to the budget.
 
         The policy's decision holds for its moment; the connection may come up much later. So whoever makes
         the attempt calls this right before its first byte leaves, and an attempt stopped here never ran.
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -4,7 +4,12 @@
 waiting; what has to wait, an attempt or a health check, gets a task. The driver itself decides only how many
 queries may be open at all, and it answers a query shortly before its client times out if the policy has not.
 
-A query's final answer always passes `Driver.finalize`, and through it the ledger:
+Each query has three deadlines. The policy decides two ticks before `answer_deadline_ms`
+(`policy/admission.py`), which is the client's deadline less the answer margin. If nobody has answered by
+then, the driver does, half a margin before the client's deadline. An entry that has joined another query ends
+at its `answer_deadline_ms`.
+
+A client's final answer always passes `Driver.finalize`, and through it the ledger:
 
 - served: `AttemptRunner.finish`;
 - rejected or failed by the policy: `Driver._carry_out`;
@@ -61,7 +66,7 @@
         self.is_closing = False
         self.steps = 0
         self.step_errors = 0
-        self.rejected_at_capacity = 0  # queries rejected as too many were open
+        self.rejected_at_capacity = 0  # queries rejected on arrival: too many open, or closing
         self.unanswered_by_policy = 0  # queries that the driver answered as the policy did not in time
         self._events: list[policy.Event] = []
         self._is_step_scheduled = False
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -15,7 +15,7 @@
     """What a final answer says."""
 
     SERVED = "served"
-    REJECTED = "refused"  # it never ran: a retry is harmless
+    REJECTED = "refused"  # a retry is harmless: it never ran, or running it twice does no harm
     FAILED = "failed"  # it may have run
     CANCELLED = "left"  # its client disconnected or cancelled it; nobody receives this answer
 
@@ -105,7 +105,10 @@
         """Take progress that the engine reported."""
 
     def reason_not_to_start(self) -> str:
-        """Return why the attempt may not start now, "" if it may; call it right before its first byte."""
+        """Return why the attempt may not start now, "" if it may.
+
+        Call it once, right before its first byte: "" spends a retry.
+        """
         return ""
 
 
--- a/fennelwind/engines/__init__.py
+++ b/fennelwind/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Links to engines over the service that clients speak, and to the discovery that lists them."""
+"""Connections to HiveServer2 engines, and the client of the discovery service that lists them."""
--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -5,7 +5,8 @@
 
 - before it, whatever breaks is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
 - an engine's word `fennelwind-not-run` is `OVERLOADED`: rejected unseen
-- an error that is the statement's own (`statement_status.py`) is an answer, `OK`: it would fail anywhere
+- an error that is the statement's own (`statement_status.py`) is an answer, `OK`: it would fail anywhere (so
+  too if `USE` fails)
 - after it, a broken connection or bytes that are no reply are `RESET`, an error status is `ERROR`
 - with no descriptors left here, `NOT_STARTED`: never sent, and no fault of the engine's
 - `TIMEOUT` when the time is up, `CANCELLED` when called off; the operation left behind is cancelled
@@ -237,7 +238,7 @@
             self.request.report_progress(ProgressKind(int(note["sort"])), note.get("value", 0.0))
 
     def _fetch(self) -> Result:
-        """Fetch the schema and the pages, the first one together with the schema; a large rest will flow."""
+        """Fetch the schema and the pages; past `max_result_bytes` the rest will flow."""
         connection, settings = self.connection, self.services.settings
         received_before = connection.received_bytes
         request = hs2.TFetchResultsReq(
@@ -264,7 +265,11 @@
             page_sent = connection.send("FetchResults", request)
 
     def _stream(self) -> RowStream:
-        """Let the rest of the rows flow. Raises `RemoteError` where they may not."""
+        """Return a stream of the remaining rows.
+
+        Raises `RemoteError`, though the engine made no error, if our own limits forbid it; the attempt then
+        ends as `ERROR`.
+        """
         settings = self.services.settings
         if self.request.submission.request_id:  # several clients may wait for it, each at its own pace
             raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -1,10 +1,11 @@
 """The subscription to discovery: lists of engines and their changes, as lines of JSON.
 
-The controller asks `{"subscribe": INDEX}`; discovery answers with the complete list, then with changes as
-they come: `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`. An engine is `{"engine":
-"HOST:PORT", "state": "ready" | "draining" | "gone", "zone": NAME, "kind": NAME, "cell": N, "weight": X,
-"launched_ms": T}`, with times on discovery's own clock; only their differences to `now_ms` are used. A line
-that can't be used breaks the subscription: an incomplete view must not pass for a complete one.
+The controller always asks `{"subscribe": 0}`, so discovery answers with the complete list, then with changes
+as they come (`index` is not used): `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`.
+An engine is `{"engine": "HOST:PORT", "state": "ready" | "draining" | "gone", "zone": NAME, "kind": NAME,
+"cell": N, "weight": X, "launched_ms": T}`, with times on discovery's own clock; only their differences to
+`now_ms` are used. A line that can't be used breaks the subscription: an incomplete view must not pass for a
+complete one.
 """
 
 import json
@@ -43,7 +44,8 @@
             return 0.0
         known = self._known.get(engine)
         if known is None or known[0] != started_ms:
-            local_ms = now_ms - max(remote_now_ms - started_ms, 0.0) or -1.0
+            # exactly 0.0 would mean "long ago"
+            local_ms = (now_ms - max(remote_now_ms - started_ms, 0.0)) or -1.0
             known = self._known[engine] = started_ms, local_ms
         return known[1]
 
@@ -90,7 +92,10 @@
 
 
 class DiscoveryClient:
-    """Keeps a subscription; lists go to `post`, as does each failure."""
+    """Keeps a subscription; lists go to `post`, as does each failure.
+
+    After the first list it waits for changes without a time limit: quiet is normal.
+    """
 
     def __init__(
         self,
--- a/fennelwind/leases/__init__.py
+++ b/fennelwind/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks of the whole fleet, each with one holder and a fence; a machine on the record. Free of I/O."""
+"""Leases with fencing tokens for fleet-wide tasks: replicated state machine and client. No I/O."""
--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -59,7 +59,7 @@
     # Called by the lease client.
 
     def grant(self, fencing_token: int, valid_until_ms: float, operation_budget_ms: float) -> None:
-        """Allow operations under this token until then. A renewal never shortens the lease."""
+        """Allow operations under this token until `valid_until_ms`; a renewal never shortens it."""
         if fencing_token == self.fencing_token:
             valid_until_ms = max(valid_until_ms, self.valid_until_ms)
         self.fencing_token = fencing_token
@@ -72,7 +72,7 @@
         self.valid_until_ms = -math.inf
 
     def remove_expired(self, now_ms: float) -> None:
-        """Drop operations past their deadline; the last call of each has had the pause to take effect."""
+        """Drop operations whose deadline passed `max_pause_ms` ago: they can no longer take effect."""
         expired = [
             operation
             for operation in self.operations.values()
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -300,19 +300,20 @@
         for name in answer.offers:
             self._request_offered(name)
         queued = [name for name, lease in self._leases.items() if lease.phase == LeasePhase.QUEUED]
-        if is_awaited and len(queued) != answer.waits:  # a place was lost, or an unwanted one is kept
+        if (
+            is_awaited and len(queued) != answer.waits
+        ):  # the server and we disagree on our queues: request anew
             for name in queued:
                 self._request_offered(name)
 
     def _on_task_answer(
         self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
     ) -> None:
-        is_of_a_queue = (
-            result.state == pb.Told.WAITING
-            or result.state == pb.Told.FREE
-            and result.refusal not in (pb.NONE, pb.NOT_HOLDER)
+        # Only an acquire request is answered so: queued, or rejected before any lease was granted.
+        is_about_queue = result.state == pb.Told.WAITING or (
+            result.state == pb.Told.FREE and result.refusal not in (pb.NONE, pb.NOT_HOLDER)
         )
-        if lease.fencing_token and is_of_a_queue:
+        if lease.fencing_token and is_about_queue:
             return  # a late answer to a request from before the lease was granted
         is_held = result.state == pb.Told.HELD
         is_still_held = bool(lease.fencing_token) and is_held
@@ -320,7 +321,7 @@
             self._on_rejected(now_ms, name, lease, result.refusal)
         elif is_held and result.term_ms:
             self._on_granted(now_ms, sent, name, lease, result)
-        elif result.refusal and is_held:  # what went along is rejected
+        elif result.refusal and is_held:  # the lease is still held; its checkpoint or successor was rejected
             self._actions.append(LeaseRejected(name, pb.Refusal.Name(result.refusal)))
             lease.checkpoint = None
             lease.request_at_ms = -math.inf
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -28,12 +28,14 @@
 MAX_TERM_MS = 600_000  # ms; a longer one leaves a task idle for too long
 OFFER_TERM_DIVISOR = 2  # an offer stands for the term over this: a dead one at the head costs half a term
 WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
-WAITER_QUIET_MS = WAITER_TIMEOUT_MS // 2  # ms without a command (one comes every 8 to 12 s): others first
+WAITER_QUIET_MS = (
+    WAITER_TIMEOUT_MS // 2
+)  # ms without a command (one comes every 8 to 12 s): others are preferred
 MIN_EXCLUSION_MS = 2000  # ms for which one that failed is passed over at first
 MAX_EXCLUSION_MS = 120_000  # ms for which it is at most
 MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum cuts to 120 s
 MAX_EXCLUSIONS_PER_TASK = 64  # the one that ends first goes first
-MIN_SURPLUS_LEASES = 2  # leases more than one who waits has; with 1 the two would hand it to and fro
+MIN_SURPLUS_LEASES = 2  # more than a waiter's, to be rebalanced; with 1 it would go to and fro
 
 
 class _Deadline(StrEnum):
@@ -46,7 +48,7 @@
 class LeaseStateMachine:
     """The replicated state machine of leases; the Raft host applies its commands in log order."""
 
-    name, kinds = "leases", ("fence",)
+    name, kinds = "leases", ("fence",)  # `kinds`: facts that other state machines may read
 
     def __init__(self) -> None:
         self._clear()
@@ -66,7 +68,7 @@
     # Reading.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return the fencing token of the task's present holder; 0: nobody holds it."""
+        """Return a task's fencing token (kind `fence`, key: the task); 0: nobody holds it."""
         lease = self._leases.get(key)
         return lease.fencing_token if lease is not None else 0
 
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -4,9 +4,10 @@
 else idle; apart from that, part of a message may have come. All times are in ms of the caller's clock. New
 and idle connections are kept in the order in which they became so: nothing has to be searched.
 
-When a slot is needed, first goes who has sent nothing for `MUTE_TIMEOUT_MS`; then who was answered longest
-ago, as that client resends what crosses the close; last who has just connected, since a first request that
-crosses the close is lost to its client. Busy ones are never closed, nor are those that the caller spares.
+When a slot is needed, first goes who has completed no first message for `MUTE_TIMEOUT_MS`; then who was
+answered longest ago, as that client resends what crosses the close; last who has just connected, since a
+first request that crosses the close is lost to its client. Busy ones are never closed, nor are those that the
+caller spares.
 
 No I/O: the frontend reports what happens to its connections, asks, and closes.
 """
@@ -21,7 +22,7 @@
     1800.0  # ms without a complete first message, or with part of one; the platform allows 3 s
 )
 IDLE_TIMEOUT_MS = 8000.0  # ms without anything owed; usual clients close after 4 s
-MAX_SPARED = 8  # connections looked at in one search for a slot
+MAX_SPARED = 8  # candidates looked at in one search for a slot; if all are spared, none is closed
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
@@ -29,7 +30,7 @@
 class CloseReason(StrEnum):
     """Why a connection is to be closed; part of the names of the frontend's counters."""
 
-    MUTE = "mute"  # for a slot: it has sent nothing since it connected
+    MUTE = "mute"  # for a slot: no complete message since it connected
     IDLE = "idle"  # for a slot, or overdue: nothing is owed to it
     NEW = "new"  # for a slot: it has just connected
     HALF_SENT = "half_sent"  # overdue: part of a message came, and no more
--- a/fennelwind/limits/retry_budget.py
+++ b/fennelwind/limits/retry_budget.py
@@ -1,8 +1,9 @@
 """The retry budget, counted when attempts start. No I/O; times in ms of the caller's clock.
 
-The policy keeps the budget by its decisions. An attempt may start later than it was decided on, and what the
-rule counts is what is sent: retries of a window against the queries taken in it. Of those only the served
-ones are sure to count, as requests of misbehaving clients do not.
+`policy/retries.py` budgets retries when it decides on them; this one is the hard limit, checked right before
+the first byte, as an attempt may start later than decided. Retries of a window are counted against the
+queries received in it, of which only the served ones are sure to count: requests of misbehaving clients do
+not.
 """
 
 from collections import deque
@@ -27,7 +28,7 @@
         if not self.window_ms:
             return True
         self._expire(now)
-        # A query that is about to leave the window may have left it for whoever else counts.
+        # One tick less than the window: another observer's clock may have dropped such a query already.
         oldest_ms = now - self.window_ms + self.resolution_ms
         served = sum(received_ms >= oldest_ms for received_ms in self._received_ms)
         if len(self._retries_ms) + 1 > self.free + self.share * served:
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -18,7 +18,7 @@
 # Share of the time for which idle connections are kept, within which own traffic reuses them.
 CONNECTION_REUSE_SHARE = 1.0 / 3.0
 REMOTE_ZONE_LOAD = 0.3  # load by which an executor of another zone must be emptier; crossing costs time
-# Share of the narrowest queries that go to an executor without recent reports, so that none idles unseen.
+# Share of arrivals of the narrowest queries on which the staler of two random executors is advised as idle.
 EXPLORATION_SHARE = 0.04
 # Standard deviations by which each controller sees an executor higher or lower than others do, so that not
 # all controllers choose the same one at once.
@@ -32,7 +32,7 @@
 
 
 class LoadAdvisor:
-    """Keeps one controller's view of the fleet's load."""
+    """Keeps one controller's view of the fleet's load; `idle_ms` is how long idle connections are kept."""
 
     def __init__(self, settings: policy.Settings, seed: int, idle_ms: float) -> None:
         self.settings, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
@@ -40,7 +40,7 @@
         self.endpoints: dict[str, policy.EngineEndpoint] = {}
         self.biases: dict[str, float] = {}  # by executor, in standard deviations; fixed, so that views differ
         self.rate_per_s, self.rate_updated_ms = 0.0, -math.inf  # own queries
-        self.explored = ""  # the executor without reports that the next narrow query goes to
+        self.explored = ""  # advised with load 0 until an attempt goes there or another query arrives
         self.min_threads = min(query_class.threads for query_class in settings.classes)
         self._ranking: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
 
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -86,7 +86,7 @@
     def __init__(self, services: AttemptServices, executor: Executor, order: AttemptRequest) -> None:
         self.services, self.executor, self.order = services, executor, order
         self.loop = services.pool.loop
-        self.query_id = order.submission.engine_id
+        self.query_id = order.submission.engine_id  # the query's id, as executors receive it
         self.may_have_arrived = False  # its POST has begun to leave
         self.priority = AttemptPriority(executor, order)
         self.connection = AttemptConnection(services.pool, executor)
--- a/fennelwind/node/attempt_connection.py
+++ b/fennelwind/node/attempt_connection.py
@@ -19,9 +19,7 @@
 SILENCE_MS = 100.0  # ms beyond that without an answer; then a connection is given up as cut or stalled
 POLL_TIMEOUT_MS = POLL_MS + SILENCE_MS
 MIN_POLL_MS = 150.0  # ms; "still running" sooner than this answers an earlier call: it was delivered twice
-POST_TIMEOUT_MS = (
-    50.0  # ms for an attempt's bytes to leave; later its deadline is wrong, its client may be gone
-)
+POST_TIMEOUT_MS = 50.0  # ms for the whole POST to be written; later, the timeout it states would be too long
 RECONNECT_BACKOFF_MS = 20.0  # ms longer before each fresh connection, from the second one that broke on
 MAX_FAULTY_ANSWERS = 8  # malformed or cut answers to one attempt; beyond it, polling again has proven useless
 MAX_FAILED_CONNECTS = 3  # fresh connections in vain; then the machine is taken to have vanished
@@ -99,7 +97,11 @@
         return self._receive(lambda: borrowed.call(request), timeout_ms)
 
     def note_fault(self, fault: AnswerFault) -> None:
-        """Count an answer that was none, and close its connection. Raises `AnswerUnavailableError`."""
+        """Record a fault and close the connection.
+
+        Raises `AnswerUnavailableError` after more than `MAX_FAULTY_ANSWERS` faults; `SILENT` ones don't
+        count, as the attempt's deadline bounds them.
+        """
         self.pool.counts[fault.value] += 1
         if self._borrowed is not None:
             self._borrowed.last_response = None
--- a/fennelwind/node/cancellation_queue.py
+++ b/fennelwind/node/cancellation_queue.py
@@ -14,8 +14,8 @@
 from fennelwind.node.http1 import MalformedResponseError
 
 MAX_WORKERS = 3  # DELETEs at one executor at a time: hundreds of withdrawals leave connections for queries
-ATTEMPT_TIMEOUT_MS = 600.0  # ms for one DELETE
-MAX_ATTEMPTS = 2  # DELETEs of one query; an executor drops what it isn't polled for in 2 s anyway
+DELETE_TIMEOUT_MS = 600.0  # ms for one DELETE
+MAX_DELETE_TRIES = 2  # DELETEs of one query; an executor drops what it isn't polled for in 2 s anyway
 MAX_QUEUED = 500  # cancellations waiting at one executor; beyond it they are left to the executor's own time
 # The query has been ended, or the executor does not know it any more.
 ENDED_STATUSES = (204, 500)
@@ -66,10 +66,10 @@
 
     def _cancel(self, executor: Executor, query_id: str) -> bool:
         """Send the DELETE; return whether the query is known to have ended."""
-        for number in range(MAX_ATTEMPTS):
+        for number in range(MAX_DELETE_TRIES):
             try:
                 response = self.pool.call(
-                    executor, cancel_query(query_id), ATTEMPT_TIMEOUT_MS, fresh=number > 0
+                    executor, cancel_query(query_id), DELETE_TIMEOUT_MS, fresh=number > 0
                 )
             except ConnectFailed:
                 # Not even a refused connection shows that the query has ended: had the executor's process
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -83,7 +83,7 @@
         self._retries: Counter[EventFault] = Counter()  # since an event was in order
 
     def start(self) -> None:
-        """Start to follow."""
+        """Spawn the task that keeps a connection to the command channel."""
         self._last_comment_ms = self.loop.now()
         self.loop.spawn(self._follow, name="channel")
 
--- a/fennelwind/node/table_group.py
+++ b/fennelwind/node/table_group.py
@@ -9,7 +9,8 @@
 UNGROUPED_SCHEMA = "staging"  # holds data that is being loaded; it belongs to no group
 MAX_GROUP = 10**6  # larger numbers name no group that an engine could keep warm
 
-# In turn: a line's comment, a block's comment, a string, a quoted name, a name, any other sign.
+# In turn: a line's comment, a block's comment, a string, a quoted name, a name, any other sign. Groups:
+# 1 double-quoted name, 2 backquoted name, 3 plain name, 4 white space, 5 any other character.
 TOKEN = re.compile(
     r"""--[^\n]*|/\*(?:[^*]|\*(?!/))*(?:\*/)?|'(?:[^']|'')*'?|"((?:[^"]|"")*)"?"""
     r"""|`([^`]*)`?|([A-Za-z_\u0080-\U0010ffff][\w$]*)|(\s+)|(.)""",
@@ -20,22 +21,22 @@
 
 def table_group(statement: str) -> int | None:
     """Return the group of tables that the statement reads or writes; None if it names none."""
-    before: str | None = None  # a name that a full stop may follow
-    dotted = False
+    last_name: str | None = None  # a name that a full stop may follow
+    is_after_dot = False
     for token in TOKEN.finditer(statement):
         if token.lastindex is None or token.lastindex == 4:
             continue  # a comment, a string or white space
         if token.lastindex < 4:
             name = (token[1] or "").replace('""', '"') if token.lastindex == 1 else token[token.lastindex]
-            if dotted and before is not None:
-                group = _group(before)
+            if is_after_dot and last_name is not None:
+                group = _group(last_name)
                 if group is not None:
                     return group
-            before, dotted = name, False
+            last_name, is_after_dot = name, False
         elif token[5] == ".":
-            dotted = before is not None
+            is_after_dot = last_name is not None
         else:
-            before, dotted = None, False
+            last_name, is_after_dot = None, False
     return None
 
 
--- a/fennelwind/node/watch_connection.py
+++ b/fennelwind/node/watch_connection.py
@@ -32,7 +32,7 @@
     """Asks for the events after the owner's cursor, and passes on what comes until the connection ends."""
 
     def __init__(self, loop: Loop, address: Address, owner: WatchOwner) -> None:
-        """Begin."""
+        """Spawn the task that connects and reads."""
         self.loop, self.address, self.owner = loop, address, owner
         self.stream: Stream | None = None
         self.last_activity_ms = loop.now()  # when it began, connected, or brought something last
--- a/fennelwind/node/wire_names.py
+++ b/fennelwind/node/wire_names.py
@@ -1,8 +1,7 @@
 """The names on the platform's wire, each mapped once to this project's term.
 
-The parsers and writers at the edge (`request_validation`, `client_connection`, `executor_requests`,
-`load_report`, `endpoint_events`, `config`) read and write these names; no other code knows them. They are
-plain constants, as they are looked up in every request.
+Methods, fields and headers stand here; resource paths stand in `executor_requests` and `watch_connection`,
+the configuration file's fields in `config`. They are plain constants, as they are looked up in every request.
 """
 
 from fennelwind.policy import EngineState
--- a/fennelwind/policy/actions.py
+++ b/fennelwind/policy/actions.py
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetGrant:
-    """Memory grant and priority of a query's next attempts."""
+    """Set memory and priority of a query's next attempts, and of those that run."""
 
     query: int
     memory_mb: float
--- a/fennelwind/policy/admission.py
+++ b/fennelwind/policy/admission.py
@@ -1,8 +1,8 @@
 """Admission: what a query is taken to need, how long it may stay queued, and what becomes of it then.
 
 A query is queued until its latest dispatch time, after which an answer within its objective is unlikely.
-Then it is dispatched late, if a late answer is worth something and room is free at once; else it gets its
-final answer: rejected where a retry by the client is harmless, else failed.
+Then it is dispatched late, if a late answer is worth something, no other query is queued and room is free at
+once; else it gets its final answer: rejected where a retry by the client is harmless, else failed.
 """
 
 from heapq import heappop, heappush
@@ -63,7 +63,7 @@
         return None
 
     def latest_dispatch_ms(self, query: Query) -> float:
-        """Return the latest time at which dispatching the query still earns its full worth."""
+        """Return the latest time at which dispatching the query is still likely to meet its objective."""
         return min(query.objective_at_ms - self._likely_time_ms(query), self._latest_answer_ms(query))
 
     def may_dispatch_late(self, query: Query, has_others_queued: bool, now_ms: float) -> bool:
@@ -86,10 +86,13 @@
         return policy.RejectQuery(query.request.query, retry_after_ms)
 
     def _likely_time_ms(self, query: Query) -> float:
-        """Return the time that serving the query takes at least, in all likelihood."""
+        """Return the time to allow for serving the query.
+
+        `LIKELY_SLOWDOWN` times its time at the baseline.
+        """
         baseline = self.estimates.baseline_slowdown[query.class_index]
         return LIKELY_SLOWDOWN * query.service_time_ms * baseline
 
     def _latest_answer_ms(self, query: Query) -> float:
-        """Return the time at which the gateway must have decided on the query's answer."""
+        """Return the time by which the gateway must decide, two ticks before the query's deadline."""
         return query.request.deadline_ms - ANSWER_MARGIN_TICKS * TICK_MS
--- a/fennelwind/policy/events.py
+++ b/fennelwind/policy/events.py
@@ -69,7 +69,7 @@
 
     query: int
     class_index: int
-    deadline_ms: float  # clock time at which the client gives this attempt up
+    deadline_ms: float  # when the final answer is due: the client's deadline less the answer margin
     tenant: int = 0
     key: str | None = None
     estimated_work_ms: float | None = None  # estimate of the work of all its threads
@@ -80,7 +80,10 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt has ended."""
+    """An attempt has ended.
+
+    `is_final`: the caller has given the query's final answer; else the gateway may retry it.
+    """
 
     query: int
     attempt: int
--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -26,7 +26,7 @@
 
 OK = policy.AttemptStatus.OK
 
-FLEET_REVIEW_MS = 250.0  # ms between two reviews of the whole fleet; a timer that much late was our own stall
+FLEET_REVIEW_MS = 250.0  # ms between two reviews of the fleet; a tick later by more is our own stall
 
 
 class Gateway:
@@ -66,9 +66,9 @@
         return self.actions
 
     def _excuse_stall(self) -> None:
-        """Take time in which the gateway had no turn off the ages of its attempts.
+        """Subtract time in which the gateway had no turn from its attempts' ages, so that none times out by it.
 
-        It says nothing of the engines: attempts must not time out wholesale. A hang is found so much later.
+        The price: a hung engine is detected later by that time.
         """
         late_ms = self.now_ms - self.tick_at_ms
         if FLEET_REVIEW_MS < late_ms < float("inf"):
--- a/fennelwind/policy/model.py
+++ b/fennelwind/policy/model.py
@@ -23,7 +23,7 @@
     service_time_ms: float  # single-thread service time: estimated work divided by its threads
     objective_at_ms: float  # an answer until then meets the latency objective
     dispatch_target_ms: float  # when it should be dispatched to meet its objective
-    is_short: bool = False  # far less work than usual, so that it may go before others
+    is_short: bool = False  # less work than the mean query, where engines heed priorities
     slow_start_work_ms: float = 0.0  # work that an engine in slow start is taken to get by it
     attempts: list["Attempt"] = field(default_factory=list)
     running_attempts: int = 0  # attempts without an outcome
@@ -100,7 +100,7 @@
         self.items: deque[tuple[float, float]] = deque()
 
     def add(self, now_ms: float, amount: float = 1.0, since_ms: float = float("-inf")) -> None:
-        """Count an amount now; older ones than `since_ms` go, as nobody may ask for a long time."""
+        """Count an amount now; drop leading ones older than `since_ms`, as `total` may be called rarely."""
         while self.items and self.items[0][0] < since_ms:
             self.items.popleft()
         self.items.append((now_ms, amount))
--- a/fennelwind/policy/outliers.py
+++ b/fennelwind/policy/outliers.py
@@ -22,7 +22,7 @@
 )
 
 OUTLIER_SLOWDOWN = 2.5  # times the fleet's median; a slower engine is an outlier, whatever the cause
-EJECTION_MS = 1000.0  # ms that a failing engine gets no queries, doubled with each further failure
+EJECTION_MS = 1000.0  # ms; an ejection lasts this times 2 after one failure, times 4 from the second on
 MAX_EJECTION_FACTOR = 4  # times EJECTION_MS; a recovered engine is used again within seconds
 MAX_CONSECUTIVE_ERRORS = 3  # a bad query errs once anywhere; an engine that errs quickly would draw all in
 OUTLIER_SAMPLE_SHARE = 0.5  # share of a new sample in an outlier's mean: two good answers bring it back
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -108,8 +108,8 @@
         timeout_ms = self._timeout_ms(attempt, median_slowdown, has_load_advice)
         if attempt.age_ms(now_ms) < timeout_ms:
             return False
-        # What reports progress is left alone, though a busy engine or its low priority makes it late:
-        # starting anew costs all its work. When reports stop, as from a hung engine, its age decides.
+        # With fresh progress reports it times out only if it needs another whole timeout: starting anew costs
+        # all its work. When reports stop, as from a hung engine, its age alone decides.
         max_progress_age_ms = MAX_PROGRESS_AGE_PERIODS * self.settings.progress_interval_ms
         reports_progress = now_ms - attempt.progress_at_ms < max_progress_age_ms
         return not (reports_progress and attempt.remaining_ms < timeout_ms)
--- a/fennelwind/policy/slow_start.py
+++ b/fennelwind/policy/slow_start.py
@@ -1,8 +1,9 @@
 """Slow start: how much work an engine that has just started may get.
 
-An engine in slow start falls over if all gateways together send it more work than its budget in any window
-of the stated length. Each gateway keeps its even part of the budget by its own sends alone, with no word from
-the others. An engine whose start time is unknown (0) is taken to have started long ago.
+An engine in slow start crashes (`overload_multiple`) if all gateways together send it more work than its
+budget in any window of the stated length. Each gateway keeps its even part of the budget by its own sends
+alone, with no word from the others. An engine whose start time is unknown (0) is taken to have started long
+ago.
 """
 
 from fennelwind import policy
@@ -54,8 +55,9 @@
         budget_ms = (
             settings.overload_multiple * warm_up_fraction * engine.cores * window_ms * USED_BUDGET_SHARE
         )
-        # Where a part is less than a query, a draw by each gateway lets as many send one as the parts add up
-        # to. Only queries that are small against the whole: chance must not heap them up.
+        # Where this gateway's part is less than one query, its fixed random draw may round it up, so that about
+        # as many gateways send one as the parts add up to. Only for small queries: chance must not add up large
+        # ones.
         is_small = work_ms <= budget_ms * MAX_ROUNDED_QUERY_SHARE
         rounding_ms = work_ms * engine.slow_start_draw if is_small else 0.0
         sent_ms = engine.sent_work_ms.total(now_ms - window_ms)
--- a/fennelwind/quiescence/__init__.py
+++ b/fennelwind/quiescence/__init__.py
@@ -1,1 +1,1 @@
-"""Who has heard that queries are to keep away from an engine, and has none of its own left there. No I/O."""
+"""Quiescence: have all controllers stopped sending queries to a replica or table on an engine? No I/O."""
--- a/fennelwind/quiescence/in_flight.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -3,7 +3,7 @@
 No I/O and no clock. Attempts at engines are counted by what their queries name: shards, and the tables ahead
 of their `/`. Barrier requests come with two views, of replicas that drain and of engines that are quiesced
 for tables; routing takes a view first, and is never given an older one. The acknowledgement is made of both
-at one moment, so that whatever began before the view counts as open in it, and nothing begins behind it.
+at one moment, so that whatever began before the view counts as open in it, and nothing begins after it.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -13,8 +13,8 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.quiescence.acknowledgements import MAX_OPEN_PAIRS
 
-REPEAT_MS = 2000.0  # ms until the same is sent again while anything is requested: a leader may be lost
-MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; a drop is earlier by a minute, not by this
+REPEAT_MS = 2000.0  # ms after which an unchanged acknowledgement is sent again: the leader may be another
+MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; small beside the minute that they save
 
 Pair = tuple[str, str]  # a shard or a table, and an engine
 
@@ -56,7 +56,7 @@
     # Attempts.
 
     def attempt_started(self, attempt: Hashable, shards: Iterable[str], engine: str) -> None:
-        """Note that an attempt is about to be sent, in the turn in which it was found that it may."""
+        """Note that an attempt is about to be sent, in the same loop turn as the check that it may be."""
         pairs = tuple({(name, engine): None for shard in shards for name in (shard, table_of(shard))})
         if pairs:
             self._pairs_of[attempt] = pairs
@@ -95,7 +95,7 @@
     def update_tables(
         self, index: int, excluded: Any, quiesced: Iterable[Pair], is_complete: bool = True
     ) -> None:
-        """Take a view of the engines that get no query of some tables, and of those that are requested."""
+        """Take a view of the engines that get no query of some tables, and of those requested to be quiet."""
         if index >= self.table_index:
             self.on_excluded_engines(excluded)
             self.table_index = index
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -1,4 +1,4 @@
-"""Asking for votes and giving them, with a pre-vote. No I/O."""
+"""Elections with pre-vote: campaigns, vote requests and responses. No I/O."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -13,20 +13,20 @@
 
 @dataclass(slots=True)
 class Campaign:
-    """One member's asking, before a term (nothing is written for it) or in it."""
+    """One member's campaign: a pre-vote for the next term, which writes nothing, or the election in it."""
 
     is_pre_vote: bool
-    term: int  # the term it asks for, or would
+    term: int  # the term of the election, or of the one that the pre-vote is for
     vote_write_number: int = 0  # the write with its own vote, which counts when that is done
     granted: set[Incarnation] = field(default_factory=set)
 
     def is_won(self, voters: Sequence[Incarnation]) -> bool:
-        """Whether more than half of the voters said yes."""
+        """Whether more than half of the voters granted their vote."""
         return 2 * sum(voter in self.granted for voter in voters) > len(voters)
 
 
 def is_log_up_to_date(vote: pb.Vote, last_term: int, last_index: int) -> bool:
-    """Whether who asks has all that this log has, by its last entry's term and index."""
+    """Whether the candidate's log is at least as up to date, by the last entry's term and index."""
     return (vote.last_term, vote.last_index) >= (last_term, last_index)
 
 
@@ -38,7 +38,7 @@
 
 
 def start_election(member: "RaftMember", handed_over: bool = False) -> None:
-    """Begin a term and ask for votes in it; the own one counts when it is on the disk."""
+    """Begin a term and request votes; this member's own vote counts once it is on the disk."""
     member.become_follower(member.term + 1, None)
     member.voted_for = member.me
     member.save_hard_state()
@@ -55,10 +55,10 @@
 
 
 def handle_vote_request(member: "RaftMember", sender: Incarnation, term: int, vote: pb.Vote) -> None:
-    """Answer one that asks. Who hears a leader gives no vote, unless that leader asked for it.
+    """Answer a vote request. A member that hears a live leader rejects it, unless that leader handed over.
 
-    One that isn't a member by this log may be by a later one, and is answered; a mute member, and one without
-    a record, gives no vote.
+    A candidate outside this log's configuration may be in a later one, and is answered. A member whose
+    storage has failed, or that has no log yet, does not answer.
     """
     if member.storage_failed or member.is_empty:
         member.counters["vote not given"] += 1
@@ -94,11 +94,11 @@
 
 def handle_vote_response(member: "RaftMember", sender: Incarnation, term: int, answer: pb.VoteAnswer) -> None:
     """Count an answer, if it is one to what is asked now."""
-    ballot = member.campaign
-    if ballot is None or sender not in member.log.configuration.voters:
+    campaign = member.campaign
+    if campaign is None or sender not in member.log.configuration.voters:
         member.counters["late"] += 1
     elif answer.granted:
-        if answer.before == ballot.is_pre_vote and term == ballot.term:
-            ballot.granted.add(sender)
+        if answer.before == campaign.is_pre_vote and term == campaign.term:
+            campaign.granted.add(sender)
     elif term > member.term:
         member.become_follower(term, None)
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -19,8 +19,10 @@
 PROMOTION_LAG_ENTRIES = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
 MAX_VOTERS = 7  # more only make each commit wait for more disks
 MAX_MEMBERS = 9  # with those who catch up
-SLOW_ROUND_DIVISOR = 4.0  # of an election time-out: a round that takes longer came over a slow way
-MAX_TRACKED_ROUNDS = 64  # rounds of which it is known when they began; a way that is later than that is cut
+SLOW_ROUND_DIVISOR = 4.0  # of an election time-out: a round that takes longer counts as slow
+MAX_TRACKED_ROUNDS = (
+    64  # rounds whose start is remembered; an answer to an older one does not adapt the message size
+)
 REMOVAL_NOTICE_TIMEOUTS = 10  # election time-outs for which a removed member is told so
 
 
@@ -33,7 +35,7 @@
         self.clock_base_ms = member.last_entry_clock_ms()
         self.last_entry_ms = now  # when an entry was last stamped
         self.peers: dict[Incarnation, Progress] = {}
-        self.pending_proposals: deque[tuple[int, int]] = deque()  # index of the entry, token
+        self.pending_proposals: deque[tuple[int, int]] = deque()  # entry's index, token of its proposal
         self.pending_reads = ReadIndexQueue(member.timing.max_pending_reads)
         self.round = 0
         self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # when each began
@@ -46,7 +48,10 @@
     # Entries
 
     def clock_ms(self, now: float) -> int:
-        """Return the record's clock: the log's, and what this member's has measured since it led."""
+        """Return the log's clock.
+
+        Its value at the start of this term and what this member has measured since.
+        """
         return max(self.clock_base_ms + int(now - self.started_ms), self.member.last_entry_clock_ms())
 
     def _append(self, entry: pb.Entry, now: float) -> int:
@@ -57,7 +62,7 @@
         return entry.index
 
     def propose(self, event: Propose, now: float) -> None:
-        """Enter a command, or say why not."""
+        """Append a command to the log, or reject it."""
         timing, member = self.member.timing, self.member
         if (
             event.command.ByteSize() > MAX_COMMAND_BYTES + 1024
@@ -82,7 +87,10 @@
             self.pending_proposals.append((self._append(pb.Entry(command=event.command), now), event.token))
 
     def can_change_membership(self) -> bool:
-        """Whether the members may change: one at a time, and only once an entry of the own term is agreed."""
+        """Whether the members may change.
+
+        One at a time, and only once an entry of the own term is committed.
+        """
         member = self.member
         return (
             member.log.configuration.index <= member.commit_index
@@ -91,7 +99,7 @@
         )
 
     def change_membership(self, event: ChangeMembership, now: float) -> None:
-        """Change the members by one, or say why not."""
+        """Add or remove one member, or reject the change."""
         member, configuration = self.member, self.member.log.configuration
         known = dict(zip(configuration.incarnations, configuration.members.members, strict=True))
         refusal = pb.Result.NONE
@@ -138,7 +146,7 @@
         return index
 
     def handle_join(self, sender: Incarnation, joiner: pb.Member, now: float) -> "pb.JoinAnswer.Word":
-        """Answer one that asks to be let in."""
+        """Answer a member that asks to join."""
         member, words = self.member, pb.JoinAnswer
         if sender in member.log.configuration.incarnations:
             return words.LEARNING
@@ -155,7 +163,7 @@
         return words.LEARNING
 
     def sync_peers(self, now: float) -> None:
-        """Follow the present members; one that was removed is told so for a while."""
+        """Track the configuration's members; a removed one is still sent entries for a while, to learn it."""
         log = self.member.log
         present = [life for life in log.configuration.incarnations if life != self.member.me]
         for life in present:
@@ -194,7 +202,7 @@
             peer.backtrack(answer.index)
 
     def _record_response(self, peer: Progress, number: int, now: float) -> None:
-        """Take note of a word; how long a round took tells what the way bears, as it waits for no disk."""
+        """Note an answer. The round-trip time sets the message size: answers to rounds wait for no disk."""
         number = min(number, self.round)
         if number > peer.acknowledged_round:
             peer.acknowledged_round = number
@@ -229,7 +237,7 @@
             self.next_heartbeat_ms, self.transfer_target = now + timing.heartbeat_ms, None
             if not self.has_quorum(now):
                 return False
-            for peer in self.peers.values():  # lost ones are sent anew; a heartbeat's answer tells earlier
+            for peer in self.peers.values():  # a lost one is sent again
                 peer.is_awaiting_response &= now < peer.sent_ms + timing.election_timeout_ms
             self.start_round()
             for life in [
@@ -278,7 +286,7 @@
         return reached[(len(reached) - 1) // 2] if reached else 0
 
     def quorum_commit_index(self) -> int:
-        """Return up to where entries are agreed: on more than half of the disks, the last of this term."""
+        """Return the commit index: the highest index on a majority's disks, if its entry is of this term."""
         member = self.member
         index = self._quorum_value(
             member.pending_writes.durable_index, {life: p.match_index for life, p in self.peers.items()}
@@ -290,7 +298,7 @@
         )
 
     def start_round(self) -> None:
-        """Ask all members for their word anew."""
+        """Begin a heartbeat round, which confirms leadership once a majority has answered it."""
         self.round += 1
         self.round_starts.append((self.round, self.member.now_ms))
         for life, peer in self.peers.items():
@@ -346,14 +354,14 @@
     # Reads
 
     def read(self, token: int) -> None:
-        """Let somebody read once a majority has said again that this member leads."""
+        """Queue a linearizable read until a majority has confirmed this leader."""
         if not self.pending_reads.add(token):
             self.member.reject_read(token, pb.Result.TOO_MANY)
 
     def _serve_reads(self) -> None:
         member, reads = self.member, self.pending_reads
         if member.log.term(member.commit_index) != self.term:
-            return  # what earlier leaders agreed on isn't known yet
+            return  # what earlier leaders committed isn't known yet
         confirmed = self._quorum_value(
             self.round, {life: p.acknowledged_round for life, p in self.peers.items()}
         )
@@ -368,7 +376,7 @@
     # Messages
 
     def _send_entries(self, life: Incarnation, peer: Progress, beat: bool) -> None:
-        """Send a member what it lacks, within the bounds; with `beat` a message goes in any case."""
+        """Send a member what it lacks, within the bounds; with `beat` (a heartbeat) a message in any case."""
         member, timing = self.member, self.member.timing
         while True:
             if peer.mode != PIECES and member.log.term(peer.next_index - 1) is None:
@@ -440,12 +448,12 @@
     # Handing over
 
     def start_transfer(self, now: float) -> None:
-        """Let another lead: nothing more is proposed until it does, or until it didn't in time."""
+        """Begin a leadership transfer: nothing is proposed until it succeeds or times out."""
         if self.transfer_deadline_ms is None:
             self.transfer_deadline_ms = now + self.member.timing.election_timeout_ms
 
     def _send_timeout_now(self, now: float) -> None:
-        """Ask the one that lacks least to ask for votes, once it lacks nothing."""
+        """Tell the best successor to start an election, once its log is complete."""
         life = self.best_successor(now)
         if (
             life is not None
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries behind a base, and which members count from which entry on. No I/O."""
+"""The log in memory: entries after a base, and the configuration as of each entry. No I/O."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -9,7 +9,7 @@
 
 
 class Configuration(NamedTuple):
-    """Who counts from an entry on."""
+    """The group's members and voters, in force from the entry at `index` on."""
 
     index: int
     members: pb.Members
@@ -18,7 +18,7 @@
 
 
 def make_configuration(index: int, members: pb.Members) -> Configuration:
-    """Return who counts from an entry on."""
+    """Return the configuration that an entry at this index puts in force."""
     return Configuration(
         index,
         members,
@@ -28,9 +28,9 @@
 
 
 class Log:
-    """Entries without gaps from `base` + 1 to `last`; entries are never changed once they are in.
+    """Entries without gaps from `base_index` + 1 to `last_index`; entries are never changed once they are in.
 
-    All up to `base` is agreed and held by a snapshot; of it only the last one's term is known.
+    All up to `base_index` is committed and in a snapshot; of it only the last entry's term is known.
     """
 
     def __init__(self, head: pb.SnapshotHead | None, entries: Sequence[pb.Entry]) -> None:
@@ -38,7 +38,9 @@
         self.entries: list[pb.Entry] = list(entries)
         self.size_bytes = sum(entry.ByteSize() for entry in self.entries)
         self.configurations: list[Configuration] = [make_configuration(0, pb.Members())]
-        if self.entries and self.entries[0].index <= self.base_index:  # some are kept behind the snapshot
+        if (
+            self.entries and self.entries[0].index <= self.base_index
+        ):  # retained though the snapshot covers them
             first = self.entries.pop(0)
             self.size_bytes -= first.ByteSize()
             self.base_index, self.base_term = first.index, first.term
@@ -68,15 +70,15 @@
 
     @property
     def configuration(self) -> Configuration:
-        """Who counts now: the latest that is written, agreed or not."""
+        """The latest configuration in the log, committed or not."""
         return self.configurations[-1]
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return who counted as of an entry."""
+        """Return the configuration in force at an index."""
         return next(found for found in reversed(self.configurations) if found.index <= index)
 
     def configurations_from(self, index: int) -> list[Configuration]:
-        """Return who counted as of an entry, and all later ones."""
+        """Return the configuration in force at an index, and all later ones."""
         if self.configurations[-1].index <= index:
             return self.configurations[-1:]
         return self.configurations[
@@ -114,7 +116,7 @@
                 self.configurations.append(make_configuration(entry.index, entry.members))
 
     def truncate_after(self, after: int) -> None:
-        """Drop what lies behind an index; the members are again who they were there."""
+        """Drop all entries after an index; the configuration is again the one as of that index."""
         self.size_bytes -= sum(entry.ByteSize() for entry in self.slice(after + 1, self.last_index))
         del self.entries[max(after - self.base_index, 0) :]
         while self.configurations[-1].index > after:
@@ -132,7 +134,7 @@
         del self.configurations[:place]
 
     def find_conflict_index(self, term: int, index: int) -> int:
-        """Return the last index up to `index` whose term is not above `term`: none behind it can agree."""
+        """Return the last index up to `index` whose term is not above `term`: no later entry can match."""
         index = min(index, self.last_index)
         while index > self.base_index and self.entries[index - self.base_index - 1].term > term:
             index -= 1
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -1,7 +1,9 @@
-"""Between the council's core, which decides, and what carries out: events in, actions out.
+"""The interface between the Raft core, which decides, and its host (`cluster.raft_host`).
+
+Events go in, actions come out.
 
 `RaftMember.step(now, events) -> actions`. Times are ms on the member's own clock, which never goes back. The
-carrier makes writes in their order, sends messages without waiting, and hands the core whatever comes of it.
+host makes writes in their order, sends messages without waiting, and hands the core whatever comes of it.
 Nothing that rests on a write leaves before its `WriteCompleted`: the core holds it back.
 """
 
@@ -28,8 +30,8 @@
     max_in_flight_appends: int = 4  # messages of entries unanswered by one member
     max_chunk_bytes: int = 256 * 1024  # bytes of a snapshot in one message
     max_pending_proposals: int = 4096  # proposals that wait for their entry's commit
-    max_pending_reads: int = 4096  # reads that wait for a majority's word
-    retained_entries: int = 10_000  # entries kept behind a snapshot for those who are a little behind
+    max_pending_reads: int = 4096  # reads that wait for a majority to confirm the leader
+    retained_entries: int = 10_000  # entries that the snapshot covers, kept for members that lag a little
     max_log_bytes: int = (
         64 * 1024 * 1024
     )  # bytes of log: a snapshot is due; at twice that nothing is proposed
@@ -46,7 +48,9 @@
     hard_state: pb.HardState = field(default_factory=pb.HardState)
     snapshot_head: pb.SnapshotHead | None = None
     snapshot: bytes = b""
-    entries: list[pb.Entry] = field(default_factory=list)  # behind the snapshot, without gaps
+    entries: list[pb.Entry] = field(
+        default_factory=list
+    )  # without gaps; the first ones may be covered by the snapshot
 
 
 # What happens to a member.
@@ -69,7 +73,7 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteFailed:
-    """The write with this number and all behind it are not on the disk, and nothing of them counts.
+    """The write with this number and all later ones are not on the disk, and nothing of them counts.
 
     Until `StorageRecovered` the member has no vote, acknowledges nothing and leads nobody.
     """
@@ -107,7 +111,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Applied:
-    """The carrier has applied entries up to this index; `due` is when the record lapses something next."""
+    """The host has applied entries up to this index.
+
+    `next_expiry_clock_ms` tells when something in the replicated state expires next.
+    """
 
     index: int
     next_expiry_clock_ms: int | None
@@ -174,8 +181,8 @@
 
     `WriteCompleted` or `WriteFailed` follows.
 
-    In this order: the snapshot in place of all up to its head (`keep_from`: entries kept from there on), the
-    log cut behind `cut_after`, the entries, the hard state.
+    Applied in this order: the snapshot, which replaces all entries up to its head but those from
+    `retain_from` on; the truncation of the log after `truncate_after`; the entries; the hard state.
     """
 
     number: int
--- a/fennelwind/raft/pending_writes.py
+++ b/fennelwind/raft/pending_writes.py
@@ -1,6 +1,7 @@
 """What is on its way to the disk, and what must not leave before it is there. No I/O.
 
-A step's changes go out as one `Write`. The member's own word on an entry counts only up to `durable`.
+A step's changes go out as one `Write`. The member acknowledges entries only up to
+`durable_index`.
 """
 
 from collections import deque
@@ -39,7 +40,7 @@
         self.hard_state, self.hard_state_number = hard, self.next_number
 
     def truncate_after(self, index: int) -> None:
-        """Have the log cut; what lies behind it no longer counts as written, whatever the disk holds."""
+        """Have the log truncated; later entries no longer count as written, whatever the disk holds."""
         self.truncate_index = index if self.truncate_index is None else min(self.truncate_index, index)
         while self.entries and self.entries[-1].index > index:
             self.entries.pop()
--- a/fennelwind/raft/progress.py
+++ b/fennelwind/raft/progress.py
@@ -5,12 +5,10 @@
 
 from fennelwind.raft import council_pb2 as pb
 
-INITIAL_MESSAGE_BYTES, MIN_MESSAGE_BYTES = (
-    64 * 1024,
-    16 * 1024,
-)  # bytes of one message: until a way is known, and at the least
+INITIAL_MESSAGE_BYTES = 64 * 1024  # bytes of one message, until round-trip times are known
+MIN_MESSAGE_BYTES = 16 * 1024  # bytes of one message at least
 
-PROBE, STREAM, PIECES = "probe", "stream", "pieces"  # one message at a time, several, a snapshot first
+PROBE, STREAM, PIECES = "probe", "stream", "pieces"  # one message at a time; several; snapshot chunks first
 
 
 @dataclass(slots=True)
@@ -37,7 +35,7 @@
     removal_notice_until_ms: float = 0.0  # ms, when it is no longer told that it was removed
 
     def adapt_message_size(self, late: bool, most: int) -> None:
-        """A round came back: late ones halve what is sent at once, others double it."""
+        """Halve the message size after a slow round, double it after a fast one."""
         self.max_message_bytes = (
             max(self.max_message_bytes // 2, MIN_MESSAGE_BYTES)
             if late
@@ -45,7 +43,7 @@
         )
 
     def record_match(self, index: int) -> None:
-        """It agrees and has all on its disk up to here."""
+        """Its log matches the leader's, on its disk, up to here."""
         self.match_index = max(self.match_index, index)
         while self.in_flight and self.in_flight[0] <= self.match_index:
             self.in_flight.popleft()
@@ -63,7 +61,10 @@
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def backtrack(self, index: int) -> None:
-        """It lacks what was sent; try behind this index, but never behind what is known to agree."""
+        """The member rejected an append.
+
+        Probe from after this index, but never from before `match_index` + 1.
+        """
         if self.mode == PIECES:
             return
         self.next_index = max(min(index, self.next_index - 1), self.match_index) + 1
@@ -71,7 +72,7 @@
         self.in_flight.clear()
 
     def start_snapshot(self, head: pb.SnapshotHead, data: bytes) -> None:
-        """Send it a snapshot, as the entries that it lacks are no longer held."""
+        """Send it a snapshot, as the entries that it lacks are no longer in the log."""
         self.mode, self.is_awaiting_response, self.snapshot_head, self.snapshot_data, self.snapshot_offset = (
             PIECES,
             False,
--- a/fennelwind/raft/read_index.py
+++ b/fennelwind/raft/read_index.py
@@ -24,7 +24,7 @@
         return True
 
     def assign_index(self, index: int, number: int) -> None:
-        """Say from where on the fresh ones are true, if the round of this number, yet to come, says so."""
+        """Give new reads this read index; the round `number`, not begun yet, has to confirm it."""
         self.indexed.extend((token, index, number) for token in self.unindexed)
         self.unindexed.clear()
 
--- a/fennelwind/raft/snapshots.py
+++ b/fennelwind/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""A member's snapshot: taken when its log has grown, or come in pieces from a leader. No I/O."""
+"""A member's snapshots: taken when its log has grown, or received in chunks from a leader. No I/O."""
 
 from typing import TYPE_CHECKING
 
@@ -10,12 +10,10 @@
 if TYPE_CHECKING:
     from fennelwind.raft.member import RaftMember
 
-SNAPSHOT_ENTRIES_FACTOR = (
-    4  # times the kept entries: so many behind the last snapshot make one due, however small
-)
-RETAINED_LOG_DIVISOR = (
-    4  # the kept entries have at most this part of the log's bytes, or a snapshot would free nothing
-)
+# A snapshot is due after this many times `retained_entries`, whatever the log's size in bytes.
+SNAPSHOT_ENTRIES_FACTOR = 4
+# Retained entries take at most this part of `max_log_bytes`; else a snapshot would free nothing.
+RETAINED_LOG_DIVISOR = 4
 
 
 class Snapshots:
--- a/fennelwind/recovery/__init__.py
+++ b/fennelwind/recovery/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives an attempt or a connection; without I/O, given time and events."""
+"""Request coalescing: repeats of an open request share one execution. No I/O."""
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -66,8 +66,8 @@
 ) -> bool:
     """Return whether an entry waits for a new query after the one it had joined ended without a result.
 
-    Only an entry with more time than the query had does. A rejected query never ran; a failed one may have,
-    so only an idempotent class runs again.
+    Only an entry with more time than the query had does. A rejected query may be repeated harmlessly; a
+    failed one may have run, so it runs again only in an idempotent class.
     """
     has_more_time = answer_deadline_ms > execution_deadline_ms
     return has_more_time and (is_rejected or is_failed and is_idempotent)
