--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -300,9 +300,7 @@
         for name in answer.offers:
             self._request_offered(name)
         queued = [name for name, lease in self._leases.items() if lease.phase == LeasePhase.QUEUED]
-        if (
-            is_awaited and len(queued) != answer.waits
-        ):  # the server and we disagree on our queues: request anew
+        if is_awaited and len(queued) != answer.waits:  # the server and we disagree: request anew
             for name in queued:
                 self._request_offered(name)
 
@@ -310,10 +308,12 @@
         self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
     ) -> None:
         # Only an acquire request is answered so: queued, or rejected before any lease was granted.
-        is_about_queue = result.state == pb.Told.WAITING or (
-            result.state == pb.Told.FREE and result.refusal not in (pb.NONE, pb.NOT_HOLDER)
+        is_of_a_queue = (
+            result.state == pb.Told.WAITING
+            or result.state == pb.Told.FREE
+            and result.refusal not in (pb.NONE, pb.NOT_HOLDER)
         )
-        if lease.fencing_token and is_about_queue:
+        if lease.fencing_token and is_of_a_queue:
             return  # a late answer to a request from before the lease was granted
         is_held = result.state == pb.Told.HELD
         is_still_held = bool(lease.fencing_token) and is_held
--- a/fennelwind/policy/concurrency.py
+++ b/fennelwind/policy/concurrency.py
@@ -71,7 +71,7 @@
         self.allowed_threads = self.fair_share_threads * self.share_factor()
 
     def share_factor(self) -> float:
-        """Return the factor by which this gateway may exceed its even part of the fleet; below 1 it must not reach it.
+        """Return the factor by which this gateway may exceed its even part; below 1 it must not reach it.
 
         With many gateways an even part is hardly one query, and demand scatters: a fleet that its reports
         show to be half empty is open to all; when it fills, as by a burst or lost engines, all give way.
--- a/fennelwind/policy/estimates.py
+++ b/fennelwind/policy/estimates.py
@@ -18,9 +18,7 @@
 ENGINE_SAMPLE_SHARE = 0.15  # share in an engine's slowdown, a class's work, the fleet's load: some 7 samples
 MAX_OBJECTIVE_RATIO = 3.0  # objectives; a longer sample counts as this, so one bad plan can't drag a mean
 MAX_RELATIVE_SLOWDOWN = 8.0  # times the baseline; the same cap for an engine's slowdown
-BASELINE_FALL = (
-    0.02  # share by which the baseline falls at an answer below it; settles near the 9th percentile
-)
+BASELINE_FALL = 0.02  # share by which the baseline falls at an answer below it; near the 9th percentile
 BASELINE_RISE = 0.002  # share by which the baseline rises at an answer above it; slow, as most are above
 UNKNOWN_WORK_SHARE = 0.25  # of the objective; with half, admission would never let the first query start
 
--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -66,7 +66,7 @@
         return self.actions
 
     def _excuse_stall(self) -> None:
-        """Subtract time in which the gateway had no turn from its attempts' ages, so that none times out by it.
+        """Subtract time in which the gateway had no turn from its attempts' ages: none times out by it.
 
         The price: a hung engine is detected later by that time.
         """
--- a/fennelwind/policy/slow_start.py
+++ b/fennelwind/policy/slow_start.py
@@ -55,9 +55,9 @@
         budget_ms = (
             settings.overload_multiple * warm_up_fraction * engine.cores * window_ms * USED_BUDGET_SHARE
         )
-        # Where this gateway's part is less than one query, its fixed random draw may round it up, so that about
-        # as many gateways send one as the parts add up to. Only for small queries: chance must not add up large
-        # ones.
+        # Where this gateway's part is less than one query, its fixed random draw may round it up, so that
+        # about as many gateways send one as the parts add up to. Only for small queries: chance must not add
+        # up large ones.
         is_small = work_ms <= budget_ms * MAX_ROUNDED_QUERY_SHARE
         rounding_ms = work_ms * engine.slow_start_draw if is_small else 0.0
         sent_ms = engine.sent_work_ms.total(now_ms - window_ms)
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -38,9 +38,8 @@
         self.entries: list[pb.Entry] = list(entries)
         self.size_bytes = sum(entry.ByteSize() for entry in self.entries)
         self.configurations: list[Configuration] = [make_configuration(0, pb.Members())]
-        if (
-            self.entries and self.entries[0].index <= self.base_index
-        ):  # retained though the snapshot covers them
+        # The first entries may be retained though the snapshot covers them.
+        if self.entries and self.entries[0].index <= self.base_index:
             first = self.entries.pop(0)
             self.size_bytes -= first.ByteSize()
             self.base_index, self.base_term = first.index, first.term
