--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -166,7 +166,7 @@
         def wait_and_cut():
             for statement in ("build", "load 2"):
                 while not any(
-                    q.submission.statement == statement and q.tries
+                    q.submission.statement == statement and q.attempt_records
                     for q in fleet.program.driver.ledger.entries.values()
                 ):
                     fleet.loop.sleep(5)
