--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -300,13 +300,14 @@
         for name in answer.offers:
             self._request_offered(name)
         queued = [name for name, lease in self._leases.items() if lease.phase == LeasePhase.QUEUED]
-        if is_awaited and len(queued) != answer.waits:  # a place was lost, or an unwanted one is kept
+        if is_awaited and len(queued) != answer.waits:  # the server and we disagree: request anew
             for name in queued:
                 self._request_offered(name)
 
     def _on_task_answer(
         self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
     ) -> None:
+        # Only an acquire request is answered so: queued, or rejected before any lease was granted.
         is_of_a_queue = (
             result.state == pb.Told.WAITING
             or result.state == pb.Told.FREE
@@ -320,7 +321,7 @@
             self._on_rejected(now_ms, name, lease, result.refusal)
         elif is_held and result.term_ms:
             self._on_granted(now_ms, sent, name, lease, result)
-        elif result.refusal and is_held:  # what went along is rejected
+        elif result.refusal and is_held:  # the lease is still held; its checkpoint or successor was rejected
             self._actions.append(LeaseRejected(name, pb.Refusal.Name(result.refusal)))
             lease.checkpoint = None
             lease.request_at_ms = -math.inf
