--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -2,6 +2,7 @@
 
 import ast
 import re
+import tomllib
 from pathlib import Path
 
 import pytest
@@ -109,3 +110,11 @@
             for part in ast.walk(node):
                 if isinstance(part, ast.Constant) and isinstance(part.value, int | float):
                     assert part.value in (0, 1, 2, 0.5), f"{path.name}:{part.lineno}"
+
+
+def test_the_deploy_file_names_every_rule():
+    """The bench reads the decisions from the files listed there; a folder counts for nothing."""
+    listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
+    interface = {"__init__", "settings", "events", "actions", "model"}
+    rules = {f"fennelwind/policy/{path.name}" for path in MODULES if path.stem not in interface}
+    assert set(listed) == rules
