--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -155,14 +155,14 @@
         connection.database, connection.operation_to_close = wanted, reply.operationHandle
 
     def _execute(self) -> Result:
-        attempt, connection = self.request, self.connection
-        submission = attempt.submission
+        order, connection = self.request, self.connection
+        submission = order.submission
         if submission.arguments is not None:
             return self._call_metadata(submission.method, submission.arguments)
         self.known_grant = self.grant()
         overlay = {
             **submission.overlay,
-            "fennelwind.attempt": f"{attempt.query}.{attempt.number}",
+            "fennelwind.attempt": f"{order.query}.{order.number}",
             **self.known_grant,
         }
         request = hs2.TExecuteStatementReq(
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -18,7 +18,8 @@
 
 MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; some 20,000 engines
 CONNECT_TIMEOUT_MS = 2000.0  # ms to connect, and to get the first list
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0  # ms between attempts, doubled each time, half of it jitter
+# ms between subscriptions, doubled after a failure; half is jitter
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0
 FORMS = (policy.ListForm.FULL, policy.ListForm.DELTA)
 
 
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -5,6 +5,7 @@
 
 - no connection: `CONNECT_FAILED`, it never ran; 503 with X-Not-Run: `OVERLOADED`; 504 with it: `NOT_STARTED`
 - 500, also for a query that the executor does not know: `ERROR`, it may have run
+- 503 or 504 without X-Not-Run, or any other status: no answer; the attempt is polled for again
 - the executor can't be reached any more once the POST may have arrived: `RESET`, it may have run
 - `TIMEOUT` when the time is up, `CANCELLED` when its task is cancelled; what was posted is then deleted there
 """
@@ -39,7 +40,9 @@
 # ms after its last poll in which an executor may still run an attempt: it drops what it isn't polled for in
 # 2 s, and the last poll may have been delivered this much later.
 UNPOLLED_EXPIRY_MS = 2000.0 + POLL_TIMEOUT_MS
-MAX_LOOP_DELAY_MS = 25.0  # ms; a loop that lags more reads first which clients left: they are owed 100 ms
+# ms; if the loop is further behind, pending client input is read before an attempt starts: none may start
+# later than 100 ms after its client has left.
+MAX_LOOP_DELAY_MS = 25.0
 
 
 class InFlightAttempts:
@@ -115,15 +118,15 @@
             return
         task = self.loop.current
         assert task is not None, "an attempt runs in a task"
-        task.absolve()  # a cancelled task could not wait
+        task.absolve()  # clears the cancellation, so that the task may wait below
         self._abandon()
 
     def _abandon(self) -> None:
         """Give the attempt up; where two may not run at once, wait until the executor can't run it any more.
 
         Otherwise the driver would start the query's next attempt while the executor still runs this one,
-        which shows as a statement that has its effect twice. The executor runs it no longer once it has
-        confirmed its end, or was not polled for it for `UNPOLLED_EXPIRY_MS`.
+        which shows as a statement that has its effect twice. It waits until the executor confirms the end (a
+        DELETE answered), and otherwise until `UNPOLLED_EXPIRY_MS` after the last poll.
         """
         self.connection.release()
         if self.services.allows_concurrent:
@@ -137,7 +140,7 @@
         ):
             has_ended = waiter.wait()
             if not has_ended:
-                self.loop.sleep(UNPOLLED_EXPIRY_MS)
+                self.loop.sleep(UNPOLLED_EXPIRY_MS)  # not confirmed: wait until the deadline above
 
     def _end_at_executor(self, waiter: Waiter | None) -> None:
         if self.may_have_arrived:
@@ -147,7 +150,8 @@
 
     def _run(self) -> AttemptEnd:
         while self.services.cancellations.is_pending(self.executor, self.query_id):
-            self.loop.sleep(CANCELLATION_CHECK_MS)  # its DELETE would end this attempt as well
+            # both attempts have one query id: its DELETE would end this one too
+            self.loop.sleep(CANCELLATION_CHECK_MS)
         try:
             self.connection.connect()
         except LocalConnectFailure as exc:
@@ -163,7 +167,8 @@
         except RequestNotSentError as exc:
             return AttemptEnd(AttemptStatus.CONNECT_FAILED, str(exc))
         except ConnectFailed as exc:
-            # A refused connection shows that the executor's process has ended, and the attempt with it.
+            # A refused connection shows that the executor's process has ended, and the attempt with it;
+            # ExecutorRemovedError has the same errno, but shows nothing of the process.
             has_process_ended = exc.errno == errno.ECONNREFUSED and not self.executor.is_removed
             if not has_process_ended and not self.services.allows_concurrent:
                 self._abandon()
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -7,6 +7,9 @@
 
 A connection costs a task and a few hundred bytes. An answer that the client does not take at once waits in a
 queue that is bounded in bytes, number and time; whoever takes nothing until then is disconnected.
+
+Closing goes in three steps: `close` takes no more and answers what is open, `shut_down` closes our sending
+side and lingers, `close_outright` of the frontend closes the socket.
 """
 
 from collections import Counter, deque
@@ -200,6 +203,8 @@
             frontend.slots.mark_busy(self)
 
     def _submission(self, query: QueryRequest, method: str, now_ms: float) -> Submission:
+        # The bytes may have waited in the kernel since the loop last looked: the deadline counts from the
+        # earliest time at which they may have arrived.
         return Submission(
             class_index=query.class_index,
             statement=query.statement,
@@ -232,7 +237,7 @@
             self.frontend.slots.mark_idle(self, self.frontend.loop.now())
 
     def has_open_or_unread(self) -> bool:
-        """Tell whether a query is open, or an answer not yet taken by the client."""
+        """Tell whether a query is open, or an answer still waits to be taken by the client."""
         return bool(self.open_queries or self.unread_answers)
 
     # Answers.
@@ -327,7 +332,10 @@
             self.shut_down()
 
     def shut_down(self) -> None:
-        """Close our sending side and linger, though some of its answers may not be taken yet."""
+        """Close our sending side and linger.
+
+        Answers that were not taken are dropped, open queries cancelled.
+        """
         if not self.is_closed:
             self._mark_closed()
             self.stream.half_close()
--- a/fennelwind/node/endpoint_list.py
+++ b/fennelwind/node/endpoint_list.py
@@ -46,8 +46,9 @@
     def apply(self, event: EndpointListEvent, number: int, full_form: ListForm) -> None:
         """Apply an event: first removals, then drains, then the rest, in whatever order it lists them.
 
-        An address may so pass from one executor to another within one event. `full_form` is the form of a
-        list that is full.
+        An address may so pass from one executor to another within one event. `full_form` is how a
+        full list is reported to the policy: `CACHED` if it is the first from the configuration file, else
+        `FULL`.
         """
         if event.is_full:
             self._remove_missing(event)
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -27,7 +27,9 @@
 from fennelwind.node.watch_connection import WatchConnection
 from fennelwind.policy import Event, ListForm
 
-MAX_CONNECTIONS = 3  # at a time; one that is slow has so many times the time of a silent one to answer
+# At a time; the oldest is aborted when another would be one too many, so a slow channel gets about three
+# periods of silence to answer.
+MAX_CONNECTIONS = 3
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between attempts that fail, doubled up to the maximum
 STABLE_MS = 1000.0  # ms, the comments' period; a connection that lasted so long has not failed
 MAX_RETRIES = 3  # times that a damaged event is asked for again; then what can be read of it is applied
@@ -90,9 +92,11 @@
     def apply_known(
         self, cursor: int, events: tuple[dict[str, Any], ...], form: ListForm = ListForm.CACHED
     ) -> None:
-        """Apply the configuration's events, as far as they are new.
+        """Apply the configuration's events that are newer than the cursor.
 
-        While the watch runs, the command channel itself brings what is missing before them.
+        At the start (`CACHED`) gaps are accepted, and the cursor is then that of the file. At a reload
+        (`FULL`) it stops at the first gap before an event without a full list: that event's drains hold, and
+        the channel brings the rest.
         """
         is_first = form == ListForm.CACHED
         for body in events:
@@ -157,7 +161,8 @@
         """Follow until no connection is left, or the address changes.
 
         Beside a connection that is silent another one is opened, as the channel may be slow or this one dead:
-        a cut connection shows as silence only. The first that brings something is followed on alone.
+        a cut connection shows as silence only. As soon as one brings a complete event or comment, the others
+        are aborted.
         """
         self._connections = [self._open(address)]
         began_ms = self.loop.now()
@@ -165,6 +170,7 @@
             next_open_ms = max(self._connections[-1].silent_from_ms(), began_ms + MAX_BACKOFF_MS)
             self._wait_until(next_open_ms)
             self._connections = [each for each in self._connections if not each.has_ended]
+            # Those that have brought something since the newest was opened.
             active = [each for each in self._connections if each.last_event_ms >= began_ms]
             if active and len(self._connections) > 1:
                 self._keep_only(active[-1:])
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -25,7 +25,7 @@
 
 
 class ExecutorRemovedError(ConnectFailed):
-    """The executor has left the list; its address may belong to another."""
+    """The executor has left the list, so no connection was tried; its address may belong to another."""
 
     def __init__(self, executor: Executor) -> None:
         super().__init__(errno.ECONNREFUSED, f"{executor.name} has gone from {executor.address}")
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -82,7 +82,7 @@
 
     def _make_room(self) -> bool:
         """Close the connection that is needed least; return False if none may be closed."""
-        chosen = self.slots.choose_to_close(self.loop.now(), self._has_unread_message)
+        chosen = self.slots.choose_to_close(self.loop.now(), self._has_unreceived_bytes)
         if chosen is None:
             return False
         connection, reason = chosen
@@ -90,8 +90,8 @@
         cast(ClientConnection, connection).close()
         return True
 
-    def _has_unread_message(self, connection: Hashable) -> bool:
-        """Tell whether the beginning of a message has arrived that is not read yet."""
+    def _has_unreceived_bytes(self, connection: Hashable) -> bool:
+        """Tell whether bytes of this connection wait in the kernel that may begin a message."""
         has_bytes = cast(ClientConnection, connection).stream.waiting
         return connection not in self.slots.partial_since_ms and has_bytes()
 
@@ -106,7 +106,7 @@
         """Close connections that are overdue, and outright those that linger for too long."""
         now = self.loop.now()
         for connection, reason in self.slots.overdue(now):
-            if not self._has_unread_message(connection):
+            if not self._has_unreceived_bytes(connection):
                 self.counts[f"closed_{reason}"] += 1
                 cast(ClientConnection, connection).close()
         for lingering, since_ms in list(self.lingering.items()):
--- a/fennelwind/node/json_fields.py
+++ b/fennelwind/node/json_fields.py
@@ -3,7 +3,7 @@
 import reprlib
 from typing import Any
 
-MAX_FIGURE = 1e300  # beyond it, as for infinity and NaN, a figure is none
+MAX_FIGURE = 1e300  # larger numbers, infinity and NaN are rejected
 MAX_SHOWN = 60  # letters of an unreadable value that a message shows
 
 
--- a/fennelwind/node/load_report.py
+++ b/fennelwind/node/load_report.py
@@ -7,7 +7,7 @@
 from fennelwind.node.wire_names import LOAD_REPORT_FIELDS, LOAD_REPORT_HEADER
 
 MAX_REPORT_BYTES = 500  # bytes of a header that are read; a report holds a handful of figures
-MAX_FIGURE = 1e9  # a larger figure is noise; so is one that is negative or no number
+MAX_REPORTED_FIGURE = 1e9  # larger, negative or non-numeric values are ignored
 
 
 def read_load_report(response: Response, fields: Collection[str]) -> dict[str, float]:
@@ -22,6 +22,6 @@
         if name in fields:
             with suppress(ValueError):
                 figure = float(text)
-                if 0.0 <= figure < MAX_FIGURE:
+                if 0.0 <= figure < MAX_REPORTED_FIGURE:
                     report[name] = figure
     return report
