--- a/fennelwind/benchmarks/contract_rows.py
+++ b/fennelwind/benchmarks/contract_rows.py
@@ -17,7 +17,7 @@
 from typing import Any
 
 from fennelwind.client.types import NAMES, read_page, type_name
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
 from fennelwind.schema_compatibility.rules import NUMBER, RULES, Read, Reads
@@ -423,7 +423,7 @@
         """Have a command carried out."""
         self.index += 1
         command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
-        return pb.ContractAnswer.FromString(self.machine.apply(At(self.index, 0), command, self))
+        return pb.ContractAnswer.FromString(self.machine.apply(LogPosition(self.index, 0), command, self))
 
     def propose(self, schema: Schema) -> pb.ContractAnswer:
         """Propose a schema for the one table."""
--- a/fennelwind/benchmarks/contracts.py
+++ b/fennelwind/benchmarks/contracts.py
@@ -11,7 +11,7 @@
 from random import Random
 
 from fennelwind.benchmarks import contract_rows
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
 from fennelwind.schema_compatibility.rules import NUMBER
@@ -40,7 +40,7 @@
         self.index += 1
         command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
         began = time.perf_counter()
-        raw = self.machine.apply(At(self.index, 0), command, self)
+        raw = self.machine.apply(LogPosition(self.index, 0), command, self)
         return pb.ContractAnswer.FromString(raw), (time.perf_counter() - began) * 1000.0, len(raw)
 
 
--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -15,7 +15,7 @@
 from unittest import mock
 
 from fennelwind.cluster.access_load import REPORT_INTERVAL_MS
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import Named
@@ -87,7 +87,9 @@
         batch = named.batch(now)
         counted = pb.Counted(queries=[pb.Counted.Queries(shard=s, count=c) for s, c in batch])
         self.index += 1
-        self.machine.apply(At(self.index, now), pb.Command(counted=counted).SerializeToString(), Facts())
+        self.machine.apply(
+            LogPosition(self.index, now), pb.Command(counted=counted).SerializeToString(), Facts()
+        )
         named.told(batch)
 
     def unevenness(self) -> float:
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -151,7 +151,7 @@
                     self.loop.sleep(0.0)
                 self._apply(action.entries[start : start + ENTRIES_PER_SLICE])
         self._settle()
-        due = record.due()
+        due = record.next_expiry_clock_ms()
         if due != self._due:  # all that the core wants to know of what was applied
             self._due = due
             self.post(Applied(record.index, due))
@@ -167,7 +167,7 @@
             changed = [
                 name
                 for name, machine in record.machines.items()
-                if (due := machine.due()) is not None and due <= clock_ms
+                if (due := machine.next_expiry_clock_ms()) is not None and due <= clock_ms
             ]
             result = record.apply(entry)
             self.applied += 1
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -13,7 +13,7 @@
 
 from fennelwind.leases import leases_pb2 as pb
 from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
+from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
 MAX_REQUESTS_PER_COMMAND = 512  # a controller wants some fifty tasks
 MAX_TASKS = 4096  # a thousand tables and the tasks of the controllers' own, four times over
@@ -98,7 +98,7 @@
 
     # Commands.
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Apply a `LeaseCommand`; return a `LeaseAnswer`. Raises `UnreadableCommandError`."""
         try:
             parsed = pb.LeaseCommand.FromString(command)
@@ -119,7 +119,7 @@
         answer.waits = self._queued_count.get(sender, 0)
         return answer.SerializeToString(deterministic=True)
 
-    def _apply_request(self, at: At, sender: ControllerIncarnation, request: pb.LeaseAsk) -> pb.Told:
+    def _apply_request(self, at: LogPosition, sender: ControllerIncarnation, request: pb.LeaseAsk) -> pb.Told:
         name, kind = request.task, request.WhichOneof("what")
         if kind is None:
             return pb.Told(refusal=pb.NOTHING_ASKED)
@@ -135,7 +135,7 @@
 
     def _apply_holder_request(
         self,
-        at: At,
+        at: LogPosition,
         sender: ControllerIncarnation,
         name: str,
         body: pb.Renew | pb.HandOver | pb.GiveUp,
@@ -169,7 +169,7 @@
         is_waiting = any(waiter.name == body.to for waiter in lease.waiters)
         return pb.NONE if is_waiting else pb.NOT_WAITING
 
-    def _acquire(self, at: At, sender: ControllerIncarnation, name: str, gain: pb.Gain) -> pb.Told:
+    def _acquire(self, at: LogPosition, sender: ControllerIncarnation, name: str, gain: pb.Gain) -> pb.Told:
         if not MIN_TERM_MS <= gain.term_ms <= MAX_TERM_MS:
             return pb.Told(refusal=pb.BAD_TERM)
         if len(gain.purpose.encode()) > MAX_PURPOSE_BYTES:
@@ -198,7 +198,7 @@
         )
 
     def _add_waiter(
-        self, at: At, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
+        self, at: LogPosition, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
     ) -> bool:
         """Queue the sender in place of its earlier incarnation; tell whether there was a place."""
         for waiter in [waiter for waiter in lease.waiters if waiter.name == sender.name]:
@@ -212,7 +212,7 @@
         return True
 
     def _grant(
-        self, at: At, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
+        self, at: LogPosition, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
     ) -> pb.Told:
         if sender in lease.waiters:
             self._remove_waiter(lease, sender)
@@ -235,7 +235,7 @@
             holder=sender.name,
         )
 
-    def _renew(self, at: At, name: str, lease: TaskLease) -> pb.Told:
+    def _renew(self, at: LogPosition, name: str, lease: TaskLease) -> pb.Told:
         lease.until_ms = max(lease.until_ms, at.clock_ms + lease.term_ms)
         self._schedule(_Deadline.TASK, name)
         return pb.Told(
@@ -252,7 +252,9 @@
             refusal=refusal, state=pb.Told.HELD, fence=lease.fencing_token, holder=lease.holder_name
         )
 
-    def _forget(self, at: At, sender: ControllerIncarnation, name: str, fencing_token: int) -> pb.Told:
+    def _forget(
+        self, at: LogPosition, sender: ControllerIncarnation, name: str, fencing_token: int
+    ) -> pb.Told:
         lease = self._leases.get(name)
         if lease is None:
             return pb.Told()
@@ -266,7 +268,7 @@
         self._mark_changed(at, name, lease)
         return pb.Told()
 
-    def _leave_queue(self, at: At, sender: ControllerIncarnation, name: str) -> pb.Told:
+    def _leave_queue(self, at: LogPosition, sender: ControllerIncarnation, name: str) -> pb.Told:
         lease = self._leases.get(name)
         if lease is not None and sender in lease.waiters:
             self._remove_waiter(lease, sender)
@@ -275,7 +277,7 @@
             self._release(at, name, lease)
         return pb.Told()
 
-    def _release_all(self, at: At, sender: ControllerIncarnation) -> None:
+    def _release_all(self, at: LogPosition, sender: ControllerIncarnation) -> None:
         for name in sorted(self._leases):
             lease = self._leases[name]
             if sender in lease.waiters:
@@ -286,7 +288,7 @@
 
     # Time.
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when a lease, an offer, a wait or an exclusion ends next."""
         while self._deadline_heap:
             at_ms, kind, name, incarnation = self._deadline_heap[0]
@@ -301,23 +303,23 @@
                 heapq.heappop(self._deadline_heap)
         return None
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Let expire what is due."""
-        while (due_ms := self.due()) is not None and due_ms <= at.clock_ms:
+        while (due_ms := self.next_expiry_clock_ms()) is not None and due_ms <= at.clock_ms:
             _, kind, name, incarnation = self._deadline_heap[0]
             if kind == _Deadline.WAITER:
                 self._drop_silent_waiter(at, ControllerIncarnation(name, incarnation))
             else:
                 self._expire(at, name, self._leases[name])
 
-    def _drop_silent_waiter(self, at: At, waiter: ControllerIncarnation) -> None:
+    def _drop_silent_waiter(self, at: LogPosition, waiter: ControllerIncarnation) -> None:
         for name in sorted(self._leases):
             lease = self._leases[name]
             if waiter in lease.waiters:
                 self._remove_waiter(lease, waiter)
                 self._mark_changed(at, name, lease)
 
-    def _expire(self, at: At, name: str, lease: TaskLease) -> None:
+    def _expire(self, at: LogPosition, name: str, lease: TaskLease) -> None:
         if lease.holder is not None:
             if lease.fencing_token:  # an offer may have been lost on its way, which is no failure
                 self._exclude(at, lease, lease.holder.name)
@@ -360,7 +362,7 @@
 
     # What both commands and time bring about.
 
-    def _release(self, at: At, name: str, lease: TaskLease, successor: str = "") -> None:
+    def _release(self, at: LogPosition, name: str, lease: TaskLease, successor: str = "") -> None:
         self._clear_holder(name, lease)
         self._offer(at, name, lease, successor)
         self._mark_changed(at, name, lease)
@@ -377,7 +379,7 @@
         lease.until_ms = 0
         lease.purpose = ""
 
-    def _offer(self, at: At, name: str, lease: TaskLease, successor: str = "") -> None:
+    def _offer(self, at: LogPosition, name: str, lease: TaskLease, successor: str = "") -> None:
         """Offer a free lease to the named successor, if there is one.
 
         Else to one who is not excluded: heard lately before others, then with fewest leases, then first in
@@ -405,10 +407,10 @@
         self._lease_count[chosen.name] += 1
         self._offers.setdefault(chosen, {})[name] = None
 
-    def _is_eligible(self, at: At, lease: TaskLease, waiter: ControllerIncarnation) -> bool:
+    def _is_eligible(self, at: LogPosition, lease: TaskLease, waiter: ControllerIncarnation) -> bool:
         return not lease.is_excluded(waiter.name, at.clock_ms)
 
-    def _has_surplus(self, at: At, lease: TaskLease) -> bool:
+    def _has_surplus(self, at: LogPosition, lease: TaskLease) -> bool:
         """Tell whether one who waits and could run the task has clearly fewer leases than its holder."""
         held_count = self._lease_count[lease.holder_name]
         return held_count >= MIN_SURPLUS_LEASES and any(
@@ -417,7 +419,7 @@
             for waiter in lease.waiters
         )
 
-    def _exclude(self, at: At, lease: TaskLease, name: str) -> None:
+    def _exclude(self, at: LogPosition, lease: TaskLease, name: str) -> None:
         exclusion = lease.exclusions.setdefault(name, Exclusion(0, 0))
         if exclusion.until_ms + MAX_EXCLUSION_MS <= at.clock_ms:
             exclusion.failures = 0
@@ -446,7 +448,7 @@
         self._checkpoint_bytes += len(checkpoint) - len(lease.checkpoint)
         lease.checkpoint = checkpoint
 
-    def _mark_changed(self, at: At, name: str, lease: TaskLease) -> None:
+    def _mark_changed(self, at: LogPosition, name: str, lease: TaskLease) -> None:
         lease.revision = self.revision = at.index
         if lease.is_forgettable:
             self._leases.pop(name, None)
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -15,7 +15,7 @@
 from google.protobuf.message import DecodeError
 
 from fennelwind.quiescence import clearance_pb2 as pb
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
+from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
 SILENCE_TIMEOUT_MS = 120_000  # ms; as long as a draining replica may be waited for in all (60 s twice)
 MAX_REGISTRATIONS = 4096  # two hundred controllers, each restarted twenty times within the timeout
@@ -43,7 +43,7 @@
         self.complete_from_ms = 0  # 0: nobody has registered yet
         self.revision = 0  # the entry that last changed who is registered
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Apply a `RollCommand`; return a `RollAnswer`. Raises `UnreadableCommandError`."""
         try:
             parsed = pb.RollCommand.FromString(command)
@@ -58,7 +58,7 @@
             raise UnreadableCommandError("a command of no kind")
         return answer.SerializeToString(deterministic=True)
 
-    def _register(self, request: pb.SignOn, at: At) -> pb.RollAnswer:
+    def _register(self, request: pb.SignOn, at: LogPosition) -> pb.RollAnswer:
         if not 0 < len(request.name) <= MAX_NAME_LENGTH:
             return pb.RollAnswer(refusal=pb.RollAnswer.BAD)
         is_full = len(self.controllers) >= MAX_REGISTRATIONS
@@ -70,7 +70,7 @@
         self.controllers[at.index] = RegisteredController(request.name, request.routes, at.clock_ms)
         return pb.RollAnswer(number=at.index)
 
-    def _renew(self, request: pb.Renew, at: At) -> pb.RollAnswer:
+    def _renew(self, request: pb.Renew, at: LogPosition) -> pb.RollAnswer:
         controller = self.controllers.get(request.number)
         if controller is None:
             return pb.RollAnswer(refusal=pb.RollAnswer.GONE)
@@ -81,7 +81,7 @@
         """Tell whether all controllers that may send queries have had the time to register."""
         return 0 < self.complete_from_ms <= clock_ms
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Remove the controllers that were silent for so long that no wait of today's is longer."""
         silent = [
             number
@@ -92,7 +92,7 @@
             del self.controllers[number]
             self.revision = at.index
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when the next controller is removed."""
         return min(
             (controller.heard_ms + self.silence_timeout_ms for controller in self.controllers.values()),
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterable
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft.state_machine import At, StateMachine, UnreadableCommandError
+from fennelwind.raft.state_machine import LogPosition, StateMachine, UnreadableCommandError
 
 MAX_CLIENTS = 4096  # clients remembered; the one that was quiet for longest goes first
 MAX_RETAINED_RESULTS = 64  # answers kept for one client; it may have as many commands under way
@@ -44,11 +44,11 @@
     def apply(self, entry: pb.Entry) -> pb.Result:
         """Carry an entry out; return what became of its command."""
         self.index, self.clock_ms = entry.index, max(self.clock_ms, entry.clock_ms)
-        at = At(self.index, self.clock_ms)
+        at = LogPosition(self.index, self.clock_ms)
         for name in sorted(self.machines):
-            due = self.machines[name].due()
+            due = self.machines[name].next_expiry_clock_ms()
             if due is not None and due <= self.clock_ms:
-                self.machines[name].pass_time(at)
+                self.machines[name].expire_due(at)
         if entry.WhichOneof("what") != "command":
             return pb.Result(index=at.index)
         return self._command(at, entry.command)
@@ -60,9 +60,12 @@
         }
         self._tellers = {kind: machine for machine in self.machines.values() for kind in machine.kinds}
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when something lapses next, on the record's clock; None: never."""
-        return min((due for m in self.machines.values() if (due := m.due()) is not None), default=None)
+        return min(
+            (due for m in self.machines.values() if (due := m.next_expiry_clock_ms()) is not None),
+            default=None,
+        )
 
     def fact(self, kind: str, key: str) -> int:
         """Return what the machine says that tells of this kind; 0 if none does. `level`: the record's."""
@@ -71,13 +74,13 @@
         teller = self._tellers.get(kind)
         return teller.fact(kind, key) if teller is not None else 0
 
-    def _raise_level(self, at: At, body: bytes) -> pb.Result:
+    def _raise_level(self, at: LogPosition, body: bytes) -> pb.Result:
         """Raise the level by one; asked again, or for another, nothing is done."""
         if body == b"%d" % (self.level + 1):
             self._set_level(self.level + 1)
         return pb.Result(body=b"%d" % self.level, index=at.index)
 
-    def _command(self, at: At, command: pb.Command) -> pb.Result:
+    def _command(self, at: LogPosition, command: pb.Command) -> pb.Result:
         if command.machine == LEVEL_COMMAND_TARGET:
             return self._raise_level(at, command.body)
         if not command.client:
@@ -103,7 +106,7 @@
         client.kept[command.number] = result.SerializeToString(deterministic=True)
         return result
 
-    def _done(self, at: At, command: pb.Command) -> pb.Result:
+    def _done(self, at: LogPosition, command: pb.Command) -> pb.Result:
         machine = self.machines.get(command.machine)
         if machine is None:
             return pb.Result(refusal=pb.Result.NO_MACHINE, index=at.index)
--- a/fennelwind/raft/state_machine.py
+++ b/fennelwind/raft/state_machine.py
@@ -7,7 +7,7 @@
 from typing import NamedTuple, Protocol
 
 
-class At(NamedTuple):
+class LogPosition(NamedTuple):
     """Where on the record a command stands."""
 
     index: int  # of its entry, from 1
@@ -38,13 +38,13 @@
     name: str
     kinds: tuple[str, ...]  # of the facts that it tells
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Carry a command out; return its result. Raises `UnreadableCommandError`."""
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Let lapse what is due at this time; called ahead of each entry from `due` on."""
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when something lapses next, on the record's clock; None: never."""
 
     def fact(self, kind: str, key: str) -> int:
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -21,7 +21,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
+from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.checker import Subscriptions, check
 from fennelwind.schema_compatibility.messages import (
@@ -170,7 +170,7 @@
 
     # What the record asks of a machine.
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Carry a command out; return a `ContractAnswer`. Raises `UnreadableCommandError`."""
         try:
             told = pb.ContractCommand.FromString(command)
@@ -188,7 +188,7 @@
             answer = pb.ContractAnswer(refusal=Refused.INVALID, text=str(exc))
         return answer.SerializeToString(deterministic=True)
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Let lapse subscriptions, changes that nobody began, and wishes for changes."""
         over = set()
         while self._due and self._due[0][0] <= at.clock_ms:
@@ -209,7 +209,7 @@
             elif until and until <= at.clock_ms:
                 self.wanted[table] = (0, rest)
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when something may lapse next, on the record's clock; None: never."""
         times = [self._due[0][0]] if self._due else []
         times += [c.begin_by_ms for c in self.changes.values() if c.step == Change.ADMITTED]
@@ -237,7 +237,7 @@
 
     # What subscribers ask.
 
-    def _register(self, at: At, told: pb.Register, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _register(self, at: LogPosition, told: pb.Register, facts: Facts, answer: pb.ContractAnswer) -> None:
         name = fold(told.name)
         if not FIRST <= told.version <= NEWEST or not 0 < len(told.reads) <= READS_MOST:
             raise SchemaError(f"version {told.version} of 1 to 11, {len(told.reads)} tables of {READS_MOST}")
@@ -338,7 +338,7 @@
                         found[finding] = finding
         return found_messages(found.values())
 
-    def _renew(self, at: At, told: pb.Renew, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _renew(self, at: LogPosition, told: pb.Renew, facts: Facts, answer: pb.ContractAnswer) -> None:
         for number in told.numbers:
             known = self.subscriptions.get(number)
             if known is None:
@@ -348,7 +348,7 @@
         if answer.gone:
             answer.refusal = Refused.GONE
 
-    def _leave(self, at: At, told: pb.Leave, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _leave(self, at: LogPosition, told: pb.Leave, facts: Facts, answer: pb.ContractAnswer) -> None:
         known = self.subscriptions.get(told.number)
         if known is None:
             answer.refusal = Refused.GONE
@@ -357,7 +357,7 @@
 
     # What publishers ask.
 
-    def _propose(self, at: At, told: pb.Propose, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _propose(self, at: LogPosition, told: pb.Propose, facts: Facts, answer: pb.ContractAnswer) -> None:
         name, publisher = table_name(told.table), fold(told.publisher)
         if name != told.table:
             raise SchemaError(f"the table {told.table!r} is not in lower case")
@@ -421,7 +421,9 @@
         if not engines:
             self._finished(at, change, answer)
 
-    def _barred(self, at: At, told: pb.Propose, name: str, facts: Facts, answer: pb.ContractAnswer) -> bool:
+    def _barred(
+        self, at: LogPosition, told: pb.Propose, name: str, facts: Facts, answer: pb.ContractAnswer
+    ) -> bool:
         """Refuse what can't be judged now: another change is under way, or the publisher's copy is old."""
         if name in self.by_table and not told.ask_only:
             answer.refusal, answer.again_ms = Refused.CHANGING, AGAIN_MS
@@ -430,7 +432,7 @@
             answer.refusal = Refused.VERSION
         return answer.refusal != Refused.NONE
 
-    def _withdraw(self, at: At, told: pb.Withdraw, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _withdraw(self, at: LogPosition, told: pb.Withdraw, facts: Facts, answer: pb.ContractAnswer) -> None:
         change = self.changes.get(told.number)
         if change is None:
             answer.refusal = Refused.GONE
@@ -454,7 +456,7 @@
             return change
         return None
 
-    def _begin(self, at: At, told: pb.Begin, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _begin(self, at: LogPosition, told: pb.Begin, facts: Facts, answer: pb.ContractAnswer) -> None:
         change = self._held(told.number, told.fence, facts, answer)
         if change is not None:
             change.fence = told.fence
@@ -470,7 +472,7 @@
             return None
         return change
 
-    def _mark(self, at: At, told: pb.Mark, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _mark(self, at: LogPosition, told: pb.Mark, facts: Facts, answer: pb.ContractAnswer) -> None:
         change = self._acting(told, facts, answer)
         if change is None:
             return
@@ -485,7 +487,7 @@
                 self._note_lagging(change.table)
             (change.quiet.add if told.quiet else change.quiet.discard)(told.engine)
 
-    def _turn(self, at: At, told: pb.Turn, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _turn(self, at: LogPosition, told: pb.Turn, facts: Facts, answer: pb.ContractAnswer) -> None:
         change = self._acting(told, facts, answer)
         if change is None:
             return
@@ -496,7 +498,7 @@
             change.step = Change.BACK
             change.quiet -= {name for name, state in change.engines.items() if state == Change.WAITING}
 
-    def _finish(self, at: At, told: pb.Finish, facts: Facts, answer: pb.ContractAnswer) -> None:
+    def _finish(self, at: LogPosition, told: pb.Finish, facts: Facts, answer: pb.ContractAnswer) -> None:
         change = self._acting(told, facts, answer)
         if change is None:
             return
@@ -509,7 +511,7 @@
         else:
             answer.refusal = Refused.STEP
 
-    def _finished(self, at: At, change: Underway, answer: pb.ContractAnswer) -> None:
+    def _finished(self, at: LogPosition, change: Underway, answer: pb.ContractAnswer) -> None:
         """Let a change's schema stand; what its publisher itself read, and can't any more, ends."""
         if change.schema is None:
             self.tables.pop(change.table, None)
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -16,7 +16,7 @@
 
 from google.protobuf.message import DecodeError
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
+from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 from fennelwind.shards import access_load
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.model import LIVES, Copy, Home, Move, Shard, World
@@ -204,7 +204,7 @@
 
     # The record's side.
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Carry a command out; its answer tells a refusal. Raises `UnreadableCommandError`."""
         try:
             asked = pb.Command.FromString(command)
@@ -230,7 +230,7 @@
     def _fenced(self, fence: int, facts: Facts) -> bool:
         return bool(fence) and facts.fact("fence", LEASE) == fence
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Let rests after switches end, and shards come back that were set aside."""
         for number, move in self.moves.items():
             if _rests(move) and move.at_ms + self.rest_ms <= at.clock_ms:
@@ -246,7 +246,7 @@
                 self.asides[shard] = (0, times)
         self._look_ahead()
 
-    def due(self) -> int | None:
+    def next_expiry_clock_ms(self) -> int | None:
         """Return when a rest or a time aside ends next."""
         return self._due
 
@@ -259,12 +259,12 @@
 
     # Operators and news.
 
-    def _declare(self, asked: pb.Declare, at: At) -> pb.Answer:
+    def _declare(self, asked: pb.Declare, at: LogPosition) -> pb.Answer:
         if len(asked.shards) > PLAN_MOST:
             return Answer(refusal=Answer.TOO_MANY)
         return Answer(refusals=[self._declared(told, at) for told in asked.shards])
 
-    def _declared(self, told: pb.Shard, at: At) -> int:
+    def _declared(self, told: pb.Shard, at: LogPosition) -> int:
         named = told.table and told.name.startswith(told.table + "/") and len(told.name) <= NAME_MOST
         if not (
             named
@@ -297,7 +297,7 @@
         self._of_table.setdefault(shard.table, {})[shard.name] = None
         return Answer.NONE
 
-    def _remove(self, asked: pb.Remove, at: At) -> pb.Answer:
+    def _remove(self, asked: pb.Remove, at: LogPosition) -> pb.Answer:
         if asked.engine:
             return self._remove_home(asked.engine)
         shard = self.shards.get(asked.shard)
@@ -333,12 +333,12 @@
         del self._heard_at[engine]
         return Answer()
 
-    def _news(self, asked: pb.News, at: At, facts: Facts) -> pb.Answer:
+    def _news(self, asked: pb.News, at: LogPosition, facts: Facts) -> pb.Answer:
         if len(asked.homes) > PLAN_MOST:
             return Answer(refusal=Answer.TOO_MANY)
         return Answer(refusals=[self._heard(told, asked.seen, at) for told in asked.homes])
 
-    def _heard(self, told: pb.Home, seen: int, at: At) -> int:
+    def _heard(self, told: pb.Home, seen: int, at: LogPosition) -> int:
         if not (
             _named(told.name)
             and all(len(t) <= NAME_MOST for t in (told.zone, told.kind, told.mark))
@@ -374,7 +374,7 @@
             if move is None or move.target != engine or move.step not in ("copying", "checked", "undoing"):
                 self._forget(shard, engine)
 
-    def _doubted(self, engine: str, at: At) -> None:
+    def _doubted(self, engine: str, at: LogPosition) -> None:
         """What an engine held is not read until it was checked again; it may come back with old copies."""
         for shard, held in self.copies.items():
             copy = held.get(engine)
@@ -382,7 +382,7 @@
                 self._hold(shard, replace(copy, state="doubtful"))
                 self._doubted_at[shard] = at.clock_ms
 
-    def _heat(self, asked: pb.Heat, at: At, facts: Facts) -> pb.Answer:
+    def _heat(self, asked: pb.Heat, at: LogPosition, facts: Facts) -> pb.Answer:
         if not all(map(_sane, asked.heat.values())):
             return Answer(refusal=Answer.BAD)
         for shard in sorted(asked.heat):
@@ -390,7 +390,7 @@
                 self.shards[shard] = replace(self.shards[shard], heat=asked.heat[shard])
         return Answer()
 
-    def _counted(self, asked: pb.Counted, at: At) -> pb.Answer:
+    def _counted(self, asked: pb.Counted, at: LogPosition) -> pb.Answer:
         """Take what a controller counted; the clock is the record's, so all fades alike whoever tells it."""
         if len(asked.queries) > access_load.TOLD_MOST:
             return Answer(refusal=Answer.TOO_MANY)
@@ -404,7 +404,7 @@
                 self._faded[told.shard] = min(count, SIZE_MOST), self._faded_part
         return Answer()
 
-    def _found(self, asked: pb.Found, at: At, facts: Facts) -> pb.Answer:
+    def _found(self, asked: pb.Found, at: LogPosition, facts: Facts) -> pb.Answer:
         shard = self.shards.get(asked.shard)
         if shard is not None and _barred(shard, facts, begins=False):
             return Answer(refusal=Answer.CHANGING)  # who changes the table counts on the good copies it saw
@@ -441,7 +441,7 @@
 
     # Plans and steps.
 
-    def _plan(self, asked: pb.Plan, at: At, facts: Facts) -> pb.Answer:
+    def _plan(self, asked: pb.Plan, at: LogPosition, facts: Facts) -> pb.Answer:
         if len(asked.moves) > PLAN_MOST:
             return Answer(refusal=Answer.TOO_MANY)
         answer, numbers, own = Answer(), {}, {told.number for told in asked.moves}
@@ -495,7 +495,7 @@
         held = self.copies.get(shard.name, {})
         return 0 if fits and target not in held and len(held) < COPIES_MOST else Answer.TARGET
 
-    def _step(self, asked: pb.Step, at: At, facts: Facts) -> pb.Answer:
+    def _step(self, asked: pb.Step, at: LogPosition, facts: Facts) -> pb.Answer:
         move = self.moves.get(asked.move)
         if move is None:
             return Answer(refusal=Answer.UNKNOWN)
@@ -529,10 +529,10 @@
                 self._begun[part] = self._begun.get(part, 0) + self.shards[move.shard].size
         return Answer(refusal=refusal)
 
-    def _at(self, move: Move, step: str, at: At, **more: object) -> None:
+    def _at(self, move: Move, step: str, at: LogPosition, **more: object) -> None:
         self.moves[move.number] = replace(move, step=step, at_ms=at.clock_ms, **more)
 
-    def _reserve(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _reserve(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "planned" or not move.target:
             return Answer.STEP
         shard = self.shards[move.shard]
@@ -562,7 +562,7 @@
             and copy.state == "coming"
         )
 
-    def _copy(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _copy(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("reserved", "copying") or asked.attempt != move.attempt + 1:
             return Answer.STEP
         if asked.source not in self.good(move.shard):
@@ -572,7 +572,7 @@
         self._at(move, "copying", at, attempt=asked.attempt, source=asked.source)
         return Answer.NONE
 
-    def _check(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _check(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "copying" or asked.attempt != move.attempt:
             return Answer.STEP
         if not self._coming(move):
@@ -584,7 +584,7 @@
         self._at(move, "checked", at)
         return Answer.NONE
 
-    def _switch(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _switch(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         held = self.copies.get(move.shard, {})
         old = held.get(move.drops)
         if not move.target:
@@ -620,7 +620,7 @@
             return bool(others)
         return len(others) >= wanted.copies and len({self.homes[e].zone for e in others}) >= wanted.zones
 
-    def _drop(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _drop(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "switched":
             return Answer.STEP
         copy = self.copies.get(move.shard, {}).get(move.drops)
@@ -631,14 +631,14 @@
         self._at(move, "dropping", at)
         return Answer.NONE
 
-    def _done(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _done(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "dropping":
             return Answer.STEP
         self._forget(move.shard, move.drops)
         self._end(move, well=True)
         return Answer.NONE
 
-    def _keep(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _keep(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("switched", "dropping"):
             return Answer.STEP
         held = self.copies.get(move.shard, {})
@@ -654,7 +654,7 @@
             self._set_aside(move.shard, at)
         return Answer.NONE
 
-    def _undo(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _undo(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("planned", "reserved", "copying", "checked"):
             return Answer.STEP
         if asked.failed:
@@ -667,7 +667,7 @@
             self._at(move, "undoing", at)
         return Answer.NONE
 
-    def _undone(self, move: Move, asked: pb.Step, at: At) -> int:
+    def _undone(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "undoing":
             return Answer.STEP
         left = self.copies.get(move.shard, {}).get(move.target)
@@ -678,7 +678,7 @@
         self._end(move, well=False)
         return Answer.NONE
 
-    def _set_aside(self, shard: str, at: At) -> None:
+    def _set_aside(self, shard: str, at: LogPosition) -> None:
         times = self.asides.get(shard, (0, 0))[1] + 1
         rest = min(ASIDE_FIRST_MS * 2 ** min(times - 1, 16), ASIDE_MOST_MS)
         self.asides[shard] = (at.clock_ms + rest, times)
--- a/fennelwind/testbed/registers.py
+++ b/fennelwind/testbed/registers.py
@@ -2,7 +2,7 @@
 
 import json
 
-from fennelwind.raft.state_machine import At, Facts, UnreadableCommandError
+from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
 KEYS_MOST = 1000  # registers; a rig uses a handful
 
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.values: dict[str, int] = {}
 
-    def apply(self, at: At, command: bytes, facts: Facts) -> bytes:
+    def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Carry a command out; answer whether it was done."""
         try:
             what, key, *rest = json.loads(command)
@@ -34,10 +34,10 @@
             self.values[key] = value
         return json.dumps(done).encode()
 
-    def pass_time(self, at: At) -> None:
+    def expire_due(self, at: LogPosition) -> None:
         """Nothing lapses."""
 
-    def due(self) -> None:
+    def next_expiry_clock_ms(self) -> None:
         """Nothing lapses."""
 
     def fact(self, kind: str, key: str) -> int:
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -20,7 +20,7 @@
 from fennelwind.leases.lease_client import MAX_UNANSWERED_COMMANDS, LeaseClient
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
-from fennelwind.raft.state_machine import At, UnreadableCommandError
+from fennelwind.raft.state_machine import LogPosition, UnreadableCommandError
 
 A, B, C = (ControllerIncarnation(name, b"1") for name in "abc")
 
@@ -33,15 +33,15 @@
 
     def pass_ms(self, ms):
         self.index, self.clock = self.index + 1, self.clock + ms
-        due = self.machine.due()
+        due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= self.clock:
-            self.machine.pass_time(At(self.index, self.clock))
+            self.machine.expire_due(LogPosition(self.index, self.clock))
 
     def ask(self, by, *asks, leave=False):
         self.pass_ms(0)
         command = pb.LeaseCommand(by=pb.Who(name=by.name, life=by.incarnation), asks=asks, leave=leave)
         return pb.LeaseAnswer.FromString(
-            self.machine.apply(At(self.index, self.clock), command.SerializeToString(), None)
+            self.machine.apply(LogPosition(self.index, self.clock), command.SerializeToString(), None)
         )
 
     def gain(self, by, task="t", term_ms=1000):
@@ -199,7 +199,7 @@
     assert desk.ask(A, twice, twice).refusal == pb.NAMED_TWICE
     assert desk.ask(A, *[twice] * 513).refusal == pb.TOO_MANY_ASKS
     with pytest.raises(UnreadableCommandError):
-        desk.machine.apply(At(1, 1), b"\xff\xff", None)
+        desk.machine.apply(LogPosition(1, 1), b"\xff\xff", None)
 
 
 class Leases(RuleBasedStateMachine):
@@ -269,7 +269,7 @@
         restored = LeaseStateMachine()
         restored.restore(self.desk.machine.snapshot())
         assert restored.snapshot() == self.desk.machine.snapshot()
-        assert restored.due() == self.desk.machine.due()
+        assert restored.next_expiry_clock_ms() == self.desk.machine.next_expiry_clock_ms()
         assert [restored.view(task) for task in "tu"] == [self.desk.machine.view(task) for task in "tu"]
         self.desk.machine = restored
 
@@ -288,7 +288,7 @@
         assert len({t for who in (A, B, C) for t in machine.offers(who)}) == sum(
             len(machine.offers(who)) for who in (A, B, C)
         )
-        due = machine.due()
+        due = machine.next_expiry_clock_ms()
         assert due is None or due > self.desk.clock
 
 
@@ -313,7 +313,8 @@
     def answer(self, ask):
         self.desk.pass_ms(0)
         return lease_events.CommandAnswered(
-            ask.request_id, self.desk.machine.apply(At(self.desk.index, self.desk.clock), ask.body, None)
+            ask.request_id,
+            self.desk.machine.apply(LogPosition(self.desk.index, self.desk.clock), ask.body, None),
         )
 
     def settle(self, now, *events):
@@ -573,18 +574,21 @@
         if flip is not None and command:
             at, byte = flip[0] % len(command), flip[1]
             command = command[:at] + bytes([byte]) + command[at + 1 :]
-        due = machine.due()
+        due = machine.next_expiry_clock_ms()
         if due is not None and due <= clock:
-            machine.pass_time(At(index, clock))
+            machine.expire_due(LogPosition(index, clock))
         before = machine.snapshot()
         try:
-            answer = pb.LeaseAnswer.FromString(machine.apply(At(index, clock), command, None))
+            answer = pb.LeaseAnswer.FromString(machine.apply(LogPosition(index, clock), command, None))
             assert not answer.refusal or machine.snapshot() == before
         except UnreadableCommandError:
             assert machine.snapshot() == before
         again = LeaseStateMachine()
         again.restore(machine.snapshot())
-        assert again.snapshot() == machine.snapshot() and again.due() == machine.due()
+        assert (
+            again.snapshot() == machine.snapshot()
+            and again.next_expiry_clock_ms() == machine.next_expiry_clock_ms()
+        )
         assert all(
             again.offers(who) == machine.offers(who) for who in (A, B, ControllerIncarnation("a", b"2"))
         )
--- a/tests/quiescence/test_quiescence.py
+++ b/tests/quiescence/test_quiescence.py
@@ -4,7 +4,7 @@
 from clearance_defects import found
 from clearance_play import Play
 
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state_machine import ShardMachine
 
@@ -53,6 +53,8 @@
     machine = ShardMachine()
     machine.restore(state.SerializeToString())
     command = pb.Command(fence=7, step=pb.Step(move=1, kind=pb.Step.DROP, cleared=cleared))
-    answer = pb.Answer.FromString(machine.apply(At(9, 100), command.SerializeToString(), Facts(level)))
+    answer = pb.Answer.FromString(
+        machine.apply(LogPosition(9, 100), command.SerializeToString(), Facts(level))
+    )
     assert answer.refusal == refusal
     assert machine.waiting() == ([] if refusal == pb.Answer.NONE else [("t/", "e0")])
--- a/tests/raft/test_record.py
+++ b/tests/raft/test_record.py
@@ -79,11 +79,11 @@
 def test_what_is_due_lapses_ahead_of_the_entry_and_time_never_goes_back():
     record, client = opened()
     record.apply(entry(2, 50, client=client, number=1, body=b"5"))
-    assert record.due() == 150
+    assert record.next_expiry_clock_ms() == 150
     record.apply(pb.Entry(term=1, index=3, clock_ms=200, nothing=True))
-    assert (record.fact("sum", ""), record.due()) == (0, None)
+    assert (record.fact("sum", ""), record.next_expiry_clock_ms()) == (0, None)
     record.apply(entry(4, 100, client=client, number=2, body=b"5"))
-    assert record.due() == 300
+    assert record.next_expiry_clock_ms() == 300
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -16,7 +16,7 @@
 
 from fennelwind.benchmarks import contract_rows
 from fennelwind.client.cursor import Cursor
-from fennelwind.raft.state_machine import At, UnreadableCommandError
+from fennelwind.raft.state_machine import LogPosition, UnreadableCommandError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout as go
 from fennelwind.schema_compatibility.messages import (
@@ -73,9 +73,9 @@
 
     def do(self, **what):
         self.index += 1
-        at = At(self.index, self.clock)
-        if (due := self.machine.due()) is not None and due <= self.clock:
-            self.machine.pass_time(at)
+        at = LogPosition(self.index, self.clock)
+        if (due := self.machine.next_expiry_clock_ms()) is not None and due <= self.clock:
+            self.machine.expire_due(at)
         command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
         return pb.ContractAnswer.FromString(self.machine.apply(at, command, self.facts))
 
@@ -318,7 +318,7 @@
 )
 def test_bytes_that_are_no_command_are_told_and_change_nothing(command):
     with pytest.raises(UnreadableCommandError):
-        ContractMachine().apply(At(1, 0), command, Facts())
+        ContractMachine().apply(LogPosition(1, 0), command, Facts())
 
 
 # Cases written from the public rules.
@@ -690,10 +690,12 @@
 def test_no_bytes_raise_anything_but_that_they_cannot_be_read(gate):
     random = Random(5)
     for index in range(2, 1500):
-        gate.machine.pass_time(At(index, index * 100))
+        gate.machine.expire_due(LogPosition(index, index * 100))
         command = strange(random)
         try:
-            pb.ContractAnswer.FromString(gate.machine.apply(At(index, index * 100), command, gate.facts))
+            pb.ContractAnswer.FromString(
+                gate.machine.apply(LogPosition(index, index * 100), command, gate.facts)
+            )
         except UnreadableCommandError:
             continue
         data, other = gate.machine.snapshot(), ContractMachine()
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -22,7 +22,7 @@
 from fennelwind.emulators.shelves import Shelf
 from fennelwind.raft import council_pb2
 from fennelwind.raft.replicated_state import ReplicatedState
-from fennelwind.raft.state_machine import At, UnreadableCommandError
+from fennelwind.raft.state_machine import LogPosition, UnreadableCommandError
 from fennelwind.shards import access_load, migration_statements
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards import state_machine as machine_module
@@ -63,13 +63,13 @@
     def ask(self, fence=None, **what):
         self.index += 1
         command = pb.Command(fence=self.fence if fence is None else fence, **what).SerializeToString()
-        return Answer.FromString(self.machine.apply(At(self.index, self.clock), command, self))
+        return Answer.FromString(self.machine.apply(LogPosition(self.index, self.clock), command, self))
 
     def wait(self, ms):
         self.clock += ms
-        due = self.machine.due()
+        due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= self.clock:
-            self.machine.pass_time(At(self.index, self.clock))
+            self.machine.expire_due(LogPosition(self.index, self.clock))
 
     def declare(self, name, size=100, copies=1, **more):
         return self.ask(
@@ -224,10 +224,10 @@
     def fact(self, kind, key):
         return int(kind in ("fence", "level")) or int(key in self.under_change)
 
-    def pass_time(self, at):
+    def expire_due(self, at):
         pass
 
-    def due(self):
+    def next_expiry_clock_ms(self):
         return None
 
     def snapshot(self):
@@ -430,7 +430,7 @@
         assert desk.plan("t/d=1", "e1", "e2").numbers == [number]
         desk.step(Step.UNDO, number, failed=True)
         assert desk.plan("t/d=1", "e1", "e2").refusals == [Answer.ASIDE]
-        rests.append(desk.machine.due() - desk.clock)
+        rests.append(desk.machine.next_expiry_clock_ms() - desk.clock)
         desk.wait(rests[-1])
     assert rests[:3] == [ASIDE_FIRST_MS, ASIDE_FIRST_MS * 2, ASIDE_FIRST_MS * 4]
     assert rests[-1] == ASIDE_MOST_MS
@@ -468,7 +468,7 @@
     before = desk.machine.snapshot()
     for data in (b"", b"\xff\xff", b"\x0a", pb.Command(fence=1).SerializeToString()):
         with pytest.raises(UnreadableCommandError):
-            desk.machine.apply(At(1, 1), data, desk)
+            desk.machine.apply(LogPosition(1, 1), data, desk)
     assert desk.step(99) == Answer.UNKNOWN and desk.home("e9", life="odd") == Answer.BAD
     assert desk.machine.snapshot() == before
 
@@ -704,7 +704,10 @@
         data = self.desk.machine.snapshot()
         other = ShardMachine()
         other.restore(data)
-        assert other.snapshot() == data and other.due() == self.desk.machine.due()
+        assert (
+            other.snapshot() == data
+            and other.next_expiry_clock_ms() == self.desk.machine.next_expiry_clock_ms()
+        )
         self.desk.machine = other
 
     @invariant()
@@ -821,7 +824,9 @@
         for action in carrier.step(now, [Seen(desk.index, desk.machine), *events]):
             if isinstance(action, Propose):
                 desk.index += 1
-                answer = Answer.FromString(desk.machine.apply(At(desk.index, clock), action.command, desk))
+                answer = Answer.FromString(
+                    desk.machine.apply(LogPosition(desk.index, clock), action.command, desk)
+                )
                 told.append(Proposed(action.token, answer, desk.index))
                 step = pb.Command.FromString(action.command).step
                 out.append((Step.Kind.Name(step.kind), step.source))
@@ -838,7 +843,7 @@
     began(0.0)
     assert began(1_000.0, [Heard((), {"e2": frozenset()})])[0] == []
     clock = 3_900_000
-    desk.machine.pass_time(At(desk.index + 1, clock))
+    desk.machine.expire_due(LogPosition(desk.index + 1, clock))
     found, told = began(2_000.0)
     assert found == [("RESERVE", "")] * 2
     desk.home("e1", life="gone")  # both would go to the one copy that is left of them, besides its own stream
@@ -856,7 +861,7 @@
     for clock, told in ((0, [("t/d=1", 4_000_000), ("t/d=9", 7)]), (1_800_000, [("t/d=2", 3_000_000)])):
         command = pb.Command(counted=counted(*told)).SerializeToString()
         desk.index += 1
-        answer = machine.apply(At(desk.index, clock), command, desk)
+        answer = machine.apply(LogPosition(desk.index, clock), command, desk)
         assert not Answer.FromString(answer).refusal
     assert machine.heats() == {"t/d=1": 2_000.0, "t/d=2": 3_000.0}  # a half-life on; one of no shard is left
     world = machine.world().heated()
@@ -864,7 +869,7 @@
     assert machine.revision == revision and machine.state_at == desk.index
     other = ShardMachine()
     other.restore(machine.snapshot())
-    later = At(desk.index + 1, 1_800_000 + 17 * access_load.PART_MS + 5)
+    later = LogPosition(desk.index + 1, 1_800_000 + 17 * access_load.PART_MS + 5)
     for one in (machine, other):
         one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), desk)
     assert machine.snapshot() == other.snapshot() and machine.heats()
@@ -877,7 +882,7 @@
     many = counted(*[(f"t/d={n}", 1) for n in range(access_load.TOLD_MOST + 1)])
     answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), desk)
     assert Answer.FromString(answer).refusal == Answer.TOO_MANY
-    late = At(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
+    late = LogPosition(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
     machine.apply(late, pb.Command(counted=counted()).SerializeToString(), desk)
     assert not machine.heats() and machine.world().heated().shards["t/d=2"].heat == 9.0  # too few to go by
 
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -49,7 +49,9 @@
     ],
     "a controller that is silent between two renewals is removed": [
         Line(
-            ControllerRegistry.pass_time, "+ self.silence_timeout_ms <=", "+ self.silence_timeout_ms // 10 <="
+            ControllerRegistry.expire_due,
+            "+ self.silence_timeout_ms <=",
+            "+ self.silence_timeout_ms // 10 <=",
         )
     ],
     "a new incarnation takes the place of the one before": [
--- a/tests/support/clearance_play.py
+++ b/tests/support/clearance_play.py
@@ -16,7 +16,7 @@
 from fennelwind.quiescence.acknowledgements import Acknowledgements
 from fennelwind.quiescence.in_flight import InFlightTracker, table_of
 from fennelwind.quiescence.registered_controllers import ControllerRegistry
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards.routing import Routing
 
 FORGET_MS, RENEW_MS, DAY_MS = 20_000, 5_000.0, 150_000.0
@@ -97,17 +97,17 @@
         self.index += 1
         kinds = {kind: [pair for (k, pair) in self.wishes if k == kind] for kind in ("copy", "table")}
         self.log[self.index] = {s: tuple(sorted(e)) for s, e in self.good.items()}, kinds
-        return At(self.index, int(self.now))
+        return LogPosition(self.index, int(self.now))
 
     def command(self, command):
         at = self.write()
-        self.registry.pass_time(at)
+        self.registry.expire_due(at)
         return pb.RollAnswer.FromString(self.registry.apply(at, command.SerializeToString(), None))
 
     def clock(self):
         """Let time pass on the record; members follow, the one of old behind."""
         self.later(500.0, self.clock)
-        self.registry.pass_time(self.write())
+        self.registry.expire_due(self.write())
         for member, heard in zip(self.members, (0.9, 0.15, 0.02), strict=True):
             if self.random.random() < 0.02:
                 member.acknowledgements = Acknowledgements()  # it was begun anew
--- a/tests/support/contracts_model.py
+++ b/tests/support/contracts_model.py
@@ -5,7 +5,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import Bundle, RuleBasedStateMachine, consumes, initialize, invariant, multiple, rule
 
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import state_machine as under_test
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
@@ -71,10 +71,10 @@
     def do(self, **what):
         """Have a command carried out as the record does."""
         self.index += 1
-        at = At(self.index, self.clock)
-        due = self.machine.due()
+        at = LogPosition(self.index, self.clock)
+        due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= self.clock:
-            self.machine.pass_time(at)
+            self.machine.expire_due(at)
         command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
         answer = pb.ContractAnswer.FromString(self.machine.apply(at, command, self))
         self.living = {n: each for n, each in self.living.items() if each["until"] > self.clock}
--- a/tests/support/contracts_search.py
+++ b/tests/support/contracts_search.py
@@ -12,7 +12,7 @@
 import time
 from typing import NamedTuple
 
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.rules import NUMBER
@@ -74,11 +74,11 @@
     def do(self, machine, command):
         """Have a command carried out as the record does."""
         self.index += 1
-        at = At(self.index, self.clock)
+        at = LogPosition(self.index, self.clock)
         for each in (self.contracts, self.shards):
-            due = each.due()
+            due = each.next_expiry_clock_ms()
             if due is not None and due <= self.clock:
-                each.pass_time(at)
+                each.expire_due(at)
         return machine.apply(at, command.SerializeToString(), self)
 
     def contract(self, **what):
@@ -128,7 +128,11 @@
             yield from self.acts_on(change)
         for name in self.names:
             yield from self.acts_of_mover(name)
-        due = [d for d in (self.contracts.due(), self.shards.due()) if d is not None]
+        due = [
+            d
+            for d in (self.contracts.next_expiry_clock_ms(), self.shards.next_expiry_clock_ms())
+            if d is not None
+        ]
         if due:
             yield "time", lambda: self.pass_time(min(due))
 
@@ -195,9 +199,9 @@
     def pass_time(self, until):
         """Let time pass to where something lapses."""
         self.clock = until
-        at = At(self.index, self.clock)
-        self.contracts.pass_time(at)
-        self.shards.pass_time(at)
+        at = LogPosition(self.index, self.clock)
+        self.contracts.expire_due(at)
+        self.shards.expire_due(at)
 
     # The search.
 
--- a/tests/support/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -6,7 +6,7 @@
 
 from random import Random
 
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout as go
 from fennelwind.schema_compatibility.messages import schema_message
@@ -78,7 +78,7 @@
 
     def apply(self, command):
         self.index += 1
-        raw = self.machine.apply(At(self.index, int(self.now)), command.SerializeToString(), self)
+        raw = self.machine.apply(LogPosition(self.index, int(self.now)), command.SerializeToString(), self)
         return pb.ContractAnswer.FromString(raw)
 
     def chance(self, part):
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -117,7 +117,13 @@
                         self._told(node.name, entry.index, result)
                     if ahead:
                         self.play.watched()
-                self.at(0.1, self._give_if, node, node.epoch, api.Applied(node.applied, record.due()))
+                self.at(
+                    0.1,
+                    self._give_if,
+                    node,
+                    node.epoch,
+                    api.Applied(node.applied, record.next_expiry_clock_ms()),
+                )
             case api.ProposalOutcome(token, refusal, index, _, again_ms) if token in self.waiting:
                 if refusal:
                     who, life, number = self.waiting.pop(token)
--- a/tests/support/lease_fleet.py
+++ b/tests/support/lease_fleet.py
@@ -121,7 +121,7 @@
 
     def tick(self) -> None:
         self.after(CLOCK_MS, self.tick)
-        if self.record.due() is not None:
+        if self.record.next_expiry_clock_ms() is not None:
             self.write(None)
 
     def write(self, command: council.Command | None) -> council.Result:
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -209,7 +209,7 @@
     def tick(self) -> None:
         """Time alone, while something is due, by who leads."""
         self.at(self.now + self.clock_ms / self.leader.pace, self.tick)
-        due = self.leader.record.due()
+        due = self.leader.record.next_expiry_clock_ms()
         if self.now >= self.no_leader_until and due is not None and due <= self.leader.clock():
             self.leader.write()
 
--- a/tests/support/lease_search.py
+++ b/tests/support/lease_search.py
@@ -30,7 +30,7 @@
 from fennelwind.leases.lease_client import LeaseClient
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 
 TERM_MS, PAUSE_MS, ACT_MS = 300, 0.0, 60.0  # ms; the shortest term is two ticks of the fast record
 TICKS = {"a": 100.0, "b": 125.0, "record": 150.0}  # ms on each clock of 125 ms of true time; drift as stated
@@ -98,7 +98,7 @@
         kind, who, life, token, body = self.way[number] if double else self.way.pop(number)
         if kind == "ask":
             self.entry()
-            answer = self.machine.apply(At(self.index, int(self.clock("record"))), body, None)
+            answer = self.machine.apply(LogPosition(self.index, int(self.clock("record"))), body, None)
             self.way.append(("answer", who, life, token, answer))
             del self.way[:-UNDER_WAY]
         elif self.holders[who].identity.incarnation == life:
@@ -106,10 +106,10 @@
 
     def entry(self) -> None:
         self.index += 1
-        now = At(self.index, int(self.clock("record")))
-        due = self.machine.due()
+        now = LogPosition(self.index, int(self.clock("record")))
+        due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= now.clock_ms:
-            self.machine.pass_time(now)
+            self.machine.expire_due(now)
 
     def watched(self, but: str = "") -> None:
         """Who is not standing still wakes where its time has come, and sees what is offered to it."""
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -16,7 +16,7 @@
 from functools import partial
 
 from fennelwind.emulators.shelves import Content, Refused, Shelf
-from fennelwind.raft.state_machine import At
+from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.migration import (
     Carrier,
@@ -211,9 +211,9 @@
     def pass_time(self):
         self.index += 1
         self.clock = int(self.now)
-        due = self.machine.due()
+        due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= self.clock:
-            self.machine.pass_time(At(self.index, self.clock))
+            self.machine.expire_due(LogPosition(self.index, self.clock))
 
     def apply(self, command):
         self.pass_time()
@@ -222,7 +222,7 @@
         move = self.machine.moves.get(asked.step.move)
         self.undoing = (move.shard, move.target) if move is not None else ("", "")
         self.undoing_step = move.step if move is not None else ""
-        answer = pb.Answer.FromString(self.machine.apply(At(self.index, self.clock), command, self))
+        answer = pb.Answer.FromString(self.machine.apply(LogPosition(self.index, self.clock), command, self))
         self.headroom_refusals += answer.refusal == pb.Answer.HEADROOM
         if not answer.refusal:
             self.check_accepted(asked)
@@ -455,7 +455,7 @@
         homes = tuple(engine.home() for engine in self.engines.values())
         held = {name: frozenset(e.shelf.held) for name, e in self.engines.items() if e.up}
         self.later(self.random.uniform(5.0, 500.0), self.step_holder, self.holder, [Heard(homes, held)])
-        if self.index % 3 == 0 or self.machine.due() is not None:
+        if self.index % 3 == 0 or self.machine.next_expiry_clock_ms() is not None:
             self.pass_time()
         for shard in self.machine.shards:
             engine, move = self.machine.leaving(shard), self.machine.move_of(shard)
--- a/tests/support/sums.py
+++ b/tests/support/sums.py
@@ -19,10 +19,10 @@
             self.until = at.clock_ms + self.lapse_ms
         return b"%d" % self.sum
 
-    def pass_time(self, at):
+    def expire_due(self, at):
         self.sum, self.until = 0, None
 
-    def due(self):
+    def next_expiry_clock_ms(self):
         return self.until
 
     def fact(self, kind, key):
