--- a/fennelwind/benchmarks/store.py
+++ b/fennelwind/benchmarks/store.py
@@ -15,7 +15,7 @@
 from fennelwind.loop.realdisk import RealDisk
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Write
-from fennelwind.raft_storage.store import Limits, Store
+from fennelwind.raft_storage.store import Store, StoreLimits
 
 BODY = 100  # bytes of a command; about a renewal of a lease
 SIZES = (1, 10, 100, 1000)  # entries in one write
@@ -67,7 +67,7 @@
 
 def play_opening(loop: RealLoop, folder: str) -> tuple[float, float, float]:
     """Return ms to open a log of `LOG` entries, ms to read its bytes alone, and its MB."""
-    limits = Limits()
+    limits = StoreLimits()
     store, _ = Store.open(RealDisk(loop, folder), "lab", "a", loop.token(16), limits)
     for first in range(1, LOG, 1000):
         store.write(Write(1, entries=entries(first, 1000)))
--- a/fennelwind/cli/council.py
+++ b/fennelwind/cli/council.py
@@ -28,7 +28,7 @@
         MemberFolder,  # the council's rooms are loaded where they are needed
     )
     from fennelwind.loop.realdisk import RealDisk
-    from fennelwind.raft_storage.store import META, Limits
+    from fennelwind.raft_storage.store import META, StoreLimits
 
     try:
         place = config.load(file).council
@@ -45,7 +45,7 @@
             click.echo(f"{place.folder}: no such folder, or none of a member", err=True)
             return 2
         disk = RealDisk(loop, str(place.folder))
-        folder = MemberFolder(lambda: disk, place.fleet, place.me, loop.token, Limits())
+        folder = MemberFolder(lambda: disk, place.fleet, place.me, loop.token, StoreLimits())
         try:
             durable = folder.open()
             left = summarize(durable)
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -48,7 +48,7 @@
         ask: Callable[[StateMachine, bytes], bytes],
     ) -> None:
         self.loop, self.record, self.post, self.ask = loop, record, post, ask
-        self.revisions = dict.fromkeys(record.every, 0)
+        self.revisions = dict.fromkeys(record.known_machines, 0)
         self.applied = 0  # entries since the start
         self._work: deque[Apply | Restore | TakeSnapshot] = deque()
         self._wakeup, self._busy = Wakeup(loop), False
@@ -56,7 +56,7 @@
         self._results: dict[int, Callable[[Result], None]] = {}  # who waits for an entry's result
         self._reads: list[tuple[int, int, Callable[[], None]]] = []  # heap: index, order, what is to be done
         self._order = 0
-        self._watches: dict[str, list[_Watch]] = {name: [] for name in record.every}
+        self._watches: dict[str, list[_Watch]] = {name: [] for name in record.known_machines}
         self.watchers = 0
         self._sweep_at = 0.0
 
@@ -200,7 +200,7 @@
     @property
     def too_new(self) -> bool:
         """Tell whether the record uses what this version does not know: nothing more is applied then."""
-        return self.record.level > self.record.known
+        return self.record.level > self.record.supported_level
 
     def _settle(self) -> None:
         """Answer the reads whose index has come, and those whose entry a snapshot has swallowed."""
--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -47,13 +47,13 @@
     """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
     before, me = summarize(durable), durable.me
     term = max(durable.hard_state.term, before.last_term) + 1
-    alone = pb.Members(members=[pb.Member(name=me.name, life=me.life, address=address, votes=True)])
+    alone = pb.Members(members=[pb.Member(name=me.name, life=me.id, address=address, votes=True)])
     entries = [pb.Entry(term=term, index=before.last + 1, clock_ms=before.clock_ms, members=alone)]
     entries += [
         pb.Entry(term=term, index=before.last + 1 + offset, clock_ms=before.clock_ms, nothing=True)
         for offset in range(1, SKIPPED_ENTRIES)
     ]
-    hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.life)
+    hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.id)
     folder.write([Write(1, hard_state=hard, entries=tuple(entries))])
     return FolderSummary(me.name, term, entries[-1].index, before.clock_ms, (me.name,))
 
--- a/fennelwind/cluster/member_folder.py
+++ b/fennelwind/cluster/member_folder.py
@@ -5,7 +5,7 @@
 from fennelwind.loop.disk import Disk, DiskError
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import DurableState, Write
-from fennelwind.raft_storage.store import Limits, Store
+from fennelwind.raft_storage.store import Store, StoreLimits
 
 INCARNATION_BYTES = 16  # no two folders ever draw the same
 
@@ -19,7 +19,7 @@
         fleet: str,
         name: str,
         draw_token: Callable[[int], bytes],
-        limits: Limits,
+        limits: StoreLimits,
         pause: Callable[[], None] = lambda: None,
     ) -> None:
         """Make it; `pause` lets other tasks run while a long log is read."""
@@ -55,7 +55,7 @@
     def is_space_low(self) -> bool:
         """Tell whether the disk is nearly full."""
         try:
-            return self._opened_store().short()
+            return self._opened_store().is_low_on_space()
         except DiskError:
             return False  # a disk that can't even say so is met by the next write
 
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -165,7 +165,7 @@
     def send(self, to: Incarnation, message: council_pb2.Message) -> None:
         """Send a message, or lose it: to an unknown peer, another incarnation, without a connection."""
         peer = self.by_name.get(to.name)
-        if peer is None or not peer.is_connected or to.life and peer.incarnation != to.life:
+        if peer is None or not peer.is_connected or to.id and peer.incarnation != to.id:
             self.counts["unsent"] += 1
             return
         frame = encode_frame(pb.Frame(council=message.SerializeToString()))
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -173,7 +173,7 @@
             self._tasks.append(self.loop.spawn(self._guarded, call, name=name))
         facts = {
             "name": self.me.name,
-            "incarnation": self.me.life.hex(),
+            "incarnation": self.me.id.hex(),
             "index": self.state.record.index,
             "entries": len(durable.entries),
         }
@@ -259,8 +259,8 @@
             protocol=PROTOCOL,
             fleet=self.place.fleet,
             name=self.me.name,
-            life=self.me.life,
-            level=self.state.record.known,
+            life=self.me.id,
+            level=self.state.record.supported_level,
         )
 
     def member_connected(self, sender: Incarnation) -> None:
@@ -447,9 +447,9 @@
         record = self.state.record
         if self.state.too_new and self.role != "closed":
             error = LogTooNewError(
-                f"the log is of level {record.level}, this version knows {record.known}",
+                f"the log is of level {record.level}, this version knows {record.supported_level}",
                 record_level=record.level,
-                known=record.known,
+                known=record.supported_level,
             )
             self._log("raft member stopped", error.told())
             self.role = "closed"
@@ -458,7 +458,7 @@
     def _raise_level(self) -> None:
         """Raise the log's level, while leading, once all members have reported that they know the next."""
         record = self.state.record
-        while record.level < record.known:
+        while record.level < record.supported_level:
             self.loop.sleep(LEVEL_CHECK_MS)
             members = self.core.log.configuration.members.members
             others = [member for member in members if (member.name, member.life) != self.me]
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -29,7 +29,7 @@
 from fennelwind.raft.messages import DurableState
 from fennelwind.raft.replicated_state import LEVEL, ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
-from fennelwind.raft_storage.store import Limits
+from fennelwind.raft_storage.store import StoreLimits
 from fennelwind.shards.access_load import Named
 from fennelwind.shards.model import Bounds, Home
 from fennelwind.shards.shards_pb2 import Shard
@@ -76,7 +76,7 @@
 
     def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> RaftHost:
         place, loop = self.place, self.loop
-        limits = Limits(reserve=place.reserve_bytes, low=2 * place.reserve_bytes)
+        limits = StoreLimits(reserve_bytes=place.reserve_bytes, min_free_bytes=2 * place.reserve_bytes)
         stated = [
             StatedMember(name=name, address=str(address)) for name, address in sorted(place.members.items())
         ]
--- a/fennelwind/raft/bootstrap.py
+++ b/fennelwind/raft/bootstrap.py
@@ -18,7 +18,7 @@
     def join_requests(self) -> list[tuple[Incarnation, pb.Message]]:
         """Return what is asked of all others, whose lives aren't known yet."""
         stated = self.configured_members.get(self.me.name)
-        member = pb.Member(name=self.me.name, life=self.me.life, address=stated.address if stated else "")
+        member = pb.Member(name=self.me.name, life=self.me.id, address=stated.address if stated else "")
         return [
             (Incarnation(name, b""), pb.Message(join=pb.Join(member=member)))
             for name in sorted(self.configured_members)
@@ -27,7 +27,7 @@
 
     def handle_response(self, sender: Incarnation, answer: pb.JoinAnswer, now: float) -> None:
         """Take another's word."""
-        if sender.name not in self.configured_members or answer.life != sender.life:
+        if sender.name not in self.configured_members or answer.life != sender.id:
             return
         if answer.word == pb.JoinAnswer.EMPTY:
             self.empty_members[sender.name] = now
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -75,7 +75,7 @@
             and not known
             and member.log.configuration.index <= member.commit_index
         ):
-            word = pb.JoinAnswer(word=pb.JoinAnswer.REFUSED, leader=member.me.name, life=member.me.life)
+            word = pb.JoinAnswer(word=pb.JoinAnswer.REFUSED, leader=member.me.name, life=member.me.id)
             member.send(sender, pb.Message(term=member.term, join_answer=word))  # it may not know yet
         return
     if heard:
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -110,7 +110,7 @@
             if life in known:
                 member.actions.append(ProposalOutcome(event.token, index=configuration.index))
                 return
-            if not life.life or len(known) >= MAX_MEMBERS or self.is_name_alive(life.name, now):
+            if not life.id or len(known) >= MAX_MEMBERS or self.is_name_alive(life.name, now):
                 refusal = pb.Result.NOT_MEMBER
         elif event.remove not in known or configuration.voters == (event.remove,):
             refusal = pb.Result.NOT_MEMBER
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -59,7 +59,7 @@
     ) -> None:
         self.timing, self.me = timing, durable.me
         self.configured_members = {member.name: member for member in stated}
-        self.random = Random(f"council {seed} {self.me.name} {self.me.life.hex()}")
+        self.random = Random(f"council {seed} {self.me.name} {self.me.id.hex()}")
         self.log = Log(durable.snapshot_head, durable.entries)
         self.term = durable.hard_state.term
         hard_state = durable.hard_state
@@ -329,7 +329,7 @@
         if not self.storage_failed:
             voted = self.voted_for or Incarnation("", b"")
             self.pending_writes.set_hard_state(
-                pb.HardState(term=self.term, voted_name=voted.name, voted_life=voted.life)
+                pb.HardState(term=self.term, voted_name=voted.name, voted_life=voted.id)
             )
 
     def _no_leader_refusal(self) -> int:
@@ -559,11 +559,11 @@
         elif self.is_empty and not self.storage_failed:
             word = pb.JoinAnswer.EMPTY
         leader = self.leader.name if self.leader is not None else ""
-        self.send(sender, pb.Message(join_answer=pb.JoinAnswer(word=word, leader=leader, life=self.me.life)))
+        self.send(sender, pb.Message(join_answer=pb.JoinAnswer(word=word, leader=leader, life=self.me.id)))
 
     def _bootstrap_group(self) -> None:
         stated = self.configured_members[self.me.name]
-        me = pb.Member(name=self.me.name, life=self.me.life, address=stated.address, votes=True)
+        me = pb.Member(name=self.me.name, life=self.me.id, address=stated.address, votes=True)
         self.term = 1
         self.save_hard_state()
         self.append_entries([pb.Entry(term=1, index=1, members=pb.Members(members=[me]))])
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -17,7 +17,7 @@
     """Who a member is: its name, and the number drawn when its folder was made."""
 
     name: str
-    life: bytes
+    id: bytes
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -31,12 +31,12 @@
 class ReplicatedState:
     """What all entries up to `index` have made."""
 
-    def __init__(self, machines: Iterable[StateMachine], known: int = LEVEL) -> None:
-        self.known = known  # the level that this version knows
+    def __init__(self, machines: Iterable[StateMachine], supported_level: int = LEVEL) -> None:
+        self.supported_level = supported_level  # the level that this version knows
         self.level = 1  # a command's result may rest on it, as on all that the record says
-        self.every = {machine.name: machine for machine in machines}  # that this version knows
+        self.known_machines = {machine.name: machine for machine in machines}  # that this version knows
         self.machines: dict[str, StateMachine] = {}  # those of the level
-        self._tellers: dict[str, StateMachine] = {}
+        self._fact_providers: dict[str, StateMachine] = {}
         self._set_level(1)
         self.index = self.clock_ms = 0
         self._clients: dict[int, _ClientSession] = {}  # in the order in which they were last heard
@@ -56,9 +56,11 @@
     def _set_level(self, level: int) -> None:
         self.level = level
         self.machines = {
-            name: machine for name, machine in self.every.items() if getattr(machine, "since", 1) <= level
+            name: machine
+            for name, machine in self.known_machines.items()
+            if getattr(machine, "since", 1) <= level
         }
-        self._tellers = {kind: machine for machine in self.machines.values() for kind in machine.kinds}
+        self._fact_providers = {kind: machine for machine in self.machines.values() for kind in machine.kinds}
 
     def next_expiry_clock_ms(self) -> int | None:
         """Return when something lapses next, on the record's clock; None: never."""
@@ -71,8 +73,8 @@
         """Return what the machine says that tells of this kind; 0 if none does. `level`: the record's."""
         if kind == "level":
             return self.level
-        teller = self._tellers.get(kind)
-        return teller.fact(kind, key) if teller is not None else 0
+        provider = self._fact_providers.get(kind)
+        return provider.fact(kind, key) if provider is not None else 0
 
     def _raise_level(self, at: LogPosition, body: bytes) -> pb.Result:
         """Raise the level by one; asked again, or for another, nothing is done."""
@@ -138,5 +140,5 @@
             client.heard = told.heard
             client.kept = {kept.number: kept.result for kept in told.kept}
         parts = {part.machine: part.state for part in state.parts}
-        for name, machine in self.every.items():
+        for name, machine in self.known_machines.items():
             machine.restore(parts.get(name, b""))
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -65,15 +65,19 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Limits:
+class StoreLimits:
     """How large what is written gets, in bytes."""
 
-    segment: int = 8 << 20  # the next write begins a new segment; short enough that little outlives its use
-    group: int = 160 << 20  # of one write at most; the council proposes nothing with 128 MB of log
-    snapshot: int = MAX_SNAPSHOT_BYTES  # at most; the council takes and sends no larger one
-    reserve: int = 16 << 20  # held for a snapshot while the disk is full
-    again: int = 64 << 10  # a last segment of so much is written again at an opening: restarts add no files
-    low: int = 32 << 20  # free: below it room is short, and a full store waits for as much
+    segment_bytes: int = (
+        8 << 20
+    )  # the next write begins a new segment; short enough that little outlives its use
+    max_group_bytes: int = 160 << 20  # of one write at most; the council proposes nothing with 128 MB of log
+    max_snapshot_bytes: int = MAX_SNAPSHOT_BYTES  # at most; the council takes and sends no larger one
+    reserve_bytes: int = 16 << 20  # held for a snapshot while the disk is full
+    max_rewrite_bytes: int = (
+        64 << 10
+    )  # a last segment of so much is written again at an opening: restarts add no files
+    min_free_bytes: int = 32 << 20  # free: below it room is short, and a full store waits for as much
 
 
 class _Segment(NamedTuple):
@@ -88,7 +92,9 @@
 class Store:
     """The record on disk. One task at a time may call it."""
 
-    def __init__(self, disk: Disk, fleet: str, name: str, limits: Limits, pause: Callable[[], None]) -> None:
+    def __init__(
+        self, disk: Disk, fleet: str, name: str, limits: StoreLimits, pause: Callable[[], None]
+    ) -> None:
         self.disk, self.fleet, self.name, self.limits, self.pause = disk, fleet, name, limits, pause
         self.life = b""
         self.shape = Shape()
@@ -110,7 +116,7 @@
         fleet: str,
         name: str,
         life: bytes,
-        limits: Limits | None = None,
+        limits: StoreLimits | None = None,
         pause: Callable[[], None] = lambda: None,
     ) -> tuple["Store", DurableState]:
         """Take the folder and read it; make it if it is empty, for a member with this life.
@@ -118,7 +124,7 @@
         `pause` is called while a log is read, each few ms of work: it lets other tasks run. Raises
         `StoreError` where the folder can't be used, `DiskError` where the disk fails; who asked closes it.
         """
-        store = cls(disk, fleet, name, limits or Limits(), pause)
+        store = cls(disk, fleet, name, limits or StoreLimits(), pause)
         disk.lock()
         if META not in disk.names():
             store._make(life)
@@ -139,8 +145,8 @@
             raise StoreStoppedError("an earlier write failed; the folder has to be read anew")
         group = _grouped(writes)
         for size, most in (
-            (group.ByteSize(), self.limits.group),
-            *((len(write.snapshot), self.limits.snapshot) for write in writes),
+            (group.ByteSize(), self.limits.max_group_bytes),
+            *((len(write.snapshot), self.limits.max_snapshot_bytes) for write in writes),
         ):
             if size > most:
                 raise WriteTooLargeError(f"{size} bytes in one write, {most} at most", size=size, most=most)
@@ -183,9 +189,9 @@
         self._take_reserve()
         return durable
 
-    def short(self) -> bool:
+    def is_low_on_space(self) -> bool:
         """Tell whether room is nearly used up."""
-        return self.disk.free() < self.limits.low
+        return self.disk.free() < self.limits.min_free_bytes
 
     def close(self) -> None:
         """Give the folder up."""
@@ -278,7 +284,7 @@
                     f"{_log(numbers[-1])} is damaged at {offset}", file=_log(numbers[-1]), offset=offset
                 )
         first = max([last.head.first_segment, *(group.first_segment for group in last.groups)])
-        if len(last.data) <= self.limits.again and generations == GENERATIONS:
+        if len(last.data) <= self.limits.max_rewrite_bytes and generations == GENERATIONS:
             again, last.groups[:] = last.groups[:], []
         elif acknowledged is None and last.groups:
             again = [last.groups.pop()]  # the one in doubt
@@ -299,7 +305,7 @@
 
     def _read_segment(self, number: int) -> _Segment:
         name = _log(number)
-        data = self._whole(name, self.limits.segment + 2 * self.limits.group, LogDamagedError)
+        data = self._whole(name, self.limits.segment_bytes + 2 * self.limits.max_group_bytes, LogDamagedError)
         record = record_format.read(data, 0)
         if record is None or record.kind != record_format.HEAD:
             raise LogDamagedError(f"{name} has no beginning", file=name, offset=0)
@@ -377,7 +383,7 @@
     def _read_snapshot(self, head: pb.SnapshotHead) -> bytes | None:
         """Return a snapshot's bytes; None: it is not there or not whole."""
         try:
-            data = self._whole(_snapshot(head), 2 * self.limits.snapshot, SnapshotDamagedError)
+            data = self._whole(_snapshot(head), 2 * self.limits.max_snapshot_bytes, SnapshotDamagedError)
         except (NameMissing, SnapshotDamagedError):
             return None
         record = record_format.read(data, 0)
@@ -424,7 +430,7 @@
     # Writing.
 
     def _write(self, group: kept.Group, writes: tuple[Write, ...]) -> None:
-        if self.size >= self.limits.segment:
+        if self.size >= self.limits.segment_bytes:
             self._begin(self._head(self.segment + 1, self.group + 1, self._first(self.shape)), may_take=False)
         for write in writes:
             if write.snapshot_head is not None:
@@ -538,24 +544,26 @@
 
     def _check_room(self) -> None:
         free = self.disk.free()
-        if free < self.limits.low:
+        if free < self.limits.min_free_bytes:
             raise InsufficientSpaceError(
-                f"{free} bytes are free, {self.limits.low} are wanted", free=free, wanted=self.limits.low
+                f"{free} bytes are free, {self.limits.min_free_bytes} are wanted",
+                free=free,
+                wanted=self.limits.min_free_bytes,
             )
 
     def _take_reserve(self) -> None:
         """Hold room for a snapshot, as far as the disk has it to spare."""
         try:
             held = self.disk.size(RESERVE) if RESERVE in self.disk.names() else 0
-            missing = self.limits.reserve - held
-            if missing <= 0 or self.disk.free() < missing + self.limits.low:
+            missing = self.limits.reserve_bytes - held
+            if missing <= 0 or self.disk.free() < missing + self.limits.min_free_bytes:
                 return
             while missing:
                 self.disk.append(RESERVE, bytes(min(READ_MOST, missing)))
                 missing -= min(READ_MOST, missing)
             self.disk.sync(RESERVE)
         except DiskError:
-            self._give_reserve(self.limits.reserve)
+            self._give_reserve(self.limits.reserve_bytes)
 
     def _give_reserve(self, size: int) -> bool:
         """Give so many bytes of the reserve up, or what there is; tell whether there was one."""
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -23,7 +23,7 @@
 from fennelwind.loop.realdisk import RealDisk
 from fennelwind.raft import council_pb2 as cpb
 from fennelwind.raft.messages import Write
-from fennelwind.raft_storage.store import Limits
+from fennelwind.raft_storage.store import StoreLimits
 
 ROOT = Path(__file__).parent.parent.parent
 COUNCIL = """
@@ -226,7 +226,7 @@
 
     def fill():
         folder = MemberFolder(
-            lambda: RealDisk(loop, str(tmp_path / "record")), "north", "m0", loop.token, Limits()
+            lambda: RealDisk(loop, str(tmp_path / "record")), "north", "m0", loop.token, StoreLimits()
         )
         members = cpb.Members(members=[cpb.Member(name=f"m{n}", life=b"x", votes=True) for n in range(3)])
         folder.open()
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -13,7 +13,7 @@
 from fennelwind.cluster.member_folder import MemberFolder
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.observability.metrics import Collector
-from fennelwind.raft_storage.store import Limits
+from fennelwind.raft_storage.store import StoreLimits
 from fennelwind.testbed.registers import Registers
 
 
@@ -148,7 +148,7 @@
                 "f",
                 name,
                 lambda size: b"x" * size,
-                Limits(reserve=1 << 20, low=2 << 20),
+                StoreLimits(reserve_bytes=1 << 20, min_free_bytes=2 << 20),
             )
             durable = folder.open()
             left[summarize(durable).last_term, summarize(durable).last, name] = folder, durable
--- a/tests/loop/test_disks.py
+++ b/tests/loop/test_disks.py
@@ -389,9 +389,9 @@
 from fennelwind.loop.disk import DiskError
 from fennelwind.loop.realdisk import RealDisk
 from fennelwind.raft_storage.errors import StoreError
-from fennelwind.raft_storage.store import Limits, Store
+from fennelwind.raft_storage.store import StoreLimits, Store
 loop = RealLoop()
-limits = Limits(segment=20_000, reserve=50_000, low=50_000)
+limits = StoreLimits(segment_bytes=20_000, reserve_bytes=50_000, min_free_bytes=50_000)
 
 def main():
     try:
@@ -401,7 +401,7 @@
         return
     head = durable.snapshot_head
     last = durable.entries[-1].index if durable.entries else head.index if head else 0
-    print("open", durable.me.life.hex(), last, flush=True)
+    print("open", durable.me.id.hex(), last, flush=True)
     while last < 100_000:
         entry = pb.Entry(term=1, index=last + 1, command=pb.Command(body=b"%d " % (last + 1) * 50))
         writes = [Write(1, entries=(entry,), hard_state=pb.HardState(term=last + 1))]
--- a/tests/raft/test_council.py
+++ b/tests/raft/test_council.py
@@ -24,7 +24,7 @@
 def members(*lives: Incarnation, learners: tuple[Incarnation, ...] = ()) -> pb.Members:
     return pb.Members(
         members=[
-            pb.Member(name=life.name, life=life.life, votes=life not in learners)
+            pb.Member(name=life.name, life=life.id, votes=life not in learners)
             for life in sorted({*lives, *learners})
         ]
     )
@@ -448,7 +448,7 @@
     core = RaftMember(Timing(), DurableState(A), 1, stated)
     empty = {
         life: api.MessageReceived(
-            life, pb.Message(join_answer=pb.JoinAnswer(word=pb.JoinAnswer.EMPTY, life=life.life))
+            life, pb.Message(join_answer=pb.JoinAnswer(word=pb.JoinAnswer.EMPTY, life=life.id))
         )
         for life in (B, C)
     }
--- a/tests/raft/test_record.py
+++ b/tests/raft/test_record.py
@@ -129,7 +129,10 @@
 
 
 def test_members_of_two_versions_make_the_same_state_until_all_know_the_next_level():
-    older, newer = ReplicatedState([Lapsing()], known=1), ReplicatedState([Later(), Lapsing()], known=2)
+    older, newer = (
+        ReplicatedState([Lapsing()], supported_level=1),
+        ReplicatedState([Later(), Lapsing()], supported_level=2),
+    )
     entries = [
         pb.Entry(term=1, index=1, command=pb.Command()),
         command(2, "later", b"4", 1, 1),
@@ -144,8 +147,8 @@
     for _ in range(2):  # asked twice, raised once
         assert newer.apply(command(newer.index + 1, "record", b"2")).body == b"2"
     assert newer.apply(command(8, "later", b"4", 1, 3)).body == b"4"
-    again = ReplicatedState([Later(), Lapsing()], known=2)
+    again = ReplicatedState([Later(), Lapsing()], supported_level=2)
     again.restore(newer.snapshot())
     assert again.snapshot() == newer.snapshot() and again.fact("later", "") == 4
     older.restore(newer.snapshot())
-    assert older.level > older.known  # it can't go on, and whoever carries it out sees that
+    assert older.level > older.supported_level  # it can't go on, and whoever carries it out sees that
--- a/tests/raft_storage/test_store.py
+++ b/tests/raft_storage/test_store.py
@@ -47,7 +47,7 @@
     WrongFleetError,
     WrongMemberError,
 )
-from fennelwind.raft_storage.store import Limits, Store
+from fennelwind.raft_storage.store import Store, StoreLimits
 
 WRITES = 10  # of the small play in which each call meets each fault
 
@@ -235,10 +235,10 @@
     for name in list(play.platter.names):
         play.platter.lose(name)
     _, durable = Store.open(SimDisk(None, play.platter), "fleet", "a", b"another", SMALL)
-    assert durable.me.life == b"another" and Model().same(durable)
+    assert durable.me.id == b"another" and Model().same(durable)
     play.platter.end()
     _, durable = Store.open(SimDisk(None, play.platter), "fleet", "a", b"a third", SMALL)
-    assert durable.me.life == b"another"
+    assert durable.me.id == b"another"
 
 
 def test_entries_that_are_wanted_behind_a_snapshot_are_given_as_long_as_they_are_held():
@@ -254,7 +254,7 @@
 
 
 def test_a_long_log_is_read_with_pauses():
-    play = Play(1, limits=Limits(reserve=0, low=0))
+    play = Play(1, limits=StoreLimits(reserve_bytes=0, min_free_bytes=0))
     for index in range(1, 50):
         play.write(Write(1, entries=(entry(index, 1, 10_000),)))
     play.kill()
@@ -264,7 +264,7 @@
 
 
 def test_reading_may_begin_in_a_segment_that_cuts_what_was_before_it():
-    play = Play(1, limits=Limits(segment=2000, reserve=0, low=0))
+    play = Play(1, limits=StoreLimits(segment_bytes=2000, reserve_bytes=0, min_free_bytes=0))
     play.write(Write(1, entries=tuple(entry(index, 1, 300) for index in range(1, 11))))
     play.write(Write(1, truncate_after=8, entries=tuple(entry(index, 2, 20) for index in range(9, 12))))
     for index in (10, 11):
@@ -275,7 +275,7 @@
 
 
 def test_restarts_alone_do_not_pile_up_files():
-    play = Play(1, limits=Limits(reserve=0, low=0))
+    play = Play(1, limits=StoreLimits(reserve_bytes=0, min_free_bytes=0))
     for index in range(1, 31):
         play.write(Write(1, hard_state=pb.HardState(term=index)))
         play.write(Write(1, entries=(entry(index, index, 4000),)))
@@ -306,18 +306,18 @@
 
 def test_a_full_disk_stops_the_store_until_there_is_room_again():
     play = filled_up()
-    assert play.store.full and play.store.short()
+    assert play.store.full and play.store.is_low_on_space()
     with pytest.raises(InsufficientSpaceError) as told:
         play.store.reopen()
-    assert told.value.facts["wanted"] == SMALL.low
+    assert told.value.facts["wanted"] == SMALL.min_free_bytes
     play.platter.room += 4000
     assert play.again(tries=1) and play.write(Write(1, hard_state=pb.HardState(term=2)))
-    assert not play.store.short()
+    assert not play.store.is_low_on_space()
 
 
 def test_room_is_short_before_the_disk_is_full():
     play = Play(1, room=12_000)
-    while not play.store.short():
+    while not play.store.is_low_on_space():
         assert play.write(Write(1, entries=(entry(play.model.last + 1, 1, 200),)))
     for _ in range(3):  # who leads can still hand over in order
         assert play.write(Write(1, hard_state=pb.HardState(term=play.model.hard.term + 1)))
@@ -330,7 +330,7 @@
     head = pb.SnapshotHead(index=last - 1, term=1)
     durable = play.store.reopen(head, b"s" * 500)
     assert durable.snapshot_head == head and [e.index for e in durable.entries] == [last]
-    assert play.platter.used() < used - 3000 and not play.store.short()
+    assert play.platter.used() < used - 3000 and not play.store.is_low_on_space()
     play.models = [play.model.after(Write(1, snapshot_head=head, snapshot=b"s" * 500))]
     for index in range(last + 1, last + 4):
         assert play.write(Write(1, entries=(entry(index, 1),)))
@@ -340,7 +340,7 @@
 
 
 def test_what_is_small_takes_a_part_of_the_reserve():
-    limits = Limits(segment=400, reserve=400_000, low=1000)
+    limits = StoreLimits(segment_bytes=400, reserve_bytes=400_000, min_free_bytes=1000)
     play = Play(1, limits=limits, room=500_000)
     play.platter.room = play.platter.used()
     play.kill()
@@ -353,9 +353,9 @@
 
 def test_the_reserve_is_taken_again_when_there_is_room():
     play = filled_up()
-    assert play.store._give_reserve(SMALL.reserve)
+    assert play.store._give_reserve(SMALL.reserve_bytes)
     play.platter.room += 20_000
-    assert play.again() and play.platter.names["reserve"].shown == bytes(SMALL.reserve)
+    assert play.again() and play.platter.names["reserve"].shown == bytes(SMALL.reserve_bytes)
 
 
 # Bounds, and writes that do not fit.
@@ -365,13 +365,13 @@
     play = Play(1)
     calls = play.calls
     for write in (
-        Write(1, entries=(entry(1, 1, SMALL.group),)),
-        Write(1, snapshot_head=pb.SnapshotHead(index=1), snapshot=bytes(SMALL.snapshot + 1)),
+        Write(1, entries=(entry(1, 1, SMALL.max_group_bytes),)),
+        Write(1, snapshot_head=pb.SnapshotHead(index=1), snapshot=bytes(SMALL.max_snapshot_bytes + 1)),
     ):
         with pytest.raises(WriteTooLargeError):
             play.store.write(write)
     assert play.calls == calls and not play.store.failed
-    assert play.write(Write(1, entries=(entry(1, 1, SMALL.group // 2),)))
+    assert play.write(Write(1, entries=(entry(1, 1, SMALL.max_group_bytes // 2),)))
 
 
 @pytest.mark.parametrize(
@@ -387,7 +387,7 @@
 
 
 def test_groups_and_snapshots_of_several_records_are_read_back_and_torn_as_one():
-    limits = Limits(segment=8 << 20, reserve=0, low=0)
+    limits = StoreLimits(segment_bytes=8 << 20, reserve_bytes=0, min_free_bytes=0)
     play = Play(1, limits=limits, room=1 << 30)
     large = Write(1, entries=tuple(entry(i, 1, 700_000, play.random) for i in range(1, 6)))
     assert play.write(large)
--- a/tests/support/council_cluster.py
+++ b/tests/support/council_cluster.py
@@ -248,9 +248,7 @@
     def begin_founded(self) -> None:
         """Begin where all are members already and nothing else has happened."""
         members = pb.Members(
-            members=[
-                pb.Member(name=n, life=node.me.life, votes=True) for n, node in sorted(self.nodes.items())
-            ]
+            members=[pb.Member(name=n, life=node.me.id, votes=True) for n, node in sorted(self.nodes.items())]
         )
         for node in self.nodes.values():
             node.image.hard = pb.HardState(term=1)
@@ -435,7 +433,7 @@
 
     def _deliver(self, sender: Incarnation, to: Incarnation, message: pb.Message) -> None:
         node = self.nodes.get(to.name)
-        if node is None or node.core is None or (to.life and to != node.me):
+        if node is None or node.core is None or (to.id and to != node.me):
             return
         if (sender.name, to.name) in self.cuts:
             return
@@ -675,7 +673,7 @@
                     if node.me in leader.core.log.configuration.incarnations:
                         cluster.change(leader.name, remove=node.me)
                     else:
-                        cluster.change(leader.name, add=pb.Member(name=each, life=node.me.life, address=each))
+                        cluster.change(leader.name, add=pb.Member(name=each, life=node.me.id, address=each))
         case "wipe":
             leader = cluster.leader()
             if wiped or leader is None or leader.name == name or len(cluster.voters()) < 3:
@@ -723,7 +721,7 @@
     first = pb.Entry(
         term=1,
         index=1,
-        members=pb.Members(members=[pb.Member(name=life.name, life=life.life, votes=True) for life in lives]),
+        members=pb.Members(members=[pb.Member(name=life.name, life=life.id, votes=True) for life in lives]),
     )
     cores = {
         life: RaftMember(Timing(), DurableState(life, pb.HardState(term=1), entries=[first]), 1)
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -43,7 +43,7 @@
 from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft_storage import record_format
-from fennelwind.raft_storage.store import Limits
+from fennelwind.raft_storage.store import StoreLimits
 from fennelwind.schema_compatibility import contracts_pb2
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
 from fennelwind.schema_compatibility.rules import NUMBER
@@ -54,7 +54,7 @@
 
 METRICS = Address("127.0.0.1", 9900)
 FLEET, MEMBER, INCARNATION = "golden", "m0", b"golden-life-0001"
-LIMITS = Limits(segment=4096, again=0, reserve=1 << 16, low=0)
+LIMITS = StoreLimits(segment_bytes=4096, max_rewrite_bytes=0, reserve_bytes=1 << 16, min_free_bytes=0)
 SNAPSHOT_AT, LAST = 40, 120  # entries: the snapshot holds the first ones, several segments the rest
 CHECKED = 3000  # bytes of a long connection's end that are kept in clear
 
--- a/tests/support/storemodel.py
+++ b/tests/support/storemodel.py
@@ -7,10 +7,24 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Write
 from fennelwind.raft_storage.errors import InsufficientSpaceError, StoreError
-from fennelwind.raft_storage.store import Limits, Store
-
-SMALL = Limits(segment=400, group=1 << 16, snapshot=1 << 16, reserve=2000, again=300, low=1500)
-TINY = Limits(segment=300, group=1 << 16, snapshot=1 << 16, reserve=0, again=0, low=0)
+from fennelwind.raft_storage.store import Store, StoreLimits
+
+SMALL = StoreLimits(
+    segment_bytes=400,
+    max_group_bytes=1 << 16,
+    max_snapshot_bytes=1 << 16,
+    reserve_bytes=2000,
+    max_rewrite_bytes=300,
+    min_free_bytes=1500,
+)
+TINY = StoreLimits(
+    segment_bytes=300,
+    max_group_bytes=1 << 16,
+    max_snapshot_bytes=1 << 16,
+    reserve_bytes=0,
+    max_rewrite_bytes=0,
+    min_free_bytes=0,
+)
 LIFE = b"a life of sixteen"
 FAULTS = ("cut", "late", "full", "short", "error", "sync")
 
