--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -44,7 +44,7 @@
     engine_class: str = ""
     idempotency_key: str = ""  # chosen by the client, for engines that drop repeats by it
     # Earliest start of an attempt, in ms. It moves while more of the client's bytes arrive: thus a function.
-    begins_from: Callable[[], float] = lambda: 0.0
+    earliest_start_ms: Callable[[], float] = lambda: 0.0
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -184,7 +184,7 @@
         would then start for a client that has left, which shows as an attempt later than 100 ms after that.
         """
         self.loop.catch_up(MAX_LOOP_DELAY_MS)
-        while (wait_ms := self.order.submission.begins_from() - self.loop.now()) > 0.0:
+        while (wait_ms := self.order.submission.earliest_start_ms() - self.loop.now()) > 0.0:
             self.loop.sleep(wait_ms)
 
     def _reason_not_to_send(self) -> str:
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -217,7 +217,7 @@
             engine_id=query.query_id,
             engine_class=method,
             idempotency_key=query.idempotency_key,
-            begins_from=lambda: self.burst_until_ms,
+            earliest_start_ms=lambda: self.burst_until_ms,
         )
 
     def _answer_invalid(self, message_id: int, error: InvalidRequestError) -> None:
