--- a/fennelwind/benchmarks/spread.py
+++ b/fennelwind/benchmarks/spread.py
@@ -42,13 +42,13 @@
         given = list(events)
         if advisor is not None:
             for event in events:
-                advisor.take(event, now)
+                advisor.handle_event(event, now)
             given.insert(0, advisor.advice(now))
         for action in gateway.step(now, given):
             if isinstance(action, policy.StartAttempt):
                 out.append((now + TOOK_MS, action.query, action.engine))
                 if advisor is not None:
-                    advisor.sent(action.engine, 1)
+                    advisor.attempt_sent(action.engine, 1)
 
     step(listed)
     began = time.perf_counter()
@@ -72,9 +72,11 @@
     try:
         advisor = LoadAdvisor(settings, 1, IDLE_MS)
         entries = tuple(policy.EngineEndpoint(f"s-{n:08x}", zone=n % 2) for n in range(engines))
-        advisor.take(policy.EngineListUpdate("full", entries), 0.0)
+        advisor.handle_event(policy.EngineListUpdate("full", entries), 0.0)
         for entry in entries:
-            advisor.take(policy.AttemptEnded(0, 0, entry.engine, "ok", 1.0, True, load={"cpu": 0.5}), 0.0)
+            advisor.handle_event(
+                policy.AttemptEnded(0, 0, entry.engine, "ok", 1.0, True, load={"cpu": 0.5}), 0.0
+            )
         advisor.advice(0.0)
         return tracemalloc.get_traced_memory()[0] / 1000.0
     finally:
--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -119,7 +119,7 @@
             self._run, entry, number, engine, request, name=f"query {entry.query} attempt {number}"
         )
         if self.advisor is not None:
-            self.advisor.sent(engine, self.settings.classes[entry.submission.class_index].threads)
+            self.advisor.attempt_sent(engine, self.settings.classes[entry.submission.class_index].threads)
 
     def cancel(self, query: int, number: int) -> None:
         """Cancel an attempt's task, if it still runs."""
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -250,7 +250,7 @@
         now = self.loop.now()
         try:
             for event in events:
-                self.advisor.take(event, now)
+                self.advisor.handle_event(event, now)
             return [self.advisor.advice(now), *events]
         except Exception as exc:  # the policy decides without the advice, and must miss no event
             self.step_errors += 1
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -44,7 +44,7 @@
         self.min_threads = min(query_class.threads for query_class in settings.classes)
         self._ranking: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
 
-    def take(self, event: policy.Event, now: float) -> None:
+    def handle_event(self, event: policy.Event, now: float) -> None:
         """Take one of the policy's events."""
         match event:
             case policy.EngineListUpdate():
@@ -55,7 +55,7 @@
                 endpoint = self.endpoints[engine]
                 self.estimator.add_report(engine, endpoint.zone, load, self._cores(endpoint), now)
 
-    def sent(self, engine: str, threads: int) -> None:
+    def attempt_sent(self, engine: str, threads: int) -> None:
         """Count an attempt that was sent."""
         self.estimator.sent(engine, threads)
         if engine == self.explored:
--- a/tests/load_balancing/test_spread.py
+++ b/tests/load_balancing/test_spread.py
@@ -33,7 +33,7 @@
         gateway_count=40, gateway_index=me, report_fields=("cpu", "x1"), kind_cores=(8, 16), **more
     )
     a = LoadAdvisor(told, seed, 15000.0)
-    a.take(policy.EngineListUpdate("full", entries(near) + entries(far, 1, near)), 0.0)
+    a.handle_event(policy.EngineListUpdate("full", entries(near) + entries(far, 1, near)), 0.0)
     return a
 
 
@@ -157,7 +157,7 @@
     assert subsetting.subset_size(10.0, 5.0) == 50
     quiet, busy = advised(), advised()
     for n in range(100):
-        busy.take(policy.QueryArrived(n, 1, 1e6), 50.0 * n)
+        busy.handle_event(policy.QueryArrived(n, 1, 1e6), 50.0 * n)
     assert len(quiet.advice(5000.0).loads) == subsetting.MIN_SUBSET + 3
     assert len(busy.advice(5000.0).loads) == 30  # all there are
     assert len(busy.advice(65_000.0).loads) == subsetting.MIN_SUBSET + 3  # and gives them up again
@@ -174,26 +174,26 @@
 
 def test_draining_and_removed_executors_are_not_preferred_and_a_new_incarnation_starts_unknown():
     a = advised(near=4, far=0)
-    a.take(answer("s1", cpu=0.9, x1=0.1), 0.0)
-    a.take(
+    a.handle_event(answer("s1", cpu=0.9, x1=0.1), 0.0)
+    a.handle_event(
         policy.EngineListUpdate(
             "delta", (policy.EngineEndpoint("s0", "draining"), policy.EngineEndpoint("s2", "gone"))
         ),
         1.0,
     )
     assert set(a.advice(1.0).loads) == {"s1", "s3"}
-    a.take(policy.EngineListUpdate("delta", (policy.EngineEndpoint("s1", started_ms=500.0),)), 2.0)
+    a.handle_event(policy.EngineListUpdate("delta", (policy.EngineEndpoint("s1", started_ms=500.0),)), 2.0)
     assert math.isinf(a.estimator.age_ms("s1", 2.0))
-    a.take(policy.EngineListUpdate("failed"), 3.0)
+    a.handle_event(policy.EngineListUpdate("failed"), 3.0)
     assert set(a.advice(3.0).loads) == {"s1", "s3"}
-    a.take(policy.EngineListUpdate("full", ()), 4.0)
+    a.handle_event(policy.EngineListUpdate("full", ()), 4.0)
     assert a.advice(4.0).loads == {} and not a.biases and not a.estimator.reports
 
 
 def test_another_zone_has_to_be_emptier():
     a = advised(near=8, far=8)
     for n in range(16):
-        a.take(answer(f"s{n}", cpu=0.5 + n / 1000, x1=0.0), 0.0)
+        a.handle_event(answer(f"s{n}", cpu=0.5 + n / 1000, x1=0.0), 0.0)
     loads = a.advice(0.0).loads
     assert max(loads[n] for n in loads if int(n[1:]) < 8) < min(loads[n] for n in loads if int(n[1:]) >= 8)
 
@@ -202,7 +202,7 @@
     def view(me, seed):
         a = advised(me, near=12, far=0, seed=seed)
         for n in range(12):
-            a.take(answer(f"s{n}", cpu=0.5, x1=0.0), 0.0)
+            a.handle_event(answer(f"s{n}", cpu=0.5, x1=0.0), 0.0)
         return list(a.advice(300.0).loads.items())
 
     views = [view(me, me) for me in range(40)]
@@ -215,13 +215,13 @@
     for me in range(40):
         a = advised(me, seed=me)
         for n in range(20):
-            a.take(policy.QueryArrived(n, 0, 1e6), 500.0 * n)
+            a.handle_event(policy.QueryArrived(n, 0, 1e6), 500.0 * n)
             asked += 1
             first, load = next(iter(a.advice(500.0 * n).loads.items()))
             if a.explored:
                 assert (first, load) == (a.explored, 0.0)
                 tried.add(first)
-                a.sent(first, 1)
+                a.attempt_sent(first, 1)
                 assert not a.explored
     assert len(tried) >= 15 and asked == 800  # 32 trials of 30 executors are to be expected
 
