--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -60,7 +60,7 @@
     return rows
 
 
-def drift(gateway: Gateway, client: ExecutorClient) -> int:
+def count_differences(gateway: Gateway, client: ExecutorClient) -> int:
     """Return by how many attempts the two sides differ, over all executors."""
     running = client.in_flight.count_by_executor()
     believed = {name: len(engine.running_attempts) for name, engine in gateway.engines.items()}
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -15,7 +15,7 @@
 from fennelwind.loop.scheduler import Loop, Once
 from fennelwind.loop.syscall_retry import retried
 from fennelwind.node.config import ConfigError, NodeConfig, read_config
-from fennelwind.node.endpoint_view import compare, drift
+from fennelwind.node.endpoint_view import compare, count_differences
 from fennelwind.node.endpoint_watch import EndpointWatch
 from fennelwind.node.executor_client import ExecutorClient
 from fennelwind.node.executor_pool import ExecutorPool
@@ -120,7 +120,7 @@
         while True:
             self.loop.sleep(VIEW_CHECK_MS)
             checks += 1
-            differences += drift(self.driver.gateway, self.executor_client) > 0
+            differences += count_differences(self.driver.gateway, self.executor_client) > 0
             if checks % VIEW_CHECKS_PER_LINE == 0:
                 self._log_state(checks, differences)
 
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -21,7 +21,7 @@
 )
 
 from fennelwind.loop import Address, DeadlineExceeded, SimLoop, StreamReset
-from fennelwind.node.endpoint_view import compare, drift
+from fennelwind.node.endpoint_view import compare, count_differences
 
 
 def run(seed, main, *args):
@@ -885,9 +885,9 @@
         assert (
             sum(row.in_flight_count for row in rows) == sum(len(executor.ran) for executor in executors) == 12
         )
-        assert drift(node.driver.gateway, node.executor_client) == 0
+        assert count_differences(node.driver.gateway, node.executor_client) == 0
         node.driver.gateway.engines["s-0"].running_attempts.popitem()  # planted: an attempt forgotten
-        assert drift(node.driver.gateway, node.executor_client) == 1
+        assert count_differences(node.driver.gateway, node.executor_client) == 1
         for number in numbers:
             assert client.answer(number)[0] is None
         ended = compare(node.driver.gateway, node.executor_client)
