--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -17,13 +17,13 @@
     SETTINGS,
     Client,
     Executor,
-    Quiet,
+    RecordingObserver,
     config_text,
     first_page,
     instance,
-    name,
     nodes_event,
-    start,
+    query_id,
+    start_node,
 )
 
 from fennelwind.loop import Address, ConnectFailed, Once, RealLoop, SimLoop, StreamReset
@@ -83,7 +83,7 @@
         loop.connect = self.connect
         if real:
             loop.now = lambda: self.plain_now() + self.skew
-        self.log = Quiet()
+        self.log = RecordingObserver()
         loop.on_error = lambda task, exc: self.log.failed(task.name, exc)
         self.node = Node(loop, read_config(json.dumps(told)), self.log)
         self.node.start()
@@ -123,7 +123,7 @@
                 not self.node.driver.ledger.open_count and not self.node.executor_client.in_flight.by_query
             )
         )
-        assert not self.log.broke
+        assert not self.log.task_failures
 
     @property
     def ran(self):
@@ -145,13 +145,13 @@
     def main(loop):
         stage = Stage(loop, ceilings={"Cancel": cancel})
         client = stage.client()
-        number = client.ask(name(1), "scene-build", 5000)
+        number = client.send_request(query_id(1), "scene-build", 5000)
         stage.until(lambda: stage.dials)
         go_away(client, leave, number)
         stage.until(lambda: not stage.node.driver.ledger.open_count)
         stage.let()
         stage.end()
-        assert not stage.ran and stage.log.ends == ["cancelled" if cancel else "moot"]
+        assert not stage.ran and stage.log.attempt_statuses == ["cancelled" if cancel else "moot"]
 
     play(main)
 
@@ -170,13 +170,13 @@
     def main(loop):
         stage = Stage(loop, ceilings={"Cancel": False})
         client = stage.client()
-        number = client.ask(name(1), "scene-build", 5000)
+        number = client.send_request(query_id(1), "scene-build", 5000)
         stage.until(lambda: stage.dials)
         go_away(client, "forget", number)
         stage.pass_by(150.0)  # the turn took that long, and in it the connection came up
         stage.let()
         stage.end()
-        assert not stage.ran and stage.log.ends == ["moot"]
+        assert not stage.ran and stage.log.attempt_statuses == ["moot"]
 
     loop = RealLoop()
     loop.run(main, loop)
@@ -202,14 +202,18 @@
             return stage.plain_connect(address)
 
         loop.connect = connect
-        number = client.ask(name(1), "tally", 59000)
+        number = client.send_request(query_id(1), "tally", 59000)
         stage.until(lambda: "second" in stage.dials)
-        assert stage.ran == [name(1)]
+        assert stage.ran == [query_id(1)]
         stage.pass_by(21000.0)
         held.set()
-        error, _ = client.answer(number, 60000.0)
+        error, _ = client.wait_for_answer(number, 60000.0)
         stage.end()
-        assert error[0] == "Shed" and stage.ran == [name(1)] and stage.log.ends[:2] == ["error", "moot"]
+        assert (
+            error[0] == "Shed"
+            and stage.ran == [query_id(1)]
+            and stage.log.attempt_statuses[:2] == ["error", "moot"]
+        )
 
     play(main)
 
@@ -250,13 +254,13 @@
         for k in range(2):
             holding.clear()
             client = stage.client()
-            asked.append((client, client.ask(name(k + 1), "sweep", 59000, h="2000.0")))
+            asked.append((client, client.send_request(query_id(k + 1), "sweep", 59000, h="2000.0")))
             stage.until(lambda k=k: len(waiting) > k)
             stage.pass_by(6000.0)  # the decision on the first one's further attempt is out of the window
         go.set()
-        ends = [client.answer(number, 60000.0)[0] for client, number in asked]
+        ends = [client.wait_for_answer(number, 60000.0)[0] for client, number in asked]
         stage.end()
-        assert len(stage.ran) == 3 and stage.log.ends.count("moot") >= 1
+        assert len(stage.ran) == 3 and stage.log.attempt_statuses.count("moot") >= 1
         assert sum(end is None for end in ends) == 1
 
     play(main)
@@ -282,7 +286,7 @@
         stage.failing.add(1)  # so that the first attempt goes to the other one
         stage.let()
         client = stage.client()
-        client.ask(name(1), "scene-build", 5900, h="10.0")
+        client.send_request(query_id(1), "scene-build", 5900, h="10.0")
         stage.until(lambda: asked)
         stage.failing.discard(1)
         stage.node.driver.gateway.engines["s-1"].ejected_until_ms = 0.0
@@ -300,9 +304,9 @@
         stage = Stage(loop, executors=1, ceilings={"Cancel": False}, work_ms=30000.0)
         stage.let()
         client = stage.client()
-        number = client.ask(name(1), "scene-build", 5900, h="1.0")
-        stage.until(lambda: stage.log.ends or len(stage.ran) > 1)
-        assert stage.log.ends[:1] == ["moot"] and stage.ran == [name(1)]
+        number = client.send_request(query_id(1), "scene-build", 5900, h="1.0")
+        stage.until(lambda: stage.log.attempt_statuses or len(stage.ran) > 1)
+        assert stage.log.attempt_statuses[:1] == ["moot"] and stage.ran == [query_id(1)]
         go_away(client, "forget", number)
         stage.end()
 
@@ -324,9 +328,9 @@
         stage.failing.add(1)
         stage.let()
         client = stage.client()
-        number = client.ask(name(1), "scene-build", 5900, h="10.0")
-        assert client.answer(number)[0] is None
-        assert "reset" in stage.log.ends and stage.executors[1].ran == [name(1)]
+        number = client.send_request(query_id(1), "scene-build", 5900, h="10.0")
+        assert client.wait_for_answer(number)[0] is None
+        assert "reset" in stage.log.attempt_statuses and stage.executors[1].ran == [query_id(1)]
         assert isinstance(stage.loop, RealLoop) or loop.now() < began[0] + 500.0
         stage.end()
 
@@ -353,8 +357,13 @@
         stage.until(lambda: len(stage.node.frontend.slots))
         connection = next(iter(stage.node.frontend.slots))
         connection.stream = Breaks(connection.stream)
-        long = {"i": name(1), "d": "1500", "t": "acme", "h": "1000000.0"}  # it can't be served in its time
-        usual = {"i": name(2), "d": "5000", "t": "acme", "h": "10.0"}
+        long = {
+            "i": query_id(1),
+            "d": "1500",
+            "t": "acme",
+            "h": "1000000.0",
+        }  # it can't be served in its time
+        usual = {"i": query_id(2), "d": "5000", "t": "acme", "h": "10.0"}
         client.stream.write(
             msgpack.packb([0, 1, "lookup", [long, b"select 1"]])
             + msgpack.packb([0, 2, "scene-build", [usual, b"select 1"]])
@@ -372,16 +381,16 @@
     def main(loop):
         stage = Stage(loop, executors=1)
         client = stage.client()
-        number = client.ask(name(1), "lookup", 1900)
+        number = client.send_request(query_id(1), "lookup", 1900)
         stage.until(lambda: stage.dials)
         port = stage.executors[0].listener.address.port
         stage.node.endpoint_watch._apply_known_event(
             nodes_event(2, [instance("s-0", 0, "terminating", port=port)]), "full"
         )
         stage.let()
-        error, _ = client.answer(number)
+        error, _ = client.wait_for_answer(number)
         stage.end()
-        assert error[0] == "Shed" and not stage.ran and "moot" in stage.log.ends
+        assert error[0] == "Shed" and not stage.ran and "moot" in stage.log.attempt_statuses
 
     play(main)
 
@@ -390,15 +399,15 @@
     def main(loop):
         stage = Stage(loop, executors=1, grades=[KEYED])
         client = stage.client()
-        client.ask(name(1), "scene-build", 5000)
+        client.send_request(query_id(1), "scene-build", 5000)
         stage.until(lambda: stage.dials)
         port = stage.executors[0].listener.address.port
         stage.node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-9", 0, port=port)]), "full")
         stage.let()
-        stage.until(lambda: stage.log.ends)
-        assert stage.log.ends[0] == "moot"
+        stage.until(lambda: stage.log.attempt_statuses)
+        assert stage.log.attempt_statuses[0] == "moot"
         stage.end()
-        assert stage.ran in ([], [name(1)])  # sent to the new one by a decision of its own, or to nobody
+        assert stage.ran in ([], [query_id(1)])  # sent to the new one by a decision of its own, or to nobody
 
     play(main)
 
@@ -412,7 +421,7 @@
         def serve(stream):
             with suppress(StreamReset):
                 while head := stream.read():
-                    first = name(1).encode() in head
+                    first = query_id(1).encode() in head
                     loop.sleep(5.0 if first else 300.0)
                     stream.write(first_page(body=other if first else ROWS))
                     if first:
@@ -430,12 +439,12 @@
                 loop.spawn(serve, listener.accept())
 
         loop.spawn(accept)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1))) == (None, [other, {}])
+        assert client.wait_for_answer(client.send_request(query_id(1))) == (None, [other, {}])
         loop.sleep(late_ms - 4.0 if late_ms > 4.0 else 0.0)
-        assert client.answer(client.ask(name(2))) == (None, [ROWS, {}])
-        assert not node.log.broke
+        assert client.wait_for_answer(client.send_request(query_id(2))) == (None, [ROWS, {}])
+        assert not node.log.task_failures
 
     loop = SimLoop(7)
     loop.run(main, loop)
--- a/tests/node/test_endpoint_watch_races.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -18,7 +18,7 @@
 import time
 
 import pytest
-from nodes import CHANNEL, Quiet, config_text, instance, nodes_event, start
+from nodes import CHANNEL, RecordingObserver, config_text, instance, nodes_event, start_node
 from test_node_run import ROOT, WAIT_S, Program, ask, command, listening
 
 from fennelwind import policy
@@ -134,7 +134,7 @@
     def main(loop):
         old = Feed(loop, lambda stream, *_: loop.sleep(1500.0))
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)  # a connect takes 100 ms here: it is under way
         assert [watch.stream for watch in node.endpoint_watch._connections] == [None] and not old.asked
         for address in moves:
@@ -148,7 +148,7 @@
 def test_a_move_there_and_back_during_a_connect_keeps_the_connection():
     def main(loop):
         old = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         node.endpoint_watch.move(ELSEWHERE)
         node.endpoint_watch.move(CHANNEL)
@@ -162,7 +162,7 @@
     def main(loop):
         loop.unreachable.add(CHANNEL)
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1.0)
         node.endpoint_watch.move(ELSEWHERE)
         loop.sleep(CONNECT_MS + 20.0)
@@ -173,7 +173,7 @@
 
 def test_a_move_to_an_address_that_refuses_at_first_is_tried_in_quick_steps():
     def main(loop):
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(5000.0)  # nobody listens: the pauses are at their longest
         assert node.endpoint_watch._waiter is not None
         node.endpoint_watch.move(ELSEWHERE)
@@ -187,7 +187,7 @@
 
 def test_a_move_as_the_pause_ends_is_followed_at_once():
     def main(loop):
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(5000.0)
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
         pause = node.endpoint_watch._waiter
@@ -204,7 +204,7 @@
         first = Feed(loop, lambda stream, *_: loop.sleep(1500.0), THIRD)
         new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
         Feed(loop, steady(loop))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1200.0)
         node.reload(config_text([instance("s-1", 1)], channel=THIRD))
         loop.sleep(20.0)  # connecting there
@@ -301,7 +301,7 @@
             loop.sleep(1e6)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(2010.0)
         began = loop.now()
         while node.endpoint_watch.cursor < 2:
@@ -323,7 +323,7 @@
             steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(SILENCE_MS - 50.0)
         loop.unreachable.add(CHANNEL)
         loop.sleep(900.0)  # the next connects go unanswered
@@ -343,7 +343,7 @@
 
         Feed(loop, steady(loop))
         new = Feed(loop, script, ELSEWHERE)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1500.0)
         node.reload(config_text([instance("s-1", 1)], channel=ELSEWHERE))
         loop.sleep(SILENCE_MS + 50.0)
@@ -365,7 +365,7 @@
             comments(loop, stream)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-0", 0)])
+        node = start_node(loop, [instance("s-0", 0)])
         loop.sleep(20000.0)
         assert (
             len(feed.asked) == 1
@@ -379,7 +379,7 @@
 def test_comments_alone_are_no_silence():
     def main(loop):
         feed = Feed(loop, steady(loop))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(30_000.0)
         assert feed.asked == [1] and not node.endpoint_watch.counts["silences"]
 
@@ -414,7 +414,7 @@
             steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(600.0)
         assert feed.asked == [1] * 4 and set(node.executor_pool.executors) == {"s-1", "s-2"}
         assert (
@@ -443,10 +443,10 @@
             stream.close()
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(10_000.0)
         assert len(feed.asked) < 40
-        assert not node.log.broke and "channel" in {task.name for task in loop.tasks}
+        assert not node.log.task_failures and "channel" in {task.name for task in loop.tasks}
 
     run(main)
 
@@ -463,7 +463,7 @@
                 loop.sleep(1e6)
 
             feed = Feed(loop, script)
-            node = start(loop, [instance("s-1", 1)])
+            node = start_node(loop, [instance("s-1", 1)])
             loop.sleep(500.0)
             assert feed.asked[:2] == [1, 2] and states(node) == {"s-1": "draining"}
             assert any("Malformed" in text for _, text in node.log.lines)
@@ -494,7 +494,7 @@
     def main(loop):
         flood = Flood()
         loop.connect = lambda address: flood
-        start(loop, [instance("s-1", 1)])
+        start_node(loop, [instance("s-1", 1)])
         turns = 0
         while flood.reads < 200:
             turns += 1
@@ -507,7 +507,7 @@
 def test_an_error_that_nobody_thought_of_ends_one_connection_alone():
     def main(loop):
         feed = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         place = node.executor_pool.add
 
         def broken(*told):
@@ -593,13 +593,13 @@
             steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1), instance("s-3", 3)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(500.0)
         drained = kind in SPOILT_LINES
         assert feed.asked == [1, 1] and node.endpoint_watch.cursor == 2
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "ready"}
         assert holders(node) == {"s-1": at(1, drained), "s-2": at(2), "s-3": at(3)}
-        assert not node.log.broke and not node.driver.step_errors
+        assert not node.log.task_failures and not node.driver.step_errors
 
     run(main)
 
@@ -618,13 +618,13 @@
                 ],
             ),
         )
-        node = start(loop, [instance("s-1", 1), instance("s-3", 3)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(1000.0)
         drained = kind in SPOILT_LINES
         assert feed.asked == [1] * (MAX_RETRIES + 1) and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "draining"}
         loop.sleep(10_000.0)
-        assert len(feed.asked) == MAX_RETRIES + 1 and not node.log.broke
+        assert len(feed.asked) == MAX_RETRIES + 1 and not node.log.task_failures
 
     run(main)
 
@@ -633,7 +633,7 @@
     def main(loop):
         bad = nodes_event(2, [instance("s-9", 9) | {"weight": "4"}, instance("s-2", 2)])
         feed = Feed(loop, steady(loop, [raw_event(n, bad | {"cursor": n}) for n in range(2, 200)]))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
         assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 199
         assert set(states(node)) == {"s-1", "s-2"}
@@ -662,7 +662,7 @@
             comments(loop, stream)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
         assert feed.asked == [1] * (MAX_RETRIES + 1) + [2] and set(states(node)) == {"s-1", "s-3", "s-4"}
 
@@ -683,7 +683,7 @@
                 ],
             ),
         )
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         assert states(node) == {"s-1": "draining", "s-2": "ready"} and feed.asked == [1]
         assert any(next(iter(field)) in text for _, text in node.log.lines)
@@ -712,7 +712,7 @@
                 ],
             ),
         )
-        node = start(loop, [instance(f"s-{n}", n) for n in (1, 2, 3, 4)])
+        node = start_node(loop, [instance(f"s-{n}", n) for n in (1, 2, 3, 4)])
         loop.sleep(500.0)
         wanted = {"s-1": "draining", "s-3": "ready"} | ({} if reset else {"s-4": "ready"})
         assert states(node) == wanted and set(holders(node)) == set(wanted)
@@ -724,7 +724,7 @@
 def test_a_whole_list_with_a_line_that_names_nobody_takes_nobody_away():
     def main(loop):
         Feed(loop, steady(loop, [event(2, [instance("s-1", 1, "terminating"), {"instanceId": 5}], True)]))
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(1000.0)
         assert node.endpoint_watch.cursor == 2 and states(node) == {"s-1": "draining", "s-2": "ready"}
 
@@ -750,7 +750,7 @@
             comments(loop, stream)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         lists, post = [], node.driver.post
         node.endpoint_watch.endpoints.post = lambda told: (lists.append(told), post(told))
         while not feed.asked:
@@ -780,7 +780,7 @@
             comments(loop, stream)
 
         Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(200.0)
         assert (
             states(node) == {"s-1": "ready", "s-2": "ready"}
@@ -798,7 +798,7 @@
             comments(loop, stream)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
         assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining", "s-4": "ready"}
@@ -822,7 +822,7 @@
             comments(loop, stream)
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(200.0)
         harmless = spoilt in (b"id: x\n", b"", b"id: 0\n")  # told by the data alone, or a repeat
         assert node.endpoint_watch.cursor == 3 and feed.asked == ([1] if harmless else [1, 1])
@@ -846,7 +846,7 @@
                 ],
             ),
         )
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(200.0)
         assert (
             feed.asked == [1]
@@ -879,7 +879,7 @@
         reset = last == "reset"
         events = events if reset else [*events, last]
         Feed(loop, steady(loop, [event(n, told, reset) for n, told in enumerate(events, 2)]))
-        node = start(loop, [instance("s-old", 1)])
+        node = start_node(loop, [instance("s-old", 1)])
         loop.sleep(200.0)
         assert holders(node) == {"s-new": at(1)} and states(node) == {"s-new": "ready"}
 
@@ -908,7 +908,7 @@
             comments(loop, stream)
 
         Feed(loop, script)
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         before = {}
 
         def then(count):
@@ -941,7 +941,7 @@
 def test_an_older_file_takes_nothing_back_and_a_newer_one_is_news():
     def main(loop):
         feed = Feed(loop, steady(loop, [event(2, [instance("s-1", 1, "terminating"), instance("s-2", 2)])]))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         node.reload(config_text([instance("s-1", 1)]))
         loop.sleep(20.0)
@@ -981,7 +981,7 @@
             ),
             ELSEWHERE,
         )
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         node.reload(known_text(3, [nodes_event(3, [instance("s-1", 1, "terminating")])], ELSEWHERE))
         loop.soon(lambda: None)
@@ -1001,7 +1001,7 @@
             nodes_event(4, [instance("s-1", 1, "terminating")]),
         ]
         for cursor, told, asked in ((2, events, 4), (4, events, 4), (9, [], 0)):
-            log = Quiet()
+            log = RecordingObserver()
             loop.on_error = lambda task, exc, log=log: log.failed(task.name, exc)
             pool = ExecutorPool(loop, idle_timeout_ms=15e3, connect_timeout_ms=250.0, max_connections=10)
             channel = EndpointWatch(
@@ -1017,7 +1017,7 @@
             assert channel.cursor == asked
             channel.start()
             loop.sleep(20.0)
-            assert feed.asked.pop() == asked and not log.broke
+            assert feed.asked.pop() == asked and not log.task_failures
 
     run(main)
 
@@ -1247,7 +1247,7 @@
 def test_a_bad_file_changes_nothing_and_tells_it_in_one_line(path, value):
     def main(loop):
         Feed(loop, steady(loop))
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         told = json.loads(
             known_text(
@@ -1493,7 +1493,7 @@
     def main(loop):
         rng = random.Random(seed)
         platform = Platform(loop, rng)
-        node = start(loop, list(platform.truth.values()))
+        node = start_node(loop, list(platform.truth.values()))
         seen, wrong, post = {}, [], node.driver.post
 
         def watch(told):
@@ -1534,7 +1534,7 @@
             not node.endpoint_watch.endpoints.drained_ahead
             and not node.endpoint_watch.counts["applied_in_part"]
         )
-        assert not node.log.broke and not node.driver.step_errors
+        assert not node.log.task_failures and not node.driver.step_errors
         assert "channel" in {task.name for task in loop.tasks}
 
     run(main, seed)
--- a/tests/node/test_frontend_races.py
+++ b/tests/node/test_frontend_races.py
@@ -16,7 +16,17 @@
 
 import msgpack
 import pytest
-from nodes import ROWS, Client, Executor, Quiet, config_text, first_page, instance, name, start
+from nodes import (
+    ROWS,
+    Client,
+    Executor,
+    RecordingObserver,
+    config_text,
+    first_page,
+    instance,
+    query_id,
+    start_node,
+)
 from test_node import run, settled
 from test_node_run import ROOT, WAIT_S, command, listening, serve_channel
 
@@ -34,8 +44,8 @@
     return msgpack.packb([0, number, "isWell", [{}]])
 
 
-def request(number, query, method="lookup", wait=1500, statement=b"select 1 from sales_3.orders"):
-    told = {"i": name(query), "d": str(wait), "t": "acme", "h": "10.0", "mb": "16"}
+def request(number, query, method="lookup", timeout_ms=1500, statement=b"select 1 from sales_3.orders"):
+    told = {"i": query_id(query), "d": str(timeout_ms), "t": "acme", "h": "10.0", "mb": "16"}
     return msgpack.packb([0, number, method, [told, statement]])
 
 
@@ -52,7 +62,7 @@
 
 def real(main, work_ms=20.0, sockets=256):
     """Run `main(loop, node, executor)` with a controller and an executor on real sockets."""
-    loop, log = RealLoop(), Quiet()
+    loop, log = RealLoop(), RecordingObserver()
     loop.on_error = lambda task, exc: log.failed(task.name, exc)
 
     def begin():
@@ -70,7 +80,7 @@
         main(loop, node, executor)
 
     loop.run(begin)
-    assert not log.broke
+    assert not log.task_failures
 
 
 def connect(loop, node):
@@ -209,7 +219,7 @@
 def test_those_that_linger_are_bounded_in_number_time_and_bytes():
     def main(loop):
         Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)], sockets=200)
+        node = start_node(loop, [instance("s-1", 1)], sockets=200)
         front = node.frontend
         clients = [Client(loop) for _ in range(40)]
         for client in clients:
@@ -239,14 +249,14 @@
 
 def test_a_client_that_never_ends_is_cut_in_time_and_one_that_reads_on_may_end_itself():
     def main(loop):
-        node = start(loop, [], sockets=256)
+        node = start_node(loop, [], sockets=256)
         first, second = Client(loop), Client(loop)
         for client in (first, second):
             client.stream.write(is_well(1))
-            assert client.answer(1) == (None, [True, {}])
+            assert client.wait_for_answer(1) == (None, [True, {}])
             client.stream.write(b"\xc1")
         until(loop, lambda: len(node.frontend.lingering) == 2)
-        assert first.closed(100.0) and second.closed(100.0)
+        assert first.wait_until_closed(100.0) and second.wait_until_closed(100.0)
         first.stream.close()
         loop.sleep(10.0)
         assert len(node.frontend.lingering) == 1
@@ -263,20 +273,22 @@
 # A client leaves.
 
 
-HELD = name(99)
+HELD = query_id(99)
 
 
 def lazy(loop, node, executor, client):
     """Let more answers wait for a client than may, while a request of its goes on at the executor."""
-    number = client.ask(HELD, "publish", 5000)  # its effect happens once: it gets no second attempt
+    number = client.send_request(HELD, "publish", 5000)  # its effect happens once: it gets no second attempt
     until(loop, lambda: HELD in executor.started)
     executor.started[HELD] += 8000.0
     for k in range(1, 17):
-        client.ask(name(k), "scene-build", 5000)
+        client.send_request(query_id(k), "scene-build", 5000)
     connection = only(loop, node)
     until(loop, lambda: connection.last_message_id == 17 and len(connection.open_queries) == 1)
     assert connection.unread_bytes > client_connection.MAX_UNREAD_BYTES
-    late = client.ask(name(20), "scene-build", 5000)  # by now the controller has looked what waits
+    late = client.send_request(
+        query_id(20), "scene-build", 5000
+    )  # by now the controller has looked what waits
     loop.sleep(5.0)
     return connection, number, late
 
@@ -285,7 +297,7 @@
 def test_a_client_that_leaves_while_its_answers_wait_unread_is_seen_at_once(how):
     def main(loop):
         executor = Executor(loop, 1, pages=9, script=big_pages)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         connection, number, _ = lazy(loop, node, executor, client)
         began = loop.now()
@@ -300,7 +312,7 @@
         until(loop, lambda: not connection.open_queries)
         assert loop.now() - began < 5.0
         until(loop, lambda: HELD in executor.deleted)
-        assert name(20) not in executor.ran
+        assert query_id(20) not in executor.ran
         loop.sleep(5000.0)
         settled(node)
 
@@ -310,14 +322,14 @@
 def test_requests_that_come_while_answers_wait_unread_are_refused_and_their_refusals_bounded():
     def main(loop):
         executor = Executor(loop, 1, pages=9, script=big_pages)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         connection, _, late = lazy(loop, node, executor, client)
         assert connection.last_message_id == late and late not in connection.open_queries
-        error, _ = client.answer(late)
-        assert error[0] == "Shed" and len(client.answers) == 17 and name(20) not in executor.ran
+        error, _ = client.wait_for_answer(late)
+        assert error[0] == "Shed" and len(client.answers) == 17 and query_id(20) not in executor.ran
         for k in range(30, 46):
-            last = client.ask(name(k), "scene-build", 5000)
+            last = client.send_request(query_id(k), "scene-build", 5000)
         until(loop, lambda: connection.last_message_id == last and len(connection.open_queries) == 1)
         assert connection.unread_bytes > client_connection.MAX_UNREAD_BYTES
         for k in range(1000, 1000 + client_connection.MAX_UNREAD_ANSWERS):
@@ -334,11 +346,11 @@
 def test_a_request_and_its_forget_in_the_same_bytes_reach_no_executor(seed):
     def main(loop):
         executor = Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         client.stream.write(request(1, 1) + msgpack.packb([2, "forget", [1]]) + request(2, 2))
-        assert client.answer(2) == (None, [ROWS, {}])
-        assert executor.ran == [name(2)]
+        assert client.wait_for_answer(2) == (None, [ROWS, {}])
+        assert executor.ran == [query_id(2)]
         loop.sleep(500.0)
         settled(node)
 
@@ -386,7 +398,7 @@
         assert not connection.last_message_id
         until(loop, lambda: connection.is_closed)
         loop.sleep(100.0)
-        assert not executor.calls and not node.log.ends
+        assert not executor.calls and not node.log.attempt_statuses
         sock.close()
 
     real(main)
@@ -395,18 +407,18 @@
 def test_the_third_unusable_request_leaves_the_answers_that_are_not_taken_yet():
     def main(loop):
         executor = Executor(loop, 1, pages=9, script=big_pages)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         connection, held, late = lazy(loop, node, executor, client)
         client.stream.write(msgpack.packb([2, "forget", [held]]))
-        numbers = [client.ask(name(30 + k), "no-such-class") for k in range(3)]
+        numbers = [client.send_request(query_id(30 + k), "no-such-class") for k in range(3)]
         until(loop, lambda: connection.last_message_id == numbers[-1])
         assert (
             not connection.open_queries and connection.invalid_requests == 0
         )  # refused, as what waits is too much
-        client.answer(late)
-        numbers = [client.ask(name(40 + k), "no-such-class") for k in range(3)]
-        client.answer(numbers[-1])
+        client.wait_for_answer(late)
+        numbers = [client.send_request(query_id(40 + k), "no-such-class") for k in range(3)]
+        client.wait_for_answer(numbers[-1])
         assert len(client.answers) == 16 + 1 + 3 + 3
 
     run(5, main)
@@ -424,12 +436,12 @@
 def test_the_end_waits_for_a_slow_reader_and_for_half_a_message():
     def main(loop):
         executor = Executor(loop, 1, pages=9, script=big_pages)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client, slow = Client(loop), Client(loop)
         slow.stream.write(is_well(1))
-        slow.answer(1)
+        slow.wait_for_answer(1)
         for k in range(1, 25):
-            client.ask(name(k), "scene-build", 5000)
+            client.send_request(query_id(k), "scene-build", 5000)
         ending = loop.spawn(node.shut_down)
         loop.sleep(900.0)
         whole = request(2, 50)
@@ -438,13 +450,13 @@
         assert len(node.frontend.slots) == 2
         loop.sleep(1000.0)
         assert not ending.done
-        assert all(client.answer(k)[0] is None for k in range(1, 25)) and client.closed()
+        assert all(client.wait_for_answer(k)[0] is None for k in range(1, 25)) and client.wait_until_closed()
         slow.stream.write(whole[30:])
-        assert slow.answer(2)[0][0] == "Shed" and slow.closed()
+        assert slow.wait_for_answer(2)[0][0] == "Shed" and slow.wait_until_closed()
         for each in (client, slow):
             each.stream.close()
         ending.join()
-        assert name(50) not in executor.ran
+        assert query_id(50) not in executor.ran
         settled(node)
 
     run(6, main)
@@ -453,15 +465,15 @@
 def test_a_reader_that_takes_nothing_and_a_client_that_never_ends_hold_the_end_no_longer_than_they_may():
     def main(loop):
         Executor(loop, 1, pages=9, script=big_pages)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client, resting = Client(loop), Client(loop)
         resting.stream.write(is_well(1))
-        assert resting.answer(1) == (None, [True, {}])
+        assert resting.wait_for_answer(1) == (None, [True, {}])
         for k in range(1, 25):
-            client.ask(name(k), "scene-build", 5000)
+            client.send_request(query_id(k), "scene-build", 5000)
         killed = killed_at(node, loop)
         ending = loop.spawn(node.shut_down)
-        assert resting.closed()
+        assert resting.wait_until_closed()
         ending.join()
         assert loop.now() < killed
         assert not len(node.frontend.slots) and not node.frontend.lingering
@@ -473,21 +485,21 @@
 def test_what_is_read_after_the_end_of_service_is_refused_and_not_sent_on():
     def main(loop):
         executor = Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client, resting = Client(loop), Client(loop)
         resting.stream.write(is_well(1))
-        resting.answer(1)
-        held = client.ask(HELD, "publish", 5000)
+        resting.wait_for_answer(1)
+        held = client.send_request(HELD, "publish", 5000)
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 2500.0
         ending = loop.spawn(node.shut_down)
         until(loop, lambda: node.driver.is_closing)
-        late = client.ask(name(1), "scene-build", 4000)
+        late = client.send_request(query_id(1), "scene-build", 4000)
         resting.number = 1
-        rested = resting.ask(name(2), "scene-build", 4000)
-        assert client.answer(late)[0][0] == resting.answer(rested)[0][0] == "Shed"
-        assert client.answer(held) == (None, [ROWS, {}])
-        assert client.closed() and resting.closed()
+        rested = resting.send_request(query_id(2), "scene-build", 4000)
+        assert client.wait_for_answer(late)[0][0] == resting.wait_for_answer(rested)[0][0] == "Shed"
+        assert client.wait_for_answer(held) == (None, [ROWS, {}])
+        assert client.wait_until_closed() and resting.wait_until_closed()
         client.stream.close()
         resting.stream.close()
         ending.join()
@@ -500,15 +512,15 @@
 def test_what_is_open_at_the_last_gets_its_answer():
     def main(loop):
         executor = Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        number = client.ask(HELD, "publish", 12_000)
+        number = client.send_request(HELD, "publish", 12_000)
         until(loop, lambda: HELD in executor.started)
         executor.started[HELD] += 60_000.0
         killed = killed_at(node, loop)
         ending = loop.spawn(node.shut_down)
-        assert client.answer(number, 20_000.0)[0][0] == "Failed" and loop.now() < killed
-        assert client.closed()
+        assert client.wait_for_answer(number, 20_000.0)[0][0] == "Failed" and loop.now() < killed
+        assert client.wait_until_closed()
         client.stream.close()
         ending.join()
         assert loop.now() < killed and executor.deleted == [HELD]
@@ -553,7 +565,7 @@
     def main(loop):
         draw = loop.random
         executors = [Executor(loop, k, work_ms=150.0 * k, pages=6, script=big_pages) for k in (1, 2)]
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         ids = iter(range(1, 10_000))
         told = []  # client, number, when it was sent, its id
         closed, linger = {}, node.frontend.linger  # when each connection was closed here
@@ -571,8 +583,8 @@
                     query, effect = next(ids), draw.choice(("lookup", "scene-build", "publish"))
                     sent = loop.now()
                     with suppress(StreamReset):
-                        number = client.ask(name(query), effect, draw.choice((400, 1500, 1900)))
-                        told.append((client, number, sent, name(query)))
+                        number = client.send_request(query_id(query), effect, draw.choice((400, 1500, 1900)))
+                        told.append((client, number, sent, query_id(query)))
                 loop.sleep(draw.choice((5.0, 60.0, 400.0, 1500.0)))
 
         def listen(client, ended):
@@ -795,7 +807,7 @@
 @pytest.mark.parametrize("sockets", [256, 300, 512, 640, 1024])
 def test_the_parts_of_the_descriptors_leave_some_for_all_else(sockets):
     def main(loop):
-        node = start(loop, [], sockets=sockets)
+        node = start_node(loop, [], sockets=sockets)
         front = node.frontend
         rest = sockets - front.slots.limit - front.max_lingering - node.executor_pool.max_connections
         assert rest >= 3 + 2 + 1 + 1 + 1 + 1 + 6  # standard streams, wake pipe, listener, channel, the
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -14,10 +14,10 @@
     Executor,
     config_text,
     instance,
-    name,
     nodes_event,
     page,
-    start,
+    query_id,
+    start_node,
 )
 
 from fennelwind.loop import Address, DeadlineExceeded, SimLoop, StreamReset
@@ -38,20 +38,20 @@
         and not node.driver.gateway.queries
         and not node.driver.attempts.tasks
     )
-    assert not node.log.broke and not node.driver.step_errors and not node.driver.unanswered_by_policy
+    assert not node.log.task_failures and not node.driver.step_errors and not node.driver.unanswered_by_policy
 
 
 def test_a_query_is_served_whole_and_told_on_unchanged():
     def main(loop):
         executor = Executor(loop, 1, pages=3, work_ms=600.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         statement = "select 'é' from sales_3.orders".encode()
-        number = client.ask(name(1), "scene-build", 5000, statement)
-        error, result = client.answer(number)
+        number = client.send_request(query_id(1), "scene-build", 5000, statement)
+        error, result = client.wait_for_answer(number)
         assert error is None and result == [ROWS * 3, {}]
-        assert executor.posted[name(1)] == ("scene-build", statement)
-        assert [call for call in executor.calls if call[0] == "GET"][-1] == ("GET", f"/data/{name(1)}/2")
+        assert executor.posted[query_id(1)] == ("scene-build", statement)
+        assert [call for call in executor.calls if call[0] == "GET"][-1] == ("GET", f"/data/{query_id(1)}/2")
         assert node.driver.gateway.engines["s-1"].cached_table_groups[0] == 3
         settled(node)
 
@@ -70,10 +70,13 @@
             return None
 
         executors = [Executor(loop, k, script=script) for k in (1, 2)]
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1), "scene-build", 5000, k=key)) == (None, [ROWS, {}])
-        told = [one.fields[name(1)].get("Idempotency-Key") for one in executors]
+        assert client.wait_for_answer(client.send_request(query_id(1), "scene-build", 5000, k=key)) == (
+            None,
+            [ROWS, {}],
+        )
+        told = [one.headers[query_id(1)].get("Idempotency-Key") for one in executors]
         assert errors and told == [key, key]
         settled(node)
 
@@ -103,14 +106,14 @@
             return SPOILT[kind] if verb == "POST" else None
 
         executor = Executor(loop, 1, pages=2, script=script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        numbers = [client.ask(name(k)) for k in range(5)]
+        numbers = [client.send_request(query_id(k)) for k in range(5)]
         for number in numbers:
-            assert client.answer(number) == (None, [ROWS * 2, {}])
+            assert client.wait_for_answer(number) == (None, [ROWS * 2, {}])
         loop.sleep(1000.0)
-        assert len(executor.ran) == len(node.log.ends)  # none but the module's attempts
-        assert kind == "silent" or sorted(executor.ran) == [name(k) for k in range(5)]
+        assert len(executor.ran) == len(node.log.attempt_statuses)  # none but the module's attempts
+        assert kind == "silent" or sorted(executor.ran) == [query_id(k) for k in range(5)]
         settled(node)
 
     run(2, main)
@@ -129,9 +132,9 @@
             return None
 
         Executor(loop, 1, pages=3, script=script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1))) == (None, [ROWS * 3, {}])
+        assert client.wait_for_answer(client.send_request(query_id(1))) == (None, [ROWS * 3, {}])
         assert spoilt
         loop.sleep(1000.0)
         settled(node)
@@ -150,10 +153,10 @@
             return None
 
         Executor(loop, 1, script=script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         for k in range(20):
-            assert client.answer(client.ask(name(k))) == (None, [ROWS, {}])
+            assert client.wait_for_answer(client.send_request(query_id(k))) == (None, [ROWS, {}])
             loop.sleep(50.0)
         assert node.executor_pool.counts["not_reusable"] + node.executor_pool.counts["idle_broken"] >= 10
 
@@ -171,9 +174,9 @@
             )
 
         Executor(loop, 1, script=script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1))) == (None, [ROWS, {}])
+        assert client.wait_for_answer(client.send_request(query_id(1))) == (None, [ROWS, {}])
         assert node.executor_pool.counts["not_reusable"] == 1 and node.executor_pool.connection_count == 0
 
     run(5, main)
@@ -189,12 +192,12 @@
 
         bad = Executor(loop, 1, script=script)
         good = Executor(loop, 2)
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         client = Client(loop)
         for k in range(8):
-            error, result = client.answer(client.ask(name(k)))
+            error, result = client.wait_for_answer(client.send_request(query_id(k)))
             assert error is None and result == [ROWS, {}]
-        assert bad.ran and good.ran and "error" in node.log.ends
+        assert bad.ran and good.ran and "error" in node.log.attempt_statuses
         settled(node)
 
     run(6, main)
@@ -209,11 +212,11 @@
             return None
 
         bad = Executor(loop, 1, script=script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        client.ask(name(1), wait=900)
+        client.send_request(query_id(1), timeout_ms=900)
         loop.sleep(1500.0)
-        assert node.log.ends[0] == "reset"
+        assert node.log.attempt_statuses[0] == "reset"
         settled(node)
 
     run(7, main)
@@ -222,9 +225,9 @@
 def test_a_withdrawn_query_is_deleted_over_there():
     def main(loop):
         executor = Executor(loop, 1, work_ms=5000.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        numbers = [client.ask(name(k), "scene-build", 5500) for k in range(10)]
+        numbers = [client.send_request(query_id(k), "scene-build", 5500) for k in range(10)]
         loop.sleep(100.0)
         ran = list(executor.ran)
         assert ran
@@ -239,13 +242,15 @@
 def test_hundreds_of_withdrawals_do_not_keep_others_waiting():
     def main(loop):
         Executor(loop, 1, work_ms=40.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         clients = [Client(loop) for _ in range(12)]
         for at, client in enumerate(clients):
-            numbers = [client.ask(name(1000 + 100 * at + k), "scene-build", 5500) for k in range(30)]
+            numbers = [
+                client.send_request(query_id(1000 + 100 * at + k), "scene-build", 5500) for k in range(30)
+            ]
             client.stream.write(msgpack.packb([2, "forget", numbers]))
         other = Client(loop)
-        assert other.answer(other.ask(name(1)), 1500.0) == (None, [ROWS, {}])
+        assert other.wait_for_answer(other.send_request(query_id(1)), 1500.0) == (None, [ROWS, {}])
         loop.sleep(3000.0)
         settled(node)
 
@@ -255,9 +260,9 @@
 def test_the_new_holder_of_an_address_gets_nothing_of_the_old_one():
     def main(loop):
         executor = Executor(loop, 1)
-        node = start(loop, [instance("s-old", 1)])
+        node = start_node(loop, [instance("s-old", 1)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1)))[0] is None
+        assert client.wait_for_answer(client.send_request(query_id(1)))[0] is None
         old = node.executor_pool.executors["s-old"]
         assert len(old.idle_connections) == 1
         loop.sleep(50.0)
@@ -266,7 +271,7 @@
         node.endpoint_watch._apply_known_event(nodes_event(3, [instance("s-old", 1, "terminated")]), "full")
         assert node.executor_pool.by_address[executor.address].name == "s-new"
         loop.sleep(50.0)
-        assert client.answer(client.ask(name(2)))[0] is None
+        assert client.wait_for_answer(client.send_request(query_id(2)))[0] is None
         assert set(node.executor_pool.executors) == {"s-new"} and "s-old" not in node.driver.gateway.engines
 
     run(10, main)
@@ -293,17 +298,19 @@
 @pytest.mark.parametrize("kind", BAD)
 def test_what_cannot_be_read_is_closed(kind):
     def main(loop):
-        node = start(loop, [])
+        node = start_node(loop, [])
         client = Client(loop)
         loop.spawn(lambda: client.stream.write(BAD[kind]))
-        assert client.closed(3000.0)
+        assert client.wait_until_closed(3000.0)
         assert not len(node.frontend.slots) and node.frontend.partial_bytes == 0
-        assert not node.log.broke or all(isinstance(exc, StreamReset) for _, exc in node.log.broke)
+        assert not node.log.task_failures or all(
+            isinstance(exc, StreamReset) for _, exc in node.log.task_failures
+        )
 
     run(11, main)
 
 
-USABLE = {"i": name(1), "d": "1500", "t": "acme", "h": "10.0", "mb": "16"}
+USABLE = {"i": query_id(1), "d": "1500", "t": "acme", "h": "10.0", "mb": "16"}
 UNUSABLE = {
     "no id": {"i": None},
     "a short id": {"i": "12ab"},
@@ -332,21 +339,21 @@
 def test_a_request_with_an_unusable_field_gets_an_error_and_is_not_sent_on(kind):
     def main(loop):
         executor = Executor(loop, 1)
-        start(loop, [instance("s-1", 1)])
+        start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         fields = UNUSABLE[kind]
-        error, result = client.answer(
-            client.ask(
-                fields.get("i", name(1)),
-                wait=fields.get("d", "1500"),
+        error, result = client.wait_for_answer(
+            client.send_request(
+                fields.get("i", query_id(1)),
+                timeout_ms=fields.get("d", "1500"),
                 **{k: v for k, v in fields.items() if k not in "id"},
             )
             if "d" not in fields or fields["d"] is not None
-            else client.ask(name(1), d=None)
+            else client.send_request(query_id(1), d=None)
         )
         assert error[0] == "Unusable" and result is None
-        assert client.answer(client.ask(name(2))) == (None, [ROWS, {}])
-        assert executor.ran == [name(2)]
+        assert client.wait_for_answer(client.send_request(query_id(2))) == (None, [ROWS, {}])
+        assert executor.ran == [query_id(2)]
 
     run(12, main)
 
@@ -370,12 +377,12 @@
 def test_a_request_of_another_form_is_not_sent_on(params):
     def main(loop):
         executor = Executor(loop, 1)
-        start(loop, [instance("s-1", 1)])
+        start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
         method = "lookup" if params is not None else "no-such-class"
         client.stream.write(msgpack.packb([0, 1, method, [USABLE, b"s"] if params is None else params]))
         with suppress(StreamReset):  # what the parser does not take is closed
-            assert client.answer(1)[0][0] == "Unusable"
+            assert client.wait_for_answer(1)[0][0] == "Unusable"
         assert not executor.ran
 
     run(13, main)
@@ -384,13 +391,18 @@
 def test_the_id_of_an_open_request_is_not_taken_again():
     def main(loop):
         executor = Executor(loop, 1, work_ms=300.0)
-        start(loop, [instance("s-1", 1)])
+        start_node(loop, [instance("s-1", 1)])
         client, other = Client(loop), Client(loop)
-        number = client.ask(name(1), h="400.0")
+        number = client.send_request(query_id(1), h="400.0")
         loop.sleep(20.0)
-        assert other.answer(other.ask(name(1), statement=b"drop table sales_3.orders"))[0][0] == "Unusable"
-        assert client.answer(number) == (None, [ROWS, {}])
-        assert executor.ran == [name(1)]
+        assert (
+            other.wait_for_answer(other.send_request(query_id(1), statement=b"drop table sales_3.orders"))[0][
+                0
+            ]
+            == "Unusable"
+        )
+        assert client.wait_for_answer(number) == (None, [ROWS, {}])
+        assert executor.ran == [query_id(1)]
 
     run(14, main)
 
@@ -398,13 +410,13 @@
 def test_one_message_number_for_two_requests_closes_the_connection():
     def main(loop):
         executor = Executor(loop, 1, work_ms=300.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        client.ask(name(1), number=1)
-        client.ask(name(2), number=1)
-        assert client.closed(1000.0)
+        client.send_request(query_id(1), number=1)
+        client.send_request(query_id(2), number=1)
+        assert client.wait_until_closed(1000.0)
         loop.sleep(1000.0)
-        assert name(2) not in executor.ran and not client.answers
+        assert query_id(2) not in executor.ran and not client.answers
         settled(node)
 
     run(15, main)
@@ -413,10 +425,10 @@
 def test_more_open_requests_than_allowed_are_refused():
     def main(loop):
         Executor(loop, 1, work_ms=200.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        numbers = [client.ask(name(k)) for k in range(200)]
-        errors = [client.answer(number)[0] for number in numbers]
+        numbers = [client.send_request(query_id(k)) for k in range(200)]
+        errors = [client.wait_for_answer(number)[0] for number in numbers]
         assert (
             sum(error is not None and error[0] == "Shed" and error[1] == {"w": "2000"} for error in errors)
             >= 168
@@ -429,15 +441,19 @@
 def test_silent_half_sent_and_idle_connections_are_closed_in_time_and_open_requests_are_not():
     def main(loop):
         Executor(loop, 1, work_ms=4000.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         silent, half, busy = Client(loop), Client(loop), Client(loop)
         half.stream.write(msgpack.packb([0, 1, "lookup", [USABLE, b"s"]])[:20])
-        number = busy.ask(name(1), "scene-build", 5500)
+        number = busy.send_request(query_id(1), "scene-build", 5500)
         began = loop.now()
-        assert silent.closed(3000.0) and half.closed(3000.0) and loop.now() - began < 2500.0
-        assert busy.answer(number)[0] is None
+        assert (
+            silent.wait_until_closed(3000.0)
+            and half.wait_until_closed(3000.0)
+            and loop.now() - began < 2500.0
+        )
+        assert busy.wait_for_answer(number)[0] is None
         assert len(node.frontend.slots) == 1
-        assert busy.closed(10000.0)
+        assert busy.wait_until_closed(10000.0)
 
     run(17, main)
 
@@ -447,21 +463,21 @@
 
     def main(loop):
         Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)], sockets=40)
+        node = start_node(loop, [instance("s-1", 1)], sockets=40)
         most = node.frontend.slots.limit
         idle = [Client(loop) for _ in range(most)]
         for k, client in enumerate(idle):
-            assert client.answer(client.ask(name(k)))[0] is None
+            assert client.wait_for_answer(client.send_request(query_id(k)))[0] is None
         fresh = [Client(loop) for _ in range(most // 2)]
         loop.sleep(10.0)
         for k, client in enumerate(fresh):
-            assert client.answer(client.ask(name(100 + k)))[0] is None
+            assert client.wait_for_answer(client.send_request(query_id(100 + k)))[0] is None
         assert node.frontend.counts["closed_for_room_idle"] == most // 2
         assert node.frontend.counts["closed_for_room_new"] == 0
         mute = [Client(loop) for _ in range(most)]
         loop.sleep(500.0)
         late = Client(loop)
-        assert late.answer(late.ask(name(999)))[0] is None
+        assert late.wait_for_answer(late.send_request(query_id(999)))[0] is None
         assert node.frontend.counts["closed_for_room_mute"] >= 1 and mute
 
     run(18, main)
@@ -475,12 +491,12 @@
             return page(int(path[-1]), big) if verb == "GET" and path[-1] != "0" else None
 
         Executor(loop, 1, pages=9, script=script)
-        node = start(loop, [instance("s-1", 1)], sockets=512)
+        node = start_node(loop, [instance("s-1", 1)], sockets=512)
         lazy, other = Client(loop), Client(loop)
         for k in range(32):
-            lazy.ask(name(k), "scene-build", 5000)
+            lazy.send_request(query_id(k), "scene-build", 5000)
         loop.sleep(1500.0)
-        assert other.answer(other.ask(name(100)))[0] is None
+        assert other.wait_for_answer(other.send_request(query_id(100)))[0] is None
         loop.sleep(6000.0)
         assert node.frontend.counts["unread"] == 1 and len(node.frontend.slots) <= 1
 
@@ -533,7 +549,7 @@
                 stream.write(b": here\n\n")
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(3000.0)
         assert feed.asked == [1, 2] and node.endpoint_watch.cursor == 3
         assert set(node.driver.gateway.engines) == {"s-1", "s-2", "s-3"}
@@ -554,7 +570,7 @@
                 stream.write(b": here\n\n")
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(2500.0)
         assert feed.asked == [1, 2] and node.endpoint_watch.counts["repeats"] == 2
         assert node.driver.gateway.engines["s-2"].endpoint.state == "draining"
@@ -578,7 +594,7 @@
                 stream.write(b": here\n\n")
 
         feed = Feed(loop, script)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(2000.0)
         assert feed.asked == [1, 1] and set(node.executor_pool.executors) == {"s-1", "s-2", "s-3"}
 
@@ -599,11 +615,11 @@
             script(stream, number, last)
 
         old, new = Feed(loop, script), Feed(loop, script_there, elsewhere)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         Executor(loop, 1, work_ms=200.0)
         loop.sleep(1500.0)
         client = Client(loop)
-        number = client.ask(name(1))
+        number = client.send_request(query_id(1))
         loop.sleep(20.0)
         node.reload("{ this is no JSON")
         node.reload("[]")
@@ -611,7 +627,7 @@
         node.reload(config_text([instance("s-1", 1)], channel=elsewhere))
         loop.sleep(100.0)
         assert new.asked == [1] and old.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
-        assert client.answer(number)[0] is None
+        assert client.wait_for_answer(number)[0] is None
         settled(node)
 
     run(23, main)
@@ -619,7 +635,7 @@
 
 def test_a_start_told_twice_is_one_start():
     def main(loop):
-        node = start(loop, [instance("s-1", 1, started=500)])
+        node = start_node(loop, [instance("s-1", 1, started=500)])
         loop.sleep(700.0)
         before = node.driver.gateway.engines["s-1"]
         assert before.endpoint.started_ms == pytest.approx(500.0)
@@ -636,18 +652,18 @@
 def test_a_controller_that_is_told_to_end_serves_latecomers_and_then_ends():
     def main(loop):
         Executor(loop, 1, work_ms=900.0)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         first = Client(loop)
-        early = first.ask(name(1), "scene-build", 5000)
+        early = first.send_request(query_id(1), "scene-build", 5000)
         loop.sleep(50.0)
         ending = loop.spawn(node.shut_down)
         loop.sleep(400.0)
         second = Client(loop)
         second.stream.write(msgpack.packb([0, 1, "isWell", [{}]]))
-        assert second.answer(1) == (None, [False, {}])
+        assert second.wait_for_answer(1) == (None, [False, {}])
         second.number = 1
-        late = second.ask(name(2), "scene-build", 5000)
-        assert first.answer(early)[0] is None and second.answer(late)[0] is None
+        late = second.send_request(query_id(2), "scene-build", 5000)
+        assert first.wait_for_answer(early)[0] is None and second.wait_for_answer(late)[0] is None
         ending.join()
         settled(node)
 
@@ -656,7 +672,7 @@
 
 def test_executors_and_clients_without_end_leave_nothing_behind():
     def main(loop):
-        node = start(loop, [instance("s-0", 0)])
+        node = start_node(loop, [instance("s-0", 0)])
         executors = [Executor(loop, 0)]
         sizes = []
         for k in range(1, 300):
@@ -673,7 +689,7 @@
             )
             client = Client(loop)
             for j in range(3):
-                assert client.answer(client.ask(name(10 * k + j)))[0] is None
+                assert client.wait_for_answer(client.send_request(query_id(10 * k + j)))[0] is None
             client.stream.close()
             executors.pop(0).stop()
             if k % 100 == 99:
@@ -718,21 +734,21 @@
             return None
 
         executors = [Executor(loop, k, pages=2, work_ms=30.0 * (k + 1), script=script) for k in range(3)]
-        node = start(loop, [instance(f"s-{k}", k) for k in range(3)])
+        node = start_node(loop, [instance(f"s-{k}", k) for k in range(3)])
         clients = [Client(loop) for _ in range(4)]
         asked, served = [], 0
         for k in range(200):
             client = clients[k % 4]
-            asked.append((client, client.ask(name(k), METHODS[k % 3], 1900)))
+            asked.append((client, client.send_request(query_id(k), METHODS[k % 3], 1900)))
             loop.sleep(draw.random() * 20.0)
         for client, number in asked:
-            error, result = client.answer(number, 4000.0)
+            error, result = client.wait_for_answer(number, 4000.0)
             assert error is not None or result == [ROWS * 2, {}]
             served += error is None
         assert served > 150
         loop.sleep(3000.0)
         ran = [query for executor in executors for query in executor.ran]
-        assert len(ran) == len(node.log.ends)  # asking for news runs nothing
+        assert len(ran) == len(node.log.attempt_statuses)  # asking for news runs nothing
         once = [query for query in ran if int(query, 16) % 3 == 2]
         assert len(once) == len(set(once)) > 50
         settled(node)
@@ -743,15 +759,15 @@
 def test_connections_to_executors_are_bounded_and_waited_for():
     def main(loop):
         executor = Executor(loop, 1, work_ms=100.0)
-        node = start(
+        node = start_node(
             loop, [instance("s-1", 1)], sockets=30, FamilyInfo={"KindCores": [64], "WidthByClass": [1, 1]}
         )
         client = Client(loop)
-        numbers = [client.ask(name(k), "scene-build", 5000) for k in range(32)]
+        numbers = [client.send_request(query_id(k), "scene-build", 5000) for k in range(32)]
         most = 0
         for number in numbers:
-            assert client.answer(number)[0] is None
-            most = max(most, executor.open)
+            assert client.wait_for_answer(number)[0] is None
+            most = max(most, executor.open_connections)
         assert (
             node.executor_pool.counts["waited_for_capacity"]
             and most <= node.executor_pool.max_connections == 10
@@ -763,7 +779,7 @@
 
 def test_the_address_is_the_only_one_listened_at():
     def main(loop):
-        start(loop, [])
+        start_node(loop, [])
         assert list(loop.listeners) == [LISTEN]
 
     run(28, main)
@@ -774,14 +790,14 @@
 
     def main(loop):
         Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)])
+        node = start_node(loop, [instance("s-1", 1)])
         client = Client(loop)
-        assert client.answer(client.ask(name(1)))[0] is None
+        assert client.wait_for_answer(client.send_request(query_id(1)))[0] is None
         client.stream.write(msgpack.packb([0, 2, "lookup", [USABLE, b"s" * 5000]])[:3000])
         loop.sleep(20.0)
         assert node.frontend.partial_bytes == 3000
         assert (
-            client.closed(3000.0)
+            client.wait_until_closed(3000.0)
             and node.frontend.counts["closed_half_sent"] == 1
             and node.frontend.partial_bytes == 0
         )
@@ -791,7 +807,7 @@
 
 def test_what_is_half_sent_over_all_connections_is_bounded():
     def main(loop):
-        node = start(loop, [], sockets=1024)
+        node = start_node(loop, [], sockets=1024)
         clients = [Client(loop) for _ in range(100)]
         half = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x00\x01\x00\x00" + b"x" * 60_000
         for client in clients:
@@ -808,14 +824,14 @@
 
     def main(loop):
         Executor(loop, 1)
-        node = start(loop, [instance("s-1", 1)], sockets=100)
+        node = start_node(loop, [instance("s-1", 1)], sockets=100)
         front, slots = node.frontend, node.frontend.slots
         clients = [Client(loop) for _ in range(slots.limit)]
         for k, client in enumerate(clients[:-2]):
-            assert client.answer(client.ask(name(k)))[0] is None
+            assert client.wait_for_answer(client.send_request(query_id(k)))[0] is None
         assert all(each.reader._unpacker is None for each in slots.idle_since_ms)
         assert len(slots.idle_since_ms) == slots.limit - 2 and len(slots.new_since_ms) == 2
-        number = clients[0].ask(name(500), "scene-build", 5000)
+        number = clients[0].send_request(query_id(500), "scene-build", 5000)
         loop.sleep(5.0)
         oldest = next(iter(slots.idle_since_ms))
         assert len(slots.idle_since_ms) == slots.limit - 3 and clients[1].stream.peer == LISTEN
@@ -826,7 +842,7 @@
         extra = [Client(loop) for _ in range(3)]
         loop.sleep(10.0)
         assert oldest.is_closed and front.counts["closed_for_room_idle"] == 1 and len(slots.new_since_ms) == 3
-        assert clients[0].answer(number)[0] is None and extra
+        assert clients[0].wait_for_answer(number)[0] is None and extra
         loop.sleep(20000.0)
         assert not len(slots)
 
@@ -836,9 +852,9 @@
 def test_nothing_is_sent_to_an_executor_that_came_to_drain_while_there_was_no_connection():
     def main(loop):
         executor = Executor(loop, 1, work_ms=1500.0)
-        node = start(loop, [instance("s-1", 1)], sockets=30)
+        node = start_node(loop, [instance("s-1", 1)], sockets=30)
         client = Client(loop)
-        numbers = [client.ask(name(k), "publish", 5900, h="100.0") for k in range(16)]
+        numbers = [client.send_request(query_id(k), "publish", 5900, h="100.0") for k in range(16)]
         loop.sleep(200.0)
         sent = len(executor.ran)
         assert (
@@ -846,9 +862,9 @@
             and node.executor_pool.counts["waited_for_capacity"]
         )
         node.endpoint_watch._apply_known_event(nodes_event(2, [instance("s-1", 1, "terminating")]), "full")
-        ends = [client.answer(number, 7000.0)[0] for number in numbers]
+        ends = [client.wait_for_answer(number, 7000.0)[0] for number in numbers]
         assert sum(error is None for error in ends) == sent == len(executor.ran)
-        assert node.log.ends.count("moot") == 6
+        assert node.log.attempt_statuses.count("moot") == 6
         settled(node)
 
     run(32, main)
@@ -857,14 +873,14 @@
 def test_an_executor_that_answers_nothing_holds_up_no_others_deletes():
     def main(loop):
         hung = Executor(loop, 1, work_ms=9000.0, script=lambda *_: "silent")
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         well = Executor(loop, 2)
         for k in range(200):
-            node.executor_client.cancellations.add(node.executor_pool.executors["s-1"], name(k))
-        well.started[name(999)] = loop.now()
-        node.executor_client.cancellations.add(node.executor_pool.executors["s-2"], name(999))
+            node.executor_client.cancellations.add(node.executor_pool.executors["s-1"], query_id(k))
+        well.started[query_id(999)] = loop.now()
+        node.executor_client.cancellations.add(node.executor_pool.executors["s-2"], query_id(999))
         loop.sleep(50.0)
-        assert well.deleted == [name(999)] and hung.open <= 3
+        assert well.deleted == [query_id(999)] and hung.open_connections <= 3
         loop.sleep(200 * 1300.0)
         assert (
             not node.executor_client.cancellations.pending and node.executor_pool.counts["not_deleted"] == 200
@@ -876,9 +892,9 @@
 def test_what_is_believed_is_what_is_on_the_sockets():
     def main(loop):
         executors = [Executor(loop, k, work_ms=700.0) for k in range(2)]
-        node = start(loop, [instance(f"s-{k}", k) for k in range(2)])
+        node = start_node(loop, [instance(f"s-{k}", k) for k in range(2)])
         client = Client(loop)
-        numbers = [client.ask(name(k), "publish", 5900, h="100.0") for k in range(12)]
+        numbers = [client.send_request(query_id(k), "publish", 5900, h="100.0") for k in range(12)]
         loop.sleep(300.0)
         rows = compare(node.driver.gateway, node.executor_client)
         assert [row.policy_count for row in rows] == [row.in_flight_count for row in rows]
@@ -889,7 +905,7 @@
         node.driver.gateway.engines["s-0"].running_attempts.popitem()  # planted: an attempt forgotten
         assert drift(node.driver.gateway, node.executor_client) == 1
         for number in numbers:
-            assert client.answer(number)[0] is None
+            assert client.wait_for_answer(number)[0] is None
         ended = compare(node.driver.gateway, node.executor_client)
         assert sum(row.succeeded for row in ended) == 12 and not any(row.failed for row in ended)
         assert not any(row.succeeded for row in compare(node.driver.gateway, node.executor_client))
@@ -916,9 +932,9 @@
         for number in (1, 2):
             Executor(loop, number, script=script)
         limits = SETTINGS["Ceilings"] | {"ParallelTries": parallel}
-        node = start(loop, [instance("s-1", 1), instance("s-2", 2)], Ceilings=limits)
+        node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)], Ceilings=limits)
         client = Client(loop)
-        client.ask(name(1), "scene-build", 5500, h="10.0")
+        client.send_request(query_id(1), "scene-build", 5500, h="10.0")
         loop.sleep(3000.0)
         first, second, *_ = when["sent"]
         assert first < second and (when["deleted"] <= second) is not parallel
--- a/tests/node/test_node_run.py
+++ b/tests/node/test_node_run.py
@@ -11,7 +11,7 @@
 
 import msgpack
 import pytest
-from nodes import ROWS, config_text, first_page, instance, name
+from nodes import ROWS, config_text, first_page, instance, query_id
 
 ROOT = Path(__file__).parent.parent.parent
 WAIT_S = 30.0  # s; a wait that is over much sooner, but for a machine that stands still
@@ -136,7 +136,7 @@
 
 
 def ask(number, **fields):
-    told = {"i": name(number), "d": "1900", "t": "acme"} | fields
+    told = {"i": query_id(number), "d": "1900", "t": "acme"} | fields
     return msgpack.packb([0, 1, "lookup", [told, b"select 1 from sales_3.orders"]])
 
 
--- a/tests/node/test_terms_answers.py
+++ b/tests/node/test_terms_answers.py
@@ -5,7 +5,7 @@
 import time
 
 import msgpack
-from nodes import ROWS, SETTINGS, name, page
+from nodes import ROWS, SETTINGS, page, query_id
 from processes import Controller, ThreadedClient, ThreadedExecutor, until
 
 GARBAGE = b"\xc1" * 100
@@ -25,7 +25,7 @@
         for number, held_s in enumerate((0.0, 0.1)):  # in the same bytes, and behind an open request
             for kind in ("garbage", "number", "params"):
                 client = ThreadedClient(controller)
-                raw = client.pack(name(10 * number + len(kind)))
+                raw = client.pack(query_id(10 * number + len(kind)))
                 bad = {
                     "garbage": GARBAGE,
                     "number": msgpack.packb([0, 1, "lookup", [{}, b""]]),
@@ -59,7 +59,7 @@
         began = time.monotonic()
         for number in range(0, 160, 16):
             for each in range(number, number + 16):
-                client.ask(name(each), "scene-build", 5800)
+                client.send_request(query_id(each), "scene-build", 5800)
             time.sleep(0.1)
         time.sleep(began + 4.6 - time.monotonic())
         client.read()
@@ -74,8 +74,8 @@
     bad = []
     try:
         client = ThreadedClient(controller)
-        request = client.ask(name(1))
-        raw = client.pack(name(2), statement=b"select '" + b"x" * 60_000 + b"'")
+        request = client.send_request(query_id(1))
+        raw = client.pack(query_id(2), statement=b"select '" + b"x" * 60_000 + b"'")
         host, port = controller.listen.rsplit(":", 1)
         for _ in range(62):
             sock = socket.create_connection((host, int(port)))
@@ -100,11 +100,11 @@
     controller = Controller(tmp_path, [executor], Ceilings=ceilings)
     try:
         client = ThreadedClient(controller)
-        requests = [client.ask(name(1), wait_ms=1)]
-        requests += [client.ask(name(number), "scene-build", 5000) for number in range(2, 42)]
+        requests = [client.send_request(query_id(1), wait_ms=1)]
+        requests += [client.send_request(query_id(number), "scene-build", 5000) for number in range(2, 42)]
         controller.signal(signal.SIGTERM)
         time.sleep(1.2)
-        requests.append(client.ask(name(99)))
+        requests.append(client.send_request(query_id(99)))
         until(lambda: all(request.answers for request in requests))
         refused = [request.answers[0][1] for request in requests if request.answers[0][1][0] == "Shed"]
         assert len(refused) >= 10 and all(error == ["Shed", {}] for error in refused)
@@ -114,7 +114,7 @@
 
 def bad_clients():
     """Return what bad clients send, by kind, and whether they close behind it."""
-    ask = [0, 1, "lookup", [{"i": name(1), "d": "900", "t": "acme"}, b"select 1"]]
+    ask = [0, 1, "lookup", [{"i": query_id(1), "d": "900", "t": "acme"}, b"select 1"]]
 
     def bent(**fields):
         return msgpack.packb([0, 1, "lookup", [ask[3][0] | fields, b"select 1"]])
@@ -148,7 +148,7 @@
             bad[kind] = socket.create_connection((host, int(port)))
             bad[kind].sendall(raw)
         client = ThreadedClient(controller)
-        request = client.ask(name(77))
+        request = client.send_request(query_id(77))
         for kind, sock in bad.items():
             sock.settimeout(max(0.01, began + 3.0 - time.monotonic()))
             try:
@@ -158,6 +158,6 @@
             assert not data or msgpack.unpackb(data, raw=False)[2] is not None, kind
             sock.close()
         until(lambda: request.answers)
-        assert request.answers[0][2] == [ROWS, {}] and executor.queries() == [name(77)]
+        assert request.answers[0][2] == [ROWS, {}] and executor.queries() == [query_id(77)]
     finally:
         controller.end()
--- a/tests/node/test_terms_attempts.py
+++ b/tests/node/test_terms_attempts.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from nodes import SETTINGS, name
+from nodes import SETTINGS, query_id
 from processes import (
     DEADLINE_SLACK_S,
     Controller,
@@ -20,7 +20,7 @@
 def told_too_much_s(request, post):
     """Return by how much an executor was told a longer deadline than the client has left, in seconds."""
     left = request.sent_at + request.wait_s - post.whole_at
-    return int(post.fields["X-Wait-Ms"]) / 1000.0 - left
+    return int(post.headers["X-Wait-Ms"]) / 1000.0 - left
 
 
 @pytest.mark.parametrize("where", ["open", "new", "pieces"])
@@ -29,25 +29,25 @@
     controller = Controller(tmp_path, [executor])
     try:
         client = ThreadedClient(controller)
-        client.ask(name(1))
+        client.send_request(query_id(1))
         until(lambda: client.requests[1].answers)
         stop(controller)
         time.sleep(0.15)
         if where == "new":
             client = ThreadedClient(controller)
         if where == "pieces":
-            raw = client.pack(name(2), wait_ms=1500)
+            raw = client.pack(query_id(2), wait_ms=1500)
             client.sock.sendall(raw[:20])
             time.sleep(0.1)
             client.requests[client.number].sent_at = time.monotonic()
             client.sock.sendall(raw[20:])
         else:
-            client.ask(name(2), wait_ms=1500)
+            client.send_request(query_id(2), wait_ms=1500)
         time.sleep(STALL_S)
         controller.signal(signal.SIGCONT)
         request = client.requests[client.number]
         until(lambda: request.answers)
-        assert executor.queries()[-1] == name(2)
+        assert executor.queries()[-1] == query_id(2)
         assert told_too_much_s(request, executor.posts[-1]) <= DEADLINE_SLACK_S
     finally:
         controller.end()
@@ -74,7 +74,7 @@
             time.sleep(0.1)
             stop(controller)
             for number in range(1, 31):
-                client.ask(name(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
+                client.send_request(query_id(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
             leave(client, how)
             time.sleep(0.3)
             controller.signal(signal.SIGCONT)
@@ -93,7 +93,7 @@
         try:
             client = ThreadedClient(controller)
             for number in range(many):
-                client.ask(name(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
+                client.send_request(query_id(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
             time.sleep(0.4)
             stop(controller)
             leave(client, how)
--- a/tests/node/test_terms_clocks.py
+++ b/tests/node/test_terms_clocks.py
@@ -4,7 +4,7 @@
 import threading
 import time
 
-from nodes import SETTINGS, instance, name, nodes_event
+from nodes import SETTINGS, instance, nodes_event, query_id
 from processes import ThreadedClient, ThreadedExecutor, classes, until
 from test_terms_system_calls import Troubled
 
@@ -30,7 +30,7 @@
     def one():
         client = ThreadedClient(controller)
         while time.monotonic() < end:
-            request = client.ask(name(next(counted)), wait_ms=1900, work_ms=WORK_MS)
+            request = client.send_request(query_id(next(counted)), wait_ms=1900, work_ms=WORK_MS)
             until(lambda request=request, client=client: request.answers or client.ended_at)
 
     threads = [threading.Thread(target=one, daemon=True) for _ in range(60)]
--- a/tests/node/test_terms_discovery.py
+++ b/tests/node/test_terms_discovery.py
@@ -2,7 +2,7 @@
 
 import time
 
-from nodes import instance, name
+from nodes import instance, query_id
 from processes import Controller, SlowChannel, ThreadedClient, ThreadedExecutor, until
 
 COUNTS_AS_TOLD_S = 4.0  # protocol: behind the moment in which the channel went silent, or SIGHUP
@@ -20,12 +20,12 @@
         controller.signal(1)
         channel.tell(2, instance("s-1", 1, "terminating") | {"hostPort": executor.address})
         client = ThreadedClient(controller)
-        client.ask(name(1))
+        client.send_request(query_id(1))
         until(lambda: client.requests[1].answers)
         time.sleep(began + COUNTS_AS_TOLD_S + GRACE_S + 0.05 - time.monotonic())
-        late = ThreadedClient(controller).ask(name(2), wait_ms=500)
+        late = ThreadedClient(controller).send_request(query_id(2), wait_ms=500)
         until(lambda: late.answers)
-        return executor.queries() == [name(1)]
+        return executor.queries() == [query_id(1)]
     finally:
         controller.end()
         channel.sock.close()
--- a/tests/node/test_terms_shutdown.py
+++ b/tests/node/test_terms_shutdown.py
@@ -4,7 +4,7 @@
 import time
 
 import pytest
-from nodes import name
+from nodes import query_id
 from processes import Controller, ThreadedClient, ThreadedExecutor, classes, until
 from shutdown_soak import play
 
@@ -22,12 +22,12 @@
     try:
         clients = [ThreadedClient(controller) for _ in range(3)]
         for number, cls in enumerate(("lookup", "scene-build", "publish")):
-            clients[number].ask(name(number), cls, longest_ms)
+            clients[number].send_request(query_id(number), cls, longest_ms)
         until(lambda: executor.posts)
         told, kill = killed(controller, longest_ms)
         for number, cls in enumerate(("lookup", "scene-build", "publish")):
             time.sleep(max(0.0, told + 0.19 * (number + 1) - time.monotonic()))
-            clients[number].ask(name(10 + number), cls, longest_ms)
+            clients[number].send_request(query_id(10 + number), cls, longest_ms)
         time.sleep(max(0.0, kill - time.monotonic()))
         controller.process.kill()
         for client in clients:
--- a/tests/node/test_terms_system_calls.py
+++ b/tests/node/test_terms_system_calls.py
@@ -6,7 +6,7 @@
 import time
 
 import pytest
-from nodes import ROWS, SETTINGS, name
+from nodes import ROWS, SETTINGS, query_id
 from processes import DEADLINE_SLACK_S, LEFT_S, Controller, ThreadedClient, ThreadedExecutor, until
 from test_node_run import listening, serve_channel
 
@@ -51,7 +51,7 @@
     ):
         troubled.fail(accept=error)
         clients = [ThreadedClient(troubled) for _ in range(3)]
-        requests = [client.ask(name(10 * number + k)) for k, client in enumerate(clients)]
+        requests = [client.send_request(query_id(10 * number + k)) for k, client in enumerate(clients)]
         time.sleep(0.3)
         troubled.fail()
         assert all(served(request) for request in requests), error
@@ -64,14 +64,14 @@
     first = ThreadedClient(troubled)
     time.sleep(0.2)
     troubled.fail()
-    assert served(ThreadedClient(troubled).ask(name(1)))
+    assert served(ThreadedClient(troubled).send_request(query_id(1)))
     first.close()
 
 
 def test_one_byte_at_a_time_changes_no_answer(troubled):
     troubled.fail(sizes="short")
     client = ThreadedClient(troubled)
-    assert served(client.ask(name(1), wait_ms=3000, statement=b"select 1 from sales_3.orders"))
+    assert served(client.send_request(query_id(1), wait_ms=3000, statement=b"select 1 from sales_3.orders"))
     troubled.fail()
 
 
@@ -97,7 +97,7 @@
     told = troubled.signal(signal.SIGTERM)
     time.sleep(0.3)
     clients = [ThreadedClient(troubled) for _ in range(3)]
-    requests = [client.ask(name(k)) for k, client in enumerate(clients)]
+    requests = [client.send_request(query_id(k)) for k, client in enumerate(clients)]
     time.sleep(max(0.0, told + 1.1 - time.monotonic()))
     troubled.fail()
     for request in requests:
@@ -115,7 +115,9 @@
     for number, error in enumerate(errors[call]):
         time.sleep(0.1)
         troubled.fail(**{call: error})
-        requests = [client.ask(name(10 * number + k)) for k in range(6)]  # more than connections that rest
+        requests = [
+            client.send_request(query_id(10 * number + k)) for k in range(6)
+        ]  # more than connections that rest
         time.sleep(0.15)
         troubled.fail()
         assert all(served(request) for request in requests), error
@@ -129,7 +131,7 @@
         controller = Troubled(folder, [ThreadedExecutor()], trouble={call: error})
         try:
             client = ThreadedClient(controller)
-            assert served(client.ask(name(1)))
+            assert served(client.send_request(query_id(1)))
         finally:
             controller.end()
 
@@ -143,9 +145,9 @@
         controller = Troubled(folder, [executor], Ceilings=ceilings)
         try:
             client = ThreadedClient(controller)
-            assert served(client.ask(name(1)))
+            assert served(client.send_request(query_id(1)))
             controller.fail(send="EAGAIN")
-            request = client.ask(name(2))
+            request = client.send_request(query_id(2))
             time.sleep(0.05)
             if leaves:
                 client.close()
@@ -155,7 +157,7 @@
             time.sleep(0.5)
             for post in executor.posts[1:]:
                 left_s = request.sent_at + request.wait_s - post.whole_at
-                assert int(post.fields["X-Wait-Ms"]) / 1000.0 <= left_s + DEADLINE_SLACK_S
+                assert int(post.headers["X-Wait-Ms"]) / 1000.0 <= left_s + DEADLINE_SLACK_S
                 assert not leaves or post.whole_at <= left_at + LEFT_S
         finally:
             controller.end()
@@ -165,10 +167,10 @@
     client = ThreadedClient(troubled)
     troubled.executor.work_s = 0.5
     for number, error in enumerate(("ETIMEDOUT", "EHOSTUNREACH", "ENETUNREACH", "ECONNRESET")):
-        request = client.ask(name(number), "scene-build", 3000, work_ms=2000.0)
+        request = client.send_request(query_id(number), "scene-build", 3000, work_ms=2000.0)
         time.sleep(0.1)
         troubled.fail(recv=error)
         time.sleep(0.3)  # an executor answers after 0.25 s that a query goes on
         troubled.fail()
         assert served(request), error
-        assert troubled.executor.queries().count(name(number)) == 1, error
+        assert troubled.executor.queries().count(query_id(number)) == 1, error
--- a/tests/support/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -17,7 +17,7 @@
 
 import msgpack
 from crossings_oracle import UNASKED_MS, Asked, Fault, Posted, Record, Run, Told
-from nodes import CHANNEL, LISTEN, SETTINGS, config_text, instance, name, nodes_event, start
+from nodes import CHANNEL, LISTEN, SETTINGS, config_text, instance, nodes_event, query_id, start_node
 
 from fennelwind.loop import Address, ConnectFailed, DeadlineExceeded, SimLoop, StreamReset
 from fennelwind.loop.sim import PIPE_BYTES, SimStream
@@ -522,13 +522,13 @@
         """Return what is not answered yet."""
         return [asked for asked in self.open.values() if not asked.answers and asked.left is None]
 
-    def ask(self, pieces=1, most=None):
+    def send_request(self, pieces=1, most=None):
         """Ask for something; return it, or None where the connection has ended meanwhile."""
         random = self.random
         cls = random.choice(list(self.play.classes))
         wait = random.uniform(250.0, most or self.play.classes[cls]["GiveUpMs"])
         self.play.ids += 1
-        told = name(self.play.ids)
+        told = query_id(self.play.ids)
         self.number += 1
         fields = {"i": told, "d": f"{wait:.0f}", "t": "acme"}
         if random.random() < 0.7:
@@ -582,7 +582,7 @@
 
     def play_steady(self):
         for _ in range(self.random.randint(1, 5)):
-            asked = self.ask(self.random.choice([1, 1, 2, 4]))
+            asked = self.send_request(self.random.choice([1, 1, 2, 4]))
             if asked is None:
                 return
             if self.random.random() < 0.15:
@@ -595,7 +595,7 @@
         self.leave("close")
 
     def play_pipeline(self):
-        many = [self.ask() for _ in range(self.random.randint(3, 16))]
+        many = [self.send_request() for _ in range(self.random.randint(3, 16))]
         self.loop.sleep(self.random.uniform(0.0, 300.0))
         for asked in many:
             if asked is not None and self.random.random() < 0.3 and not asked.answers:
@@ -606,13 +606,13 @@
 
     def play_leaver(self):
         for _ in range(self.random.randint(1, 4)):
-            self.ask()
+            self.send_request()
         self.loop.sleep(self.random.uniform(0.0, self.random.choice([0.0, 30.0, 900.0])))
         self.leave(self.random.choice(["close", "half", "reset"]))
 
     def play_glutton(self):
         for _ in range(self.random.randint(14, 30)):
-            asked = self.ask()
+            asked = self.send_request()
             self.loop.sleep(self.random.choice([0.0, 20.0]))
             if asked is not None and self.random.random() < 0.1:
                 self.leave("forget", asked)
@@ -624,19 +624,19 @@
         self.leave(self.random.choice(["close", "reset"]))
 
     def play_rester(self):
-        asked = self.ask()
+        asked = self.send_request()
         if asked is not None:
             self.wait(asked)
         while not self.gone and self.loop.now() < self.play.until + 1000.0:
             self.loop.sleep(self.random.uniform(100.0, 1500.0))
             if not self.gone and self.random.random() < 0.6:
-                self.ask(self.random.choice([1, 2]))
+                self.send_request(self.random.choice([1, 2]))
         self.wait()
         self.leave("close")
 
     def play_bad(self):
         with suppress(StreamReset):
-            told = name(10**12 + self.play.callers)
+            told = query_id(10**12 + self.play.callers)
             fields = {"i": told, "d": "900", "t": "nobody"}
             whole = msgpack.packb([0, 1, next(iter(self.play.classes)), [fields, b"x"]])
             endless = b"\x94\x00\x01\xc6\xff\xff\xff\xff"
@@ -742,7 +742,7 @@
         self.registry = Registry(self)
         known = [self.instance(told) for told in members]
         self.told(known)
-        self.node = start(loop, known, sockets=self.sockets, **self.stated())
+        self.node = start_node(loop, known, sockets=self.sockets, **self.stated())
         began, length = loop.now(), random.uniform(2000.0, 5000.0)
         self.until = began + length
         for _ in range(random.randint(0, 7)):
@@ -792,8 +792,8 @@
         node, at = self.node, self.loop.now()
         if not node.driver.ledger.is_balanced():
             self.record.fault("left over", at, "the books don't agree")
-        if node.log.broke or node.driver.step_errors:
-            self.record.fault("broke", at, f"{node.driver.step_errors} steps, {node.log.broke[:2]}")
+        if node.log.task_failures or node.driver.step_errors:
+            self.record.fault("broke", at, f"{node.driver.step_errors} steps, {node.log.task_failures[:2]}")
         if self.record.links_most > int(self.sockets * LINKS_PART):
             self.record.fault("connections", at, f"{self.record.links_most}, with {self.sockets} descriptors")
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -24,7 +24,7 @@
 import msgpack
 from council_world import Council
 from fleet import Fleet, execute, fetch, outcome, status
-from nodes import CHANNEL, Client, Executor, instance, name, nodes_event, start
+from nodes import CHANNEL, Client, Executor, instance, nodes_event, query_id, start_node
 from prometheus_client.parser import text_string_to_metric_families
 
 from fennelwind.cli.main import main as command_line
@@ -116,22 +116,26 @@
             Executor(loop, 2, pages=2),
             Executor(loop, 3, work_ms=900.0),
         ]
-        start(loop, [instance("s-1", 1), instance("s-2", 2)])
+        start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         client = Client(loop)
         answers = []
         for number in range(1, 9):
             method = ("lookup", "scene-build", "publish")[number % 3]
             key = None if number % 2 else f"key-{number}"
-            answers.append(client.answer(client.ask(name(number), method, 5000, k=key)))
+            answers.append(client.wait_for_answer(client.send_request(query_id(number), method, 5000, k=key)))
             loop.sleep(200.0)
         loop.sleep(3000.0)
-        waiting = client.ask(name(20), "scene-build", 4000)
+        waiting = client.send_request(query_id(20), "scene-build", 4000)
         loop.sleep(100.0)
-        client.stream.write(msgpack.packb([2, "forget", [{"i": name(20)}]]))
-        answers.append(client.answer(waiting))
+        client.stream.write(msgpack.packb([2, "forget", [{"i": query_id(20)}]]))
+        answers.append(client.wait_for_answer(waiting))
         for method, fields in (("nothing", {}), ("lookup", {"t": "nobody"}), ("lookup", {"d": "x"})):
             try:
-                answers.append(client.answer(client.ask(name(30 + len(answers)), method, 500, **fields)))
+                answers.append(
+                    client.wait_for_answer(
+                        client.send_request(query_id(30 + len(answers)), method, 500, **fields)
+                    )
+                )
             except Exception as exc:  # a connection that is closed for it is part of the wire as well
                 answers.append(type(exc).__name__)
                 client = Client(loop)
@@ -139,7 +143,9 @@
             executor.stop()
         loop.sleep(2500.0)
         other = Client(loop)
-        answers += [other.answer(other.ask(name(50 + n), "lookup", 900)) for n in range(2)]
+        answers += [
+            other.wait_for_answer(other.send_request(query_id(50 + n), "lookup", 900)) for n in range(2)
+        ]
         return json.loads(json.dumps(answers, default=lambda raw: raw.decode("latin-1")))
 
     loop = SimLoop(11)
--- a/tests/support/nodes.py
+++ b/tests/support/nodes.py
@@ -106,11 +106,11 @@
     )
 
 
-class Quiet:
+class RecordingObserver:
     """An observer that keeps what it is told."""
 
     def __init__(self):
-        self.lines, self.broke, self.ends = [], [], []
+        self.lines, self.task_failures, self.attempt_statuses = [], [], []
 
     def write(self, sort, text, most=0):
         self.lines.append((sort, text))
@@ -122,10 +122,10 @@
         pass
 
     def attempted(self, entry, number, engine, end, took_ms):
-        self.ends.append(end.status)
+        self.attempt_statuses.append(end.status)
 
     def failed(self, where, exc):
-        self.broke.append((where, exc))
+        self.task_failures.append((where, exc))
 
 
 class Executor:
@@ -140,8 +140,8 @@
         self.calls, self.started, self.deleted, self.priorities = [], {}, [], {}
         self.ran = []
         self.posted = {}
-        self.fields = {}
-        self.open = 0
+        self.headers = {}
+        self.open_connections = 0
         self.listener = loop.listen(self.address)
         loop.spawn(self._accept, name=f"executor {number}")
 
@@ -158,7 +158,7 @@
 
     def _serve(self, stream):
         data = b""
-        self.open += 1
+        self.open_connections += 1
         try:
             while True:
                 while b"\r\n\r\n" not in data:
@@ -190,7 +190,7 @@
         except (StreamReset, DeadlineExceeded):
             pass
         finally:
-            self.open -= 1
+            self.open_connections -= 1
             stream.close()
 
     def _answer(self, verb, path, fields, body):
@@ -198,7 +198,7 @@
             name = fields["X-Req"]
             self.started[name] = self.loop.now()
             self.posted[name] = (fields["X-Class"], body)
-            self.fields[name] = fields
+            self.headers[name] = fields
             self.ran.append(name)
             return None
         name = path.split("/")[2]
@@ -243,11 +243,11 @@
         self.unpacker, self.number = msgpack.Unpacker(raw=False), 0
         self.answers = {}
 
-    def ask(
+    def send_request(
         self,
         name,
         method="lookup",
-        wait=1500,
+        timeout_ms=1500,
         statement=b"select 1 from sales_3.orders",
         number=None,
         **fields,
@@ -255,13 +255,13 @@
         if number is None:
             self.number += 1
             number = self.number
-        told = {"i": name, "d": str(wait), "t": "acme", "h": "10.0", "mb": "16"} | fields
+        told = {"i": name, "d": str(timeout_ms), "t": "acme", "h": "10.0", "mb": "16"} | fields
         told = {key: value for key, value in told.items() if value is not None}
         self.stream.write(msgpack.packb([0, number, method, [told, statement]]))
         return number
 
-    def answer(self, number, within=5000.0):
-        with self.loop.deadline(within):
+    def wait_for_answer(self, number, within_ms=5000.0):
+        with self.loop.deadline(within_ms):
             while number not in self.answers:
                 data = self.stream.read()
                 if not data:
@@ -272,8 +272,8 @@
                     self.answers[at] = (error, result)
         return self.answers[number]
 
-    def closed(self, within=5000.0):
-        with self.loop.deadline(within):
+    def wait_until_closed(self, within_ms=5000.0):
+        with self.loop.deadline(within_ms):
             while True:
                 try:
                     if not self.stream.read():
@@ -282,15 +282,15 @@
                     return True
 
 
-def start(loop, instances, **told):
+def start_node(loop, instances, **told):
     """Start a controller; return it."""
-    log = Quiet()
+    log = RecordingObserver()
     loop.on_error = lambda task, exc: log.failed(task.name, exc)
     node = Node(loop, read_config(config_text(instances, **told)), log)
     node.start()
     return node
 
 
-def name(number):
+def query_id(number):
     """Return a client's id."""
     return f"{number:016x}"
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -41,7 +41,7 @@
 
     query: str
     whole_at: float
-    fields: dict[str, str]
+    headers: dict[str, str]
     executor: "ThreadedExecutor"
     asked_at: float  # when it was last asked for
     ended_at: float | None = None  # when its end was written, or it was given up
@@ -329,7 +329,7 @@
         self.requests[self.number] = Request(query, time.monotonic(), wait_ms / 1000.0, cls)
         return raw
 
-    def ask(self, query: str, *args: Any, **more: Any) -> Request:
+    def send_request(self, query: str, *args: Any, **more: Any) -> Request:
         """Send a request. Raises `OSError` where the connection has ended, as the kernel knows."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
--- a/tests/support/shutdown_soak.py
+++ b/tests/support/shutdown_soak.py
@@ -19,7 +19,7 @@
 from pathlib import Path
 from random import Random
 
-from nodes import SETTINGS, instance, name
+from nodes import SETTINGS, instance, query_id
 from processes import (
     DEADLINE_SLACK_S,
     LEFT_S,
@@ -194,9 +194,9 @@
         for _ in range(random.choice([1, 1, 1, 3, 8])):
             with self.lock:
                 self.count += 1
-                query = name(self.count)
+                query = query_id(self.count)
             cls = random.choice(["lookup", "scene-build", "publish"])
-            asked.append(client.ask(query, cls, random.uniform(0.3, 1.0) * self.longest_ms))
+            asked.append(client.send_request(query, cls, random.uniform(0.3, 1.0) * self.longest_ms))
         if random.random() < 0.1:
             time.sleep(random.uniform(0.0, 0.1))
             number = random.choice(list(client.requests))
@@ -247,7 +247,7 @@
     def _judge_rules(self, said, request, posts):
         """Judge the attempts of one request against each other, and against its class."""
         # In the order in which they left: the kernel's account of arrivals is some ms coarse.
-        posts = sorted(posts, key=lambda post: -int(post.fields["X-Wait-Ms"]))
+        posts = sorted(posts, key=lambda post: -int(post.headers["X-Wait-Ms"]))
         slack = SLACK_S + self.error_s
         once, keyed = request.cls == "publish", request.cls == "scene-build"
         if len(posts) > self.ceilings["MaxAttempts"]:
@@ -294,7 +294,7 @@
         for post in posts:
             if left is not None and post.whole_at > left + LEFT_S + self.error_s:
                 yield f"{said}: an attempt began {post.whole_at - left:.3f} s after its client left"
-            told = int(post.fields["X-Wait-Ms"]) / 1000.0
+            told = int(post.headers["X-Wait-Ms"]) / 1000.0
             if told > due - post.whole_at + DEADLINE_SLACK_S + self.error_s:
                 yield f"{said}: told {told:.3f} s with {due - post.whole_at:.3f} s left"
 
