--- a/fennelwind/node/__init__.py
+++ b/fennelwind/node/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's protocol: clients over MessagePack-RPC, executors over HTTP, endpoints as events."""
+"""The controller on the platform: clients over MessagePack-RPC, executors over HTTP, endpoints as events."""
--- a/fennelwind/node/__main__.py
+++ b/fennelwind/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m fennelwind.node`: one controller on the platform."""
+"""`python -m fennelwind.node` runs one controller on the platform."""
 
 import sys
 
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -1,13 +1,13 @@
-"""One attempt at an executor: started, polled until it ends, and cancelled there when nobody wants it.
+"""One attempt at an executor: starts it, polls until it ends, and cancels it there if it is not needed.
 
-An attempt is tied to no connection: when one breaks, stays silent or brings a malformed answer, the same
-attempt's end or page is polled for again on a fresh one. That is no further attempt. How an end is reported:
+An attempt is not tied to a connection: if one breaks, stays silent or brings a malformed answer, the attempt
+polls again on a fresh connection, which does not run the query again. How the end of an attempt is reported:
 
 - no connection: `CONNECT_FAILED`, it never ran; 503 with X-Not-Run: `OVERLOADED`; 504 with it: `NOT_STARTED`
 - 500, also for a query that the executor does not know: `ERROR`, it may have run
-- 503 or 504 without X-Not-Run, or any other status: no answer; the attempt is polled for again
-- the executor can't be reached any more once the POST may have arrived: `RESET`, it may have run
-- `TIMEOUT` when the time is up, `CANCELLED` when its task is cancelled; what was posted is then deleted there
+- 503 or 504 without X-Not-Run, or any other status: no answer; the attempt polls again
+- the executor is unreachable after the POST may have arrived: `RESET`, it may have run
+- `TIMEOUT` at its deadline, `CANCELLED` when its task is cancelled; a posted query is then deleted there
 """
 
 import errno
@@ -36,73 +36,73 @@
 from fennelwind.node.wire_names import DID_NOT_RUN_HEADER
 from fennelwind.policy import AttemptStatus
 
-CANCELLATION_CHECK_MS = 15.0  # ms between two checks whether an earlier attempt of the query has been ended
-# ms after its last poll in which an executor may still run an attempt: it drops what it isn't polled for in
-# 2 s, and the last poll may have been delivered this much later.
+CANCELLATION_CHECK_MS = 15.0  # ms between two checks whether an earlier attempt's cancellation is done
+# ms after the last poll in which an executor may still run an attempt: it drops a query that has not been
+# polled for 2 s, and the last poll may have been delivered up to the poll timeout later.
 UNPOLLED_EXPIRY_MS = 2000.0 + POLL_TIMEOUT_MS
-# ms; if the loop is further behind, pending client input is read before an attempt starts: none may start
-# later than 100 ms after its client has left.
+# ms; if the loop is further behind, pending client input is read before an attempt starts, since none may
+# start later than 100 ms after its client has left.
 MAX_LOOP_DELAY_MS = 25.0
 
 
 class InFlightAttempts:
-    """The attempts that are under way, by query."""
+    """The running attempts by query."""
 
     def __init__(self) -> None:
         self.by_query: dict[int, list[Attempt]] = {}
 
     def add(self, attempt: "Attempt") -> None:
-        """Note an attempt that begins."""
-        self.by_query.setdefault(attempt.order.query, []).append(attempt)
+        """Add an attempt that begins."""
+        self.by_query.setdefault(attempt.request.query, []).append(attempt)
 
     def remove(self, attempt: "Attempt") -> None:
-        """Forget an attempt that has ended."""
-        attempts = self.by_query[attempt.order.query]
+        """Remove an attempt that has ended."""
+        attempts = self.by_query[attempt.request.query]
         attempts.remove(attempt)
         if not attempts:
-            del self.by_query[attempt.order.query]
+            del self.by_query[attempt.request.query]
 
     def of(self, query: int) -> list["Attempt"]:
-        """Return the attempts of a query."""
+        """Return the running attempts of a query."""
         return self.by_query.get(query, [])
 
     def count_by_executor(self) -> Counter[str]:
-        """Return the number of attempts by executor."""
+        """Return the number of running attempts by executor."""
         return Counter(attempt.executor.name for attempts in self.by_query.values() for attempt in attempts)
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptServices:
-    """What all attempts share."""
+    """The components and settings that all attempts share."""
 
     pool: ExecutorPool
     cancellations: CancellationQueue
     priority_updates: PriorityUpdates
     in_flight: InFlightAttempts
-    report_fields: frozenset[str]  # figures of load reports that the settings name
-    allows_concurrent: bool  # more than one attempt of a query may run at a time
+    report_fields: frozenset[str]  # fields of load reports that the settings name
+    allows_concurrent: bool  # several attempts of a query may run at the same time
 
 
 class Attempt:
-    """One attempt, in the task that the driver gave it."""
+    """One attempt, run in the task that the driver spawned for it."""
 
-    def __init__(self, services: AttemptServices, executor: Executor, order: AttemptRequest) -> None:
-        self.services, self.executor, self.order = services, executor, order
+    def __init__(self, services: AttemptServices, executor: Executor, request: AttemptRequest) -> None:
+        self.services, self.executor, self.request = services, executor, request
         self.loop = services.pool.loop
-        self.query_id = order.submission.engine_id  # the query's id, as executors receive it
-        self.may_have_arrived = False  # its POST has begun to leave
-        self.priority = AttemptPriority(executor, order)
+        self.query_id = request.submission.engine_id  # the query's id on the wire
+        self.may_have_arrived = False  # at least part of its POST may have been sent
+        self.priority = AttemptPriority(executor, request)
         self.connection = AttemptConnection(services.pool, executor)
 
     def run(self) -> AttemptEnd:
-        """Run the attempt to its end; a cancelled task ends at the executor what it can."""
+        """Run the attempt to its end; on cancellation, cancel the query at the executor."""
         self.priority.is_running = True
         try:
-            with self.loop.deadline_at(self.order.deadline_ms):
+            with self.loop.deadline_at(self.request.deadline_ms):
                 return self._run()
         except DeadlineExceeded:
-            self._end_at_executor(None)
-            return AttemptEnd(AttemptStatus.TIMEOUT, "its time was up")
+            self._cancel_at_executor(None)
+            return AttemptEnd(AttemptStatus.TIMEOUT, "deadline exceeded")
         except Cancelled:
             self._handle_cancellation()
             raise
@@ -110,47 +110,47 @@
             self.priority.is_running = False
             self.connection.release()
 
-    # Giving the attempt up.
+    # Ending the attempt early.
 
     def _handle_cancellation(self) -> None:
         if self.services.allows_concurrent or not self.may_have_arrived:
-            self._end_at_executor(None)
+            self._cancel_at_executor(None)
             return
         task = self.loop.current
         assert task is not None, "an attempt runs in a task"
-        task.absolve()  # clears the cancellation, so that the task may wait below
+        task.absolve()  # clears the cancellation, so that the task can wait below
         self._abandon()
 
     def _abandon(self) -> None:
-        """Give the attempt up; where two may not run at once, wait until the executor can't run it any more.
+        """Cancel the attempt; if attempts may not run concurrently, wait until this one can't run any more.
 
-        Otherwise the driver would start the query's next attempt while the executor still runs this one,
-        which shows as a statement that has its effect twice. It waits until the executor confirms the end (a
-        DELETE answered), and otherwise until `UNPOLLED_EXPIRY_MS` after the last poll.
+        Otherwise the driver would start the query's next attempt while the executor still runs this one, and
+        the statement would take effect twice. The wait ends when the executor confirms the end by answering
+        the DELETE, or `UNPOLLED_EXPIRY_MS` after the last poll.
         """
         self.connection.release()
         if self.services.allows_concurrent:
-            self._end_at_executor(None)
+            self._cancel_at_executor(None)
             return
         waiter = Waiter(self.loop)
-        self._end_at_executor(waiter)
+        self._cancel_at_executor(waiter)
         with (
             suppress(DeadlineExceeded),
             self.loop.deadline_at(self.connection.last_polled_ms + UNPOLLED_EXPIRY_MS),
         ):
             has_ended = waiter.wait()
             if not has_ended:
-                self.loop.sleep(UNPOLLED_EXPIRY_MS)  # not confirmed: wait until the deadline above
+                self.loop.sleep(UNPOLLED_EXPIRY_MS)  # not confirmed: the deadline above ends this wait
 
-    def _end_at_executor(self, waiter: Waiter | None) -> None:
+    def _cancel_at_executor(self, waiter: Waiter | None) -> None:
         if self.may_have_arrived:
             self.services.cancellations.add(self.executor, self.query_id, waiter)
 
-    # The way from the connection to the end.
+    # Running the attempt.
 
     def _run(self) -> AttemptEnd:
         while self.services.cancellations.is_pending(self.executor, self.query_id):
-            # both attempts have one query id: its DELETE would end this one too
+            # both attempts have the same query id: the DELETE would cancel this one too
             self.loop.sleep(CANCELLATION_CHECK_MS)
         try:
             self.connection.connect()
@@ -158,7 +158,7 @@
             return AttemptEnd(AttemptStatus.NOT_STARTED, str(exc))
         except ConnectFailed as exc:
             return AttemptEnd(AttemptStatus.CONNECT_FAILED, str(exc))
-        self._let_client_withdraw()
+        self._wait_for_client_input()
         reason = self._reason_not_to_send()
         if reason:
             return AttemptEnd(AttemptStatus.NOT_STARTED, reason)
@@ -167,53 +167,54 @@
         except RequestNotSentError as exc:
             return AttemptEnd(AttemptStatus.CONNECT_FAILED, str(exc))
         except ConnectFailed as exc:
-            # A refused connection shows that the executor's process has ended, and the attempt with it;
-            # ExecutorRemovedError has the same errno, but shows nothing of the process.
+            # A refused connection means that the executor's process has ended, and with it the attempt.
+            # ExecutorRemovedError has the same errno, but does not mean that the process has ended.
             has_process_ended = exc.errno == errno.ECONNREFUSED and not self.executor.is_removed
             if not has_process_ended and not self.services.allows_concurrent:
                 self._abandon()
-            return AttemptEnd(AttemptStatus.RESET, f"it can't be reached any more: {exc}")
+            return AttemptEnd(AttemptStatus.RESET, f"the executor is unreachable: {exc}")
         except AnswerUnavailableError as exc:
             self._abandon()
             return AttemptEnd(AttemptStatus.ERROR, str(exc))
 
-    def _let_client_withdraw(self) -> None:
-        """Wait until what the client has sent by now is read: it may hold its withdrawal or its end.
+    def _wait_for_client_input(self) -> None:
+        """Wait until everything that the client has sent by now is read; it may be a withdrawal or a close.
 
-        A loop that was busy for long has not read it yet, and a long burst takes several reads. The attempt
-        would then start for a client that has left, which shows as an attempt later than 100 ms after that.
+        A loop that was busy for long has not read it yet, and a long burst takes several reads. Without the
+        wait, the attempt might start more than 100 ms after its client has left.
         """
         self.loop.catch_up(MAX_LOOP_DELAY_MS)
-        while (wait_ms := self.order.submission.begins_from() - self.loop.now()) > 0.0:
+        while (wait_ms := self.request.submission.begins_from() - self.loop.now()) > 0.0:
             self.loop.sleep(wait_ms)
 
     def _reason_not_to_send(self) -> str:
-        """Return why nothing may be sent now, "" if it may; nothing waits from here to the first byte.
+        """Return why the attempt may not be sent now, "" if it may.
 
-        The state may have changed while the connection was being established.
+        The state may have changed while the connection was being established. No task switch may happen from
+        here to the first byte.
         """
         if self.executor.is_removed or self.executor.is_draining:
-            return "nothing new is to be sent to the executor any more"
+            return "the executor is draining or removed"
         if any(
             other.executor is self.executor and other.may_have_arrived
-            for other in self.services.in_flight.of(self.order.query)
+            for other in self.services.in_flight.of(self.request.query)
         ):
-            return "it is under way at the executor already"  # two answers to one id could be mixed up
-        return self.order.reason_not_to_start()
+            return "another attempt is running at the executor"  # answers with the same id could be mixed up
+        return self.request.reason_not_to_start()
 
     def _send(self) -> Response | None:
-        """Post the attempt; None if what came is no answer. Raises `RequestNotSentError`."""
-        timeout_ms = max(1, int(self.order.deadline_ms - self.loop.now()))
+        """Post the attempt; return None if no valid answer came. Raises `RequestNotSentError`."""
+        timeout_ms = max(1, int(self.request.deadline_ms - self.loop.now()))
         self.may_have_arrived = True
-        self.priority.sent = self.order.priority
+        self.priority.sent = self.request.priority
         try:
-            return self.connection.post(start_query(self.order, timeout_ms))
+            return self.connection.post(start_query(self.request, timeout_ms))
         except RequestNotSentError:
             self.may_have_arrived = False
             raise
 
     def _poll_until_end(self, response: Response | None) -> AttemptEnd:
-        """Follow the attempt to its end, from the response to its POST on."""
+        """Poll until the attempt ends, beginning with the response to its POST."""
         while True:
             if response is not None and response.status != 202:
                 end = self._read_end(response)
@@ -224,7 +225,7 @@
             response = self.connection.call(poll_query(self.query_id), POLL_TIMEOUT_MS)
 
     def _read_end(self, response: Response) -> AttemptEnd | None:
-        """Return the end that a response reports; None if it reports none."""
+        """Return the end that a response reports, or None if it reports none."""
         load = read_load_report(response, self.services.report_fields)
         did_not_run = response.headers.get(DID_NOT_RUN_HEADER) == b"1"
         match response.status:
@@ -234,10 +235,10 @@
                     return None
                 return AttemptEnd(AttemptStatus.OK, result=Result(pages=pages), load=load)
             case 503 if did_not_run:
-                return AttemptEnd(AttemptStatus.OVERLOADED, "the executor is full", load=load)
+                return AttemptEnd(AttemptStatus.OVERLOADED, "the executor is overloaded", load=load)
             case 504 if did_not_run:
-                return AttemptEnd(AttemptStatus.NOT_STARTED, "its time was up at the executor", load=load)
+                return AttemptEnd(AttemptStatus.NOT_STARTED, "the timeout passed at the executor", load=load)
             case 500:
-                return AttemptEnd(AttemptStatus.ERROR, "the executor told an error", load=load)
+                return AttemptEnd(AttemptStatus.ERROR, "the executor reported an error", load=load)
         self.connection.note_fault(AnswerFault.UNEXPECTED)
         return None
--- a/fennelwind/node/attempt_connection.py
+++ b/fennelwind/node/attempt_connection.py
@@ -1,8 +1,8 @@
-"""The calls of one attempt: on one connection, and on fresh ones while what comes is no answer.
+"""Makes the calls of one attempt, on a fresh connection after each answer that was missing or faulty.
 
-Owned by an `Attempt`. A call that brings nothing, a broken connection, or something that is no answer to it
-returns None: the caller polls again, which runs nothing twice. Calls end for good with `ConnectFailed` when
-the executor can't be reached any more, or `AnswerUnavailableError` after too many faulty answers.
+Owned by an `Attempt`. A call returns None if there was no answer in time, the connection broke, or the answer
+is not one to this call. The caller then polls again, which does not run the query again. A call raises
+`ConnectFailed` when the executor is unreachable, or `AnswerUnavailableError` after too many faulty answers.
 """
 
 import errno
@@ -15,36 +15,36 @@
 from fennelwind.node.executor_pool import BorrowedConnection, ExecutorPool
 from fennelwind.node.http1 import MalformedResponseError, Response
 
-POLL_MS = 250.0  # ms after which an executor answers that a query is still running, as the protocol states
-SILENCE_MS = 100.0  # ms beyond that without an answer; then a connection is given up as cut or stalled
-POLL_TIMEOUT_MS = POLL_MS + SILENCE_MS
-MIN_POLL_MS = 150.0  # ms; "still running" sooner than this answers an earlier call: it was delivered twice
-POST_TIMEOUT_MS = 50.0  # ms for the whole POST to be written; later, the timeout it states would be too long
-RECONNECT_BACKOFF_MS = 20.0  # ms longer before each fresh connection, from the second one that broke on
-MAX_FAULTY_ANSWERS = 8  # malformed or cut answers to one attempt; beyond it, polling again has proven useless
-MAX_FAILED_CONNECTS = 3  # fresh connections in vain; then the machine is taken to have vanished
+POLL_MS = 250.0  # ms after which an executor answers "still running", as the protocol specifies
+POLL_GRACE_MS = 100.0  # ms after that until a silent connection counts as cut or stalled
+POLL_TIMEOUT_MS = POLL_MS + POLL_GRACE_MS
+MIN_POLL_MS = 150.0  # ms; a "still running" before this is a duplicate that answers a previous call
+POST_TIMEOUT_MS = 50.0  # ms to write the complete POST; later, the timeout in it would be too long
+RECONNECT_BACKOFF_MS = 20.0  # ms; the wait before a fresh connection grows by this from the second fault on
+MAX_FAULTY_ANSWERS = 8  # faulty answers to one attempt; after more, polling again is taken to be useless
+MAX_FAILED_CONNECTS = 3  # failed connects of one attempt; then the machine is taken to be gone
 
 
 class AnswerFault(StrEnum):
-    """Why what came, or did not come, is no answer."""
+    """Why a call got no valid answer."""
 
-    SILENT = "silent"  # nothing came in time
+    SILENT = "silent"  # no response in time
     BROKEN = "broken"  # the connection broke
-    MALFORMED = "malformed"  # it is not HTTP
-    UNEXPECTED = "unexpected"  # it is HTTP, but answers no call of ours
-    UNREACHABLE = "unreachable"  # no fresh connection was established
+    MALFORMED = "malformed"  # the response is not valid HTTP
+    UNEXPECTED = "unexpected"  # valid HTTP, but not an answer to this call
+    UNREACHABLE = "unreachable"  # no fresh connection could be established
 
 
 class RequestNotSentError(ConnectFailed):
-    """The executor did not take the complete POST in time; nothing ran."""
+    """The complete POST could not be written in time; nothing ran."""
 
     def __init__(self, executor: Executor) -> None:
-        super().__init__(errno.ETIMEDOUT, f"{executor.name} takes nothing")
+        super().__init__(errno.ETIMEDOUT, f"{executor.name} does not read the request")
         self.executor = executor
 
 
 class AnswerUnavailableError(Exception):
-    """Polling for the attempt again can't bring its answer; it may have run."""
+    """The answer can't be fetched by polling again; the attempt may have run."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -52,7 +52,7 @@
 
 
 class AttemptConnection:
-    """Makes the calls of one attempt, and counts the faults of their answers."""
+    """Makes the calls of one attempt and counts their faults."""
 
     def __init__(self, pool: ExecutorPool, executor: Executor) -> None:
         self.pool, self.loop, self.executor = pool, pool.loop, executor
@@ -61,7 +61,7 @@
         self._faulty_answers = self._failed_connects = 0
 
     def connect(self, fresh: bool = False) -> None:
-        """Borrow a connection; raises as `ExecutorPool.check_out` does."""
+        """Borrow a connection. Raises what `ExecutorPool.check_out` raises."""
         self._borrowed = self.pool.borrow(self.executor, fresh)
 
     def release(self) -> None:
@@ -71,15 +71,15 @@
             borrowed.release()
 
     def post(self, request: bytes) -> Response | None:
-        """Send the attempt's POST; None if what came is no answer. Raises `RequestNotSentError`.
+        """Send the attempt's POST; return None if no valid answer came. Raises `RequestNotSentError`.
 
-        An executor that takes no bytes would get the rest of the request when its deadline has become wrong.
+        Writing has a timeout: an executor that reads the request late would get an outdated timeout in it.
         """
         borrowed = self._in_use()
         try:
             borrowed.connection.stream.write(request, POST_TIMEOUT_MS)
         except DeadlineExceeded:
-            self.release()  # what has left is no complete request, and the rest never follows
+            self.release()  # the request is incomplete and is never completed
             raise RequestNotSentError(self.executor) from None
         except StreamReset:
             self.note_fault(AnswerFault.BROKEN)
@@ -87,9 +87,9 @@
         return self._receive(borrowed.read_response, POLL_TIMEOUT_MS)
 
     def call(self, request: bytes, timeout_ms: float) -> Response | None:
-        """Make a call on the connection in use, or a fresh one; None if what came of it is no answer.
+        """Make a call on the connection in use or a fresh one; return None if no valid answer came.
 
-        Raises `ConnectFailed` when the executor can't be reached any more, or `AnswerUnavailableError`.
+        Raises `ConnectFailed` when the executor is unreachable, or `AnswerUnavailableError`.
         """
         if self._borrowed is None and not self._reconnect():
             return None
@@ -109,7 +109,7 @@
         self._faulty_answers += fault is not AnswerFault.SILENT
         if self._faulty_answers > MAX_FAULTY_ANSWERS:
             raise AnswerUnavailableError(
-                f"{self._faulty_answers} answers of {self.executor.name} were spoilt or cut"
+                f"{self._faulty_answers} answers of {self.executor.name} were malformed or cut off"
             )
 
     def _in_use(self) -> BorrowedConnection:
@@ -117,8 +117,8 @@
         return self._borrowed
 
     def _reconnect(self) -> bool:
-        """Connect afresh; return whether it succeeded. Raises `ConnectFailed` for the last time."""
-        if self._faulty_answers > 1:  # what lasts for a moment must not use up all answers in it
+        """Open a fresh connection; return whether it succeeded. Raises `ConnectFailed` after the last try."""
+        if self._faulty_answers > 1:  # a short disturbance must not use up all allowed faults
             self.loop.sleep(RECONNECT_BACKOFF_MS * (self._faulty_answers - 1))
         try:
             self.connect(fresh=True)
@@ -133,7 +133,7 @@
         return True
 
     def _receive(self, read: Callable[[], Response], timeout_ms: float) -> Response | None:
-        """Wait for the response to a call on the connection in use; None if it is no answer."""
+        """Wait for the response to a call on the connection in use; return None if it is not valid."""
         began_ms = self.last_polled_ms = self.loop.now()
         try:
             with self.loop.deadline(timeout_ms):
@@ -148,7 +148,7 @@
             self.note_fault(AnswerFault.MALFORMED)
             return None
         if response.status == 202 and self.loop.now() - began_ms < MIN_POLL_MS:
-            # It answers an earlier call, so that the next response would be taken for this call's.
+            # It answers a previous call, so the next response would be taken for the following call's.
             response.is_reusable = False
             self.pool.counts["early"] += 1
         if not response.is_reusable:
--- a/fennelwind/node/cancellation_queue.py
+++ b/fennelwind/node/cancellation_queue.py
@@ -1,7 +1,8 @@
-"""Ends queries at executors that were started there and are not wanted any more.
+"""Cancels queries at executors when their attempts end early.
 
-Attempts hand their queries in; a few tasks for each executor send the DELETEs. The queue is bounded: what
-does not fit, or can't be delivered, the executor drops by itself two seconds after its last poll.
+Attempts add their queries to the queue, and a few tasks for each executor send the DELETEs. The queue is
+bounded. A query that does not fit, or whose DELETE fails, is dropped by the executor itself two seconds after
+the last poll for it.
 """
 
 from collections import Counter
@@ -13,11 +14,13 @@
 from fennelwind.node.executor_requests import cancel_query
 from fennelwind.node.http1 import MalformedResponseError
 
-MAX_WORKERS = 3  # DELETEs at one executor at a time: hundreds of withdrawals leave connections for queries
+MAX_WORKERS = (
+    3  # concurrent DELETEs to one executor, so that mass cancellation leaves connections for queries
+)
 DELETE_TIMEOUT_MS = 600.0  # ms for one DELETE
-MAX_DELETE_TRIES = 2  # DELETEs of one query; an executor drops what it isn't polled for in 2 s anyway
-MAX_QUEUED = 500  # cancellations waiting at one executor; beyond it they are left to the executor's own time
-# The query has been ended, or the executor does not know it any more.
+MAX_DELETE_TRIES = 2  # DELETEs of one query; without polls, the executor drops it after 2 s anyway
+MAX_QUEUED = 500  # cancellations of one executor; above it, queries end by the executor's own expiry
+# Response statuses of a DELETE: the query has been cancelled, or the executor does not know it any more.
 ENDED_STATUSES = (204, 500)
 
 
@@ -29,11 +32,11 @@
         self.pending: Counter[tuple[str, str]] = Counter()  # by executor and query id
 
     def is_pending(self, executor: Executor, query_id: str) -> bool:
-        """Tell whether an earlier attempt of the query has still to be ended at the executor."""
+        """Return whether an earlier attempt of the query has still to be cancelled at the executor."""
         return (executor.name, query_id) in self.pending
 
     def add(self, executor: Executor, query_id: str, waiter: Waiter | None = None) -> None:
-        """End a query at an executor; the waiter is woken with whether it is known to have ended."""
+        """Cancel a query at an executor; the waiter is woken with whether its end is confirmed."""
         if executor.is_removed or len(executor.cancellations) >= MAX_QUEUED:
             self.pool.counts["not_deleted"] += 1
             if waiter is not None:
@@ -43,9 +46,9 @@
         self.pending[executor.name, query_id] += 1
         if executor.cancellation_workers < MAX_WORKERS:
             executor.cancellation_workers += 1
-            self.pool.loop.spawn(self._work, executor, name="executors: delete")
+            self.pool.loop.spawn(self._run_worker, executor, name="executors: delete")
 
-    def _work(self, executor: Executor) -> None:
+    def _run_worker(self, executor: Executor) -> None:
         try:
             while executor.cancellations:
                 self._process(executor, executor.cancellations.popleft())
@@ -65,15 +68,15 @@
                 cancellation.waiter.wake(has_ended)
 
     def _cancel(self, executor: Executor, query_id: str) -> bool:
-        """Send the DELETE; return whether the query is known to have ended."""
-        for number in range(MAX_DELETE_TRIES):
+        """Send the DELETE; return whether the query's end is confirmed."""
+        for try_number in range(MAX_DELETE_TRIES):
             try:
                 response = self.pool.call(
-                    executor, cancel_query(query_id), DELETE_TIMEOUT_MS, fresh=number > 0
+                    executor, cancel_query(query_id), DELETE_TIMEOUT_MS, fresh=try_number > 0
                 )
             except ConnectFailed:
-                # Not even a refused connection shows that the query has ended: had the executor's process
-                # ended, the attempt's own connection would have broken.
+                # Not even a refused connection confirms that the query has ended: if the executor's process
+                # had ended, the attempt's own connection would have broken.
                 break
             except (OSError, MalformedResponseError):
                 continue
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -1,15 +1,16 @@
-"""One client's connection: requests in MessagePack-RPC become queries, final answers become responses.
+"""One client's connection: turns MessagePack-RPC requests into queries, and final answers into responses.
 
-`frontend` accepts connections, gives each a task that runs `ClientConnection.run`, and closes the ones that
-are idle or half sent for too long. Every close of ours is a lingering one: first only our sending side is
-closed, then what the client still sends is read and dropped until its end. A close with unread bytes would
-become a TCP reset, which may destroy answers that the client has yet to read.
+`frontend` accepts connections, spawns a task for each that runs `ClientConnection.run`, and closes those that
+are idle, or leave a message incomplete, for too long. The controller always closes with linger: it closes its
+sending side first, then reads and drops what the client still sends until the client closes too. Closing a
+socket with unread bytes would send a TCP reset, which may destroy answers that the client has not read yet.
 
-A connection costs a task and a few hundred bytes. An answer that the client does not take at once waits in a
-queue that is bounded in bytes, number and time; whoever takes nothing until then is disconnected.
+A connection costs a task and a few hundred bytes. An answer that can't be sent at once waits in a queue that
+is bounded in bytes, number and time; a client that does not read its answers within these bounds is
+disconnected.
 
-Closing goes in three steps: `close` takes no more and answers what is open, `shut_down` closes our sending
-side and lingers, `close_outright` of the frontend closes the socket.
+Closing has three steps: `close` handles no further input and answers the open queries, `shut_down` closes our
+sending side and lingers, the frontend's `close_socket` closes the socket.
 """
 
 from collections import Counter, deque
@@ -26,19 +27,19 @@
 from fennelwind.node.request_validation import InvalidRequestError, QueryRequest, read_request
 from fennelwind.node.wire_names import ClientError, ClientMethod, ErrorField
 
-MAX_OPEN_QUERIES = 32  # on a connection, as the protocol states
-MAX_UNREAD_BYTES = 262_144  # bytes of answers that a client leaves unread; beyond them requests are rejected
-MAX_UNREAD_ANSWERS = 1024  # answers left unread; beyond them it is closed. No usual client has 32 open
-MIN_WRITE_TIMEOUT_MS = 3000.0  # ms that a client may leave its answers unread, where none is due later
-MAX_INVALID_REQUESTS = 3  # invalid requests on a connection; then it is closed
+MAX_OPEN_QUERIES = 32  # on one connection, as the protocol specifies
+MAX_UNREAD_BYTES = 262_144  # bytes of unread answers of a connection; above it requests are rejected
+MAX_UNREAD_ANSWERS = 1024  # unread answers before it is closed; no normal client has 32 open
+MIN_WRITE_TIMEOUT_MS = 3000.0  # ms that answers may stay unread if no deadline is later
+MAX_INVALID_REQUESTS = 3  # invalid requests of a connection before it is closed
 READ_BYTES = 65536  # bytes of one read
-MAX_LINGER_BYTES = 262_144  # bytes that are dropped after our end; who sends more will not stop
-BURST_MS = 20.0  # ms without a byte after a full read; until then the rest of a burst is on its way
-MAX_REASON_LENGTH = 200  # letters of a failure's reason that a client gets
+MAX_LINGER_BYTES = 262_144  # bytes read and dropped after `close`; a client that sends more is cut off
+BURST_MS = 20.0  # a burst begins with a full read and ends after this many ms without a byte
+MAX_REASON_LENGTH = 200  # characters of a failure's reason that are sent to the client
 
 
 class ConnectionOwner(Protocol):
-    """What a connection needs of the frontend that accepted it."""
+    """What a connection needs from the frontend that accepted it."""
 
     loop: Loop
     driver: Driver
@@ -50,23 +51,23 @@
     counts: Counter[str]
 
     def limit_partial_bytes(self) -> None:
-        """Close connections with incomplete messages while there are too many bytes of them."""
+        """Close connections with incomplete messages while these have too many bytes in total."""
 
     def linger(self, connection: "ClientConnection") -> None:
-        """Let a connection whose sending side is closed wait for its client's end."""
+        """Let a connection whose sending side is closed wait until its client closes too."""
 
-    def close_outright(self, connection: "ClientConnection") -> None:
+    def close_socket(self, connection: "ClientConnection") -> None:
         """Close a connection's socket."""
 
-    def note_unreadable(self, reason: str) -> None:
+    def note_malformed_message(self, reason: str) -> None:
         """Count a connection that can't be parsed any further."""
 
     def note_invalid_request(self, reason: str) -> None:
-        """Count a request that is not valid."""
+        """Count an invalid request."""
 
 
 class ClientConnection:
-    """One client's connection, in a task of its own."""
+    """One client's connection, run by its own task."""
 
     __slots__ = (
         "frontend",
@@ -86,54 +87,55 @@
 
     def __init__(self, frontend: ConnectionOwner, stream: PushStream) -> None:
         self.frontend, self.stream, self.reader = frontend, stream, msgrpc.MessageReader()
-        self.last_message_id = 0  # the highest so far; ids have to rise
+        self.last_message_id = 0  # the highest so far; ids must increase
         self.open_queries: dict[int, Entry] = {}  # by message id
-        self.unread_answers: deque[tuple[bytes, Entry | None]] = deque()  # not yet taken by the client
+        self.unread_answers: deque[tuple[bytes, Entry | None]] = deque()  # not yet sent completely
         self.unread_bytes = 0
-        self.is_writing = False  # a task of its own writes the unread answers
+        self.is_writing = False  # a task is writing the unread answers
         self.invalid_requests = 0
         self.partial_bytes = 0  # of an incomplete message
-        self.burst_until_ms = 0.0  # until then more may come of what the client has sent already
-        self.is_closing = False  # nothing more is taken in; it closes once its answers are taken
+        self.burst_until_ms = 0.0  # bytes that the client sent earlier may still arrive until then
+        self.is_closing = False  # no further input is handled; it closes once its answers are sent
         self.is_closed = False
 
     # Reading.
 
     def run(self) -> None:
-        """Read until the client's end; once we are closing, what comes is dropped."""
+        """Read until the client closes; once `is_closing`, drop what is read."""
         dropped_bytes = 0
         try:
             while data := self.stream.read(READ_BYTES):
-                is_full = len(data) == READ_BYTES  # more waits behind it
+                is_full = len(data) == READ_BYTES  # more may be waiting in the kernel
                 self._note_burst(is_full)
                 if self.is_closing:
                     dropped_bytes += len(data)
                     if dropped_bytes > MAX_LINGER_BYTES:
                         break
                 elif is_full and self.stream.ended():
-                    break  # it has sent much and disconnected: nothing of it may start now
+                    break  # the client has already disconnected: none of these queries may start
                 else:
-                    self._take(data)
-                if is_full:  # others get their turn before the rest
+                    self._handle_bytes(data)
+                if is_full:  # other tasks run before the next read
                     self.frontend.loop.sleep(0.0)
         except StreamReset:
             pass
         finally:
             self._mark_closed()
-            self.frontend.close_outright(self)
+            self.frontend.close_socket(self)
 
     def _note_burst(self, is_full: bool) -> None:
-        """Note that what the client has sent by now may not be read completely.
+        """Note that some of what the client has already sent may still be unread.
 
-        Its withdrawal or its end may stand behind a long burst. An attempt that started before these are read
-        would run for a client that has left; `Submission` therefore says when an attempt may start earliest.
+        After a long burst, a withdrawal or the end of the connection may be unread. An attempt that started
+        before these are read would run for a client that has left. `Submission` therefore states the earliest
+        time at which an attempt may start.
         """
         now = self.frontend.loop.now()
         if is_full or now < self.burst_until_ms:
             self.burst_until_ms = now + BURST_MS
 
-    def _take(self, data: bytes) -> None:
-        """Handle the complete messages of some bytes; those before malformed bytes are still handled."""
+    def _handle_bytes(self, data: bytes) -> None:
+        """Handle the messages that these bytes complete, also those that precede malformed bytes."""
         try:
             for message in self.reader.feed(data):
                 self._handle(message)
@@ -143,7 +145,7 @@
                 raise self.reader.error
             self._count_partial()
         except msgrpc.MalformedMessageError as exc:
-            self.frontend.note_unreadable(str(exc))
+            self.frontend.note_malformed_message(str(exc))
             self.close()
 
     def _count_partial(self) -> None:
@@ -203,7 +205,7 @@
             frontend.slots.mark_busy(self)
 
     def _submission(self, query: QueryRequest, method: str, now_ms: float) -> Submission:
-        # The bytes may have waited in the kernel since the loop last looked: the deadline counts from the
+        # The bytes may have been in the kernel since the loop's previous poll: the deadline counts from the
         # earliest time at which they may have arrived.
         return Submission(
             class_index=query.class_index,
@@ -237,7 +239,7 @@
             self.frontend.slots.mark_idle(self, self.frontend.loop.now())
 
     def has_open_or_unread(self) -> bool:
-        """Tell whether a query is open, or an answer still waits to be taken by the client."""
+        """Return whether a query is open or an answer has not been sent completely."""
         return bool(self.open_queries or self.unread_answers)
 
     # Answers.
@@ -258,36 +260,36 @@
             self.send(msgrpc.encode_error(message_id, ClientError.FAILED, fields), entry)
 
     def reject(self, message_id: int, retry_after_ms: float, entry: Entry | None = None) -> None:
-        """Answer that a retry is harmless, and after what time, where the settings allow that time."""
+        """Send a rejection: a retry is safe, after the given time if the settings allow stating it."""
         retry_after_ms = min(retry_after_ms, self.frontend.driver.max_retry_after_ms)
         fields = {ErrorField.RETRY_AFTER_MS: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
         self.send(msgrpc.encode_error(message_id, ClientError.REJECTED, fields), entry)
 
-    def send(self, raw: bytes, entry: Entry | None) -> None:
-        """Send a response; what the client does not take at once is queued, up to the bounds."""
+    def send(self, response: bytes, entry: Entry | None) -> None:
+        """Send a response; what can't be sent at once is queued, up to the limits."""
         if self.is_closed:
             return
         if not self.unread_answers:
             try:
-                sent_bytes = self.stream.push(raw)
+                sent_bytes = self.stream.push(response)
             except StreamReset:
                 self.shut_down()
                 return
-            if sent_bytes == len(raw):
+            if sent_bytes == len(response):
                 if entry is not None:
                     self.frontend.driver.delivered(entry)
                 return
-            raw = raw[sent_bytes:]
-        self._queue(raw, entry)
+            response = response[sent_bytes:]
+        self._enqueue_answer(response, entry)
 
-    def _queue(self, raw: bytes, entry: Entry | None) -> None:
+    def _enqueue_answer(self, response: bytes, entry: Entry | None) -> None:
         if len(self.unread_answers) >= MAX_UNREAD_ANSWERS:
             self.frontend.counts["unread"] += 1
             self.shut_down()
             return
-        self.unread_answers.append((raw, entry))
+        self.unread_answers.append((response, entry))
         self.frontend.slots.mark_busy(self)
-        self.unread_bytes += len(raw)
+        self.unread_bytes += len(response)
         if not self.is_writing:
             self.is_writing = True
             self.frontend.loop.spawn(self._write_unread, name="client: answers")
@@ -295,12 +297,12 @@
     def _write_unread(self) -> None:
         try:
             while self.unread_answers and not self.is_closed:
-                raw, entry = self.unread_answers[0]
-                self.stream.write(raw, self._write_timeout_ms())
+                response, entry = self.unread_answers[0]
+                self.stream.write(response, self._write_timeout_ms())
                 if self.is_closed:
                     return
                 self.unread_answers.popleft()
-                self.unread_bytes -= len(raw)
+                self.unread_bytes -= len(response)
                 if entry is not None:
                     self.frontend.driver.delivered(entry)
             self._update_idle()
@@ -313,7 +315,7 @@
             self.is_writing = False
 
     def _write_timeout_ms(self) -> float:
-        """Return how long the client may take nothing: until it expects none of its answers any more."""
+        """Return how long a write may stall: until the last deadline of the queries not yet answered."""
         deadlines = [entry.submission.deadline_ms for _, entry in self.unread_answers if entry is not None]
         deadlines += [entry.submission.deadline_ms for entry in self.open_queries.values()]
         return max(MIN_WRITE_TIMEOUT_MS, max(deadlines, default=0.0) - self.frontend.loop.now())
@@ -321,7 +323,7 @@
     # Closing.
 
     def close(self) -> None:
-        """Answer what is open, and close once the answers are taken; nothing more is taken in."""
+        """Answer the open queries and close once the answers are sent; handle no further input."""
         if self.is_closing:
             return
         self.is_closing = True
@@ -334,7 +336,7 @@
     def shut_down(self) -> None:
         """Close our sending side and linger.
 
-        Answers that were not taken are dropped, open queries cancelled.
+        Unsent answers are dropped, and open queries are cancelled.
         """
         if not self.is_closed:
             self._mark_closed()
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -1,8 +1,8 @@
 """Reads the platform's configuration file (JSON) into the policy's settings and the controller's own.
 
-`lifecycle` reads it at start and at each SIGHUP. The settings have the names and units of the simulator's
-wire, so the adapter's reader reads them: the nested object is flattened into its pairs first. Whatever is
-wrong raises `ConfigError`, which names the field as it stands in the file; nothing is applied in part.
+`lifecycle` reads the file at startup and at each SIGHUP. Its settings have the names and units of the
+simulator's wire, so the nested object is flattened into name-value pairs and parsed by `simulator_wire`. Any
+error raises `ConfigError`, which names the field by its path in the file; no file is applied in part.
 """
 
 import json
@@ -14,14 +14,14 @@
 from fennelwind import policy
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.endpoint_events import read_list
-from fennelwind.node.json_fields import JsonValueError, read_count, read_figure, read_text, shown
+from fennelwind.node.json_fields import JsonValueError, abbreviate, read_count, read_number, read_text
 from fennelwind.simulator_wire import Fields, WireError, read_settings
 
-MAX_FILE_LENGTH = 16_000_000  # letters of the file; it holds hundreds of executors at most
-MIN_DESCRIPTORS = 16  # fewer hold no listener, log, channel, client and executor beside each other
-MIN_POSITIVE = 1e-300  # the smallest figure that counts as above zero
-REQUIRED = object()  # the default of a field without one
-# The file's fields by the names that the policy's checks report; a class's field has its index before it.
+MAX_FILE_LENGTH = 16_000_000  # characters in the file; it lists at most hundreds of executors
+MIN_DESCRIPTORS = 16  # fewer can't hold listener, log, command channel, clients and executors together
+MIN_POSITIVE = 1e-300  # the smallest number that counts as positive
+REQUIRED = object()  # marks a field that has no default
+# The file's field for each setting name in the policy's errors; a class field's path also has the index.
 SETTING_FIELDS = {
     "classes": "Grades",
     "gateway_count": "Balancers",
@@ -49,21 +49,21 @@
 
 
 class ConfigError(Exception):
-    """The file can't be used; the text says which field and why."""
+    """The file is invalid; the message names the field and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class ConnectionSettings:
-    """The settings that the policy does not read: connections to executors and the bound of open queries."""
+    """Settings that the policy does not use: connections to executors and the maximum of open queries."""
 
     executor_idle_timeout_ms: float  # executors close idle connections after this time
-    connect_timeout_ms: float  # a connection that is not established in this time won't be
+    connect_timeout_ms: float  # later, establishing a connection is given up
     max_open_queries: int
 
 
 @dataclass(slots=True, frozen=True)
 class NodeConfig:
-    """The contents of one file."""
+    """The contents of one configuration file."""
 
     name: str
     listen: Address
@@ -74,18 +74,19 @@
     max_descriptors: int
     settings: policy.Settings
     connections: ConnectionSettings
-    classes: dict[str, int]  # places in the settings by name, and so the next three
+    classes: dict[str, int]  # index in the settings by name, as in the next three fields
     tenants: dict[str, int]
     zones: dict[str, int]
     machine_types: dict[str, int]
     known_cursor: int
-    known_events: tuple[dict[str, Any], ...]  # the command channel's, up to now
+    known_events: tuple[dict[str, Any], ...]  # command channel events that the file already contains
 
 
 def flatten(value: Any, path: str = "") -> dict[str, str]:
-    """Flatten a nested object as the simulator's wire does.
+    """Flatten a nested object into the pairs that the simulator's wire has.
 
-    Lists of plain values are joined by commas, others have a count and an index in their fields' paths.
+    A list of scalars becomes one comma-separated value. A list of objects becomes a `.count` field, and the
+    fields of its items have the item's index in their path.
     """
     if isinstance(value, dict):
         pairs: dict[str, str] = {}
@@ -98,18 +99,20 @@
             for index, inner in enumerate(value):
                 pairs |= flatten(inner, f"{path}.{index}")
             return pairs
-        return {path: ",".join(_plain(inner) for inner in value)}
-    return {} if value is None else {path: _plain(value)}
+        return {path: ",".join(_format_scalar(inner) for inner in value)}
+    return {} if value is None else {path: _format_scalar(value)}
 
 
-def _plain(value: Any) -> str:
+def _format_scalar(value: Any) -> str:
     if isinstance(value, bool):
         return "true" if value else "false"
     return str(value).replace(" ", "_").replace(",", "_")
 
 
-def _get(parent: dict[str, Any], path: str, read: Callable[[Any], Any], default: Any = REQUIRED) -> Any:
-    """Return the field at the end of the path; an absent one takes the default. Raises `ConfigError`."""
+def _read_field(
+    parent: dict[str, Any], path: str, read: Callable[[Any], Any], default: Any = REQUIRED
+) -> Any:
+    """Return the field that the path's last part names, or the default. Raises `ConfigError`."""
     value = parent.get(path.rpartition(".")[2])
     if value is None:
         if default is REQUIRED:
@@ -118,7 +121,7 @@
     try:
         return read(value)
     except (ValueError, TypeError, AttributeError):
-        raise ConfigError(f"{path} can't be used: {shown(value)}") from None
+        raise ConfigError(f"{path} can't be used: {abbreviate(value)}") from None
 
 
 def _read_object(value: Any) -> dict[str, Any]:
@@ -134,7 +137,7 @@
 
 
 def _read_positive(value: Any) -> float:
-    if not read_figure(value):
+    if not read_number(value):
         raise JsonValueError(value)
     return float(value)
 
@@ -146,25 +149,25 @@
 
 
 def _read_names(settings: dict[str, Any], field: str) -> dict[str, int]:
-    """Return the places of a list's items by name; clients and events use the names."""
+    """Return the indexes of a list's items by name, as clients and events refer to them by name."""
     names: dict[str, int] = {}
-    for index, entry in enumerate(_get(settings, f"settings.{field}", _read_items, [])):
+    for index, entry in enumerate(_read_field(settings, f"settings.{field}", _read_items, [])):
         path = f"settings.{field}[{index}]"
         if isinstance(entry, dict):
             path += ".Name"
-            name = _get(entry, path, read_text)
+            name = _read_field(entry, path, read_text)
         elif entry is None or isinstance(entry, list):
-            raise ConfigError(f"{path} can't be used: {shown(entry)}")
+            raise ConfigError(f"{path} can't be used: {abbreviate(entry)}")
         else:
             name = str(entry)
         if name in names:
-            raise ConfigError(f"{path}: {shown(name)} is there twice")
+            raise ConfigError(f"{path}: {abbreviate(name)} is listed twice")
         names[name] = index
     return names
 
 
 def _path_in_file(field: str) -> str:
-    """Return the path in the file of a flattened field."""
+    """Return the path in the file that a flattened field has."""
     return "settings." + re.sub(r"\.(\d+)(?=\.|$)", r"[\1]", field).removesuffix(".count")
 
 
@@ -186,7 +189,7 @@
         raise ConfigError(
             f"{_path_in_file(found[1])} {found[2]}" if found is not None else str(exc)
         ) from None
-    except ValueError as exc:  # it can be read, but no decision can be built on it
+    except ValueError as exc:  # it was parsed, but the policy rejects it
         found = re.fullmatch(r"setting (\w+) is unusable", str(exc))
         name = found[1] if found is not None else ""
         if name in CLASS_SETTING_FIELDS:
@@ -199,7 +202,7 @@
 
 
 def _rejected_class_field(pairs: dict[str, str], name: str) -> str:
-    """Return the path of the first class's field that the policy's check of that name rejects."""
+    """Return the path of the first class field of that name whose value the policy rejects."""
     field, minimum = CLASS_SETTING_FIELDS[name], 0.0 if name == "priority_weight" else MIN_POSITIVE
     return next(
         _path_in_file(flat)
@@ -211,51 +214,54 @@
 def _read_known_events(
     known: dict[str, Any], zones: dict[str, int], machine_types: dict[str, int]
 ) -> tuple[dict[str, Any], ...]:
-    """Return the events; endpoints in an unknown zone are left out when they are applied."""
-    events = _get(known, "known.cmds", _read_items, [])
+    """Return the events. Endpoints in an unknown zone are allowed here and skipped on applying."""
+    events = _read_field(known, "known.cmds", _read_items, [])
     for index, event in enumerate(events):
         path = f"known.cmds[{index}]"
         if not isinstance(event, dict):
-            raise ConfigError(f"{path} can't be used: {shown(event)}")
-        _get(event, f"{path}.cursor", read_count)
+            raise ConfigError(f"{path} can't be used: {abbreviate(event)}")
+        _read_field(event, f"{path}.cursor", read_count)
         for problem in read_list(event, zones, machine_types).problems:
             raise ConfigError(f"{path}.{problem} can't be used")
     return tuple(events)
 
 
 def read_config(text: str) -> NodeConfig:
-    """Read the file's text. Raises `ConfigError`, which names the field."""
+    """Parse the file's text. Raises `ConfigError`, which names the field."""
     if len(text) > MAX_FILE_LENGTH:
         raise ConfigError("the file is too large")
     try:
-        return _read(json.loads(text))
+        return _read_document(json.loads(text))
     except RecursionError:
         raise ConfigError("the file is nested too deeply") from None
     except ValueError as exc:
         raise ConfigError(f"the file is no JSON: {exc}") from None
 
 
-def _read(document: Any) -> NodeConfig:
+def _read_document(document: Any) -> NodeConfig:
     if not isinstance(document, dict):
-        raise ConfigError(f"the file holds no object: {shown(document)}")
-    settings_object, limits = _get(document, "settings", _read_object), _get(document, "limits", _read_object)
-    known = _get(document, "known", _read_object, {})
+        raise ConfigError(f"the file does not contain a JSON object: {abbreviate(document)}")
+    settings_object, limits = (
+        _read_field(document, "settings", _read_object),
+        _read_field(document, "limits", _read_object),
+    )
+    known = _read_field(document, "known", _read_object, {})
     settings, connections = _read_policy_settings(flatten(settings_object))
     zones, machine_types = _read_names(settings_object, "Zones"), _read_names(settings_object, "Kinds")
     return NodeConfig(
-        name=_get(document, "name", read_text),
-        listen=_get(document, "listen", parse_address),
-        channel=_get(document, "channel", parse_address),
-        seed=_get(document, "seed", lambda seed: int(str(seed), 16)),
-        cores=_get(limits, "limits.cores", _read_positive, 1.0),
-        memory_mb=_get(limits, "limits.memory_mb", _read_positive),
-        max_descriptors=_get(limits, "limits.sockets", _read_descriptors),
+        name=_read_field(document, "name", read_text),
+        listen=_read_field(document, "listen", parse_address),
+        channel=_read_field(document, "channel", parse_address),
+        seed=_read_field(document, "seed", lambda seed: int(str(seed), 16)),
+        cores=_read_field(limits, "limits.cores", _read_positive, 1.0),
+        memory_mb=_read_field(limits, "limits.memory_mb", _read_positive),
+        max_descriptors=_read_field(limits, "limits.sockets", _read_descriptors),
         settings=settings,
         connections=connections,
         classes=_read_names(settings_object, "Grades"),
         tenants=_read_names(settings_object, "Projects"),
         zones=zones,
         machine_types=machine_types,
-        known_cursor=_get(known, "known.cursor", read_count, 0),
+        known_cursor=_read_field(known, "known.cursor", read_count, 0),
         known_events=_read_known_events(known, zones, machine_types),
     )
--- a/fennelwind/node/endpoint_events.py
+++ b/fennelwind/node/endpoint_events.py
@@ -1,8 +1,8 @@
-"""Parses the command channel's events: the endpoint list, or changes to it. No I/O and no clock.
+"""Parses command channel events: full endpoint lists and changes to the list. No I/O and no clock.
 
-Every field is read by itself, since an event may be damaged in one place only: what can be read of it is
-returned, with the fields that can't. `endpoint_watch` decides whether to ask for such an event again. Nothing
-here raises for what an event holds.
+Each field is parsed independently, since an event may be damaged in one place only. The readable parts are
+returned together with the fields that can't be read. `endpoint_watch` decides whether to request such an
+event again. Nothing that an event contains makes `parse_event` or `read_list` raise.
 """
 
 import json
@@ -12,12 +12,12 @@
 
 from fennelwind.loop.streams import Address, parse_address
 from fennelwind.node.http1 import ServerEvent
-from fennelwind.node.json_fields import JsonValueError, read_count, read_figure, read_text, shown
+from fennelwind.node.json_fields import JsonValueError, abbreviate, read_count, read_number, read_text
 from fennelwind.node.wire_names import ENDPOINT_STATES, EventField
 from fennelwind.policy import EngineEndpoint, EngineState
 
-# From an executor's name and its start as stated (ms since 1970, 0: long ago) to ms of the loop's clock.
-LocalStart = Callable[[str, float], float]
+# Converts an executor's name and reported start (ms since 1970, 0: long ago) to ms of the loop's clock.
+StartTimeConverter = Callable[[str, float], float]
 
 
 class UnreadableFieldError(Exception):
@@ -29,12 +29,12 @@
 
 
 class UnknownNameError(UnreadableFieldError):
-    """A field that names a zone, machine type or state which is not known."""
+    """A field that names an unknown zone, machine type or state."""
 
 
 @dataclass(slots=True, frozen=True)
 class EndpointChange:
-    """What an event says of one executor; no endpoint if only its name or state can be read."""
+    """An event's item on one executor; without endpoint if only the name or state can be read."""
 
     name: str
     state: EngineState | None  # None if it is unknown
@@ -44,9 +44,9 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointListEvent:
-    """An event's list of executors, as far as it can be read."""
+    """The readable part of an event's list of executors."""
 
-    is_full: bool = False  # executors that are not in it have left the list
+    is_full: bool = False  # executors that are not in it are removed
     changes: tuple[EndpointChange, ...] = ()
     problems: tuple[str, ...] = ()  # fields that can't be read, by their paths
     unknown_names: tuple[str, ...] = ()  # fields that name an unknown zone, machine type or state
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NumberedEvent:
-    """An event with its number, the parsed JSON, and what is wrong with either."""
+    """An event's number and parsed JSON, and the problem if either is invalid."""
 
     number: int | None  # None if it can't be read
     body: Any
@@ -62,7 +62,7 @@
 
 
 def parse_event(event: ServerEvent) -> NumberedEvent:
-    """Parse an event's JSON and its number, which stands both in the event and in its JSON."""
+    """Parse an event's JSON and its number, which is both the event's id and the cursor in its JSON."""
     try:
         body = json.loads(event.data)
     except (ValueError, RecursionError):
@@ -73,7 +73,7 @@
     try:
         cursor = read_count(stated)
     except JsonValueError:
-        return NumberedEvent(event.number, body, f"cursor: {shown(stated)}")
+        return NumberedEvent(event.number, body, f"cursor: {abbreviate(stated)}")
     if event.number is None or event.number == cursor:
         return NumberedEvent(cursor, body)
     return NumberedEvent(min(event.number, cursor), body, f"its cursor is {cursor}")
@@ -88,9 +88,9 @@
     body: Any,
     zones: dict[str, int],
     machine_types: dict[str, int],
-    local_start: LocalStart = lambda _, started_ms: started_ms,
+    convert_start_time: StartTimeConverter = lambda _, started_ms: started_ms,
 ) -> EndpointListEvent:
-    """Read an event's list; an event without one is not about executors."""
+    """Parse an event's list; an event without one does not concern executors."""
     try:
         found = _find_list(body)
     except UnreadableFieldError as exc:
@@ -98,10 +98,10 @@
     if found is None:
         return EndpointListEvent()
     items, is_full = found
-    reader = _ListReader(zones, machine_types, local_start)
+    reader = _ListReader(zones, machine_types, convert_start_time)
     for index, item in enumerate(items):
         reader.read_item(index, item)
-    # Where an item names nobody, nobody can be taken to be missing from the list.
+    # An item without a readable name may be any executor, so none counts as missing from the list.
     is_full = is_full and len(reader.changes) == len(items)
     return EndpointListEvent(
         is_full, tuple(reader.changes), tuple(reader.problems), tuple(reader.unknown_names)
@@ -119,34 +119,36 @@
         raise UnreadableFieldError("nodes: no object")
     is_full, items = nodes.get(EventField.IS_FULL_LIST), nodes.get(EventField.ENDPOINTS)
     if is_full not in (None, True, False):
-        raise UnreadableFieldError(f"nodes.reset: {shown(is_full)}")
+        raise UnreadableFieldError(f"nodes.reset: {abbreviate(is_full)}")
     if items is None and not is_full:
         return None
     if not isinstance(items, list):
-        raise UnreadableFieldError(f"nodes.instances: {shown(items)}")
+        raise UnreadableFieldError(f"nodes.instances: {abbreviate(items)}")
     return items, bool(is_full)
 
 
 class _ListReader:
-    """Reads the items of one list, and gathers what can't be read of them."""
+    """Parses the items of one list and collects the fields that can't be read."""
 
-    def __init__(self, zones: dict[str, int], machine_types: dict[str, int], local_start: LocalStart) -> None:
-        self.zones, self.machine_types, self.local_start = zones, machine_types, local_start
+    def __init__(
+        self, zones: dict[str, int], machine_types: dict[str, int], convert_start_time: StartTimeConverter
+    ) -> None:
+        self.zones, self.machine_types, self.convert_start_time = zones, machine_types, convert_start_time
         self.changes: list[EndpointChange] = []
         self.problems: list[str] = []
         self.unknown_names: list[str] = []
 
     def read_item(self, index: int, item: Any) -> None:
-        """Read one item; of one that can't be read, its name and state are kept if they can."""
+        """Parse one item; if that fails, keep its name and state as far as they are readable."""
         name, state = "", None
         try:
             if not isinstance(item, dict):
-                raise UnreadableFieldError(shown(item))
+                raise UnreadableFieldError(abbreviate(item))
             name = _read_field(item, EventField.EXECUTOR, read_text)
-            state = _read_field(item, EventField.STATE, _known_name(ENDPOINT_STATES))
+            state = _read_field(item, EventField.STATE, _name_reader(ENDPOINT_STATES))
             self.changes.append(self._read_change(item, name, state))
         except UnreadableFieldError as exc:
-            if state != EngineState.REMOVED:  # of which nothing more is needed
+            if state != EngineState.REMOVED:  # a removal needs no other field
                 messages = self.unknown_names if isinstance(exc, UnknownNameError) else self.problems
                 separator = "." if isinstance(item, dict) else ": "
                 messages.append(f"nodes.instances[{index}]{separator}{exc.reason}")
@@ -154,15 +156,15 @@
                 self.changes.append(EndpointChange(name, state))
 
     def _read_change(self, item: dict[str, Any], name: str, state: EngineState) -> EndpointChange:
-        started_unix_ms = _read_field(item, EventField.STARTED_UNIX_MS, read_figure, 0.0)
+        started_unix_ms = _read_field(item, EventField.STARTED_UNIX_MS, read_number, 0.0)
         endpoint = EngineEndpoint(
             engine=name,
             state=state,
-            zone=_read_field(item, EventField.ZONE, _known_name(self.zones)),
-            kind=_read_field(item, EventField.MACHINE_TYPE, _known_name(self.machine_types)),
+            zone=_read_field(item, EventField.ZONE, _name_reader(self.zones)),
+            kind=_read_field(item, EventField.MACHINE_TYPE, _name_reader(self.machine_types)),
             cell=_read_field(item, EventField.CELL, read_count, 0),
-            weight=_read_field(item, EventField.WEIGHT, read_figure, 1.0),
-            started_ms=self.local_start(name, started_unix_ms),
+            weight=_read_field(item, EventField.WEIGHT, read_number, 1.0),
+            started_ms=self.convert_start_time(name, started_unix_ms),
         )
         return EndpointChange(name, state, endpoint, _read_field(item, EventField.ADDRESS, _read_address))
 
@@ -174,12 +176,12 @@
     try:
         return read(value)
     except ValueError:
-        raise UnreadableFieldError(f"{field}: {shown(value)}") from None
+        raise UnreadableFieldError(f"{field}: {abbreviate(value)}") from None
     except KeyError:
-        raise UnknownNameError(f"{field}: {shown(value)}") from None
+        raise UnknownNameError(f"{field}: {abbreviate(value)}") from None
 
 
-def _known_name(table: dict[str, Any]) -> Callable[[Any], Any]:
+def _name_reader(table: dict[str, Any]) -> Callable[[Any], Any]:
     return lambda value: table[read_text(value)]
 
 
--- a/fennelwind/node/endpoint_list.py
+++ b/fennelwind/node/endpoint_list.py
@@ -1,7 +1,7 @@
-"""The endpoint list as it was received last: applies events to it, and reports changes to the policy.
+"""The current endpoint list: applies events to it and reports the changes to the policy.
 
-Owned by `endpoint_watch`. Executors that leave or drain are taken out of the pool in the same turn, so that
-nothing is sent to them from then on.
+Owned by `endpoint_watch`. Executors that are removed or draining are marked so in the pool in the same turn,
+so they get no attempts from then on.
 """
 
 from collections.abc import Callable
@@ -15,21 +15,21 @@
 
 
 class EndpointList:
-    """The endpoints by name, and drains that are known ahead of their events."""
+    """The endpoints by name, and the drains that hold before their events are applied."""
 
     def __init__(self, pool: ExecutorPool, post: Callable[[Event], None]) -> None:
-        """Make an empty list; `post` takes events for the policy."""
+        """Create an empty list; `post` takes events for the policy."""
         self.pool, self.post = pool, post
         self.start_times = StartTimes()
         self._endpoints: dict[str, EngineEndpoint] = {}
-        # Executors that an event which is not applied yet says to drain or to be removed, by its number.
+        # Number of the event, not yet applied, that drains or removes an executor, by executor.
         self.drained_ahead: dict[str, int] = {}
 
     def hold_drains(self, event: EndpointListEvent, number: int) -> None:
-        """Let the drains of an event hold at once, although it is not applied yet.
+        """Apply the drains of an event at once, although the event itself is not applied yet.
 
-        The event is damaged or has a gap before it, and is asked for again. Until it has come, queries would
-        still go to executors that shut down. What an earlier event says does not undo these drains.
+        The event is damaged or follows a gap, and is requested again. Without this, queries would be sent to
+        executors that are shutting down until it arrives. Earlier events do not undo these drains.
         """
         drained = []
         for change in event.changes:
@@ -44,11 +44,11 @@
             self.post(EngineListUpdate(ListForm.DELTA, tuple(drained)))
 
     def apply(self, event: EndpointListEvent, number: int, full_form: ListForm) -> None:
-        """Apply an event: first removals, then drains, then the rest, in whatever order it lists them.
+        """Apply an event: removals first, then drains, then ready endpoints, whatever their order in it.
 
-        An address may so pass from one executor to another within one event. `full_form` is how a
-        full list is reported to the policy: `CACHED` if it is the first from the configuration file, else
-        `FULL`.
+        This allows an address to move from one executor to another within one event. `full_form` is the form
+        in which a full list is reported to the policy: `CACHED` for the first one from the configuration
+        file, else `FULL`.
         """
         if event.is_full:
             self._remove_missing(event)
@@ -63,8 +63,8 @@
         for endpoint, address in sorted(latest.values(), key=lambda each: each[0].state == EngineState.READY):
             if endpoint.state != EngineState.REMOVED:
                 self._set(endpoint, address)
-        self.drained_ahead = {name: at for name, at in self.drained_ahead.items() if at > number}
-        self.start_times.keep(self._endpoints)
+        self.drained_ahead = {name: ahead for name, ahead in self.drained_ahead.items() if ahead > number}
+        self.start_times.prune(self._endpoints)
         if latest or event.is_full:
             form = full_form if event.is_full else ListForm.DELTA
             self.post(EngineListUpdate(form, tuple(endpoint for endpoint, _ in latest.values())))
@@ -75,7 +75,7 @@
             self._remove(name)
 
     def _resulting_endpoint(self, change: EndpointChange, is_full: bool) -> EngineEndpoint | None:
-        """Return the endpoint after a change, and remove it if it left; None if too little is known of it."""
+        """Return the endpoint after a change, or None if too little is known; remove it if it was removed."""
         known = self._endpoints.get(change.name)
         if change.state == EngineState.REMOVED:
             self._remove(change.name)
--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -1,7 +1,7 @@
-"""The policy's view of the executors beside the attempts that are in flight. No I/O and no clock.
+"""Compares the policy's count of attempts at each executor with the attempts in flight. No I/O, no clock.
 
-The two are counted apart: the policy counts attempts by its own events, the executor client those under
-way. Where they differ for longer than a turn, decisions rest on a load that is not there.
+The counts are independent: the policy counts attempts by its own events, the executor client those that are
+running. If they differ for longer than a turn, the policy decides on a load that does not exist.
 """
 
 from dataclasses import dataclass
@@ -10,22 +10,22 @@
 from fennelwind.policy import AttemptStatus
 from fennelwind.policy.gateway import Gateway
 
-# Ends of attempts that say nothing of the executor.
-NOT_FAILED = (AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED)
+# Ends of attempts that do not reflect on the executor.
+INCONCLUSIVE_STATUSES = (AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED)
 
 
 @dataclass(slots=True, frozen=True)
 class ExecutorView:
-    """One executor as both sides see it."""
+    """One executor as seen by the policy and by the executor client."""
 
     engine: str
-    state: str  # as the policy has it listed
-    policy_count: int  # attempts in flight, by the policy
-    in_flight_count: int  # attempts in flight, by the executor client
-    slowdown: float  # multiple of the baseline slowdown, by the policy
+    state: str  # in the policy's list
+    policy_count: int  # attempts in flight as counted by the policy
+    in_flight_count: int  # attempts in flight as counted by the executor client
+    slowdown: float  # the policy's figure, as a multiple of the baseline slowdown
     is_outlier: bool
-    succeeded: int  # attempts that succeeded since the last report
-    failed: int  # and those that did not; cancelled ones are not counted
+    succeeded: int  # attempts since the last report that succeeded
+    failed: int  # and those that failed, without `INCONCLUSIVE_STATUSES`
 
     def __str__(self) -> str:
         state = f"{self.state} outlier" if self.is_outlier else self.state
@@ -36,32 +36,35 @@
 
 
 def compare(gateway: Gateway, client: ExecutorClient) -> list[ExecutorView]:
-    """Return a row for each executor that either side knows; the client's counts of ends begin anew."""
-    running = client.in_flight.count_by_executor()
-    rows = []
-    for name in sorted({*gateway.engines, *running}):
+    """Return a view of each executor that either side knows, and reset the client's counts of ends."""
+    running_counts = client.in_flight.count_by_executor()
+    views = []
+    for name in sorted({*gateway.engines, *running_counts}):
         engine, executor = gateway.engines.get(name), client.pool.executors.get(name)
         ended = dict(executor.ended_attempts) if executor is not None else {}
         if executor is not None:
             executor.ended_attempts.clear()
         succeeded = ended.pop(AttemptStatus.OK, 0)
-        rows.append(
+        views.append(
             ExecutorView(
                 name,
                 engine.endpoint.state if engine is not None else "unknown",
                 len(engine.running_attempts) if engine is not None else 0,
-                running.get(name, 0),
+                running_counts.get(name, 0),
                 engine.current_slowdown if engine is not None else 0.0,
                 engine is not None and engine.is_outlier,
                 succeeded,
-                sum(count for status, count in ended.items() if status not in NOT_FAILED),
+                sum(count for status, count in ended.items() if status not in INCONCLUSIVE_STATUSES),
             )
         )
-    return rows
+    return views
 
 
 def count_differences(gateway: Gateway, client: ExecutorClient) -> int:
-    """Return by how many attempts the two sides differ, over all executors."""
-    running = client.in_flight.count_by_executor()
-    believed = {name: len(engine.running_attempts) for name, engine in gateway.engines.items()}
-    return sum(abs(believed.get(name, 0) - running.get(name, 0)) for name in {*believed, *running})
+    """Return the sum over all executors of the difference between the two counts."""
+    running_counts = client.in_flight.count_by_executor()
+    policy_counts = {name: len(engine.running_attempts) for name, engine in gateway.engines.items()}
+    return sum(
+        abs(policy_counts.get(name, 0) - running_counts.get(name, 0))
+        for name in {*policy_counts, *running_counts}
+    )
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -1,10 +1,10 @@
-"""Follows the command channel: the list of executors, by server-sent events, resumed by number.
+"""Follows the command channel: receives the endpoint list as server-sent events and resumes by event number.
 
-A connection that ends, breaks or brings what can't be read is given up, and its events are asked for anew at
-once, after the last number that was applied. Beside a connection that is silent for a little over the period
-of its comments another is opened, since the channel may be slow; whichever brings something first is followed
-on. The drains of a damaged event hold from then on (`endpoint_list`). `lifecycle` starts the watch, applies
-the events that the configuration holds, and moves it to another address at a reload.
+A connection that ends, breaks or brings malformed input is given up, and the events after the last applied
+number are requested again at once. If a connection is silent for a little longer than the comment interval, a
+second one is opened beside it, since the channel may only be slow; the first to bring something is kept. The
+drains of a damaged event apply at once (`endpoint_list`). `lifecycle` starts the watch, applies the events in
+the configuration file, and moves the watch to another address at a reload.
 """
 
 from collections import Counter
@@ -27,32 +27,32 @@
 from fennelwind.node.watch_connection import WatchConnection
 from fennelwind.policy import Event, ListForm
 
-# At a time; the oldest is aborted when another would be one too many, so a slow channel gets about three
-# periods of silence to answer.
+# Concurrent connections. To open another one, the oldest is aborted, so a slow channel has about three
+# silence timeouts to answer.
 MAX_CONNECTIONS = 3
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between attempts that fail, doubled up to the maximum
-STABLE_MS = 1000.0  # ms, the comments' period; a connection that lasted so long has not failed
-MAX_RETRIES = 3  # times that a damaged event is asked for again; then what can be read of it is applied
-MAX_AHEAD = 1000  # numbers that a full list, or a drain, may be ahead; beyond it the number seems damaged
-MAX_LOGGED = 3  # problems of one event that the log names
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between failed attempts, doubled up to the maximum
+STABLE_MS = 1000.0  # ms, the comment interval; a connection that lasted this long has not failed
+MAX_RETRIES = 3  # times that a damaged event is requested again before its readable parts are applied
+MAX_NUMBERS_AHEAD = 1000  # how far a full list's or drain's number may be ahead; above, it counts as damaged
+MAX_LOGGED_PROBLEMS = 3  # problems of one event in a log line
 
 
 class WallClock(Protocol):
-    """The part of a loop that knows the time of day."""
+    """The part of a loop that returns the time of day."""
 
     def wall(self) -> float:
-        """Return the seconds since 1970."""
+        """Return the wall-clock time in seconds since 1970."""
 
 
 class EventFault(StrEnum):
-    """Why an event is asked for again."""
+    """Why an event is requested again."""
 
     UNREADABLE = "unreadable"
     GAP = "gap"  # events before it are missing
 
 
 class MalformedEventError(MalformedResponseError):
-    """An event that is to be asked for again."""
+    """An event that must be requested again."""
 
     def __init__(self, number: int | None, cursor: int, problem: str) -> None:
         super().__init__(f"event {number} after {cursor}: {problem}")
@@ -73,16 +73,16 @@
         post: Callable[[Event], None],
         log_message: Callable[[str], None],
     ) -> None:
-        """Prepare; zones and machine types are their places in the settings, `post` takes policy events."""
+        """Initialize; zones and machine types map to indexes in the settings, `post` takes policy events."""
         self.loop, self.address = loop, address
         self.zones, self.machine_types, self.log_message = zones, machine_types, log_message
         self.endpoints = EndpointList(pool, post)
         self.cursor = 0  # number of the last event that was applied
         self.counts: Counter[str] = Counter()
         self._last_comment_ms: float | None = None  # None before the channel is followed
-        self._connections: list[WatchConnection] = []  # those under way; the newest is the last
+        self._connections: list[WatchConnection] = []  # open ones; the newest is last
         self._waiter: Waiter | None = None
-        self._retries: Counter[EventFault] = Counter()  # since an event was in order
+        self._retries: Counter[EventFault] = Counter()  # since the last valid event
 
     def start(self) -> None:
         """Spawn the task that keeps a connection to the command channel."""
@@ -94,9 +94,9 @@
     ) -> None:
         """Apply the configuration's events that are newer than the cursor.
 
-        At the start (`CACHED`) gaps are accepted, and the cursor is then that of the file. At a reload
-        (`FULL`) it stops at the first gap before an event without a full list: that event's drains hold, and
-        the channel brings the rest.
+        At startup (`CACHED`) gaps are accepted, and the cursor becomes that of the file. At a reload (`FULL`)
+        this stops at the first gap before an event without a full list: only that event's drains apply, and
+        the channel delivers the events from there on.
         """
         is_first = form == ListForm.CACHED
         for body in events:
@@ -106,7 +106,7 @@
             if not is_first and number > self.cursor + 1:
                 event = self._read_list(body)
                 if not event.is_full:
-                    self.log_message(f"command channel: known event {number} after {self.cursor}")
+                    self.log_message(f"command channel: gap after {self.cursor} before known event {number}")
                     self._hold_drains(event, number)
                     return
             self._apply_known_event(body, form)
@@ -118,7 +118,7 @@
         self.endpoints.apply(self._read_list(body), read_cursor(body), form)
 
     def move(self, address: Address) -> None:
-        """Follow the channel at another address from now on; the numbers go on."""
+        """Follow the channel at another address from now on; event numbers continue."""
         self.address = address
         for connection in self._connections:
             connection.abort()
@@ -142,7 +142,7 @@
             backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
 
     def _wait_until(self, due_ms: float) -> None:
-        """Wait until the time, or until something comes of a connection or the address changes."""
+        """Wait until the time, or until a connection progresses or the address changes."""
         waiter = self._waiter = Waiter(self.loop)
 
         def wake() -> None:
@@ -160,9 +160,9 @@
     def _follow_until_ended(self, address: Address) -> None:
         """Follow until no connection is left, or the address changes.
 
-        Beside a connection that is silent another one is opened, as the channel may be slow or this one dead:
-        a cut connection shows as silence only. As soon as one brings a complete event or comment, the others
-        are aborted.
+        If a connection is silent, another one is opened beside it: the channel may be slow, or the connection
+        may be dead, since a cut connection shows only as silence. As soon as one brings a complete event or
+        comment, the others are aborted.
         """
         self._connections = [self._open(address)]
         began_ms = self.loop.now()
@@ -170,7 +170,7 @@
             next_open_ms = max(self._connections[-1].silent_from_ms(), began_ms + MAX_BACKOFF_MS)
             self._wait_until(next_open_ms)
             self._connections = [each for each in self._connections if not each.has_ended]
-            # Those that have brought something since the newest was opened.
+            # Those that have brought an event or comment since the newest was opened.
             active = [each for each in self._connections if each.last_event_ms >= began_ms]
             if active and len(self._connections) > 1:
                 self._keep_only(active[-1:])
@@ -197,7 +197,7 @@
         self._connections = connections
 
     def connection_progressed(self, connection: WatchConnection) -> None:
-        """Take note that something came on a connection, or that it has ended."""
+        """Note that a connection received an event or comment, or ended."""
         error = connection.error
         if error is not None:
             self.log_message(f"command channel at {connection.address}: {type(error).__name__}: {error}")
@@ -206,7 +206,7 @@
     # Events.
 
     def take_event(self, event: ServerEvent) -> None:
-        """Apply an event if it is new. Raises `MalformedEventError` if it is to be asked for again."""
+        """Apply an event if it is new. Raises `MalformedEventError` if it must be requested again."""
         if not event.data:
             self.counts["comments"] += 1
             self._last_comment_ms = self.loop.now()
@@ -219,15 +219,15 @@
         self._apply_or_retry(numbered, self._read_list(numbered.body))
 
     def _apply_or_retry(self, numbered: NumberedEvent, event: EndpointListEvent) -> None:
-        """Apply an event in order; a damaged one only after it was asked for `MAX_RETRIES` times.
+        """Apply an event in order; a damaged one only after it was requested again `MAX_RETRIES` times.
 
-        A damaged event that is applied at once would lose what can't be read; one that is asked for for ever
-        would stop the list.
+        Applying a damaged event at once would lose its unreadable parts; requesting it for ever would stop
+        all further updates of the list.
         """
         number = numbered.number
-        problem = numbered.problem or ", ".join(event.problems[:MAX_LOGGED])
+        problem = numbered.problem or ", ".join(event.problems[:MAX_LOGGED_PROBLEMS])
         fault = EventFault.UNREADABLE
-        if number is not None and number > self.cursor + (MAX_AHEAD if event.is_full else 1):
+        if number is not None and number > self.cursor + (MAX_NUMBERS_AHEAD if event.is_full else 1):
             self.counts["gaps"] += 1
             problem, fault = problem or "gap", EventFault.GAP
         if not problem:
@@ -239,7 +239,9 @@
             raise MalformedEventError(number, self.cursor, problem)
         else:
             self.counts["applied_in_part"] += 1
-            self.log_message(f"command channel: event {number} after {self.cursor}: {problem}; taken in part")
+            self.log_message(
+                f"command channel: event {number} after {self.cursor}: {problem}; applied partly"
+            )
         if number is not None:
             self.endpoints.apply(event, number, ListForm.FULL)
             self.cursor = number
@@ -248,16 +250,18 @@
         event = read_list(body, self.zones, self.machine_types, self._local_start_ms)
         if event.unknown_names:
             self.counts["unknown"] += len(event.unknown_names)
-            self.log_message(f"command channel: unknown: {', '.join(event.unknown_names[:MAX_LOGGED])}")
+            self.log_message(
+                f"command channel: unknown: {', '.join(event.unknown_names[:MAX_LOGGED_PROBLEMS])}"
+            )
         return event
 
     def _local_start_ms(self, name: str, started_unix_ms: float) -> float:
         now = self.loop.now()
         wall_clock_lead_ms = cast(WallClock, self.loop).wall() * 1000.0 - now
-        return self.endpoints.start_times.place(
+        return self.endpoints.start_times.to_loop_clock(
             name, started_unix_ms, wall_clock_lead_ms, now, self._last_comment_ms
         )
 
     def _hold_drains(self, event: EndpointListEvent, number: int) -> None:
-        if number <= self.cursor + MAX_AHEAD:
+        if number <= self.cursor + MAX_NUMBERS_AHEAD:
             self.endpoints.hold_drains(event, number)
--- a/fennelwind/node/executor_client.py
+++ b/fennelwind/node/executor_client.py
@@ -1,7 +1,7 @@
-"""The driver's `Engines` on the platform: attempts, their priorities and health checks over HTTP/1.1.
+"""Implements the driver's `Engines` for the platform: attempts, priorities and health checks over HTTP/1.1.
 
-It looks executors up by name and hands each call to the module that makes it; one that has left the list
-meanwhile is answered for here.
+It looks up the executor by name and passes each call to the module that makes it. A call to an executor that
+has left the list fails here.
 """
 
 from fennelwind.dispatch.types import AttemptEnd, AttemptRequest
@@ -31,12 +31,12 @@
             allows_concurrent=allows_concurrent_attempts,
         )
 
-    def attempt(self, engine: str, order: AttemptRequest) -> AttemptEnd:
-        """Make an attempt and wait for its end; a cancelled task ends at the executor what it can."""
+    def attempt(self, engine: str, request: AttemptRequest) -> AttemptEnd:
+        """Make an attempt and wait for its end; on cancellation, cancel the query at the executor."""
         executor = self.pool.executors.get(engine)
         if executor is None:
             return _not_listed()
-        attempt = Attempt(self._services, executor, order)
+        attempt = Attempt(self._services, executor, request)
         self.in_flight.add(attempt)
         status: str = AttemptStatus.CANCELLED
         try:
@@ -48,10 +48,10 @@
             self.in_flight.remove(attempt)
 
     def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
-        """Tell executors the new priority of a query's attempts; its memory grant stays as it was sent."""
+        """Send executors the new priority of a query's attempts; a sent memory grant is not changed."""
         for attempt in self.in_flight.of(query):
-            has_changed = attempt.order.priority != priority
-            attempt.order.priority = priority
+            has_changed = attempt.request.priority != priority
+            attempt.request.priority = priority
             if has_changed and attempt.may_have_arrived:
                 self._services.priority_updates.send(attempt.priority)
 
@@ -64,4 +64,4 @@
 
 
 def _not_listed() -> AttemptEnd:
-    return AttemptEnd(AttemptStatus.CONNECT_FAILED, "the executor is not known any more")
+    return AttemptEnd(AttemptStatus.CONNECT_FAILED, "the executor is not in the list any more")
--- a/fennelwind/node/executor_connection.py
+++ b/fennelwind/node/executor_connection.py
@@ -1,8 +1,8 @@
-"""One executor, and one connection to it: HTTP/1.1 with one call at a time.
+"""An executor, and a connection to it: HTTP/1.1 with one call at a time.
 
-Owned by `executor_pool`, which says when a connection may be used again. A response that can't be parsed
-raises `MalformedResponseError`, a broken connection `StreamReset`; either way the connection is of no further
-use, though what was sent may have arrived.
+Owned by `executor_pool`, which decides when a connection is reused. A response that can't be parsed raises
+`MalformedResponseError`, a broken connection `StreamReset`. After either the connection can't be used any
+more, though the request may have arrived.
 """
 
 from collections import Counter, deque
@@ -12,7 +12,7 @@
 from fennelwind.loop.streams import Address, Stream, StreamReset
 from fennelwind.node.http1 import Response, ResponseReader
 
-READ_BYTES = 16384  # bytes of one read; two pages with their heads
+READ_BYTES = 16384  # bytes of one read; enough for two pages with their heads
 
 
 class ExecutorConnection:
@@ -43,14 +43,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancellation:
-    """A query to be ended at an executor; the waiter is woken with whether it is known to have ended."""
+    """A query to be cancelled at an executor; wakes the waiter with whether the end is confirmed."""
 
     query_id: str
     waiter: Waiter | None
 
 
 class Executor:
-    """One executor: where it is, its idle connections, and what is to be ended there."""
+    """One executor: its address, its idle connections, and its queue of cancellations."""
 
     __slots__ = (
         "name",
@@ -66,9 +66,9 @@
     def __init__(self, name: str, address: Address, is_draining: bool = False) -> None:
         self.name, self.address = name, address
         self.idle_connections: deque[ExecutorConnection] = deque()  # the longest idle first
-        self.is_removed = False  # it has left the list, or its address belongs to another now
-        self.is_draining = is_draining  # nothing new is to be sent to it
-        # One queue each, so that an executor which answers nothing delays no other's cancellations.
+        self.is_removed = False  # it has left the list, or another executor has its address now
+        self.is_draining = is_draining  # it gets no new attempts
+        # One queue per executor: an unresponsive one must not delay the cancellations of others.
         self.cancellations: deque[Cancellation] = deque()
         self.cancellation_workers = 0
-        self.ended_attempts: Counter[str] = Counter()  # by status, since they were last reported
+        self.ended_attempts: Counter[str] = Counter()  # by status, since the last report
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -1,9 +1,9 @@
-"""The executors that are known, and the connections to them: bounded in number, reused while in order.
+"""The pool of known executors and of connections to them, which are limited in number and reused.
 
 `endpoint_watch` adds and removes executors; attempts, cancellations and health checks borrow connections.
-Executors are known by their instance ids, so a connection or an attempt of an address's earlier holder never
-meets its new one. Every call may raise `ConnectFailed` (nothing was sent), `StreamReset` (it may have
-arrived), `MalformedResponseError`, or the caller's `DeadlineExceeded`.
+Executors are identified by instance id, so connections and attempts of an executor are never mixed up with
+those of another one that gets its address later. Every call may raise `ConnectFailed` (nothing was sent),
+`StreamReset` (the request may have arrived), `MalformedResponseError`, or the caller's `DeadlineExceeded`.
 """
 
 import errno
@@ -16,24 +16,25 @@
 from fennelwind.node.executor_connection import Executor, ExecutorConnection
 from fennelwind.node.http1 import Response
 
-# ms that a connection stays unused after a response. An executor or the network may deliver a response twice;
-# nothing in the copy tells it from the next call's response. It comes some milliseconds late, and more where
-# the executor is short of CPU: a copy that came meanwhile shows as bytes on an idle connection.
+# ms that a connection stays unused after a response. An executor or the network may deliver a response twice,
+# and nothing distinguishes the duplicate from the response to the next call. It arrives some milliseconds
+# later, or more if the executor is short of CPU. If it arrives in this time, it shows as bytes on an idle
+# connection.
 MIN_IDLE_MS = 60.0
-IDLE_TIMEOUT_FRACTION = 0.8  # of the time after which executors close idle connections: ours close first
+IDLE_TIMEOUT_FRACTION = 0.8  # of the executors' own idle timeout, so that the pool closes first
 SWEEP_INTERVAL_MS = 1000.0  # ms between two searches for connections that are idle for too long
 
 
 class ExecutorRemovedError(ConnectFailed):
-    """The executor has left the list, so no connection was tried; its address may belong to another."""
+    """The executor has left the list; no connection was tried, as its address may belong to another one."""
 
     def __init__(self, executor: Executor) -> None:
-        super().__init__(errno.ECONNREFUSED, f"{executor.name} has gone from {executor.address}")
+        super().__init__(errno.ECONNREFUSED, f"{executor.name} at {executor.address} was removed")
         self.executor = executor
 
 
 class BorrowedConnection:
-    """A connection in use; it returns to the pool only if its last call left it in order."""
+    """A connection in use; it returns to the pool only if its last call completed and it is reusable."""
 
     __slots__ = ("pool", "executor", "connection", "last_response")
 
@@ -66,7 +67,7 @@
     def __init__(
         self, loop: Loop, *, idle_timeout_ms: float, connect_timeout_ms: float, max_connections: int
     ) -> None:
-        """Make an empty pool; `idle_timeout_ms` is the executors' own for idle connections."""
+        """Create an empty pool; executors close connections that are idle for `idle_timeout_ms`."""
         self.loop = loop
         self.idle_timeout_ms = idle_timeout_ms * IDLE_TIMEOUT_FRACTION
         self.connect_timeout_ms = connect_timeout_ms
@@ -74,17 +75,17 @@
         self.executors: dict[str, Executor] = {}
         self.by_address: dict[Address, Executor] = {}
         self.connection_count = 0
-        self.counts: Counter[str] = Counter()  # of events on connections, for the log
+        self.counts: Counter[str] = Counter()  # connection events, for the log
         self._capacity_waiters: deque[Waiter] = deque()
 
     def start(self) -> None:
-        """Start to close connections that are idle for too long."""
+        """Start closing connections that are idle for too long."""
         self.loop.spawn(self._sweep, name="executors: sweep")
 
     # The list of executors.
 
     def add(self, name: str, address: Address, is_draining: bool = False) -> None:
-        """Note an executor's address and state; whoever had the address before is removed from it."""
+        """Add or update an executor; one that had the same address before counts as removed."""
         executor = self.executors.get(name)
         if executor is not None and executor.address == address and not executor.is_removed:
             executor.is_draining = is_draining
@@ -98,7 +99,7 @@
         self.executors[name] = self.by_address[address] = executor
 
     def remove(self, name: str) -> None:
-        """Forget an executor that has left the list."""
+        """Remove an executor that has left the list."""
         executor = self.executors.pop(name, None)
         if executor is not None:
             self._mark_removed(executor)
@@ -113,12 +114,12 @@
     # Calls.
 
     def borrow(self, executor: Executor, fresh: bool = False) -> BorrowedConnection:
-        """Return a connection to use until its `release`; raises as `check_out` does."""
+        """Return a connection to use until its `release`. Raises what `check_out` raises."""
         return BorrowedConnection(self, executor, self.check_out(executor, fresh))
 
     @contextmanager
     def borrowed(self, executor: Executor, fresh: bool = False) -> Iterator[BorrowedConnection]:
-        """Use a connection for calls within a `with` block; raises as `check_out` does."""
+        """Lend a connection for the calls of a `with` block. Raises what `check_out` raises."""
         borrowed = self.borrow(executor, fresh)
         try:
             yield borrowed
@@ -133,7 +134,7 @@
     # Connections.
 
     def check_out(self, executor: Executor, fresh: bool = False) -> ExecutorConnection:
-        """Return an idle connection to the executor, or a new one if there is none or a fresh one is wanted.
+        """Return an idle connection to the executor, or a new one if there is none or `fresh` is set.
 
         Raises `ConnectFailed`, which proves that nothing was sent, and the caller's `DeadlineExceeded`.
         """
@@ -165,13 +166,13 @@
             waiter.wait()
 
     def _connect(self, executor: Executor) -> ExecutorConnection:
-        self.connection_count += 1  # before the wait: connections being established count
+        self.connection_count += 1  # before the wait: connections being established count as well
         stream = None
         try:
             with self.loop.deadline(self.connect_timeout_ms):
                 stream = self.loop.connect(executor.address)
         except DeadlineExceeded:
-            raise ConnectFailed(errno.ETIMEDOUT, f"{executor.address}: no connection in time") from None
+            raise ConnectFailed(errno.ETIMEDOUT, f"{executor.address}: connect timed out") from None
         finally:
             if stream is None:
                 self._free_capacity()
@@ -179,7 +180,7 @@
         return ExecutorConnection(stream)
 
     def check_in(self, executor: Executor, connection: ExecutorConnection, response: Response) -> None:
-        """Keep a connection for later if nothing about its last response was out of order."""
+        """Take a connection back; it is kept if its last response leaves it reusable."""
         if not response.is_reusable or executor.is_removed:
             self.counts["not_reusable"] += not response.is_reusable
             self.close(connection)
@@ -190,17 +191,17 @@
             self._evict()
 
     def close(self, connection: ExecutorConnection) -> None:
-        """Close a connection; its place is free at once."""
+        """Close a connection and free its capacity at once."""
         connection.stream.abort()
         self._free_capacity()
 
     def _free_capacity(self) -> None:
         self.connection_count -= 1
         while self._capacity_waiters and not self._capacity_waiters.popleft().wake():
-            pass  # that waiter's task was cancelled or ran out of time: the next one
+            pass  # that waiter's task was cancelled or timed out; wake the next one
 
     def _evict(self) -> bool:
-        """Close the connection that has been idle longest; return whether there was one."""
+        """Close the connection that has been idle longest; return False if none is idle."""
         candidates = [executor for executor in self.executors.values() if executor.idle_connections]
         if not candidates:
             return False
--- a/fennelwind/node/executor_requests.py
+++ b/fennelwind/node/executor_requests.py
@@ -1,4 +1,4 @@
-"""The bytes of calls to executors: the platform's HTTP resources in terms of queries and attempts. No I/O."""
+"""Builds the HTTP requests to executors from queries and attempts. No I/O."""
 
 from fennelwind.dispatch.types import AttemptRequest
 from fennelwind.node.wire_names import (
@@ -11,8 +11,8 @@
 )
 
 HEALTH_CHECK = b"GET /-/gauges HTTP/1.1\r\nHost: executor\r\n\r\n"
-MIN_GRANT_MB = 1.0  # MB; less is no grant, and the executor decides by itself
-DEFAULT_PRIORITY = 1  # what an executor assumes when it is told none
+MIN_GRANT_MB = 1.0  # MB; below it no grant is sent, and the executor decides by itself
+DEFAULT_PRIORITY = 1  # an executor assumes it if the request states none
 
 _START = (
     b"POST /data HTTP/1.1\r\nHost: executor\r\n"
@@ -28,9 +28,9 @@
 _PRIORITY = PRIORITY_HEADER + b": %d\r\n"
 
 
-def start_query(order: AttemptRequest, timeout_ms: int) -> bytes:
-    """Return the POST that starts an attempt, which the executor ends after `timeout_ms`."""
-    submission = order.submission
+def start_query(request: AttemptRequest, timeout_ms: int) -> bytes:
+    """Return the POST that starts an attempt; the executor ends it after `timeout_ms`."""
+    submission = request.submission
     statement = submission.statement
     key = submission.idempotency_key.encode("ascii")
     return _START % (
@@ -38,30 +38,30 @@
         submission.engine_class.encode(),
         _IDEMPOTENCY_KEY % key if key else b"",
         timeout_ms,
-        _MEMORY_GRANT % order.memory_mb if order.memory_mb >= MIN_GRANT_MB else b"",
-        _PRIORITY % order.priority if order.priority != DEFAULT_PRIORITY else b"",
+        _MEMORY_GRANT % request.memory_mb if request.memory_mb >= MIN_GRANT_MB else b"",
+        _PRIORITY % request.priority if request.priority != DEFAULT_PRIORITY else b"",
         len(statement),
         statement,
     )
 
 
 def poll_query(query_id: str) -> bytes:
-    """Return the GET that waits for an attempt's end, and fetches the first page of its result."""
+    """Return the GET that waits for an attempt's end and fetches the first page of the result."""
     return fetch_page(query_id, 0)
 
 
 def fetch_page(query_id: str, page: int) -> bytes:
-    """Return the GET of one page of a result."""
+    """Return the GET that fetches one page of a result."""
     return _call_on_query(b"GET", query_id, b"/%d" % page)
 
 
 def cancel_query(query_id: str) -> bytes:
-    """Return the DELETE that ends a query."""
+    """Return the DELETE that cancels a query."""
     return _call_on_query(b"DELETE", query_id)
 
 
 def set_priority(query_id: str, priority: int) -> bytes:
-    """Return the PUT of a running query's new priority."""
+    """Return the PUT that sets a running query's priority."""
     body = b"%d" % priority
     return _call_on_query(b"PUT", query_id, headers=b"Content-Length: %d\r\n" % len(body), body=body)
 
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -1,8 +1,9 @@
-"""The frontend: accepts clients over MessagePack-RPC, bounds their connections, and closes them in the end.
+"""The frontend: accepts clients over MessagePack-RPC, limits their connections, and closes them at shutdown.
 
-Started by `lifecycle`. One sweep four times a second closes connections that send nothing, leave a message
-incomplete, or are idle for long; none with an open request is closed by it. Connections that linger after our
-close are few, and the oldest make room for new ones. Exceptions of one connection end that connection only.
+Started by `lifecycle`. A sweep runs four times a second and closes connections that send nothing, leave a
+message incomplete, or are idle for too long, but none with an open request. The number of connections that
+linger after the close of our sending side is limited, and the oldest are closed in favour of new ones. An
+exception in one connection ends only that connection.
 """
 
 from collections import Counter
@@ -17,14 +18,15 @@
 from fennelwind.node.config import NodeConfig
 
 SWEEP_INTERVAL_MS = 250.0  # ms between two checks of all connections
-MAX_PARTIAL_BYTES = 4_000_000  # bytes of incomplete messages, over all connections
-MAX_ACCEPTS_PER_TURN = 64  # connections accepted in one turn; then what is open gets its turn
-MAX_LINGER_MS = 500.0  # ms between our end and the close outright; a silent client's is then still within 3 s
-CLOSE_CHECK_MS = 25.0  # ms between two checks of what is open while all connections are being closed
+MAX_PARTIAL_BYTES = 4_000_000  # bytes of incomplete messages, in total over all connections
+MAX_ACCEPTS_PER_TURN = 64  # connections accepted before the loop runs other tasks
+# ms from closing our sending side to closing the socket, so that a silent client's is closed within 3 s
+MAX_LINGER_MS = 500.0
+CLOSE_CHECK_MS = 25.0  # ms between two checks of the open connections while all are being closed
 
 
 class Frontend:
-    """Accepts clients: `max_connections` at a time, and `max_lingering` more that are being closed."""
+    """Accepts up to `max_connections` clients, besides up to `max_lingering` that are being closed."""
 
     def __init__(
         self,
@@ -39,17 +41,17 @@
     ) -> None:
         self.loop, self.listener, self.driver, self.config = loop, listener, driver, config
         self.slots: ConnectionSlots[ClientConnection] = ConnectionSlots(max_connections)
-        self.lingering: dict[ClientConnection, float] = {}  # closed by us, since when; the oldest first
+        self.lingering: dict[ClientConnection, float] = {}  # since when; the oldest first
         self.max_lingering = max_lingering
         self.open_query_ids: set[str] = set()
-        self.is_serving = True  # what health requests are answered
+        self.is_serving = True  # the answer to health requests
         self.is_finishing = False  # no further connections are accepted
         self.partial_bytes = 0
         self.counts: Counter[str] = Counter()
         self.log_message = log_message
 
     def start(self) -> None:
-        """Start to accept clients."""
+        """Start accepting clients."""
         self.loop.spawn(self._accept, name="clients: accept")
         self.loop.spawn(self._sweep, name="clients: sweep")
 
@@ -81,7 +83,7 @@
         self.loop.spawn(connection.run, name="client")
 
     def _make_room(self) -> bool:
-        """Close the connection that is needed least; return False if none may be closed."""
+        """Close the most dispensable connection; return False if none may be closed."""
         chosen = self.slots.choose_to_close(self.loop.now(), self._has_unreceived_bytes)
         if chosen is None:
             return False
@@ -91,11 +93,11 @@
         return True
 
     def _has_unreceived_bytes(self, connection: Hashable) -> bool:
-        """Tell whether bytes of this connection wait in the kernel that may begin a message."""
+        """Return whether the kernel holds unread bytes of this connection that may begin a message."""
         has_bytes = cast(ClientConnection, connection).stream.waiting
         return connection not in self.slots.partial_since_ms and has_bytes()
 
-    # Closing connections that hold a place for too long.
+    # Closing overdue connections.
 
     def _sweep(self) -> None:
         while True:
@@ -103,7 +105,7 @@
             self.close_overdue()
 
     def close_overdue(self) -> None:
-        """Close connections that are overdue, and outright those that linger for too long."""
+        """Close connections that are overdue, and the sockets of those that linger for too long."""
         now = self.loop.now()
         for connection, reason in self.slots.overdue(now):
             if not self._has_unreceived_bytes(connection):
@@ -111,53 +113,53 @@
                 cast(ClientConnection, connection).close()
         for lingering, since_ms in list(self.lingering.items()):
             if now - since_ms <= MAX_LINGER_MS:
-                break  # those behind came later
-            self.close_outright(lingering)
+                break  # the ones after it began to linger later
+            self.close_socket(lingering)
 
     def limit_partial_bytes(self) -> None:
         """Close the connections with the most incomplete bytes, first those that expect no answer.
 
-        Without this bound, clients that send half a message each would take the controller's memory.
+        Without this limit, clients that each send half a message would exhaust the controller's memory.
         """
         while self.partial_bytes > MAX_PARTIAL_BYTES:
-            half_sent = cast("dict[ClientConnection, float]", self.slots.partial_since_ms)
-            largest = max(half_sent, key=lambda each: (not each.has_open_or_unread(), each.partial_bytes))
+            with_partial = cast("dict[ClientConnection, float]", self.slots.partial_since_ms)
+            largest = max(with_partial, key=lambda each: (not each.has_open_or_unread(), each.partial_bytes))
             self.counts["closed_largest_half_sent"] += 1
             largest.close()
 
     def linger(self, connection: ClientConnection) -> None:
-        """Let a connection whose sending side is closed wait for its client's end."""
+        """Let a connection whose sending side is closed wait until its client closes too."""
         self.lingering[connection] = self.loop.now()
         while len(self.lingering) > self.max_lingering:
-            self.close_outright(next(iter(self.lingering)))
+            self.close_socket(next(iter(self.lingering)))
 
-    def close_outright(self, connection: ClientConnection) -> None:
+    def close_socket(self, connection: ClientConnection) -> None:
         """Close a connection's socket."""
         self.lingering.pop(connection, None)
         connection.stream.close()
 
-    # The end of service.
+    # Shutdown.
 
     def finish_accepting(self, until_ms: float) -> None:
-        """Accept only what is in the listener's backlog already, trying until then at most."""
+        """Accept only the connections already in the listener's backlog, until `until_ms` at the latest."""
         self.is_finishing = True
         for stream in self.listener.finish(until_ms):
             self._admit(cast(PushStream, stream))
 
     def close_all(self, last_answers_ms: float, end_ms: float) -> None:
-        """Close all connections: each once it has got and sent everything, the others when time is up.
+        """Close all connections: each once nothing is pending in either direction, the others by `end_ms`.
 
-        Until `last_answers_ms` answers may be taken and messages completed; until `end_ms` connections may
+        Until `last_answers_ms` clients may read answers and complete messages; until `end_ms` connections may
         linger.
         """
-        self.max_lingering += len(self.slots)  # nobody needs the descriptors any more
+        self.max_lingering += len(self.slots)  # no new connection needs the descriptors
         while (len(self.slots) or self.lingering) and self.loop.now() < end_ms:
             self._close_finished(is_late=self.loop.now() >= last_answers_ms)
             self.loop.sleep(CLOSE_CHECK_MS)
-        for connection in self._connections():  # not all answers taken yet; the kernel keeps what it has
+        for connection in self._connections():  # answers unread; the kernel still delivers what it has
             connection.shut_down()
         for lingering in list(self.lingering):
-            self.close_outright(lingering)
+            self.close_socket(lingering)
 
     def _close_finished(self, is_late: bool) -> None:
         for connection in self._connections():
@@ -171,14 +173,14 @@
     def _connections(self) -> list[ClientConnection]:
         return cast("list[ClientConnection]", list(self.slots))
 
-    # What clients did wrong.
+    # Faults of clients.
 
-    def note_unreadable(self, reason: str) -> None:
+    def note_malformed_message(self, reason: str) -> None:
         """Count and log a connection that can't be parsed any further."""
         self.counts["unreadable"] += 1
-        self.log_message(f"a client that can't be read: {reason}")
+        self.log_message(f"malformed message from a client: {reason}")
 
     def note_invalid_request(self, reason: str) -> None:
-        """Count and log a request that is not valid."""
+        """Count and log an invalid request."""
         self.counts["invalid_requests"] += 1
-        self.log_message(f"a request that can't be used: {reason}")
+        self.log_message(f"invalid request: {reason}")
--- a/fennelwind/node/health_checks.py
+++ b/fennelwind/node/health_checks.py
@@ -1,4 +1,4 @@
-"""Health checks: one call for an executor's gauges, which also brings a load report."""
+"""Health checks: one call for an executor's gauges, which also returns a load report."""
 
 from collections.abc import Collection
 
@@ -11,15 +11,15 @@
 from fennelwind.node.load_report import read_load_report
 from fennelwind.policy import AttemptStatus
 
-HEALTH_CHECK_TIMEOUT_MS = 250.0  # ms; an executor that works answers in a few
+HEALTH_CHECK_TIMEOUT_MS = 250.0  # ms; a healthy executor answers within a few
 
 
 def check_health(pool: ExecutorPool, executor: Executor, report_fields: Collection[str]) -> AttemptEnd:
-    """Check an executor; never raises for what the executor or the network does."""
+    """Check an executor's health; failures of the executor or the network are returned, not raised."""
     try:
         response = pool.call(executor, HEALTH_CHECK, HEALTH_CHECK_TIMEOUT_MS)
     except DeadlineExceeded:
-        return AttemptEnd(AttemptStatus.TIMEOUT, "no answer to a probe")
+        return AttemptEnd(AttemptStatus.TIMEOUT, "no answer to the health check")
     except OSError as exc:
         return AttemptEnd(AttemptStatus.CONNECT_FAILED, str(exc))
     except MalformedResponseError as exc:
--- a/fennelwind/node/http1.py
+++ b/fennelwind/node/http1.py
@@ -1,8 +1,8 @@
-"""HTTP/1.1 as the calling side, and server-sent events; incremental and bounded, without I/O.
+"""Parses HTTP/1.1 responses and server-sent events, incrementally and within limits. No I/O.
 
-A parser of our own: h11 reads the same answers at a fraction of the speed (docs/results/platform.md), and
-with part of a core the cost of a call decides how many queries are served. What is no answer in the strict
-sense is `MalformedResponseError`: whoever reads a damaged head leniently takes noise for an answer.
+This is not built on h11, which reads the same answers at a fraction of the speed (docs/results/platform.md):
+with part of a core, the cost of a call decides how many queries are served. Parsing is strict, and anything
+invalid raises `MalformedResponseError`: a lenient parser would take a damaged head for an answer.
 """
 
 import re
@@ -15,12 +15,12 @@
     PAGE_NUMBER_HEADER,
 )
 
-MAX_HEAD_BYTES = 8192  # bytes of one head; executors' heads have some 200
-MAX_BODY_BYTES = 65536  # bytes of one body; a page has 6,000 at most
-MAX_CHUNK_LINE_BYTES = 64  # bytes of the line that tells a chunk's size
-MAX_EVENT_BYTES = 1_048_576  # bytes of one event; a full list of hundreds of executors is far smaller
-MAX_QUOTED_BYTES = 40  # bytes of what is malformed that a message shows
-# Headers that may come once: two of one of these can't both hold.
+MAX_HEAD_BYTES = 8192  # bytes of one head; those of executors have about 200
+MAX_BODY_BYTES = 65536  # bytes of one body; a page has at most 6,000
+MAX_CHUNK_LINE_BYTES = 64  # bytes of the line with a chunk's size
+MAX_EVENT_BYTES = 1_048_576  # bytes of one event; a full list of hundreds of executors is far shorter
+MAX_QUOTED_BYTES = 40  # bytes of malformed input that an error message includes
+# Headers that may occur only once: two of the same would contradict each other.
 SINGLE_HEADERS = frozenset(
     (
         b"content-length",
@@ -40,39 +40,39 @@
 
 
 class MalformedResponseError(Exception):
-    """What came is no HTTP response; the connection is of no further use."""
+    """The input is not a valid HTTP response; the connection can't be used any more."""
 
 
 @dataclass(slots=True)
 class Response:
-    """A response."""
+    """An HTTP response, or only its head while the body is incomplete."""
 
     status: int
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes = b""
-    is_reusable: bool = True  # nothing about its connection was out of order so far
+    is_reusable: bool = True  # its connection may be used for another call
 
 
 def parse_head(raw: bytes) -> Response:
-    """Parse a head without its last empty line. Raises `MalformedResponseError`."""
-    first, *lines = raw.split(b"\r\n")
-    found = STATUS_LINE.fullmatch(first)
+    """Parse a response head without the empty line that ends it. Raises `MalformedResponseError`."""
+    status_line, *lines = raw.split(b"\r\n")
+    found = STATUS_LINE.fullmatch(status_line)
     if found is None:
-        raise MalformedResponseError(f"no status line: {first[:MAX_QUOTED_BYTES]!r}")
+        raise MalformedResponseError(f"invalid status line: {status_line[:MAX_QUOTED_BYTES]!r}")
     headers: dict[bytes, bytes] = {}
     for line in lines:
         name, colon, value = line.partition(b":")
         name, value = name.lower(), value.strip(b" \t")
         if not colon or HEADER_NAME.fullmatch(name) is None or HEADER_VALUE.fullmatch(value) is None:
-            raise MalformedResponseError(f"no header: {line[:MAX_QUOTED_BYTES]!r}")
+            raise MalformedResponseError(f"invalid header: {line[:MAX_QUOTED_BYTES]!r}")
         if name in headers and name in SINGLE_HEADERS:
-            raise MalformedResponseError(f"header {name[:MAX_QUOTED_BYTES]!r} twice")
+            raise MalformedResponseError(f"duplicate header {name[:MAX_QUOTED_BYTES]!r}")
         headers[name] = value
     return Response(int(found[1]), headers)
 
 
-def take_head(data: bytes) -> tuple[Response | None, bytes]:
-    """Return the head that the bytes begin with, None while it is incomplete, and the rest.
+def split_head(data: bytes) -> tuple[Response | None, bytes]:
+    """Split off the head; return it, or None while it is incomplete, and the remaining bytes.
 
     Raises `MalformedResponseError`.
     """
@@ -80,50 +80,52 @@
     if end >= 0:
         return parse_head(data[:end]), data[end + 4 :]
     if len(data) >= MAX_HEAD_BYTES:
-        raise MalformedResponseError("a head without an end")
+        raise MalformedResponseError("head is too large")
     if not b"HTTP/1.1 ".startswith(data[:9]):
-        raise MalformedResponseError(f"no status line: {data[:MAX_QUOTED_BYTES]!r}")
+        raise MalformedResponseError(f"invalid status line: {data[:MAX_QUOTED_BYTES]!r}")
     return None, data
 
 
 class ResponseReader:
-    """Turns the bytes of one connection into responses, one for each call."""
+    """Parses the bytes of one connection into responses, one for each call."""
 
     def __init__(self) -> None:
         self._data = b""
         self._head: Response | None = None
-        self._content_length = 0  # bytes of the body, where it is not chunked
+        self._content_length = 0  # bytes of the body if it is not chunked
         self._chunks: ChunkReader | None = None
         self._body: list[bytes] = []
-        self._had_interim = False  # a 1xx response came before: not asked for, so not to be trusted further
+        self._had_interim = False  # an unrequested 1xx response preceded; the connection is not reused
 
     def feed(self, data: bytes) -> Response | None:
-        """Take some bytes; return the response once it is complete. Raises `MalformedResponseError`."""
+        """Parse further bytes; return the response if complete. Raises `MalformedResponseError`."""
         self._data += data
         while self._head is None:
-            head, self._data = take_head(self._data)
+            head, self._data = split_head(self._data)
             if head is None:
                 return None
             if head.status < 200:
                 if head.status == 101:
-                    raise MalformedResponseError("an upgrade that nobody asked for")
+                    raise MalformedResponseError("unrequested protocol upgrade")
                 self._had_interim = True
                 continue
             self._begin_body(head)
         return self._read_body(self._head)
 
     def _begin_body(self, head: Response) -> None:
-        length, coding = head.headers.get(b"content-length"), head.headers.get(b"transfer-encoding")
-        if coding is not None:
-            if coding.lower() != b"chunked" or length is not None:
-                raise MalformedResponseError(f"a body coded {coding[:MAX_QUOTED_BYTES]!r}")
+        length, transfer_coding = head.headers.get(b"content-length"), head.headers.get(b"transfer-encoding")
+        if transfer_coding is not None:
+            if transfer_coding.lower() != b"chunked" or length is not None:
+                raise MalformedResponseError(
+                    f"unsupported transfer coding {transfer_coding[:MAX_QUOTED_BYTES]!r}"
+                )
             self._chunks = ChunkReader(MAX_BODY_BYTES)
         elif head.status in (204, 304):
             if length not in (None, b"0"):
-                raise MalformedResponseError("a length where there is no body")
+                raise MalformedResponseError("content length of a response that has no body")
             self._content_length = 0
         elif length is None or CONTENT_LENGTH.fullmatch(length) is None or int(length) > MAX_BODY_BYTES:
-            raise MalformedResponseError(f"a body of length {(length or b'none')[:MAX_QUOTED_BYTES]!r}")
+            raise MalformedResponseError(f"invalid content length {(length or b'none')[:MAX_QUOTED_BYTES]!r}")
         else:
             self._content_length = int(length)
         self._head = head
@@ -147,36 +149,36 @@
 
 
 class ChunkReader:
-    """Decodes a chunked body of `max_bytes` at most; 0: no bound, for a stream of events."""
+    """Decodes a chunked body of at most `max_bytes`; 0 means unlimited, for an event stream."""
 
     def __init__(self, max_bytes: int) -> None:
         self.max_bytes = max_bytes
         self.total_bytes = 0
         self.has_ended = False
-        self.rest = b""  # what came after the body's end
+        self.rest = b""  # bytes that follow the body
         self._data = b""
-        self._chunk_bytes_left = 0  # of the present chunk, still to come
-        self._is_line_end_due = False  # the line end behind a chunk is still to come
+        self._chunk_bytes_left = 0  # bytes of the current chunk that are still to come
+        self._is_line_end_due = False  # the line end after a chunk is still to come
         self._is_last_chunk = False
 
     def feed(self, data: bytes, pieces: list[bytes] | None = None) -> list[bytes]:
-        """Take some bytes; add what they hold of the body to the pieces, and return those.
+        """Decode further bytes; append the parts of the body to `pieces` and return it.
 
-        Raises `MalformedResponseError`; the pieces then hold what came before.
+        Raises `MalformedResponseError`; `pieces` then has the parts that precede the error.
         """
         self._data += data
         pieces = [] if pieces is None else pieces
         has_progressed = True
         while has_progressed and not self.has_ended:
             if self._chunk_bytes_left:
-                has_progressed = self._read_piece(pieces)
+                has_progressed = self._read_chunk_data(pieces)
             elif self._is_line_end_due:
                 has_progressed = self._read_line_end()
             else:
                 has_progressed = self._read_size()
         return pieces
 
-    def _read_piece(self, pieces: list[bytes]) -> bool:
+    def _read_chunk_data(self, pieces: list[bytes]) -> bool:
         piece = self._data[: self._chunk_bytes_left]
         if not piece:
             return False
@@ -189,7 +191,7 @@
         if len(self._data) < 2:
             return False
         if self._data[:2] != b"\r\n":
-            raise MalformedResponseError("a chunk that does not end, or trailers")
+            raise MalformedResponseError("chunk without line end, or unsupported trailers")
         self._data, self._is_line_end_due = self._data[2:], False
         if self._is_last_chunk:
             self.has_ended, self.rest, self._data = True, self._data, b""
@@ -199,45 +201,45 @@
         end = self._data.find(b"\r\n", 0, MAX_CHUNK_LINE_BYTES)
         if end < 0:
             if len(self._data) >= MAX_CHUNK_LINE_BYTES:
-                raise MalformedResponseError("a chunk without a size")
+                raise MalformedResponseError("chunk size line is too long")
             return False
         size = self._data[:end].split(b";")[0].strip()
         if CHUNK_SIZE.fullmatch(size) is None:
-            raise MalformedResponseError(f"a chunk of size {size[:20]!r}")
+            raise MalformedResponseError(f"invalid chunk size {size[:20]!r}")
         self._chunk_bytes_left, self._is_line_end_due = int(size, 16), True
         self._is_last_chunk = not self._chunk_bytes_left
         self._data = self._data[end + 2 :]
         self.total_bytes += self._chunk_bytes_left
         if self.max_bytes and self.total_bytes > self.max_bytes:
-            raise MalformedResponseError("a body that is too large")
+            raise MalformedResponseError("body is too large")
         return True
 
 
 @dataclass(slots=True, frozen=True)
 class ServerEvent:
-    """One event; `number` is None if it states none, `data` is empty for a comment."""
+    """A server-sent event; `number` is None if it has no id, `data` is empty for a comment."""
 
     number: int | None
     data: str = ""
 
 
 class EventReader:
-    """Turns the bytes of one connection into a head and then server-sent events."""
+    """Parses the bytes of one connection into a response head and then server-sent events."""
 
     def __init__(self) -> None:
         self.head: Response | None = None
-        self.error: MalformedResponseError | None = None  # what came after complete events
+        self.error: MalformedResponseError | None = None  # malformed input that followed events
         self._head_data = b""
         self._partial_line = b""
         self._chunks: ChunkReader | None = None
-        self._body_bytes_left: int | None = None  # where the response states a length
+        self._body_bytes_left: int | None = None  # if the response has a content length
         self._event_number: int | None = None
         self._event_lines: list[str] = []
         self._event_bytes = 0
 
     @property
     def has_ended(self) -> bool:
-        """Tell whether nothing more follows, or nothing that could be read."""
+        """Return whether the body has ended or can't be parsed any further."""
         return (
             self._chunks is not None
             and self._chunks.has_ended
@@ -246,9 +248,9 @@
         )
 
     def feed(self, data: bytes) -> list[ServerEvent]:
-        """Take some bytes; return the events that are complete now.
+        """Parse further bytes; return the events that they complete.
 
-        Raises `MalformedResponseError`, if there are none.
+        Raises `MalformedResponseError` for malformed input if no event precedes it, else sets `error`.
         """
         events: list[ServerEvent] = []
         try:
@@ -263,7 +265,7 @@
         if self.head is None:
             self._head_data += data
             while self.head is None:
-                head, self._head_data = take_head(self._head_data)
+                head, self._head_data = split_head(self._head_data)
                 if head is None:
                     return
                 if head.status >= 200:
@@ -283,15 +285,17 @@
 
     def _begin_body(self, head: Response) -> None:
         if head.status != 200:
-            raise MalformedResponseError(f"status {head.status}")
-        coding, length = head.headers.get(b"transfer-encoding"), head.headers.get(b"content-length")
-        if coding is not None:
-            if coding.lower() != b"chunked":
-                raise MalformedResponseError(f"a body coded {coding[:MAX_QUOTED_BYTES]!r}")
+            raise MalformedResponseError(f"unexpected status {head.status}")
+        transfer_coding, length = head.headers.get(b"transfer-encoding"), head.headers.get(b"content-length")
+        if transfer_coding is not None:
+            if transfer_coding.lower() != b"chunked":
+                raise MalformedResponseError(
+                    f"unsupported transfer coding {transfer_coding[:MAX_QUOTED_BYTES]!r}"
+                )
             self._chunks = ChunkReader(0)
         elif length is not None:
             if CONTENT_LENGTH.fullmatch(length) is None:
-                raise MalformedResponseError(f"a body of length {length[:MAX_QUOTED_BYTES]!r}")
+                raise MalformedResponseError(f"invalid content length {length[:MAX_QUOTED_BYTES]!r}")
             self._body_bytes_left = int(length)
         self.head = head
 
@@ -313,8 +317,8 @@
                 self._event_lines.append(value)
                 self._event_bytes += len(value) + 1
                 if self._event_bytes > MAX_EVENT_BYTES:
-                    raise MalformedResponseError("an event that is too large")
+                    raise MalformedResponseError("event is too large")
             elif name == "id" and value.isascii() and value.isdecimal() and len(value) < 19:
                 self._event_number = int(value)
         if len(self._partial_line) > MAX_EVENT_BYTES:
-            raise MalformedResponseError("a line without an end")
+            raise MalformedResponseError("event line is too long")
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -1,7 +1,7 @@
-"""A controller on the platform: puts its parts together, reloads at SIGHUP, shuts down at SIGTERM.
+"""A controller on the platform: assembles its components, reloads at SIGHUP, shuts down at SIGTERM.
 
-`python -m fennelwind.node` calls `main`, which returns the process's exit status: 2 if the configuration or
-the address can't be used.
+`python -m fennelwind.node` calls `main`, which returns the process's exit status: 2 if the configuration is
+invalid or the address can't be bound.
 """
 
 import gc
@@ -25,18 +25,18 @@
 from fennelwind.node.shutdown import ShutdownSchedule
 from fennelwind.policy import ListForm
 
-MIN_ANSWER_MARGIN_MS = 15.0  # ms that answers leave before their deadline at least, whatever was measured
+MIN_ANSWER_MARGIN_MS = 15.0  # ms from an answer to its deadline, even if less was measured
 MAX_ANSWER_MARGIN_MS = 200.0
-LISTEN_BACKLOG = 1024  # connections that wait to be accepted; a deploy brings all clients at once
-# Shares of the file descriptors; the rest, 17 of 256, is for files, log, command channel.
+LISTEN_BACKLOG = 1024  # connections not yet accepted; at a deploy all clients connect at once
+# Shares of the file descriptors; the remaining ones, 17 of 256, are for files, log and command channel.
 CLIENTS_SHARE, EXECUTORS_SHARE = 0.55, 0.36
 LINGERING_SHARE = 0.03  # connections being closed
-DRAIN_CHECK_MS = 25.0  # ms between two checks of what is open during a shutdown
-LAST_CANCELLATIONS_MS = 150.0  # ms for what was abandoned to be ended at the executors
-START_RETRY_PAUSES_MS = (100.0,) * 100  # ms between attempts to start; 30 s are what the platform allows
-GC_THRESHOLD = 20_000  # new objects between two collections; nearly all garbage here is freed by counts
+DRAIN_CHECK_MS = 25.0  # ms between two checks for open queries during a shutdown
+LAST_CANCELLATIONS_MS = 150.0  # ms to cancel abandoned queries at the executors
+START_RETRY_PAUSES_MS = (100.0,) * 100  # ms between attempts to start; the platform allows 30 s
+GC_THRESHOLD = 20_000  # new objects between two collections; reference counting frees nearly all garbage
 VIEW_CHECK_MS = 1000.0  # ms between two comparisons of the policy's view with the attempts in flight
-VIEW_CHECKS_PER_LINE = 10  # comparisons between two lines of the log that report them
+VIEW_CHECKS_PER_LINE = 10  # comparisons between two log lines that report them
 
 
 class Node:
@@ -80,7 +80,7 @@
         self.frontend: Frontend | None = None
 
     def start(self) -> None:
-        """Apply the known endpoints and listen for clients. Raises `OSError` if the address can't be had."""
+        """Apply the known endpoints and listen for clients. Raises `OSError` if it can't bind the address."""
         listener = self.loop.listen(self.config.listen, LISTEN_BACKLOG)
         self.endpoint_watch.apply_known(self.config.known_cursor, self.config.known_events)
         self.frontend = Frontend(
@@ -95,26 +95,28 @@
         self.executor_pool.start()
         self.endpoint_watch.start()
         self.frontend.start()
-        self.loop.spawn(self._watch_view, name="view")
+        self.loop.spawn(self._compare_views, name="view")
 
     def reload(self, text: str) -> None:
-        """Apply a new file: its channel and known endpoints; a file that can't be read changes nothing."""
+        """Apply a new file's channel address and known endpoints; an invalid file is ignored."""
         try:
             config = read_config(text)
         except ConfigError as exc:
             self.log.write("reload", f"the settings are as before: {exc}")
             return
         if config.settings != self.config.settings:
-            self.log.write("reload", "the policy's settings differ; they take effect at the next start")
+            self.log.write(
+                "reload", "the policy's settings have changed, which takes effect at the next start"
+            )
         self.endpoint_watch.apply_known(config.known_cursor, config.known_events, ListForm.FULL)
         if config.channel != self.endpoint_watch.address:
             self.endpoint_watch.move(config.channel)
         self.log.write("reload", f"command channel at {config.channel}")
 
-    def _watch_view(self) -> None:
+    def _compare_views(self) -> None:
         """Compare the policy's view with the attempts in flight, and log both.
 
-        Where they differ for longer than a turn, decisions rest on a load that is not there.
+        If they differ for longer than a turn, the policy decides on a load that does not exist.
         """
         checks = differences = 0
         while True:
@@ -125,23 +127,23 @@
                 self._log_state(checks, differences)
 
     def _log_state(self, checks: int, differences: int) -> None:
-        pool, rows = self.executor_pool, compare(self.driver.gateway, self.executor_client)
+        pool, views = self.executor_pool, compare(self.driver.gateway, self.executor_client)
         self.log.write(
             "state",
             (
                 f"{self.driver.ledger.open_count} open, {len(self._running_frontend().slots)} clients, "
                 f"{pool.connection_count} connections {dict(pool.counts)}, margin "
-                f"{self.driver.margin.ms:.0f} ms, view differed in {differences} of {checks} looks; "
-                f"{'; '.join(map(str, rows))}"
+                f"{self.driver.margin.ms:.0f} ms, view differed in {differences} of {checks} checks; "
+                f"{'; '.join(map(str, views))}"
             ),
             MAX_STATE_LENGTH,
         )
 
     def shut_down(self) -> None:
-        """Shut down in order, by the `ShutdownSchedule`.
+        """Shut down in the steps of the `ShutdownSchedule`.
 
-        First the health check fails, but queries are served; then new ones are rejected until all that is
-        open is answered and taken; then connections are closed, and what still comes is dropped.
+        First health checks fail, but queries are still served. Then new queries are rejected until all open
+        ones are answered and the answers are read. Then connections are closed, and further input is dropped.
         """
         ledger, frontend = self.driver.ledger, self._running_frontend()
         frontend.is_serving = False
@@ -175,7 +177,7 @@
 
 
 def main() -> int:
-    """Run a controller on the file that RELAY_CONFIG names; return the exit status."""
+    """Run a controller with the configuration file that RELAY_CONFIG names; return the exit status."""
     loop = RealLoop()
     log = Log(loop.now)
     loop.on_error = lambda task, exc: log.failed(task.name, exc)
@@ -197,9 +199,9 @@
     gc.collect()
     gc.freeze()
     gc.set_threshold(GC_THRESHOLD, 10, 10)
-    size = f"{config.cores:g} cores, {config.memory_mb:.0f} MB, {config.max_descriptors} descriptors"
+    resources = f"{config.cores:g} cores, {config.memory_mb:.0f} MB, {config.max_descriptors} descriptors"
     log.write(
-        "listening", f"{config.name} on {config.listen}, {len(config.known_events)} events known, {size}"
+        "listening", f"{config.name} on {config.listen}, {len(config.known_events)} events known, {resources}"
     )
     stop.wait()
     node.shut_down()
@@ -207,7 +209,7 @@
 
 
 def _start(loop: RealLoop, log: Log, path: str, config: NodeConfig, stop: Once) -> Node:
-    """Handle signals and accept clients. Raises `OSError`."""
+    """Install signal handlers, create the node and start it. Raises `OSError`."""
 
     def request_stop() -> None:
         stop.set()
--- a/fennelwind/node/msgrpc.py
+++ b/fennelwind/node/msgrpc.py
@@ -1,8 +1,8 @@
-"""MessagePack-RPC, incremental and bounded, without I/O.
+"""MessagePack-RPC: an incremental and bounded parser, and an encoder of responses. No I/O.
 
-The `msgpack` package parses: its state survives between pieces, so a message that comes byte by byte is
-parsed once. It rejects the lengths of arrays and maps when it reads them, but those of texts and bodies only
-when all of them has come; until then its buffer's bound is what holds.
+The `msgpack` package parses. It keeps its state between pieces of input, so a message that arrives byte by
+byte is parsed only once. It checks the length of an array or map as soon as it reads it, but that of a string
+or byte string only once all of it has arrived; until then the maximum buffer size bounds the memory.
 """
 
 from dataclasses import dataclass
@@ -10,22 +10,22 @@
 
 import msgpack
 
-MAX_BODY_BYTES = 65536  # of one statement; generated ones are a few KB, and hundreds may be incomplete
+MAX_BODY_BYTES = 65536  # of one statement; generated ones have a few KB, and hundreds may be incomplete
 MAX_MESSAGE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one incomplete message
-MAX_MEMBERS = 64  # members of one array or map; a request has a handful of fields
-MAX_TEXT_BYTES = 4096  # bytes of one text; ids and numbers are far shorter
+MAX_MEMBERS = 64  # members of one array or map; a request has only a few fields
+MAX_TEXT_BYTES = 4096  # bytes of one string; ids and numbers are far shorter
 MAX_MESSAGE_ID = 2**32 - 1  # message ids are 32 bits wide
-PARSER_READ_BYTES = 1024  # the parser's first buffer
+PARSER_READ_BYTES = 1024  # initial buffer of the parser
 REQUEST_TYPE, RESPONSE_TYPE, NOTIFICATION_TYPE = 0, 1, 2
 
 
 class MalformedMessageError(Exception):
-    """What came is no message; the connection can't be parsed any further."""
+    """The input is not a valid message; nothing after it on the connection can be parsed."""
 
 
 @dataclass(slots=True, frozen=True)
 class Request:
-    """A request, which is owed a response with its message id."""
+    """A request, which must get a response with its message id."""
 
     message_id: int
     method: str
@@ -34,29 +34,29 @@
 
 @dataclass(slots=True, frozen=True)
 class Notification:
-    """A message that is owed no response."""
+    """A message that gets no response."""
 
     method: str
     params: list[Any]
 
 
 class MessageReader:
-    """Turns the bytes of one connection into messages.
+    """Parses the bytes of one connection into messages.
 
-    A parser takes 40 KB and 1 us to make, so a connection has one only while a message is incomplete.
+    A parser takes 40 KB and 1 us to create, so a connection has one only while a message is incomplete.
     """
 
     __slots__ = ("error", "_unpacker", "_fed_bytes", "_parsed_bytes")
 
     def __init__(self) -> None:
-        self.error: MalformedMessageError | None = None  # what came after complete messages; nothing follows
+        self.error: MalformedMessageError | None = None  # malformed input that followed messages
         self._unpacker: msgpack.Unpacker | None = None
-        self._fed_bytes = self._parsed_bytes = 0  # what the parser got, and the complete messages of it
+        self._fed_bytes = self._parsed_bytes = 0  # bytes fed to the parser, and those in complete messages
 
     def feed(self, data: bytes) -> list[Request | Notification]:
-        """Take some bytes; return the messages that are complete now.
+        """Parse further bytes; return the messages that they complete.
 
-        Raises `MalformedMessageError`, if there are none.
+        Raises `MalformedMessageError` for malformed input if no message precedes it, else sets `error`.
         """
         messages: list[Request | Notification] = []
         try:
@@ -78,16 +78,16 @@
                 for value in unpacker:
                     messages.append(_read_message(value))
                     self._parsed_bytes = unpacker.tell()
-                if self.partial_bytes() > MAX_MESSAGE_BYTES:  # what was parsed is in no buffer any more
-                    raise MalformedMessageError("a message without an end")
+                if self.partial_bytes() > MAX_MESSAGE_BYTES:  # parsed bytes have left the buffer
+                    raise MalformedMessageError("incomplete message is too large")
         except MalformedMessageError:
             raise
-        except Exception as exc:  # the package raises many types, all of them for what it can't parse
+        except Exception as exc:  # the package raises many types, all for input that it can't parse
             raise MalformedMessageError(f"{type(exc).__name__}: {str(exc)[:100]}") from None
         self._unpacker = unpacker if self.partial_bytes() else None
 
     def partial_bytes(self) -> int:
-        """Return the bytes of an incomplete message."""
+        """Return the number of bytes of the incomplete message."""
         return self._fed_bytes - self._parsed_bytes
 
 
@@ -126,14 +126,14 @@
             and type(params) is list
         ):
             return Notification(method, params)
-    raise MalformedMessageError("neither a request nor a notice")
+    raise MalformedMessageError("neither a request nor a notification")
 
 
 def encode_result(message_id: int, value: list[Any]) -> bytes:
-    """Return the bytes of a response without an error."""
+    """Return the encoded response of a successful request."""
     return msgpack.packb([RESPONSE_TYPE, message_id, None, value])
 
 
 def encode_error(message_id: int, name: str, fields: dict[str, str]) -> bytes:
-    """Return the bytes of a response that is an error."""
+    """Return the encoded error response."""
     return msgpack.packb([RESPONSE_TYPE, message_id, [name, fields], None])
--- a/fennelwind/node/priority_updates.py
+++ b/fennelwind/node/priority_updates.py
@@ -1,7 +1,7 @@
-"""Sends executors the new priority of attempts that are running there.
+"""Sends executors the new priority of running attempts.
 
-A priority changes no answer, so an update that can't be sent is counted and dropped. An attempt that is still
-running has its priority compared again after each poll, which repeats a lost update.
+Priorities do not affect answers, so an update that can't be sent is counted and dropped. A running attempt
+compares its priority after each poll, which repeats a lost update.
 """
 
 from fennelwind.dispatch.types import AttemptRequest
@@ -10,36 +10,36 @@
 from fennelwind.node.executor_requests import set_priority
 from fennelwind.node.http1 import MalformedResponseError
 
-MAX_CONCURRENT_UPDATES = 8  # at a time, over all executors; an update beyond them is dropped
+MAX_CONCURRENT_UPDATES = 8  # over all executors; further updates are dropped
 UPDATE_TIMEOUT_MS = 400.0  # ms for one update
 
 
 class AttemptPriority:
-    """The priority of one attempt, as its executor knows it; the wanted one stands in the order."""
+    """The priority of an attempt that its executor has; the request has the intended one."""
 
-    __slots__ = ("executor", "order", "sent", "is_running", "is_updating")
+    __slots__ = ("executor", "request", "sent", "is_running", "is_updating")
 
-    def __init__(self, executor: Executor, order: AttemptRequest) -> None:
-        self.executor, self.order = executor, order
-        self.sent = order.priority  # what the executor was last told
-        self.is_running = False  # the attempt is still under way
-        self.is_updating = False  # a task of its own is sending the priority
+    def __init__(self, executor: Executor, request: AttemptRequest) -> None:
+        self.executor, self.request = executor, request
+        self.sent = request.priority  # the priority last sent to the executor
+        self.is_running = False  # the attempt has not ended
+        self.is_updating = False  # a task is sending the priority
 
     @property
     def is_current(self) -> bool:
-        """Tell whether the executor knows the wanted priority."""
-        return self.sent == self.order.priority
+        """Return whether the executor has the intended priority."""
+        return self.sent == self.request.priority
 
 
 class PriorityUpdates:
-    """The updates that are under way."""
+    """Sends priority updates, each in its own task."""
 
     def __init__(self, pool: ExecutorPool) -> None:
         self.pool = pool
         self._running_updates = 0
 
     def send(self, priority: AttemptPriority) -> None:
-        """Tell an executor an attempt's priority, in a task of its own, unless it knows it already."""
+        """Spawn a task that sends an attempt's priority to its executor, unless the executor has it."""
         if priority.is_current or priority.is_updating:
             return
         if self._running_updates >= MAX_CONCURRENT_UPDATES:
@@ -50,12 +50,12 @@
         self.pool.loop.spawn(self._send, priority, name="executors: priority")
 
     def _send(self, priority: AttemptPriority) -> None:
-        query_id = priority.order.submission.engine_id
+        query_id = priority.request.submission.engine_id
         try:
             while priority.is_running and not priority.is_current:
-                wanted = priority.order.priority
-                self.pool.call(priority.executor, set_priority(query_id, wanted), UPDATE_TIMEOUT_MS)
-                priority.sent = wanted
+                intended = priority.request.priority
+                self.pool.call(priority.executor, set_priority(query_id, intended), UPDATE_TIMEOUT_MS)
+                priority.sent = intended
                 self.pool.counts["priority_sent"] += 1
         except (OSError, MalformedResponseError):
             self.pool.counts["priority_not_sent"] += 1
--- a/fennelwind/node/reload.py
+++ b/fennelwind/node/reload.py
@@ -1,34 +1,34 @@
-"""Reads the configuration file at each SIGHUP, and again where it can't be read for a moment."""
+"""Reads the configuration file at each SIGHUP, with retries if it can't be read."""
 
 from collections.abc import Callable
 
 from fennelwind.loop.scheduler import Loop
 from fennelwind.loop.syscall_retry import retried
 
-RETRY_PAUSES_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # ms; a new file has to hold after 4 s
+RETRY_PAUSES_MS = (50.0, 100.0, 200.0, 400.0, 800.0)  # ms; a new file must have taken effect after 4 s
 
 
 def read_text(path: str) -> str:
-    """Return a file's text. Raises `OSError` and `UnicodeDecodeError`."""
+    """Return a file's text. Raises `OSError` or `UnicodeDecodeError`."""
     with open(path, encoding="utf-8") as file:
         return file.read()
 
 
 class Reloader:
-    """Applies the file at each request; one reading at a time, always of the newest file.
+    """Reads and applies the file at each request, one read at a time.
 
-    A SIGHUP that comes while the file is read has it read once more: its contents may have been read before.
+    A SIGHUP during a read causes another read, since the file may have changed after it was read.
     """
 
     def __init__(
         self, loop: Loop, path: str, apply: Callable[[str], None], log: Callable[[str, str], None]
     ) -> None:
-        """Read the file at `path`; `apply` takes its text, `log` the kind and text of a failure's line."""
+        """Initialize; `apply` takes the text of the file at `path`, `log` a failure's kind and text."""
         self.loop, self.path, self.apply, self.log = loop, path, apply, log
         self._is_requested = self._is_running = False
 
     def request(self) -> None:
-        """Have the file read, in a task of its own: an exception there does not end the program."""
+        """Read the file in a separate task, where an exception does not end the program."""
         self._is_requested = True
         if not self._is_running:
             self._is_running = True
--- a/fennelwind/node/request_validation.py
+++ b/fennelwind/node/request_validation.py
@@ -1,6 +1,6 @@
-"""Checks a client's query request field by field. No I/O and no clock.
+"""Validates a client's query request field by field. No I/O and no clock.
 
-Nothing is forwarded to an executor that was not valid here. Called by `client_connection`, which answers an
+Only requests that are valid here are forwarded to executors. Called by `client_connection`, which reports an
 `InvalidRequestError` to the client and counts it.
 """
 
@@ -14,19 +14,19 @@
 
 QUERY_ID = re.compile(r"[0-9a-f]{16}")
 MILLISECONDS = re.compile(r"[0-9]{1,9}(?:\.[0-9]{1,9})?")
-IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")  # opaque; it goes into a header as it is
+IDEMPOTENCY_KEY = re.compile(r"[\x21-\x7e]{1,128}")  # opaque; sent in a header unchanged
 NUMBER = re.compile(r"[0-9]{1,12}(?:\.[0-9]{1,9})?")
-IS_RETRY = "1"  # the only value of the retry mark
-MAX_WORK_MS = 1e9  # ms of work; an estimate of eleven days is none
-MAX_MEMORY_MB = 1e7  # MB; nor is one of ten terabytes
-# A timeout beyond this multiple of the class's client timeout, and so much more, is no client's deadline.
-# Clients add the time on the network, so the class's timeout itself would be too strict.
+IS_RETRY = "1"  # the only valid value of the retry field
+MAX_WORK_MS = 1e9  # ms of work; an estimate of more than 11 days is invalid
+MAX_MEMORY_MB = 1e7  # MB; so is one of more than 10 TB
+# A timeout above this multiple of the class's client timeout plus the slack is rejected. Clients add the time
+# on the network, so the class's timeout itself would be too strict a maximum.
 MAX_TIMEOUT_MULTIPLE = 2.0
 TIMEOUT_SLACK_MS = 1000.0
 
 
 class InvalidRequestError(Exception):
-    """A request that is not valid; the client gets the reason."""
+    """An invalid request; the reason is sent to the client."""
 
     def __init__(self, reason: str) -> None:
         super().__init__(reason)
@@ -40,13 +40,13 @@
     query_id: str
     class_index: int
     tenant: int
-    timeout_ms: float  # from the request's arrival; the client gives up then
+    timeout_ms: float  # counted from the request's arrival; the client stops waiting then
     statement: bytes
     estimated_work_ms: float | None
-    estimated_memory_mb: float  # 0: none
+    estimated_memory_mb: float  # 0: no estimate
     table_group: int | None
     is_retry: bool
-    idempotency_key: str  # by which executors drop repeats, where they do; "": none
+    idempotency_key: str  # executors that deduplicate use it; "": none
 
 
 def read_request(
@@ -56,7 +56,7 @@
     tenants: dict[str, int],
     settings: policy.Settings,
 ) -> QueryRequest:
-    """Check a request; the method names its class. Raises `InvalidRequestError`."""
+    """Validate a request, whose method names the query class. Raises `InvalidRequestError`."""
     class_index = classes.get(method)
     if class_index is None:
         raise InvalidRequestError("no such class")
@@ -107,11 +107,11 @@
     return float(text)
 
 
-def _read_estimate(text: str | None, what: str, maximum: float) -> float | None:
+def _read_estimate(text: str | None, quantity: str, maximum: float) -> float | None:
     if text is None:
         return None
     if NUMBER.fullmatch(text) is None or float(text) > maximum:
-        raise InvalidRequestError(f"no estimate of {what}")
+        raise InvalidRequestError(f"no estimate of {quantity}")
     return float(text)
 
 
--- a/fennelwind/node/start_times.py
+++ b/fennelwind/node/start_times.py
@@ -1,23 +1,24 @@
-"""When executors started, on this controller's own clock. No I/O.
+"""Converts the start times of executors to the loop's clock. No I/O.
 
-The command channel reports a start by a wall clock, which may be stepped at any moment, here or where it is
-read. What the controller knows by itself bounds it: an executor that is reported for the first time has not
-started later than now, and not much earlier than the channel was last heard. Called by `endpoint_watch`.
+The command channel reports starts by a wall clock, which may be stepped at any time, on this machine or on
+the one that reported the start. The controller therefore bounds a start by what it knows itself: an executor
+that is reported for the first time started no later than now, and not much earlier than the last contact with
+the channel. Called by `endpoint_watch`.
 """
 
 from collections.abc import Collection
 
-MIN_SURPLUS = 16  # starts kept beyond twice the listed executors, before those of others are dropped
-MAX_LIST_DELAY_MS = 5000.0  # ms that the list may be behind; a start seems that much earlier at most
+MIN_SURPLUS = 16  # starts kept beyond twice the number of listed executors
+MAX_LIST_DELAY_MS = 5000.0  # ms that the list may lag; a start is at most this much before the last contact
 
 
 class StartTimes:
-    """The starts of the executors that have been reported."""
+    """The start times that have been reported."""
 
     def __init__(self) -> None:
-        self._starts: dict[str, tuple[float, float]] = {}  # by name: as reported, and on the loop's clock
+        self._starts: dict[str, tuple[float, float]] = {}  # by executor: as reported, and on the loop's clock
 
-    def place(
+    def to_loop_clock(
         self,
         name: str,
         started_unix_ms: float,
@@ -25,12 +26,12 @@
         now_ms: float,
         last_contact_ms: float | None,
     ) -> float:
-        """Return when an executor started, on the loop's clock; 0.0: long ago.
+        """Return the start time of an executor on the loop's clock; 0.0: long ago.
 
-        `started_unix_ms`: as reported, 0 for long ago; `wall_clock_lead_ms`: how far the wall clock is ahead
-        of the loop's; `last_contact_ms`: when the channel was last heard before it reported this start, None
-        for what was known as the controller began. A start that was reported before keeps its value, whatever
-        the clocks do: a stepped clock would otherwise have an old executor warm up again.
+        `started_unix_ms` is the start as reported, 0 for long ago. `wall_clock_lead_ms` is how far the
+        wall clock is ahead of the loop's. `last_contact_ms` is the last contact with the channel before it
+        reported this start, None for starts known at startup. A start that was reported before keeps its
+        value even if a clock is stepped: otherwise an old executor would go through slow start again.
         """
         if not started_unix_ms:
             self._starts.pop(name, None)
@@ -38,13 +39,13 @@
         known = self._starts.get(name)
         if known is not None and known[0] == started_unix_ms:
             return known[1]
-        start = min(started_unix_ms - wall_clock_lead_ms, now_ms)
+        start_ms = min(started_unix_ms - wall_clock_lead_ms, now_ms)
         if last_contact_ms is not None:
-            start = max(start, last_contact_ms - MAX_LIST_DELAY_MS)
-        self._starts[name] = started_unix_ms, start
-        return start
-
-    def keep(self, names: Collection[str]) -> None:
-        """Drop all but these executors, once the others are the most of what is kept."""
-        if len(self._starts) > 2 * len(names) + MIN_SURPLUS:
-            self._starts = {name: start for name, start in self._starts.items() if name in names}
+            start_ms = max(start_ms, last_contact_ms - MAX_LIST_DELAY_MS)
+        self._starts[name] = started_unix_ms, start_ms
+        return start_ms
+
+    def prune(self, listed_names: Collection[str]) -> None:
+        """Drop the starts of unlisted executors once they outnumber the listed ones by `MIN_SURPLUS`."""
+        if len(self._starts) > 2 * len(listed_names) + MIN_SURPLUS:
+            self._starts = {name: start_ms for name, start_ms in self._starts.items() if name in listed_names}
--- a/fennelwind/node/table_group.py
+++ b/fennelwind/node/table_group.py
@@ -1,16 +1,16 @@
-"""The group of tables out of a statement: the number behind the underscore in its schema's name.
+"""Extracts the table group of a statement: the number after the underscore in a schema's name.
 
-One pass over the text by one expression whose branches never go back over what they took, so the time is
-linear; strings and comments are skipped as wholes, and whatever can't be read names no group.
+One pass over the text with a regular expression that never backtracks over matched text, so the time is
+linear. Strings and comments are skipped, and text that can't be parsed names no group.
 """
 
 import re
 
-UNGROUPED_SCHEMA = "staging"  # holds data that is being loaded; it belongs to no group
-MAX_GROUP = 10**6  # larger numbers name no group that an engine could keep warm
+UNGROUPED_SCHEMA = "staging"  # for data that is being loaded; belongs to no group
+MAX_GROUP = 10**6  # larger numbers are not table groups that an engine could cache
 
-# In turn: a line's comment, a block's comment, a string, a quoted name, a name, any other sign. Groups:
-# 1 double-quoted name, 2 backquoted name, 3 plain name, 4 white space, 5 any other character.
+# Alternatives: line comment, block comment, string, double-quoted name (group 1), backquoted name (group 2),
+# plain name (group 3), white space (group 4), any other character (group 5).
 TOKEN = re.compile(
     r"""--[^\n]*|/\*(?:[^*]|\*(?!/))*(?:\*/)?|'(?:[^']|'')*'?|"((?:[^"]|"")*)"?"""
     r"""|`([^`]*)`?|([A-Za-z_\u0080-\U0010ffff][\w$]*)|(\s+)|(.)""",
@@ -20,8 +20,8 @@
 
 
 def table_group(statement: str) -> int | None:
-    """Return the group of tables that the statement reads or writes; None if it names none."""
-    last_name: str | None = None  # a name that a full stop may follow
+    """Return the table group of the first qualified name whose schema has one, or None."""
+    last_name: str | None = None  # the schema if a dot and a name follow
     is_after_dot = False
     for token in TOKEN.finditer(statement):
         if token.lastindex is None or token.lastindex == 4:
--- a/fennelwind/node/watch_connection.py
+++ b/fennelwind/node/watch_connection.py
@@ -1,7 +1,7 @@
-"""One connection to the command channel, read in a task of its own until it ends.
+"""One connection to the command channel, read by its own task until it ends.
 
-`endpoint_watch` starts it, and another beside it where it is silent. Whatever it raises is kept as `error`:
-the channel has to be followed on.
+`endpoint_watch` opens it, and another one beside it if it is silent. Exceptions are stored in `error` instead
+of ending the watch.
 """
 
 from typing import Protocol
@@ -10,50 +10,50 @@
 from fennelwind.loop.streams import Address, Stream
 from fennelwind.node.http1 import EventReader, ServerEvent
 
-SILENCE_MS = 1600.0  # ms without a complete event or comment; a comment comes every second
-CONNECT_MS = 400.0  # ms for a connection, and again for the request to leave
-PROGRESS_BYTES = 512  # of an incomplete event, that count as activity: a long list may come in many pieces
-READ_BYTES = 16384  # bytes of one read; a full one is followed by a turn of the loop, so a flood stops nobody
+SILENCE_MS = 1600.0  # ms without a complete event or comment; the channel sends a comment every second
+CONNECT_MS = 400.0  # ms to connect, and again to write the request
+PROGRESS_BYTES = 512  # bytes of an incomplete event that count as activity: a long list may arrive slowly
+READ_BYTES = 16384  # bytes of one read; after a full one the loop runs other tasks, as more may follow
 
 
 class WatchOwner(Protocol):
-    """What a connection needs of the watch that it belongs to."""
+    """What a connection needs from the watch that owns it."""
 
     cursor: int  # number of the last event that was applied
 
     def take_event(self, event: ServerEvent) -> None:
-        """Take an event or comment. Raises if the connection is to be given up."""
+        """Handle an event or comment. Raises if the connection must be given up."""
 
     def connection_progressed(self, connection: "WatchConnection") -> None:
-        """Take note that something came on a connection, or that it has ended."""
+        """Note that a connection received an event or comment, or ended."""
 
 
 class WatchConnection:
-    """Asks for the events after the owner's cursor, and passes on what comes until the connection ends."""
+    """Requests the events after the owner's cursor and passes them on until the connection ends."""
 
     def __init__(self, loop: Loop, address: Address, owner: WatchOwner) -> None:
         """Spawn the task that connects and reads."""
         self.loop, self.address, self.owner = loop, address, owner
         self.stream: Stream | None = None
-        self.last_activity_ms = loop.now()  # when it began, connected, or brought something last
+        self.last_activity_ms = loop.now()  # last start, connect or received bytes
         self.last_event_ms = float("-inf")  # when the last complete event or comment came
         self.has_ended = self.is_aborted = False
-        self.error: Exception | None = None  # what ended it, unless the other side closed in order
+        self.error: Exception | None = None  # what ended it; None if the channel closed it
         self._task = loop.spawn(self._run, name="channel: watch")
 
     def silent_from_ms(self) -> float:
-        """Return from when on it counts as silent, if nothing comes."""
+        """Return the time from which the connection counts as silent if nothing arrives before."""
         return self.last_activity_ms + (SILENCE_MS if self.stream is not None else CONNECT_MS)
 
     def abort(self) -> None:
-        """End it; nothing of it is passed on any more."""
+        """End the connection; no further events are passed on."""
         self.is_aborted = True
         self._task.cancel()
 
     def _run(self) -> None:
         try:
             self._read()
-        except Exception as exc:  # whatever comes, the channel has to be followed on
+        except Exception as exc:  # no exception may end the watch
             self.error = exc
         finally:
             self.has_ended = True
@@ -62,7 +62,7 @@
             self.owner.connection_progressed(self)
 
     def _read(self) -> None:
-        """Ask once, and read until it ends.
+        """Connect, request the events, and read until the connection ends.
 
         Raises `OSError`, `MalformedResponseError`, or what the owner raises.
         """
--- a/fennelwind/node/wire_names.py
+++ b/fennelwind/node/wire_names.py
@@ -1,17 +1,18 @@
-"""The names on the platform's wire, each mapped once to this project's term.
+"""Maps each name on the platform's wire to this project's term.
 
-Methods, fields and headers stand here; resource paths stand in `executor_requests` and `watch_connection`,
-the configuration file's fields in `config`. They are plain constants, as they are looked up in every request.
+This module has the methods, fields and headers. Resource paths are in `executor_requests` and
+`watch_connection`, the fields of the configuration file in `config`. The names are plain constants, since
+every request uses them.
 """
 
 from fennelwind.policy import EngineState
 
 
 class ClientMethod:
-    """Methods of MessagePack-RPC that name no query class."""
+    """MessagePack-RPC methods other than the names of query classes."""
 
-    HEALTH = "isWell"  # request: does this controller serve?
-    WITHDRAW = "forget"  # notification: the client wants no answer to these message ids any more
+    HEALTH = "isWell"  # request: whether this controller serves queries
+    WITHDRAW = "forget"  # notification: the client no longer needs answers to these message ids
 
 
 class RequestField:
@@ -27,22 +28,22 @@
 
 
 class ClientError:
-    """Names of errors that clients get."""
+    """Names of the errors sent to clients."""
 
-    REJECTED = "Shed"  # the query did not run; a retry is harmless
+    REJECTED = "Shed"  # the query did not run; a retry is safe
     INVALID_REQUEST = "Unusable"
     FAILED = "Failed"
 
 
 class ErrorField:
-    """Fields of an error that clients get."""
+    """Fields of the errors sent to clients."""
 
     RETRY_AFTER_MS = "w"
     MESSAGE = "m"
 
 
 class EventField:
-    """Fields of the command channel's events, and of the endpoints in them."""
+    """Fields of command channel events and of the endpoints in them."""
 
     CURSOR = "cursor"
     NODES = "nodes"
@@ -64,7 +65,7 @@
     "terminated": EngineState.REMOVED,
 }
 
-# Headers of calls to executors.
+# Headers of requests to executors.
 QUERY_ID_HEADER = b"X-Req"
 QUERY_CLASS_HEADER = b"X-Class"
 IDEMPOTENCY_KEY_HEADER = b"Idempotency-Key"
@@ -72,13 +73,13 @@
 MEMORY_GRANT_MB_HEADER = b"X-Reserve"
 PRIORITY_HEADER = b"X-Weight-Class"
 
-# Headers of executors' responses, in lower case as they are parsed.
+# Headers of executors' responses; lower case, since the parser lowers header names.
 DID_NOT_RUN_HEADER = b"x-not-run"
 PAGE_COUNT_HEADER = b"x-batches"
 PAGE_NUMBER_HEADER = b"x-batch"
 LOAD_REPORT_HEADER = b"x-load"
 
-# Figures of load reports that have a name of the platform's; all others are named as in the settings.
+# Load report fields whose name on the wire differs from the one in the settings.
 LOAD_REPORT_FIELDS = {
     "inflight": "active",
     "queue": "waiting",
