--- a/fennelwind/node/cancellation_queue.py
+++ b/fennelwind/node/cancellation_queue.py
@@ -14,9 +14,8 @@
 from fennelwind.node.executor_requests import cancel_query
 from fennelwind.node.http1 import MalformedResponseError
 
-MAX_WORKERS = (
-    3  # concurrent DELETEs to one executor, so that mass cancellation leaves connections for queries
-)
+# Concurrent DELETEs to one executor: cancelling hundreds of queries must leave connections for other queries.
+MAX_WORKERS = 3
 DELETE_TIMEOUT_MS = 600.0  # ms for one DELETE
 MAX_DELETE_TRIES = 2  # DELETEs of one query; without polls, the executor drops it after 2 s anyway
 MAX_QUEUED = 500  # cancellations of one executor; above it, queries end by the executor's own expiry
