--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -1,7 +1,7 @@
-"""Attempts: each that the policy starts becomes a task, and its end an event for the policy.
+"""Attempts: run each attempt that the policy starts as a task, and report its end to the policy.
 
-The driver calls `AttemptRunner.start` and `cancel`. Whatever happens to the task, `finish` reports just one
-end: it records the end in the ledger, gives the query's final answer if the attempt succeeded, and posts
+The driver calls `AttemptRunner.start` and `cancel`. Whatever happens to the task, `finish` reports exactly
+one end: it records the end in the ledger, gives the query's final answer if the attempt succeeded, and posts
 `AttemptEnded`. An exception in the connection layer ends its attempt as an error, and is reported.
 """
 
@@ -26,35 +26,35 @@
 from fennelwind.loop import Cancelled, Loop, Task
 from fennelwind.policy import AttemptStatus, Idempotency, ProgressKind
 
-SQLSTATE_NO_TABLE = "42S02"  # of a table or partition that does not exist, as Hive reports it
-# Ends of attempts whose statement may still run at its engine.
+SQLSTATE_NO_TABLE = "42S02"  # Hive's SQLSTATE for a table or partition that does not exist
+# Statuses of ended attempts whose statement may still be running at the engine.
 OUTCOME_UNKNOWN = (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED)
-# ms after an attempt's deadline by which its engine has ended it: by its own time-out, or as an orphan.
+# ms after an attempt's deadline within which its engine stops it, by its own timeout or orphan cleanup.
 ENGINE_CLEANUP_MS = 10_000.0
 
 
 class Dispatcher(Protocol):
-    """What the runner needs of the driver."""
+    """The methods of the driver that the runner calls."""
 
     def post(self, event: policy.Event) -> None:
-        """Hand an event to the policy in the next turn."""
+        """Pass an event to the policy in the next turn of the event loop."""
 
     def post_list(self, update: policy.EngineListUpdate) -> None:
-        """Hand a list that the router has already rewritten to the policy in the next turn."""
+        """Pass an engine list, already rewritten by the router, to the policy in the next turn."""
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a final answer; return whether it is the first."""
+        """Give a query its final answer; return whether it is the first."""
 
 
 @dataclass(slots=True, eq=False)
 class RunningAttempt(AttemptRequest):
-    """An attempt that has its task, as the connection layer gets it."""
+    """A running attempt, in the form that is passed to the connection layer."""
 
     entry: Entry
     runner: "AttemptRunner"
 
     def report_progress(self, kind: ProgressKind, value: float) -> None:
-        """Pass progress on to the policy."""
+        """Record progress and report it to the policy."""
         if kind == ProgressKind.SHARE_DONE:
             self.entry.share_done = value
         self.runner.dispatcher.post(policy.AttemptProgress(self.query, self.number, kind, value))
@@ -65,7 +65,7 @@
 
 
 class AttemptRunner:
-    """The attempts of one controller."""
+    """Starts, cancels and finishes the attempts of one controller."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
     ) -> None:
         self.loop, self.settings, self.engines, self.observer = loop, settings, engines, observer
         self.ledger, self.dispatcher, self.advisor, self.router = ledger, dispatcher, advisor, router
-        self.tasks: dict[tuple[int, int], Task] = {}  # by query and number of the attempt
+        self.tasks: dict[tuple[int, int], Task] = {}  # by query and attempt number
         self.ends: Counter[str] = Counter()
         self.retry_budget = RetryBudget(
             settings.retry_budget_free,
@@ -90,7 +90,7 @@
         )
 
     def start(self, entry: Entry, engine: str, timeout_ms: float) -> None:
-        """Start an attempt; a time-out of 0 means until the answer is due."""
+        """Start an attempt; with a `timeout_ms` of 0 it may run until the query's answer deadline."""
         now = self.loop.now()
         number = self.ledger.start_attempt(entry)
         if (
@@ -98,7 +98,7 @@
             or now >= entry.answer_deadline_ms
             or number >= self.settings.max_attempts
         ):
-            end = AttemptEnd(AttemptStatus.NOT_STARTED, "the query had ended")
+            end = AttemptEnd(AttemptStatus.NOT_STARTED, "the query has already ended")
             self.finish(entry, number, engine, now, end)
             return
         deadline = entry.answer_deadline_ms
@@ -128,27 +128,29 @@
             task.cancel()
 
     def _run(self, entry: Entry, number: int, engine: str, request: AttemptRequest) -> None:
-        started_ms, has_broken = self.loop.now(), False
+        started_ms, has_raised = self.loop.now(), False
         try:
             end = self._attempt(entry, engine, request)
         except Cancelled:
-            end = AttemptEnd(AttemptStatus.CANCELLED, "called off")
-        except Exception as exc:  # the statement may have been sent before it
+            end = AttemptEnd(AttemptStatus.CANCELLED, "cancelled")
+        except Exception as exc:  # the statement may have been sent by then
             self.observer.failed(f"attempt at {engine}", exc)
-            end, has_broken = AttemptEnd(AttemptStatus.ERROR, f"{type(exc).__name__}: {exc}"), True
+            end, has_raised = AttemptEnd(AttemptStatus.ERROR, f"{type(exc).__name__}: {exc}"), True
         if self.router is not None:
-            may_go_on = has_broken or end.status in OUTCOME_UNKNOWN
-            self._notify_router(self.router, entry, number, end, request.deadline_ms if may_go_on else 0.0)
+            may_still_run = has_raised or end.status in OUTCOME_UNKNOWN
+            self._notify_router(
+                self.router, entry, number, end, request.deadline_ms if may_still_run else 0.0
+            )
         self.finish(entry, number, engine, started_ms, end)
 
     def _attempt(self, entry: Entry, engine: str, request: AttemptRequest) -> AttemptEnd:
         router = self.router
         if router is None:
             return self.engines.attempt(engine, request)
-        if entry.answer is not None:  # the router has forgotten what it reads
-            return AttemptEnd(AttemptStatus.NOT_STARTED, "the query had ended")
+        if entry.answer is not None:  # the router no longer knows which shards it reads
+            return AttemptEnd(AttemptStatus.NOT_STARTED, "the query has already ended")
         if not router.may_send(entry.query, engine):
-            return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine holds no valid replica any more")
+            return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine no longer holds a valid replica")
         router.attempt_started(entry.query, request.number, engine)
         end = self.engines.attempt(engine, request)
         return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
@@ -156,14 +158,14 @@
     def reason_not_to_start(self, entry: Entry, number: int, deadline_ms: float) -> str:
         """Return why an attempt may not start now; "" if it may, and then a retry is charged to the budget.
 
-        The policy's decision holds for its moment; the connection may come up much later. So whoever makes
-        the attempt calls this right before its first byte leaves, and an attempt stopped here never ran.
+        The connection may become ready long after the policy's decision. So the connection layer calls this
+        immediately before it sends the attempt's first byte, and an attempt stopped here never ran.
         """
         now = self.loop.now()
         if entry.answer is not None:
-            return "the query had ended"
+            return "the query has already ended"
         if now >= deadline_ms:
-            return "its time was up"
+            return "its deadline has passed"
         query_class = self.settings.classes[entry.submission.class_index]
         if len(entry.open_attempts) > 1 and (
             query_class.idempotency == Idempotency.NON_IDEMPOTENT
@@ -173,13 +175,13 @@
         if self._may_run_twice(entry, number, query_class, now):
             if query_class.idempotency == Idempotency.NON_IDEMPOTENT:
                 return "an earlier attempt may have run"
-            return "its repeats are not dropped any more"
+            return "the deduplication window of its first unresolved attempt has ended"
         if number and not self.retry_budget.try_start(now):
             return "the retry budget is used up"
         return ""
 
     def _may_run_twice(self, entry: Entry, number: int, query_class: policy.QueryClass, now: float) -> bool:
-        """Return whether the query may have run before and no engine would drop the repeat."""
+        """Return whether the query may already have run and no engine would drop a repeat."""
         if query_class.idempotency == Idempotency.IDEMPOTENT:
             return False
         earlier = entry.attempt_records[:number]
@@ -194,7 +196,7 @@
     def _redirect_if_replica_missing(
         self, router: Router, entry: Entry, number: int, engine: str, end: AttemptEnd
     ) -> AttemptEnd:
-        """Return the end as not started where the engine lacks what others are known to have."""
+        """Return the end as `NOT_STARTED` if the engine lacks a replica that others are known to hold."""
         error = end.result.error if end.result is not None else None
         if error is None or error.sqlState != SQLSTATE_NO_TABLE:
             return end
@@ -205,12 +207,14 @@
             return end
         for update in updates:
             self.dispatcher.post_list(update)
-        return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine has no replica, whatever the log says")
+        return AttemptEnd(
+            AttemptStatus.NOT_STARTED, "the engine lacks a replica that the replicated log assigns to it"
+        )
 
     def _notify_router(
         self, router: Router, entry: Entry, number: int, end: AttemptEnd, deadline_ms: float
     ) -> None:
-        """Report an attempt's end; `deadline_ms` is its deadline if its engine may go on, else 0."""
+        """Report an attempt's end; `deadline_ms` is its deadline if its engine may still run it, else 0."""
         stream = end.result.stream if end.result is not None else None
         if stream is not None:
             stream.on_end = lambda: router.attempt_ended(entry.query, number)
@@ -218,7 +222,7 @@
             router.attempt_ended(entry.query, number, deadline_ms + ENGINE_CLEANUP_MS if deadline_ms else 0.0)
 
     def finish(self, entry: Entry, number: int, engine: str, started_ms: float, end: AttemptEnd) -> None:
-        """Record an attempt's end, once; answer its query if it succeeded; report it to the policy."""
+        """Record an attempt's end once, answer its query if it succeeded, and report it to the policy."""
         self.tasks.pop((entry.query, number), None)
         if not self.ledger.end_attempt(entry, number):
             return
@@ -249,5 +253,5 @@
             self.retry_budget.count_served(now, entry.received_ms)
             self.dispatcher.finalize(entry, Answer(AnswerKind.SERVED, result=end.result))
         elif end.result is not None:
-            # The query was answered in this turn, or its client has disconnected: nobody reads the result.
+            # The query was answered earlier in this turn, or its client has disconnected: discard the result.
             end.result.close()
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -1,21 +1,22 @@
 """The driver: passes events to the policy and carries out the actions that it returns.
 
-All events of one turn of the loop go to the policy in one step. The step and its actions run without
-waiting; what has to wait, an attempt or a health check, gets a task. The driver itself decides only how many
-queries may be open at all, and it answers a query shortly before its client times out if the policy has not.
+All events of one turn of the event loop go to the policy in one step. The step and its actions never block;
+an attempt or a health check, which has to wait, runs in a task of its own. The driver itself decides only two
+things: it limits the number of open queries, and it answers a query shortly before its client times out if
+the policy has not.
 
 Each query has three deadlines. The policy decides two ticks before `answer_deadline_ms`
-(`policy/admission.py`), which is the client's deadline less the answer margin. If nobody has answered by
-then, the driver does, half a margin before the client's deadline. An entry that has joined another query ends
-at its `answer_deadline_ms`.
+(`policy/admission.py`), which is the client's deadline minus the answer margin. If the query is still
+unanswered half a margin before the client's deadline, the driver answers it. An entry that has joined another
+query ends at its `answer_deadline_ms`.
 
-A client's final answer always passes `Driver.finalize`, and through it the ledger:
+A client's final answer always passes through `Driver.finalize` and the ledger:
 
 - served: `AttemptRunner.finish`;
 - rejected or failed by the policy: `Driver._carry_out`;
 - rejected on arrival: `Driver._register`, `SharedExecutions.add`;
-- ended before the policy decided, by client, time or shutdown: `Driver._end_early`;
-- answered with the query that it had joined: `SharedExecutions`.
+- ended by the client, a deadline or shutdown before the policy decided: `Driver._end_early`;
+- answered together with the query that it joined: `SharedExecutions`.
 """
 
 from collections.abc import Callable
@@ -32,7 +33,7 @@
 from fennelwind.loop import Loop
 from fennelwind.policy.gateway import Gateway
 
-# Share of the answer margin that is left when the driver answers in place of the policy.
+# Share of the answer margin that remains when the driver answers in place of the policy.
 FINAL_MARGIN_SHARE = 0.5
 
 
@@ -57,24 +58,24 @@
         self.max_open, self.margin, self.subscribe = max_open, margin, subscribe
         self.ledger = Ledger(len(settings.classes) if router is None else router.classes)
         self.gateway = Gateway(settings, seed)
-        self.advisor = advisor  # tells the policy of the fleet's load; None: nothing is known of it
-        self.router = router  # knows replica locations; None: queries are not routed by them
+        self.advisor = advisor  # estimates the fleet's load for the policy; None: it gets no estimate
+        self.router = router  # routes queries by replica locations of shards; None: no such routing
         self.attempts = AttemptRunner(loop, settings, engines, observer, self.ledger, self, advisor, router)
         self.shared = SharedExecutions(loop, settings, self.ledger, self)
-        # The Retry-After of rejections that the policy has no part in.
+        # Retry-After of the rejections that the driver decides without the policy.
         self.max_retry_after_ms = settings.max_retry_after_ms if settings.allows_retry_after else 0.0
         self.is_closing = False
         self.steps = 0
         self.step_errors = 0
         self.rejected_at_capacity = 0  # queries rejected on arrival: too many open, or closing
-        self.unanswered_by_policy = 0  # queries that the driver answered as the policy did not in time
+        self.unanswered_by_policy = 0  # queries that the driver answered because the policy had not
         self._events: list[policy.Event] = []
         self._is_step_scheduled = False
 
-    # Events in.
+    # Incoming events.
 
     def submit(self, submission: Submission, on_answer: Callable[[Entry], None]) -> Entry:
-        """Take a query; `on_answer` is called once, in whatever turn its final answer is given."""
+        """Accept a query; `on_answer` is called once, with its final answer, possibly before this returns."""
         entry = self._register(submission, on_answer)
         if entry.answer is not None:
             return entry
@@ -84,7 +85,7 @@
         return entry
 
     def _register(self, submission: Submission, on_answer: Callable[[Entry], None]) -> Entry:
-        """Enter a query; reject it at once if it can't be taken."""
+        """Register a query; reject it at once if too many are open or the driver is closing."""
         answer_deadline_ms = submission.deadline_ms - self.margin.ms
         entry = self.ledger.register(submission, self.loop.now(), answer_deadline_ms, on_answer)
         if self.is_closing or self.ledger.open_count > self.max_open:
@@ -96,11 +97,11 @@
         return entry
 
     def send_to_policy(self, entry: Entry) -> None:
-        """Hand a query to the policy, and set the timer that answers it if the policy does not."""
+        """Pass a query to the policy, and set the timer that answers it if the policy does not."""
         submission = entry.submission
         margin_ms = submission.deadline_ms - entry.answer_deadline_ms
-        last_moment_ms = max(submission.deadline_ms - FINAL_MARGIN_SHARE * margin_ms, entry.received_ms)
-        entry.deadline_timer = self.loop.at(last_moment_ms, lambda: self._answer_unanswered(entry))
+        fallback_answer_ms = max(submission.deadline_ms - FINAL_MARGIN_SHARE * margin_ms, entry.received_ms)
+        entry.deadline_timer = self.loop.at(fallback_answer_ms, lambda: self._answer_unanswered(entry))
         class_index = submission.class_index
         if self.router is not None and submission.shards:
             class_index, updates = self.router.classify(entry.query, class_index, submission.shards)
@@ -121,29 +122,29 @@
         )
 
     def post(self, event: policy.Event) -> None:
-        """Hand an event to the policy in the next turn."""
+        """Pass an event to the policy in the next turn of the event loop."""
         if self.router is not None and isinstance(event, policy.EngineListUpdate):
             event = self.router.rewrite_list(event)
         self._enqueue(event)
 
     def post_list(self, update: policy.EngineListUpdate) -> None:
-        """Hand a list that the router has already rewritten to the policy in the next turn."""
+        """Pass an engine list, already rewritten by the router, to the policy in the next turn."""
         self._enqueue(update)
 
     def update_replicas(self, locations: Any) -> None:
-        """Take newer replica locations of shards; only with a router."""
+        """Apply newer replica locations of shards; requires a router."""
         assert self.router is not None
         for update in self.router.update_replicas(locations):
             self.post_list(update)
 
     def update_quiesced(self, quiesced: Any) -> None:
-        """Take newer engines that get no query of some tables; only with a router."""
+        """Apply a newer set of engines that are quiesced for some tables; requires a router."""
         assert self.router is not None
         for update in self.router.update_quiesced(quiesced):
             self.post_list(update)
 
     def delivered(self, entry: Entry) -> None:
-        """Note that a final answer's bytes have just been passed on to its client."""
+        """Record how long a final answer took until its bytes were passed on to its client, which is now."""
         self.margin.delivered(self.loop.now() - entry.answered_ms)
 
     def _enqueue(self, event: policy.Event) -> None:
@@ -155,35 +156,35 @@
     # Queries that end before the policy has decided.
 
     def cancel(self, entry: Entry, reason: str) -> bool:
-        """Note that the client disconnected or cancelled; return whether an answer was still owed."""
+        """Cancel a query whose client disconnected or cancelled; return False if it was already answered."""
         return self._end_early(entry, Answer(AnswerKind.CANCELLED, reason), reason)
 
     def abandon(self, entry: Entry, reason: str) -> None:
-        """Give a query its final answer now, if it has none."""
+        """Answer a query as unserved now, if it has no final answer yet."""
         self._end_early(entry, self._unserved_answer(entry, reason, reason), reason)
 
     def close(self) -> None:
-        """Take no more queries; give all that are open their final answer now."""
+        """Reject new queries from now on, and answer all open ones as unserved."""
         self.is_closing = True
         for entry in list(self.ledger.entries.values()):
             self.abandon(entry, "the controller is closing")
 
     def end_waiting(self, entry: Entry) -> None:
-        """Answer an entry whose deadline passes before the query that it waits for has ended."""
-        self._end_early(entry, self._late_answer(entry), "nobody waits for it any more")
+        """Answer an entry whose deadline has passed before the query that it waits for has ended."""
+        self._end_early(entry, self._late_answer(entry), "no client waits for it any longer")
 
     def _answer_unanswered(self, entry: Entry) -> None:
         """Answer a query that the policy has not answered in time."""
         if entry.answer is not None:
             return
-        # Without a margin the policy had no time to decide, and that is no fault of it.
+        # A query that arrived after its answer deadline gave the policy no time to decide: not counted.
         self.unanswered_by_policy += entry.answer_deadline_ms > entry.received_ms
         self._end_early(entry, self._late_answer(entry), "")
 
     def _end_early(self, entry: Entry, answer: Answer, reason: str) -> bool:
-        """Give a final answer, and cancel what runs for it unless others wait for that.
+        """Give a final answer, and cancel the query's execution unless other entries wait for it.
 
-        Returns False if the query was answered before; then nothing is done.
+        Returns False, and does nothing, if the query was already answered.
         """
         if entry.answer is not None:
             return False
@@ -202,14 +203,14 @@
     def _unserved_answer(self, entry: Entry, reason_if_sent: str, reason_if_unsent: str) -> Answer:
         """Return the answer of a query that ends unserved: failed if it may have run, else rejected.
 
-        What counts is the entry that executes it: one that joined it has no attempts of its own.
+        The attempts counted are those of the executing entry: an entry that joined it has none of its own.
         """
         if (entry.executing_entry or entry).attempts:
             return Answer(AnswerKind.FAILED, reason_if_sent)
         return Answer(AnswerKind.REJECTED, reason_if_unsent, self.max_retry_after_ms)
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a final answer; return whether it is the first."""
+        """Give a query its final answer; return whether it is the first."""
         is_first = self.ledger.finalize(entry, answer, self.loop.now())
         if is_first and self.router is not None:
             self.router.query_ended(entry.query)
@@ -217,21 +218,21 @@
             self.observer.answered(entry)
         return is_first
 
-    # Actions out.
+    # Actions of the policy.
 
     def _step(self) -> None:
-        """Hand all events of this turn to the policy and carry out its actions."""
+        """Pass all events of this turn to the policy and carry out its actions."""
         self._is_step_scheduled = False
         events, self._events = self._events, []
         self.steps += 1
         try:
             actions = self.gateway.step(self.loop.now(), self._with_load_advice(events))
-        except Exception as exc:  # the queries still get their answers, from `_answer_unanswered`
+        except Exception as exc:  # the queries are still answered, by `_answer_unanswered`
             self.step_errors += 1
             self.observer.failed("policy", exc)
             return
-        # Looked up before any action is carried out: giving an answer may show that the client has
-        # disconnected, and that ends its other queries, for which an attempt may be among the actions.
+        # Look up all entries before carrying out any action: giving an answer may reveal that its client has
+        # disconnected, which ends the client's other queries, and later actions may start attempts for those.
         entries = [
             self.ledger.entries.get(action.query) if isinstance(action, policy.StartAttempt) else None
             for action in actions
@@ -244,7 +245,7 @@
                 self.observer.failed(f"action {type(action).__name__}", exc)
 
     def _with_load_advice(self, events: list[policy.Event]) -> list[policy.Event]:
-        """Return the events, with what is known of the fleet's load ahead of them."""
+        """Return the events, preceded by load advice for the policy if there is an advisor."""
         if self.advisor is None:
             return events
         now = self.loop.now()
@@ -252,16 +253,16 @@
             for event in events:
                 self.advisor.handle_event(event, now)
             return [self.advisor.advice(now), *events]
-        except Exception as exc:  # the policy decides without the advice, and must miss no event
+        except Exception as exc:  # the policy can do without advice, but must not miss an event
             self.step_errors += 1
             self.observer.failed("advisor", exc)
             return [policy.LoadAdvice({}), *events]
 
-    def _carry_out(self, action: policy.Action, starting: Entry | None = None) -> None:
-        """Carry out one action; `starting` is the entry of the attempt to start."""
+    def _carry_out(self, action: policy.Action, starting_entry: Entry | None = None) -> None:
+        """Carry out one action; `starting_entry` is the query's entry if the action starts an attempt."""
         match action:
             case policy.StartAttempt(query, engine, timeout_ms):
-                self._start_attempt(starting, query, engine, timeout_ms)
+                self._start_attempt(starting_entry, query, engine, timeout_ms)
             case policy.StartTimer(delay_ms, token):
                 self.loop.after(delay_ms, lambda: self.post(policy.TimerFired(token)))
             case policy.SetGrant(query, memory_mb, priority) if query in self.ledger.entries:
--- a/fennelwind/dispatch/ledger.py
+++ b/fennelwind/dispatch/ledger.py
@@ -1,7 +1,8 @@
-"""The ledger: every query gets exactly one final answer, whoever offers it and however often.
+"""The ledger: ensures that every query gets exactly one final answer, however many are offered.
 
-It has no I/O and no clock; times are in ms. Every final answer passes `Ledger.finalize` and nothing else: the
-first answer holds, a later one is counted and dropped. `Ledger.counts` has the number of answers by class.
+No I/O and no clock; times are in ms. Every final answer passes through `Ledger.finalize`: the first one is
+given, later ones are counted and dropped. `Ledger.counts` holds, for each class, the number of queries
+received and of answers by kind.
 """
 
 from collections import Counter
@@ -12,12 +13,12 @@
 from fennelwind.dispatch.types import Answer, AnswerKind, Submission
 from fennelwind.policy import AttemptStatus
 
-TAKEN = "taken"  # key of `Ledger.counts` for all queries received, beside the kinds of answers
+RECEIVED = "taken"  # key of `Ledger.counts` for all queries received; the other keys are answer kinds
 
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """An attempt as its client may know of it."""
+    """What a client may be shown of an attempt."""
 
     started_ms: float
     ended_ms: float | None = None
@@ -31,23 +32,23 @@
     query: int
     submission: Submission
     received_ms: float
-    answer_deadline_ms: float  # when its final answer has to be on its way
+    answer_deadline_ms: float  # by when its final answer has to be given
     on_answer: Callable[["Entry"], None]
     answer: Answer | None = None
     answered_ms: float = 0.0
     attempts: int = 0
-    open_attempts: set[int] = field(default_factory=set)  # numbers of attempts that have not ended
-    granted_memory_mb: float = 0.0  # grant of its next attempts
+    open_attempts: set[int] = field(default_factory=set)  # numbers of the attempts that have not ended
+    granted_memory_mb: float = 0.0  # memory grant of its next attempts
     granted_priority: int = 1
-    attempt_records: list[AttemptRecord] = field(default_factory=list)  # by number
-    share_done: float = 0.0  # of the attempt that reported progress last
-    executing_entry: "Entry | None" = None  # the entry that runs the query for it, if it does not itself
-    is_internal: bool = False  # it runs the query for entries of clients, and is not counted
-    deadline_timer: Any = None  # cancelled with the final answer
+    attempt_records: list[AttemptRecord] = field(default_factory=list)  # by attempt number
+    share_done: float = 0.0  # progress (0 to 1) of the attempt that reported last
+    executing_entry: "Entry | None" = None  # the internal entry that runs the query for it, if any
+    is_internal: bool = False  # runs the query for entries of clients, and is not counted
+    deadline_timer: Any = None  # cancelled when the final answer is given
 
 
 class Ledger:
-    """The queries without a final answer, and those that have attempts still running."""
+    """Holds the queries that have no final answer or still have running attempts."""
 
     def __init__(self, classes: int) -> None:
         self.entries: dict[int, Entry] = {}
@@ -65,18 +66,18 @@
         on_answer: Callable[[Entry], None],
         is_internal: bool = False,
     ) -> Entry:
-        """Enter a query; from now on it is owed a final answer."""
+        """Register a query, which is open until it gets its final answer."""
         self._last_query += 1
         entry = Entry(self._last_query, submission, now, answer_deadline_ms, on_answer)
         self.entries[entry.query] = entry
         entry.is_internal = is_internal
         if not is_internal:
-            self.counts[submission.class_index][TAKEN] += 1
+            self.counts[submission.class_index][RECEIVED] += 1
             self.open_count += 1
         return entry
 
     def finalize(self, entry: Entry, answer: Answer, now: float) -> bool:
-        """Give the final answer, and call its receiver; return False if the query was answered before."""
+        """Give the final answer and call `on_answer`; return False if the query was already answered."""
         if entry.answer is not None:
             self.duplicate_answers += answer.kind != AnswerKind.CANCELLED
             return False
@@ -92,14 +93,14 @@
         return True
 
     def start_attempt(self, entry: Entry) -> int:
-        """Count a further attempt; return its number."""
+        """Register another attempt; return its number."""
         number = entry.attempts
         entry.attempts += 1
         entry.open_attempts.add(number)
         return number
 
     def end_attempt(self, entry: Entry, number: int) -> bool:
-        """Note an attempt's end; return False if it had ended before."""
+        """Record an attempt's end; return False if it had already ended."""
         if number not in entry.open_attempts:
             return False
         entry.open_attempts.discard(number)
@@ -107,9 +108,9 @@
         return True
 
     def is_balanced(self) -> bool:
-        """Return whether each query received is either answered or open."""
+        """Return whether every query received is either answered or open."""
         answered = sum(count[kind] for count in self.counts for kind in AnswerKind)
-        return sum(count[TAKEN] for count in self.counts) == answered + self.open_count
+        return sum(count[RECEIVED] for count in self.counts) == answered + self.open_count
 
     def _remove_if_finished(self, entry: Entry) -> None:
         if entry.answer is not None and not entry.open_attempts:
--- a/fennelwind/dispatch/observer.py
+++ b/fennelwind/dispatch/observer.py
@@ -1,4 +1,4 @@
-"""What dispatch reports to logs and measurements. An observer decides nothing and may drop everything."""
+"""The interface by which dispatch reports to logs and metrics. Nothing depends on what an observer does."""
 
 from typing import Protocol
 
@@ -7,32 +7,32 @@
 
 
 class Observer(Protocol):
-    """Receives what happens to queries; called within the turn of the loop, so it must not wait."""
+    """Receives the events of queries; called within a turn of the event loop, so it must not block."""
 
     def answered(self, entry: Entry) -> None:
-        """A query got its final answer."""
+        """Handle the final answer of a query."""
 
     def attempted(self, entry: Entry, number: int, engine: str, end: AttemptEnd, took_ms: float) -> None:
-        """An attempt ended."""
+        """Handle the end of an attempt."""
 
     def logged(self, text: str) -> None:
-        """The policy wrote a line for the operators."""
+        """Handle a log line that the policy wrote for operators."""
 
     def failed(self, where: str, exc: BaseException) -> None:
-        """An unexpected exception was caught."""
+        """Handle an unexpected exception that was caught; `where` names the failed part."""
 
 
 class SilentObserver:
-    """An observer that drops everything."""
+    """An observer that ignores everything."""
 
     def answered(self, entry: Entry) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def attempted(self, entry: Entry, number: int, engine: str, end: AttemptEnd, took_ms: float) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def logged(self, text: str) -> None:
-        """Drop it."""
+        """Do nothing."""
 
     def failed(self, where: str, exc: BaseException) -> None:
-        """Drop it."""
+        """Do nothing."""
--- a/fennelwind/dispatch/sessions.py
+++ b/fennelwind/dispatch/sessions.py
@@ -1,22 +1,24 @@
 """The state of a client's session, independent of the engine sessions that run its statements.
 
-A statement may run at any engine, over any connection. So what `SET` and `USE` change is recorded here and
-carried to the engine session that an attempt gets: configuration goes as the statement's own overlay, which
-needs no state there; the database is a connection's state, and `USE` is replayed on a connection that has
-another one. Temporary tables, functions, views and added resources live in one engine's session and can't be
-carried: they are rejected by name. The HiveServer2 frontend is the only caller.
+A statement may run at any engine, over any connection. So the effects of `SET` and `USE` are recorded here
+and applied to the engine session of each attempt: configuration is sent as the statement's overlay, which
+needs no state at the engine; the database is state of an engine connection, so `USE` is replayed on a
+connection that has another one. Temporary tables, functions, views and added resources exist in a single
+engine's session and can't be carried over: statements that create them are rejected with an error that names
+the resource. The HiveServer2 frontend is the only caller.
 """
 
 import re
 from dataclasses import dataclass, field
 
-MAX_SETTINGS = 500  # settings of a session; tools set some dozens
+MAX_SETTINGS = 500  # settings per session; tools set a few dozen
 MAX_VALUE_CHARS = 8192  # characters of a setting's value
 SQLSTATE_NOT_SUPPORTED = "0A000"
 SQLSTATE_VALUE_TOO_LONG = "22001"
 SQLSTATE_LIMIT_EXCEEDED = "54000"
-DATABASE_KEY = "use:database"  # by which Hive's drivers name the database when they open a session
-SETTING_PREFIX = "set:"  # of settings that Hive's drivers open a session with
+# Keys in the configuration with which Hive's drivers open a session: of the database, and prefix of settings.
+DATABASE_KEY = "use:database"
+SETTING_PREFIX = "set:"
 VARIABLE_PREFIXES = ("hiveconf:", "hivevar:")
 _COMMENTS = re.compile(r"\s*(?:--[^\n]*(?:\n|$)|/\*.*?\*/)", re.S)
 _SET = re.compile(r"set\s+([\w.:\-]+)\s*=\s*(.*?)\s*;?\s*$", re.I | re.S)
@@ -27,11 +29,11 @@
     r"|add\s+(?:jars?|files?|archives?))\b",
     re.I,
 )
-_MAX_KEYWORD_CHARS = 6  # of the statements that are recognised; most others are told apart without a regex
+_MAX_KEYWORD_CHARS = 6  # longest keyword that is recognised; rules out most statements without a regex
 
 
 class SessionError(Exception):
-    """A statement that a session can't take; `state` is its SQLSTATE."""
+    """A statement that a session can't accept; `state` is the SQLSTATE of the error."""
 
     def __init__(self, text: str, state: str) -> None:
         super().__init__(text)
@@ -39,7 +41,7 @@
 
 
 def strip_leading_comments(statement: str) -> str:
-    """Return a statement without the whitespace and comments before it."""
+    """Return a statement without its leading whitespace and comments."""
     start = 0
     while match := _COMMENTS.match(statement, start):
         start = match.end()
@@ -55,7 +57,7 @@
     database: str = ""  # "": the engine's default database
 
     def __post_init__(self) -> None:
-        """Split what a client opens its session with, by Hive's keys `set:NAME` and `use:database`."""
+        """Extract settings and database from the keys `set:NAME` and `use:database` of Hive's drivers."""
         for key, value in list(self.opened_with.items()):
             if key == DATABASE_KEY:
                 self.database = value
@@ -67,13 +69,14 @@
                 self.opened_with[name] = self.opened_with.pop(key)
 
     def configuration(self, overlay: dict[str, str] | None) -> dict[str, str]:
-        """Return what applies to a statement: the session's configuration under the statement's own."""
+        """Return a statement's configuration: the session's, overridden by the statement's overlay."""
         return {**self.opened_with, **self.settings, **(overlay or {})}
 
     def apply(self, statement: str) -> bool:
-        """Record a statement that changes the session alone; return whether it was one.
+        """Record a statement that only changes the session; return whether it was one.
 
-        Raises `SessionError` for a statement that needs one engine's session, or a setting over the limits.
+        Raises `SessionError` for a statement that depends on a single engine's session, or a setting over the
+        limits.
         """
         text = strip_leading_comments(statement)
         keyword = text[:_MAX_KEYWORD_CHARS].lower()
--- a/fennelwind/dispatch/shared_executions.py
+++ b/fennelwind/dispatch/shared_executions.py
@@ -1,8 +1,8 @@
-"""Shared executions: entries of clients that repeat an open request wait for one query.
+"""Shared executions: entries of clients that repeat an open request wait for the same query.
 
 The query itself is an internal entry of the ledger, which no client sees and no count includes. Its final
-answer goes to every entry that waits; entries with more time than it had get a new query where it did not
-succeed. What is open is tracked by `recovery.request_coalescing`, which also states the rules.
+answer goes to every entry that waits for it; if it did not succeed, entries with a later deadline may get a
+new query. `recovery.request_coalescing` tracks the open requests and documents the rules.
 """
 
 from typing import Protocol
@@ -20,23 +20,23 @@
 
 
 class Dispatcher(Protocol):
-    """What shared executions need of the driver."""
+    """The parts of the driver that shared executions use."""
 
     is_closing: bool
     max_retry_after_ms: float
 
     def send_to_policy(self, entry: Entry) -> None:
-        """Hand a query to the policy."""
+        """Pass a query to the policy."""
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a final answer; return whether it is the first."""
+        """Give a query its final answer; return whether it is the first."""
 
     def end_waiting(self, entry: Entry) -> None:
-        """Answer an entry whose deadline passes before the query that it waits for has ended."""
+        """Answer an entry whose deadline has passed before the query that it waits for has ended."""
 
 
 class SharedExecutions:
-    """The entries that wait for a query of another entry."""
+    """The entries of clients that wait for a shared query."""
 
     def __init__(self, loop: Loop, settings: policy.Settings, ledger: Ledger, dispatcher: Dispatcher) -> None:
         self.loop, self.settings, self.ledger, self.dispatcher = loop, settings, ledger, dispatcher
@@ -44,9 +44,11 @@
         self.waiting_for: dict[Entry, SharedRequest[Entry]] = {}
 
     def add(self, entry: Entry) -> bool:
-        """Take an entry whose client named its request; return False if it has to run on its own."""
+        """Accept an entry with a request id; return False if its query has to run unshared."""
         submission = entry.submission
-        assert isinstance(submission.statement, str)  # protocols that pass on bytes have no request ids
+        assert isinstance(
+            submission.statement, str
+        )  # protocols that pass statements on as bytes have no request ids
         fingerprint = request_fingerprint(
             submission.user,
             submission.tenant,
@@ -69,19 +71,21 @@
         return True
 
     def is_waiting(self, entry: Entry) -> bool:
-        """Return whether an entry waits for a query of another entry."""
+        """Return whether an entry waits for a shared query."""
         return entry in self.waiting_for
 
     def leave(self, entry: Entry) -> Entry | None:
-        """Let an entry wait no longer; return the internal entry to cancel if no other waits for it."""
+        """Remove a waiting entry; return the internal entry to cancel if no other entry waits for it."""
         request = self.waiting_for.pop(entry)
         if not self.coalescer.leave(request, entry):
             return None
-        self.coalescer.forget(request.executing)  # a later repeat must not join what is being cancelled
+        self.coalescer.forget(
+            request.executing
+        )  # a later repeat must not join a query that is being cancelled
         return request.executing
 
     def _execute(self, fingerprint: bytes, entry: Entry) -> bool:
-        """Run a query for all who repeat the request, until the deadline of this entry."""
+        """Run a query for all who repeat the request, until this entry's deadline; False if too many run."""
         executing = self.ledger.register(
             entry.submission,
             self.loop.now(),
@@ -105,7 +109,7 @@
             )
 
     def _on_executed(self, executing: Entry) -> None:
-        """Pass a query's answer on to all who wait for it, or start a new query for those with more time."""
+        """Pass a query's answer on to the waiting entries, or start a new query for those with more time."""
         answer = executing.answer
         assert answer is not None  # the ledger calls this with the final answer
         continuing = []
@@ -130,7 +134,7 @@
         )
 
     def _execute_again(self, fingerprint: bytes, entries: list[Entry], answer: Answer) -> None:
-        """Run a new query until the latest deadline of the entries; without capacity they get the answer."""
+        """Run a new query until the latest deadline of the entries; if too many run, they get the answer."""
         entries.sort(key=lambda entry: -entry.answer_deadline_ms)
         first, *others = entries
         if not self._execute(fingerprint, first):
--- a/fennelwind/limits/__init__.py
+++ b/fennelwind/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Limits around the policy: connections, bytes, logins, log lines, retries. No I/O."""
+"""Limits outside the policy: connections, bytes, logins, log lines, retries. No I/O."""
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -1,15 +1,16 @@
-"""Connection slots of a frontend: whom to close for a new connection, and who has been inactive for too long.
+"""Connection slots of a frontend: which connections to close for a new one, and which are inactive too long.
 
-A connection is new until its first complete message has come, busy while an answer is owed or not yet read,
-else idle; apart from that, part of a message may have come. All times are in ms of the caller's clock. New
-and idle connections are kept in the order in which they became so: nothing has to be searched.
+A connection is new until its first complete message has arrived, busy while an answer is due or not yet read,
+and otherwise idle; independently of that, part of a message may have arrived. All times are in ms of the
+caller's clock. New and idle connections are kept in the order in which they entered that state, so that no
+search is needed.
 
-When a slot is needed, first goes who has completed no first message for `MUTE_TIMEOUT_MS`; then who was
-answered longest ago, as that client resends what crosses the close; last who has just connected, since a
-first request that crosses the close is lost to its client. Busy ones are never closed, nor are those that the
-caller spares.
+When a slot is needed, the first to be closed is a connection without a complete first message for
+`MUTE_TIMEOUT_MS`; then the one that has been idle longest, as its client resends a request that crosses the
+close; last a new one, as its client loses a first request that crosses the close. Busy connections are never
+closed, nor are those that the caller spares.
 
-No I/O: the frontend reports what happens to its connections, asks, and closes.
+No I/O: the frontend reports the events of its connections, asks which to close, and closes them.
 """
 
 from collections.abc import Callable, Hashable, Iterator
@@ -17,24 +18,22 @@
 from itertools import islice
 from typing import Generic, NamedTuple, TypeVar
 
-MUTE_TIMEOUT_MS = 400.0  # ms; a usual client's first request follows its connecting by a few ms
-SILENT_TIMEOUT_MS = (
-    1800.0  # ms without a complete first message, or with part of one; the platform allows 3 s
-)
-IDLE_TIMEOUT_MS = 8000.0  # ms without anything owed; usual clients close after 4 s
-MAX_SPARED = 8  # candidates looked at in one search for a slot; if all are spared, none is closed
+MUTE_TIMEOUT_MS = 400.0  # typical clients send a first request a few ms after they connect
+SILENT_TIMEOUT_MS = 1800.0  # without a complete first message, or with part of one; the platform allows 3 s
+IDLE_TIMEOUT_MS = 8000.0  # without an answer due; typical clients close after 4 s
+MAX_CANDIDATES = 8  # checked when a slot is needed; if all are spared, none is closed
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
 
 class CloseReason(StrEnum):
-    """Why a connection is to be closed; part of the names of the frontend's counters."""
+    """Why a connection is to be closed; used in the names of the frontend's counters."""
 
-    MUTE = "mute"  # for a slot: no complete message since it connected
-    IDLE = "idle"  # for a slot, or overdue: nothing is owed to it
-    NEW = "new"  # for a slot: it has just connected
-    HALF_SENT = "half_sent"  # overdue: part of a message came, and no more
-    SILENT = "silent"  # overdue: no complete message came
+    MUTE = "mute"  # for a slot: no complete message has arrived since it connected
+    IDLE = "idle"  # for a slot, or overdue: no answer is due to it
+    NEW = "new"  # for a slot: connected only recently
+    HALF_SENT = "half_sent"  # overdue: a message has arrived only in part
+    SILENT = "silent"  # overdue: no complete message has arrived
 
 
 class CloseCandidate(NamedTuple, Generic[ConnectionT]):
@@ -45,14 +44,14 @@
 
 
 class ConnectionSlots(Generic[ConnectionT]):
-    """The connections of one frontend, by what they wait for."""
+    """The connections of one frontend, by state."""
 
     def __init__(self, limit: int) -> None:
         self.limit = limit
         self.busy: set[ConnectionT] = set()
         self.new_since_ms: dict[ConnectionT, float] = {}
         self.idle_since_ms: dict[ConnectionT, float] = {}
-        self.partial_since_ms: dict[ConnectionT, float] = {}  # those of which part of a message has come
+        self.partial_since_ms: dict[ConnectionT, float] = {}  # those with part of a message
 
     def __len__(self) -> int:
         return len(self.busy) + len(self.new_since_ms) + len(self.idle_since_ms)
@@ -61,37 +60,37 @@
         return iter([*self.busy, *self.new_since_ms, *self.idle_since_ms])
 
     def add(self, connection: ConnectionT, now: float) -> None:
-        """Note a new connection."""
+        """Add a new connection."""
         self.new_since_ms[connection] = now
 
     def message_received(self, connection: ConnectionT, now: float) -> None:
-        """Note a complete message."""
+        """Record that a complete message has arrived."""
         self.new_since_ms.pop(connection, None)
         if connection not in self.busy:
             self.idle_since_ms.pop(connection, None)
             self.idle_since_ms[connection] = now
 
     def mark_busy(self, connection: ConnectionT) -> None:
-        """Note that an answer is owed to a connection."""
+        """Record that an answer is due to a connection."""
         self.new_since_ms.pop(connection, None)
         self.idle_since_ms.pop(connection, None)
         self.busy.add(connection)
 
     def mark_idle(self, connection: ConnectionT, now: float) -> None:
-        """Note that a connection has got all that was owed to it."""
+        """Record that a connection has received all answers that were due."""
         if connection in self.busy:
             self.busy.discard(connection)
             self.idle_since_ms[connection] = now
 
     def bytes_received(self, connection: ConnectionT, now: float, has_partial_message: bool) -> None:
-        """Note that bytes have come, with or without part of a message at their end."""
+        """Record that bytes have arrived, with or without part of a message at their end."""
         if has_partial_message:
             self.partial_since_ms.setdefault(connection, now)
         else:
             self.partial_since_ms.pop(connection, None)
 
     def remove(self, connection: ConnectionT) -> None:
-        """Note that a connection has ended."""
+        """Remove a connection that has ended."""
         self.busy.discard(connection)
         for since_ms in (self.new_since_ms, self.idle_since_ms, self.partial_since_ms):
             since_ms.pop(connection, None)
@@ -99,11 +98,12 @@
     def choose_to_close(
         self, now: float, is_spared: Callable[[ConnectionT], bool] = lambda _: False
     ) -> CloseCandidate[ConnectionT] | None:
-        """Return whom to close so that another gets a slot; None if there is nobody.
+        """Return the connection to close to free a slot, or None.
 
-        `is_spared` knows who is not as inactive as it seems here; it is called for few.
+        `is_spared` returns whether a connection is more active than it appears here; it is called for at most
+        `MAX_CANDIDATES`.
         """
-        for candidate in islice(self._by_preference(now), MAX_SPARED):
+        for candidate in islice(self._by_preference(now), MAX_CANDIDATES):
             if not is_spared(candidate.connection):
                 return candidate
         return None
@@ -121,7 +121,7 @@
                 yield CloseCandidate(connection, CloseReason.NEW)
 
     def overdue(self, now: float) -> Iterator[CloseCandidate[ConnectionT]]:
-        """Yield who is to be closed by now; the caller may close them as they come."""
+        """Yield the connections to be closed by now; the caller may close them while it iterates."""
         for since_ms_by_connection, timeout_ms, reason in (
             (self.partial_since_ms, SILENT_TIMEOUT_MS, CloseReason.HALF_SENT),
             (self.new_since_ms, SILENT_TIMEOUT_MS, CloseReason.SILENT),
@@ -130,7 +130,7 @@
             timed_out = []
             for connection, since_ms in since_ms_by_connection.items():
                 if now - since_ms <= timeout_ms:
-                    break  # those behind came later
+                    break  # the following ones entered this state later
                 timed_out.append(connection)
             for connection in timed_out:
                 if connection not in self.busy and connection in since_ms_by_connection:
--- a/fennelwind/limits/log_rate_limit.py
+++ b/fennelwind/limits/log_rate_limit.py
@@ -1,4 +1,4 @@
-"""Limits the log lines of one event, where clients or engines could flood the log. No I/O; times in ms.
+"""Limits the log lines of each event, as clients or engines could flood the log. No I/O; times in ms.
 
 The logs of the controller and of the platform's node call it before each line that a peer can cause.
 """
@@ -8,27 +8,27 @@
 
 from fennelwind.limits.token_bucket import TokenBucket
 
-BURST_LINES = 20.0  # lines of one event that may come at once; enough to see what goes on
-LINES_PER_S = 5.0  # lines of one event a second over time
+BURST_LINES = 20.0  # lines of one event allowed at once; enough for a diagnosis
+LINES_PER_S = 5.0  # sustained rate of one event
 
 
 @dataclass(slots=True)
 class _EventLimit:
-    """The lines of one event."""
+    """The state of one event."""
 
     bucket: TokenBucket
-    dropped: int = 0  # lines since the last one that was written
+    dropped: int = 0  # lines dropped since the last one that was allowed
 
 
 class RateLimit:
-    """A token bucket for each event; a line without a token is dropped and counted."""
+    """Keeps a token bucket for each event; a line without a token is dropped and counted."""
 
     def __init__(self, now: Callable[[], float]) -> None:
         self.now = now
         self._limits: dict[str, _EventLimit] = {}
 
     def allow(self, event: str) -> int | None:
-        """Return how many lines were dropped before this one; None if it is dropped too."""
+        """Return how many lines of the event were dropped before this one; None if this one is dropped."""
         now = self.now()
         limit = self._limits.get(event)
         if limit is None:
--- a/fennelwind/limits/retry_budget.py
+++ b/fennelwind/limits/retry_budget.py
@@ -1,24 +1,24 @@
-"""The retry budget, counted when attempts start. No I/O; times in ms of the caller's clock.
+"""The retry budget that is enforced when attempts start. No I/O; times in ms of the caller's clock.
 
-`policy/retries.py` budgets retries when it decides on them; this one is the hard limit, checked right before
-the first byte, as an attempt may start later than decided. Retries of a window are counted against the
-queries received in it, of which only the served ones are sure to count: requests of misbehaving clients do
-not.
+`policy/retries.py` applies a budget when it decides on a retry. This one is the hard limit: it is checked
+immediately before the first byte is sent, as an attempt may start later than decided. The retries in a window
+are limited by the number of queries received in it. Requests of misbehaving clients do not count towards that
+number, so only served queries, which certainly do, are counted.
 """
 
 from collections import deque
 
 
 class RetryBudget:
-    """Allows `free` retries plus `share` of the served queries in any window; a window of 0: no budget."""
+    """Allows `free` retries plus `share` of the served queries in any window; a window of 0 ms: no limit."""
 
     def __init__(self, free: float, share: float, window_ms: float, resolution_ms: float) -> None:
         self.free, self.share, self.window_ms, self.resolution_ms = free, share, window_ms, resolution_ms
-        self._received_ms: deque[float] = deque()  # of the served queries
+        self._received_ms: deque[float] = deque()  # arrival times of served queries
         self._retries_ms: deque[float] = deque()
 
     def count_served(self, now: float, received_ms: float) -> None:
-        """Count a query that is served, by the time at which it was received."""
+        """Count a served query by the time at which it was received."""
         if self.window_ms:
             self._expire(now)
             self._received_ms.append(received_ms)
@@ -28,7 +28,7 @@
         if not self.window_ms:
             return True
         self._expire(now)
-        # One tick less than the window: another observer's clock may have dropped such a query already.
+        # One tick less than the window: by another observer's clock, the query may already be outside it.
         oldest_ms = now - self.window_ms + self.resolution_ms
         served = sum(received_ms >= oldest_ms for received_ms in self._received_ms)
         if len(self._retries_ms) + 1 > self.free + self.share * served:
--- a/fennelwind/limits/token_bucket.py
+++ b/fennelwind/limits/token_bucket.py
@@ -1,13 +1,13 @@
-"""A token bucket, for what is limited by a rate with bursts. No I/O; times in ms of the caller's clock."""
+"""A token bucket: a rate limit that allows bursts. No I/O; times in ms of the caller's clock."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Holds up to `capacity` tokens and gains `rate_per_s` of them; the caller takes what it needs.
+    """Holds up to `capacity` tokens and gains `rate_per_s` per second; the caller subtracts what it uses.
 
-    The level may fall below 0: a debt that has to be paid before anything is left again.
+    The level may fall below 0: a debt that has to be refilled before tokens are available again.
     """
 
     capacity: float
--- a/fennelwind/load_balancing/__init__.py
+++ b/fennelwind/load_balancing/__init__.py
@@ -1,1 +1,1 @@
-"""Load balancing by one of many controllers, which sees only a small part of the fleet's load itself."""
+"""Load balancing by one of many controllers, each of which sees only a small part of the fleet's load."""
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -1,7 +1,7 @@
-"""The load advisor: tells the policy of the fleet's load, from the policy's own events and actions.
+"""The load advisor: estimates the fleet's load for the policy, from the policy's own events and actions.
 
-The driver passes it each event and each attempt that starts, and it adds one event to each step: the
-executors to prefer, in order, each with the load that it is taken to have. It decides nothing itself:
+The driver passes it each event and each attempt that starts, and gets one event to add to each step: the
+executors to prefer, in order, each with its estimated load. The advisor decides nothing itself:
 concurrency limits, slow start, drains and placement stay with the policy. No I/O, no clock; times in ms.
 """
 
@@ -13,56 +13,57 @@
 from fennelwind.load_balancing.load_estimate import UTILIZATION_FIELDS, LoadEstimator
 from fennelwind.policy import EngineState, ListForm
 
-MIN_CONTROLLERS = 16  # with fewer, own queries show enough of the load, and each may use every executor
-RATE_WINDOW_MS = 5000.0  # ms over which own traffic is counted; a burst must not change the subset by itself
-# Share of the time for which idle connections are kept, within which own traffic reuses them.
+MIN_CONTROLLERS = 16  # with fewer, own queries reveal enough of the load, and each can use every executor
+RATE_WINDOW_MS = 5000.0  # averaging time of the own query rate; a burst alone must not change the subset
+# Fraction of the idle timeout of connections within which own traffic should reuse them.
 CONNECTION_REUSE_SHARE = 1.0 / 3.0
-REMOTE_ZONE_LOAD = 0.3  # load by which an executor of another zone must be emptier; crossing costs time
-# Share of arrivals of the narrowest queries on which the staler of two random executors is advised as idle.
+REMOTE_ZONE_LOAD = 0.3  # added to the load of executors in other zones, as crossing zones costs time
+# Of the arriving queries with the fewest threads, the share for which an executor is explored: of two random
+# ones, the one with the older report is advised as idle.
 EXPLORATION_SHARE = 0.04
-# Standard deviations by which each controller sees an executor higher or lower than others do, so that not
-# all controllers choose the same one at once.
+# Largest bias of a controller's load estimates, in standard deviations. Biases differ between controllers, so
+# that not all of them choose the same executor at once.
 BIAS_DEVIATIONS = 0.5
 
 
 def is_useful(settings: policy.Settings) -> bool:
-    """Return whether executors report their load, and own queries show too little of it."""
+    """Return whether executors report their load, and own queries reveal too little of it."""
     reports_load = any(name in settings.report_fields for name in UTILIZATION_FIELDS)
     return settings.gateway_count >= MIN_CONTROLLERS and reports_load
 
 
 class LoadAdvisor:
-    """Keeps one controller's view of the fleet's load; `idle_ms` is how long idle connections are kept."""
+    """Keeps one controller's view of the fleet's load; `idle_ms` is the idle timeout of connections."""
 
     def __init__(self, settings: policy.Settings, seed: int, idle_ms: float) -> None:
         self.settings, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
         self.estimator = LoadEstimator()
         self.endpoints: dict[str, policy.EngineEndpoint] = {}
-        self.biases: dict[str, float] = {}  # by executor, in standard deviations; fixed, so that views differ
+        self.biases: dict[str, float] = {}  # by executor, from -1 to 1; fixed until it restarts
         self.rate_per_s, self.rate_updated_ms = 0.0, -math.inf  # own queries
-        self.explored = ""  # advised with load 0 until an attempt goes there or another query arrives
+        self.explored = ""  # advised with load 0 until an attempt is sent to it or another query arrives
         self.min_threads = min(query_class.threads for query_class in settings.classes)
-        self._ranking: tuple[list[str], list[str]] | None = None  # ready ones, own zone and others, by rank
+        self._ranking: tuple[list[str], list[str]] | None = None  # ready executors: own zone, other zones
 
     def handle_event(self, event: policy.Event, now: float) -> None:
-        """Take one of the policy's events."""
+        """Update the view from one of the policy's events."""
         match event:
             case policy.EngineListUpdate():
-                self._take_list(event)
+                self._apply_list(event)
             case policy.QueryArrived():
-                self._take_arrival(event, now)
+                self._handle_arrival(event, now)
             case policy.AttemptEnded(engine=engine, load=load) if load and engine in self.endpoints:
                 endpoint = self.endpoints[engine]
                 self.estimator.add_report(engine, endpoint.zone, load, self._cores(endpoint), now)
 
     def attempt_sent(self, engine: str, threads: int) -> None:
-        """Count an attempt that was sent."""
-        self.estimator.sent(engine, threads)
+        """Count an attempt that was sent to an executor."""
+        self.estimator.add_sent_threads(engine, threads)
         if engine == self.explored:
             self.explored = ""
 
     def advice(self, now: float) -> policy.LoadAdvice:
-        """Return the executors to prefer and their loads, as they are taken to be now."""
+        """Return the executors to prefer and their estimated loads."""
         local, remote = self._ranking = self._ranking or self._rank_ready()
         reuse_interval_s = self.idle_ms * CONNECTION_REUSE_SHARE / 1000.0
         size = subsetting.subset_size(self._decayed_rate_per_s(now), reuse_interval_s)
@@ -77,7 +78,7 @@
         cores = self.settings.kind_cores
         return cores[endpoint.kind] if 0 <= endpoint.kind < len(cores) else 1
 
-    def _take_list(self, update: policy.EngineListUpdate) -> None:
+    def _apply_list(self, update: policy.EngineListUpdate) -> None:
         if update.form == ListForm.FAILED:
             return
         listed = {endpoint.engine: endpoint for endpoint in update.engines}
@@ -85,10 +86,10 @@
             for name in [name for name in self.endpoints if name not in listed]:
                 self._remove(name)
         for name, endpoint in listed.items():
-            self._take_endpoint(name, endpoint)
+            self._apply_endpoint(name, endpoint)
         self._ranking = None
 
-    def _take_endpoint(self, name: str, endpoint: policy.EngineEndpoint) -> None:
+    def _apply_endpoint(self, name: str, endpoint: policy.EngineEndpoint) -> None:
         if endpoint.state == EngineState.REMOVED:
             self._remove(name)
             return
@@ -104,7 +105,7 @@
         self.estimator.forget(name)
 
     def _rank_ready(self) -> tuple[list[str], list[str]]:
-        """Return the ready executors of the own zone and of others, each by rank."""
+        """Return the ready executors of the own zone and of other zones, each in order of rank."""
 
         def rank(endpoint: policy.EngineEndpoint) -> float:
             return subsetting.rank(self.settings.gateway_index, endpoint.engine, self._cores(endpoint))
@@ -119,7 +120,7 @@
     def _decayed_rate_per_s(self, now: float) -> float:
         return self.rate_per_s * math.exp(-max(now - self.rate_updated_ms, 0.0) / RATE_WINDOW_MS)
 
-    def _take_arrival(self, event: policy.QueryArrived, now: float) -> None:
+    def _handle_arrival(self, event: policy.QueryArrived, now: float) -> None:
         self.rate_per_s = self._decayed_rate_per_s(now) + 1000.0 / RATE_WINDOW_MS
         self.rate_updated_ms = now
         last_class = len(self.settings.classes) - 1
@@ -129,7 +130,7 @@
             self.explored = self._choose_to_explore(now)
 
     def _choose_to_explore(self, now: float) -> str:
-        """Return the one of two random ready executors whose report is older; "" if none is ready."""
+        """Return the one with the older report of two random ready executors; "" if none is ready."""
         ready = [
             name for name, endpoint in sorted(self.endpoints.items()) if endpoint.state == EngineState.READY
         ]
@@ -137,7 +138,7 @@
         return max(sample, key=lambda name: self.estimator.age_ms(name, now), default="")
 
     def _apparent_load(self, name: str, now: float) -> float:
-        """Return an executor's load as this controller sees it: with its bias, and the price of the zone."""
+        """Return an executor's load as this controller sees it: with its bias and the cost of its zone."""
         endpoint = self.endpoints[name]
         load, deviation = self.estimator.estimate(name, endpoint.zone, self._cores(endpoint), now)
         biased = max(0.0, load + BIAS_DEVIATIONS * deviation * self.biases[name])
--- a/fennelwind/load_balancing/load_estimate.py
+++ b/fennelwind/load_balancing/load_estimate.py
@@ -1,57 +1,57 @@
-"""Estimates each executor's load from load reports. No I/O, no clock; times in ms, loads over capacity.
+"""Estimates each executor's load from load reports. No I/O or clock; times in ms, loads relative to capacity.
 
-A report is old when it comes, a little noisy, and knows nothing of what was sent since. So a load fades from
-the reported one towards the mean of its zone, own queries sent since are added, and what remains uncertain is
-given as a standard deviation. `load_advisor` is the only caller.
+A report is outdated when it arrives, slightly noisy, and lacks the queries sent since. So an estimate decays
+from the reported load towards the mean of its zone, own queries sent since are added, and the uncertainty is
+returned as a standard deviation. `load_advisor` is the only caller.
 """
 
 import math
 from dataclasses import dataclass
 
-UTILIZATION_FIELDS = ("cpu", "x1")  # busy share of cores and of disks; the busiest one is the load
-QUEUE_FIELD = "waiting"  # threads that wait at the executor
-FADE_MS = 1500.0  # ms in which a report loses all but 1/e of its weight; queries take about a second
-REPORT_NOISE = 0.07  # standard deviation of a report; platforms state 0.03 to 0.10
-MAX_LOAD = 2.0  # over capacity; a larger reported load is no better known
-ZONE_SMOOTHING = 0.15  # weight of a new report in its zone's mean and variance: some 7 reports
+UTILIZATION_FIELDS = ("cpu", "x1")  # busy share of cores and of disks; the highest is the load
+QUEUE_FIELD = "waiting"  # number of threads that wait at the executor
+REPORT_DECAY_MS = 1500.0  # time in which a report's weight falls to 1/e; queries take about a second
+REPORT_NOISE = 0.07  # standard deviation of a reported load; platforms state 0.03 to 0.10
+MAX_LOAD = 2.0  # reported loads are limited to it, as larger ones are no more precise
+ZONE_SMOOTHING = 0.15  # weight of a new report in its zone's mean and variance, which span some 7 reports
 UNKNOWN_LOAD = 0.5  # load before any report, and its standard deviation
 UNKNOWN_DEVIATION = 0.25
-STUCK_REPORTS = 4  # equal reports in a row from which a field is taken to be stuck
-STUCK_MS = 3000.0  # ms that they span at least; noise never repeats a value for so long
+STUCK_REPORTS = 4  # equal reports in a row from which a field counts as stuck
+STUCK_MS = 3000.0  # shortest time that they span; noise never repeats a value for so long
 
 
 @dataclass(slots=True)
 class LoadReport:
-    """The last report of an executor."""
+    """The latest report of an executor."""
 
     load: float
     received_ms: float
-    sent_threads: float = 0.0  # threads of own queries sent there since
+    sent_threads: float = 0.0  # threads of own queries sent to it since
     equal_reports: int = 1  # reports in a row with the same load
-    equal_since_ms: float = 0.0  # when the first of them came
+    equal_since_ms: float = 0.0  # when the first of them arrived
 
     def is_stuck(self) -> bool:
-        """Return whether the field is taken to have stopped moving."""
+        """Return whether the reported field appears to have stopped updating."""
         span_ms = self.received_ms - self.equal_since_ms
         return self.equal_reports >= STUCK_REPORTS and span_ms >= STUCK_MS
 
 
 @dataclass(slots=True)
 class ZoneLoad:
-    """The usual load of a zone's executors."""
+    """Moving mean and variance of the reported loads of a zone."""
 
     mean: float
     variance: float = UNKNOWN_DEVIATION**2
 
     def add(self, load: float) -> None:
-        """Count a reported load."""
+        """Include a reported load."""
         difference = load - self.mean
         self.mean += difference * ZONE_SMOOTHING
         self.variance += (difference * difference - self.variance) * ZONE_SMOOTHING
 
 
 def reported_load(report: dict[str, float], cores: int) -> float | None:
-    """Return the load that a report states, None if it has no known field or no usable value."""
+    """Return the load that a report states; None if it has no known field or no valid value."""
     utilizations = [report[name] for name in UTILIZATION_FIELDS if name in report]
     utilizations = [value for value in utilizations if math.isfinite(value)]
     if not utilizations or min(utilizations) < 0.0:
@@ -62,7 +62,7 @@
 
 
 class LoadEstimator:
-    """The loads of all executors, as far as they are known."""
+    """Estimates the loads of all executors from their reports."""
 
     def __init__(self) -> None:
         self.reports: dict[str, LoadReport] = {}
@@ -73,7 +73,7 @@
         self.reports.pop(engine, None)
 
     def add_report(self, engine: str, zone: int, report: dict[str, float], cores: int, now: float) -> None:
-        """Take a report; one without a usable load changes nothing."""
+        """Record a report; one without a usable load is ignored."""
         load = reported_load(report, cores)
         if load is None:
             return
@@ -83,39 +83,39 @@
             latest.equal_since_ms = previous.equal_since_ms
         self.reports[engine] = latest
         if latest.is_stuck():
-            return  # it would draw its whole zone's mean towards a value that means nothing
+            return  # a meaningless value must not bias the mean of the whole zone
         zone_load = self.zones.get(zone)
         if zone_load is None:
             self.zones[zone] = ZoneLoad(load)
         else:
             zone_load.add(load)
 
-    def sent(self, engine: str, threads: float) -> None:
-        """Count threads that the last report does not include."""
+    def add_sent_threads(self, engine: str, threads: float) -> None:
+        """Count threads sent to an executor since its latest report."""
         report = self.reports.get(engine)
         if report is not None:
             report.sent_threads += threads
 
     def age_ms(self, engine: str, now: float) -> float:
-        """Return the age of the last usable report; infinite without one."""
+        """Return the age of the latest usable report in ms; infinite without one."""
         report = self.reports.get(engine)
         return now - report.received_ms if report is not None and not report.is_stuck() else math.inf
 
     def estimate(self, engine: str, zone: int, cores: int, now: float) -> tuple[float, float]:
-        """Return an executor's load as it is taken to be now, and its standard deviation.
+        """Return an executor's estimated load, and its standard deviation.
 
-        A bare tuple, as this runs for each preferred executor in each step.
+        A plain tuple, as this runs for each preferred executor in each step.
         """
         zone_load = self.zones.get(zone) or self._busiest_zone()
         age_ms = self.age_ms(engine, now)
         if math.isinf(age_ms):
             return zone_load.mean, math.sqrt(zone_load.variance)
-        report, weight = self.reports[engine], math.exp(-max(age_ms, 0.0) / FADE_MS)
+        report, weight = self.reports[engine], math.exp(-max(age_ms, 0.0) / REPORT_DECAY_MS)
         load = report.load * weight + zone_load.mean * (1.0 - weight) + report.sent_threads / cores * weight
         variance = REPORT_NOISE**2 * weight + zone_load.variance * (1.0 - weight * weight)
         return load, math.sqrt(variance)
 
     def _busiest_zone(self) -> ZoneLoad:
-        """Return the load of a zone without reports: as the busiest known, so that none is overrun."""
+        """Return the load assumed for a zone without reports: that of the busiest zone, to avoid overload."""
         mean = max((zone_load.mean for zone_load in self.zones.values()), default=UNKNOWN_LOAD)
         return ZoneLoad(mean)
--- a/fennelwind/load_balancing/subsetting.py
+++ b/fennelwind/load_balancing/subsetting.py
@@ -1,36 +1,36 @@
 """Deterministic subsetting: which executors a controller prefers, by weighted rendezvous hashing.
 
-Each pair of controller and executor has a rank of its own that nobody has to agree on. When an executor goes,
-only the controllers that preferred it choose another; when one comes, each controller takes it with the same
-probability. So neither a change of the list nor a restart moves anything else. No I/O and no clock.
+Each pair of controller and executor has a rank that needs no coordination. When an executor is removed, only
+the controllers that preferred it choose another; when one is added, each controller adopts it with the same
+probability. So neither a change of the list nor a restart changes other preferences. No I/O and no clock.
 """
 
 import math
 from hashlib import blake2b
 
-MIN_SUBSET = 8  # executors of the own zone; with fewer, one bad executor is too much of the whole
-REMOTE_SHARE = 1.0 / 3.0  # executors of other zones, by those of the own: a way out of an overloaded zone
-MIN_REMOTE = 2  # executors of other zones at least
+MIN_SUBSET = 8  # executors of the own zone; with fewer, one bad executor would be too large a share
+REMOTE_SHARE = 1.0 / 3.0  # executors of other zones per local one: an alternative to an overloaded zone
+MIN_REMOTE = 2  # fewest executors of other zones
 HASH_BYTES = 8
 HASH_RANGE = 2.0 ** (8 * HASH_BYTES)
-MIN_WEIGHT = 1e-9  # a weight of 0 would have no rank
+MIN_WEIGHT = 1e-9  # a rank can't be computed for a weight of 0
 
 
 def rank(controller: int, engine: str, weight: float) -> float:
-    """Return an executor's rank with a controller, lowest first; it is first in proportion to its weight."""
+    """Return an executor's rank for a controller, lowest first; the chance to be first is proportional to weight."""
     digest = blake2b(f"{controller} {engine}".encode(), digest_size=HASH_BYTES).digest()
     uniform = (int.from_bytes(digest, "big") + 0.5) / HASH_RANGE
     return -math.log(uniform) / max(weight, MIN_WEIGHT)
 
 
 def subset_size(rate_per_s: float, reuse_interval_s: float) -> int:
-    """Return how many executors own traffic can reuse a connection to within the interval.
+    """Return for how many executors own traffic can reuse a connection within the interval.
 
-    At least `MIN_SUBSET`.
+    The result is at least `MIN_SUBSET`.
     """
     return max(MIN_SUBSET, math.ceil(rate_per_s * reuse_interval_s))
 
 
 def choose(local: list[str], remote: list[str], size: int) -> list[str]:
-    """Return the first `size` local executors and fewer remote ones; both lists are ordered by rank."""
+    """Return the first `size` local executors and a share of remote ones; both lists are ordered by rank."""
     return local[:size] + remote[: max(MIN_REMOTE, round(size * REMOTE_SHARE))]
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -1,16 +1,16 @@
 """Request coalescing: a repeat of a request that is still open joins it instead of running again.
 
-A client that timed out or lost its connection retries. If it names the request (`fennelwind.request`) and
-sends the same statement as the same user, the retry joins the open request: one query is executed, and each
-client gets its answer within its own deadline. So a storm of retries costs the engines nothing.
+A client that timed out or lost its connection retries. If it sends the same request id (`fennelwind.request`)
+and statement as the same user, the retry joins the open request: one query is executed, and each
+client gets its answer within its own deadline. So a retry storm adds no load to the engines.
 
 - A joined entry ends with the query, or earlier when its own deadline passes.
-- When the client that came first disconnects, the query runs on as long as another entry waits for it.
-- A query runs within the deadline of the entry that started it. If that was too short, the entries with more
-  time continue with a new query, where the class allows it (`should_run_again`).
+- If the first client disconnects, the query continues as long as another entry waits for it.
+- A query runs within the deadline of the entry that started it. If that was too short, the entries with a
+  later deadline wait for a new query, if the class allows it (`should_run_again`).
 - An ended request is forgotten: a later repeat is a new query, subject to the class's idempotency.
-- Non-idempotent classes join too, as a join executes nothing. A repeat after the end is not recognised; its
-  client was told that the query failed, and that its outcome is unknown.
+- Requests of non-idempotent classes join too, as a join executes nothing. A repeat after the end is not
+  recognised; its client had been answered that the query failed with an unknown outcome.
 
 No I/O. The dispatcher's `SharedExecutions` is the only caller.
 """
@@ -20,10 +20,10 @@
 from hashlib import blake2b
 from typing import Generic, TypeVar
 
-MAX_REQUESTS = 50_000  # open requests that are tracked; beyond it requests run on their own, counted
-MAX_WAITERS = 100  # entries that wait for one query; beyond it they are rejected
+MAX_REQUESTS = 50_000  # tracked open requests; further ones run unshared and are counted
+MAX_WAITERS = 100  # entries that wait for one query; further ones are rejected
 FINGERPRINT_BYTES = 16
-LENGTH_BYTES = 8  # of the length before each part of a fingerprint, so that parts can't run together
+LENGTH_BYTES = 8  # of the length before each part of a fingerprint, which keeps the parts apart
 
 EntryT = TypeVar("EntryT", bound=Hashable)
 
@@ -46,7 +46,7 @@
     database: str = "",
     configuration: Mapping[str, str] | None = None,
 ) -> bytes:
-    """Return the key of a request; requests that could give different rows never share one."""
+    """Return the fingerprint of a request; requests that could return different rows never share one."""
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     settings = [part for pair in sorted((configuration or {}).items()) for part in pair]
     for part in (user, str(tenant), str(class_index), request_id, statement, database, *settings):
@@ -64,9 +64,9 @@
     execution_deadline_ms: float,
     answer_deadline_ms: float,
 ) -> bool:
-    """Return whether an entry waits for a new query after the one it had joined ended without a result.
+    """Return whether an entry waits for a new query after the one that it joined ended without a result.
 
-    Only an entry with more time than the query had does. A rejected query may be repeated harmlessly; a
+    Only an entry with a later deadline than the query does. A rejected query may safely be repeated; a
     failed one may have run, so it runs again only in an idempotent class.
     """
     has_more_time = answer_deadline_ms > execution_deadline_ms
@@ -74,20 +74,20 @@
 
 
 class RequestCoalescer(Generic[EntryT]):
-    """The open requests that clients have named."""
+    """Tracks the open requests that have an id chosen by a client."""
 
     def __init__(self) -> None:
         self._by_fingerprint: dict[bytes, SharedRequest[EntryT]] = {}
         self._by_executing: dict[EntryT, SharedRequest[EntryT]] = {}
         self.joined = 0  # entries that joined an open request
-        self.untracked = 0  # requests that ran on their own, as `MAX_REQUESTS` were open
-        self.rejected = 0  # entries rejected, as `MAX_WAITERS` waited already
+        self.untracked = 0  # requests that ran unshared because `MAX_REQUESTS` were open
+        self.rejected = 0  # entries rejected because `MAX_WAITERS` were already waiting
 
     def __len__(self) -> int:
         return len(self._by_fingerprint)
 
     def find(self, fingerprint: bytes) -> SharedRequest[EntryT] | None:
-        """Return the open request with that fingerprint."""
+        """Return the open request with a fingerprint, or None."""
         return self._by_fingerprint.get(fingerprint)
 
     def track(self, fingerprint: bytes, executing: EntryT, waiting: EntryT) -> SharedRequest[EntryT] | None:
@@ -100,7 +100,7 @@
         return request
 
     def join(self, request: SharedRequest[EntryT], entry: EntryT) -> bool:
-        """Let an entry wait for the request; return False if too many do."""
+        """Add an entry that waits for the request; return False if too many already do."""
         if len(request.waiting) >= MAX_WAITERS:
             self.rejected += 1
             return False
@@ -109,12 +109,12 @@
         return True
 
     def leave(self, request: SharedRequest[EntryT], entry: EntryT) -> bool:
-        """Let an entry wait no longer; return whether none is left, so that the query may be cancelled."""
+        """Remove a waiting entry; return whether none remains, so that the query may be cancelled."""
         request.waiting.pop(entry, None)
         return not request.waiting
 
     def forget(self, executing: EntryT) -> tuple[bytes, list[EntryT]]:
-        """Forget the request whose query has ended; return its fingerprint and who still waits, in order."""
+        """Forget a request whose query has ended; return its fingerprint and its waiting entries in order."""
         request = self._by_executing.pop(executing, None)
         if request is None:
             return b"", []
--- a/tests/load_balancing/test_spread.py
+++ b/tests/load_balancing/test_spread.py
@@ -71,7 +71,7 @@
     old, max_deviation = estimator.estimate("a", 0, 8, 60_000.0)
     assert at_once == pytest.approx(0.1) and at_once < later < old == pytest.approx(usual)
     assert min_deviation < deviation < max_deviation
-    estimator.sent("a", 4)
+    estimator.add_sent_threads("a", 4)
     assert estimator.estimate("a", 0, 8, 0.0)[0] == pytest.approx(0.6)
     estimator.add_report("a", 0, {"cpu": 0.6}, 8, 10.0)  # the next report knows of them
     assert estimator.estimate("a", 0, 8, 10.0)[0] == pytest.approx(0.6)
