--- a/fennelwind/load_balancing/subsetting.py
+++ b/fennelwind/load_balancing/subsetting.py
@@ -17,7 +17,7 @@
 
 
 def rank(controller: int, engine: str, weight: float) -> float:
-    """Return an executor's rank for a controller, lowest first; the chance to be first is proportional to weight."""
+    """Return an executor's rank for a controller, lowest first; its odds to be first follow its weight."""
     digest = blake2b(f"{controller} {engine}".encode(), digest_size=HASH_BYTES).digest()
     uniform = (int.from_bytes(digest, "big") + 0.5) / HASH_RANGE
     return -math.log(uniform) / max(weight, MIN_WEIGHT)
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -1,4 +1,4 @@
-"""The controller through its clients' eyes, with engines that fail; in virtual time unless sockets matter."""
+"""The controller as its clients see it, with engines that fail; in virtual time unless sockets matter."""
 
 import gc
 import json
@@ -30,8 +30,8 @@
 import json, sys
 from impala.dbapi import connect
 
-with connect("127.0.0.1", int(sys.argv[1]), auth_mechanism=sys.argv[2], user="ann", password="x") as there:
-    cursor = there.cursor()
+with connect("127.0.0.1", int(sys.argv[1]), auth_mechanism=sys.argv[2], user="ann", password="x") as client:
+    cursor = client.cursor()
     cursor.execute("select * from t", configuration={"standin.rows": "1234"})
     many = cursor.fetchall()
     cursor.execute("select 1", configuration={"standin.rows": "2"})
@@ -40,22 +40,22 @@
 """
 
 
-def play(main, loop=None, seed=1, limit=60_000, **fleet):
-    """Run `main(fleet)` on a loop, within a time; no task of the controller may have broken."""
+def play(main, loop=None, seed=1, limit=60_000, **fleet_options):
+    """Run `main(fleet)` on a loop within `limit` ms; no task of the controller may raise an exception."""
     loop = loop or SimLoop(seed)
-    broken = []
-    loop.on_error = lambda task, exc: broken.append((task.name, repr(exc)))
+    task_errors = []
+    loop.on_error = lambda task, exc: task_errors.append((task.name, repr(exc)))
 
     def run():
         with loop.deadline(limit):
-            made = Fleet(loop, **fleet)
-            result = main(made)
-            made.program.close()
-            assert made.seen.failures == []
+            fleet = Fleet(loop, **fleet_options)
+            result = main(fleet)
+            fleet.program.close()
+            assert fleet.seen.failures == []
             return result
 
     result = loop.run(run)
-    assert broken == []
+    assert task_errors == []
     return result
 
 
@@ -64,18 +64,18 @@
 
 
 def empty(fleet):
-    """Tell whether nothing is left of any query."""
+    """Return whether no state of any query remains."""
     driver = fleet.program.driver
-    held = (
+    query_state = (
         driver.ledger.entries,
         driver.gateway.queries,
         driver.attempts.tasks,
         fleet.program.service.operations,
     )
-    return not any(held)
+    return not any(query_state)
 
 
-# The ordinary path.
+# Statements that succeed, and errors.
 
 
 @pytest.mark.parametrize("transport", ["sasl", "buffered", "framed", "http"])
@@ -99,18 +99,18 @@
     play(main, RealLoop() if kind is RealLoop else SimLoop(1))
 
 
-def test_pages_are_cut_as_clients_ask_for_them():
+def test_pages_have_the_size_that_clients_request():
     def main(fleet):
         client = fleet.client()
         handle = execute(client, "select 1", rows=2500)
-        got, more = [], True
-        while more:
+        received, has_more = [], True
+        while has_more:
             page = fetch(client, handle, most=700)
-            assert page.results.startRowOffset == len(got)
-            assert page.results.columns[1].stringVal.values[0] == b"row %d" % len(got)
-            got += ids(page)
-            more = page.hasMoreRows
-        assert got == list(range(2500))
+            assert page.results.startRowOffset == len(received)
+            assert page.results.columns[1].stringVal.values[0] == b"row %d" % len(received)
+            received += ids(page)
+            has_more = page.hasMoreRows
+        assert received == list(range(2500))
         assert ids(fetch(client, handle)) == []
         assert ids(fetch(client, handle, 5, hs2.FETCH_FIRST)) == [0, 1, 2, 3, 4]
 
@@ -122,13 +122,13 @@
         client, other = fleet.client(), fleet.client()
         for engine in fleet.engines:
             engine.faults.refuse = True
-        with pytest.raises(RemoteError) as refused:
+        with pytest.raises(RemoteError) as rejected:
             execute(client, "select 1")
-        assert refused.value.status.sqlState == "53000"
-        assert refused.value.hints[hints.REFUSED] == {"retry_after_ms": 500.0}
+        assert rejected.value.status.sqlState == "53000"
+        assert rejected.value.hints[hints.REFUSED] == {"retry_after_ms": 500.0}
         for engine in fleet.engines:
             engine.faults.refuse, engine.faults.error = False, True
-        fleet.loop.sleep(5000)  # the engines that refused are left alone for a while
+        fleet.loop.sleep(5000)  # the engines that rejected get no attempts for a while
         with pytest.raises(RemoteError) as failed:
             execute(client, "load x")
         assert failed.value.status.sqlState == "HYT00" and hints.FAILED in failed.value.hints
@@ -144,27 +144,27 @@
 # How attempts end.
 
 
-def test_each_way_an_attempt_ends_has_one_status():
+def test_each_way_in_which_an_attempt_ends_has_one_status():
     def main(fleet):
         (engine,) = fleet.engines
-        client, seen = fleet.client(), []
+        client, ends = fleet.client(), []
 
-        def trial(statement="load x", timeout=1):
+        def execute_once(statement="load x", timeout=1):
             try:
                 execute(client, statement, timeout=timeout)
             except RemoteError as exc:
-                seen.append((fleet.seen.attempts[-1][3], exc.status.sqlState))
+                ends.append((fleet.seen.attempts[-1][3], exc.status.sqlState))
             fleet.loop.sleep(6000)
 
         for fault in ("refuse", "error", "cut", "hang", "lose"):
             setattr(engine.faults, fault, True)
-            trial()
+            execute_once()
             setattr(engine.faults, fault, False)
         engine.crash()
-        trial()
-        return seen
+        execute_once()
+        return ends
 
-    # A query that may have run fails, one that provably did not is refused; none was sent twice.
+    # A query that may have run fails, one that provably did not is rejected; none is sent twice.
     assert play(main, engines=1) == [
         ("full", "53000"),
         ("error", "HYT00"),
@@ -197,7 +197,7 @@
     play(main)
 
 
-def test_an_engine_that_answers_twice_breaks_its_own_connection_alone():
+def test_an_engine_that_answers_twice_loses_only_its_own_connection():
     def main(fleet):
         fleet.engines[0].faults.twice = True
         client = fleet.client()
@@ -213,20 +213,20 @@
 def test_an_engine_that_accepts_connections_and_sends_nothing_never_ran_the_statement():
     def main(fleet):
         silent = fleet.loop.listen(Address("127.0.0.1", 0))
-        kept = []
+        accepted = []
 
-        def take():
-            with suppress(StreamReset):  # until it is closed
+        def accept_all():
+            with suppress(StreamReset):  # until the listener is closed
                 while True:
-                    kept.append(silent.accept())
+                    accepted.append(silent.accept())
 
-        fleet.loop.spawn(take, name="silent")
+        fleet.loop.spawn(accept_all, name="silent")
         fleet.program.driver.post(
             policy.EngineListUpdate("full", (policy.EngineEndpoint(str(silent.address)),))
         )
         fleet.loop.sleep(5)
         assert outcome(lambda: execute(fleet.client(), "load x")) == "53000"
-        assert kept and {a[3] for a in fleet.seen.attempts} == {"connect_failed"}
+        assert accepted and {a[3] for a in fleet.seen.attempts} == {"connect_failed"}
         silent.close()
 
     play(main)
@@ -238,15 +238,15 @@
         for engine in fleet.engines:
             engine.crash()
         for _ in range(8):
-            began = fleet.loop.now()
+            started_ms = fleet.loop.now()
             assert outcome(lambda: execute(client, "select 1", timeout=1)) == "53000"
-            assert fleet.loop.now() - began < 1000
+            assert fleet.loop.now() - started_ms < 1000
         assert empty(fleet)
 
     play(main)
 
 
-def test_discovery_that_is_never_reached_leaves_the_engines_of_the_settings():
+def test_unreachable_discovery_leaves_the_engines_of_the_settings_in_use():
     def main(fleet):
         client = fleet.client()
         fleet.loop.sleep(10_000)
@@ -260,12 +260,12 @@
 def test_discovery_is_polled_again_after_a_failure():
     def main(fleet):
         fleet.loop.sleep(3500)
-        assert 3 <= fleet.program.discovery.failures <= 4  # the module asks anew each second
+        assert 3 <= fleet.program.discovery.failures <= 4  # the policy asks again each second
 
     play(main, change=lambda text: text + 'discovery { address: "127.0.0.1:9" mode: ASKED }')
 
 
-# Clients that leave, cancel, hurry or stall.
+# Clients that disconnect, cancel, pipeline or stall.
 
 
 @pytest.mark.parametrize("asynchronous", [False, True])
@@ -275,7 +275,7 @@
         if asynchronous:
             execute(client, "build", work=1000, asynchronous=True)
         else:
-            fleet.loop.spawn(lambda: outcome_or_end(client), name="leaving")
+            fleet.loop.spawn(lambda: execute_until_reset(client), name="leaving")
         fleet.loop.sleep(50)
         assert sum(len(e.model.jobs) for e in fleet.engines) == 1
         client.drop()
@@ -285,16 +285,16 @@
         assert ledger(fleet).counts[1] == {"taken": 1, "left": 1}
         assert empty(fleet) and not fleet.program.service.sessions
 
-    def outcome_or_end(client):
+    def execute_until_reset(client):
         with pytest.raises(StreamReset):
             execute(client, "build", work=1000)
 
     play(main)
 
 
-def test_cancel_racing_an_answer_has_one_end_at_every_offset():
+def test_cancel_racing_an_answer_has_one_final_state_at_every_offset():
     def main(fleet):
-        ends = set()
+        final_states = set()
         for step in range(100):
             client = fleet.client()
             handle = execute(client, "select 1", work=10, asynchronous=True)
@@ -303,13 +303,13 @@
             first = status(client, handle).operationState
             fleet.loop.sleep(100)
             assert status(client, handle).operationState == first
-            ends.add(first)
+            final_states.add(first)
             client.call("CloseOperation", hs2.TCloseOperationReq(handle))
             client.drop()
         fleet.loop.sleep(100)
-        assert ends == {hs2.CANCELED, hs2.FINISHED}
+        assert final_states == {hs2.CANCELED, hs2.FINISHED}
         assert ledger(fleet).is_balanced() and empty(fleet)
-        assert sum(len(e._operations) for e in fleet.engines) == 0  # nothing is left behind at engines
+        assert sum(len(e._operations) for e in fleet.engines) == 0  # no operation remains at an engine
 
     play(main)
 
@@ -327,7 +327,7 @@
     play(main)
 
 
-def test_handles_of_others_and_guesses_are_unknown():
+def test_handles_with_guessed_secrets_are_invalid():
     def main(fleet):
         ann, bob = fleet.client(), fleet.client()
         handle = execute(ann, "select 1")
@@ -343,7 +343,7 @@
     play(main)
 
 
-def test_limits_are_named_when_met():
+def test_errors_name_the_limit_or_parameter_that_caused_them():
     def main(fleet):
         client = fleet.client()
         for _ in range(20):
@@ -365,34 +365,34 @@
     play(main)
 
 
-def test_queries_over_the_limit_of_open_ones_are_rejected_at_once():
+def test_queries_over_the_limit_of_open_queries_are_rejected_at_once():
     def main(fleet):
         clients = [fleet.client() for _ in range(6)]
         for client in clients[:5]:
             execute(client, "build", work=3000, asynchronous=True)
-        began = fleet.loop.now()
+        started_ms = fleet.loop.now()
         assert outcome(lambda: execute(clients[5], "select 1")) == "53000"
-        assert fleet.loop.now() - began < 5.0
+        assert fleet.loop.now() - started_ms < 5.0
         assert fleet.program.driver.rejected_at_capacity == 1
 
     play(main, max_open=5)
 
 
-def raw(fleet, data, transport=BUFFERED):
+def connect_and_send(fleet, data, transport=BUFFERED):
     stream = fleet.loop.connect(fleet.program.address)
     stream.write(data)
     return stream
 
 
-def open_session(side, sequence):
+def open_session_call(side, sequence):
     return write_message("OpenSession", CALL, sequence, hs2.TOpenSessionReq(client_protocol=5))
 
 
 def test_pipelined_calls_and_a_repeated_sequence_id_are_answered_in_order():
     def main(fleet):
         side = ClientSide(BUFFERED)
-        opening = open_session(side, 7)
-        stream = raw(fleet, opening)
+        opening = open_session_call(side, 7)
+        stream = connect_and_send(fleet, opening)
         session = side.receive(stream.read())[0].body.sessionHandle
         slow, quick = (
             hs2.TExecuteStatementReq(
@@ -421,12 +421,12 @@
     play(main)
 
 
-def test_a_client_that_pipelines_without_end_is_read_no_further():
+def test_a_client_that_pipelines_without_limit_is_not_read_further():
     def main(fleet):
         for engine in fleet.engines:
             engine.faults.lose = True
         side = ClientSide(BUFFERED)
-        stream = raw(fleet, open_session(side, 1))
+        stream = connect_and_send(fleet, open_session_call(side, 1))
         session = side.receive(stream.read())[0].body.sessionHandle
         call = write_message(
             "ExecuteStatement",
@@ -437,10 +437,10 @@
         with pytest.raises(DeadlineExceeded), fleet.loop.deadline(1000):
             for _ in range(1000):
                 stream.write(call)
-        (held,) = fleet.program.front.connections
-        assert len(held.line) <= 16 and held.side.waiting < 2 * 262144
+        (connection,) = fleet.program.front.connections
+        assert len(connection.line) <= 16 and connection.side.waiting < 2 * 262144
         stream.abort()
-        fleet.loop.sleep(3000)  # it is noticed when the call in front has its answer, at the latest
+        fleet.loop.sleep(3000)  # the reset is noticed at the latest when the first call is answered
         assert not fleet.program.front.connections
 
     play(main)
@@ -449,10 +449,10 @@
 def test_an_unknown_method_gets_an_error_and_its_connection_stays_open():
     def main(fleet):
         side = ClientSide(BUFFERED)
-        stream = raw(fleet, open_session(side, 1).replace(b"OpenSession", b"OpenSezzion"))
+        stream = connect_and_send(fleet, open_session_call(side, 1).replace(b"OpenSession", b"OpenSezzion"))
         (reply,) = side.receive(stream.read())
         assert reply.type == messages.EXCEPTION and reply.body.type == messages.UNKNOWN_METHOD
-        stream.write(open_session(side, 2))
+        stream.write(open_session_call(side, 2))
         assert side.receive(stream.read())[0].sequence == 2
         stream.close()
 
@@ -472,10 +472,10 @@
     ],
     ids=["2GiB", "negative", "deep", "frame", "http", "gssapi", "reply"],
 )
-def test_bytes_that_are_no_call_end_their_own_connection_alone(data):
+def test_bytes_that_are_not_a_call_close_only_their_own_connection(data):
     def main(fleet):
         client = fleet.client()
-        stream = raw(fleet, data)
+        stream = connect_and_send(fleet, data)
         with fleet.loop.deadline(1000):
             try:
                 while stream.read():
@@ -488,9 +488,9 @@
     play(main)
 
 
-def test_a_cut_inside_a_string_leaves_nothing():
+def test_a_connection_cut_within_a_call_leaves_no_state():
     def main(fleet):
-        call = open_session(None, 1) + write_message(
+        call = open_session_call(None, 1) + write_message(
             "ExecuteStatement",
             CALL,
             2,
@@ -499,7 +499,7 @@
             ),
         )
         for cut in range(1, len(call), 7):
-            raw(fleet, call[:cut]).close()
+            connect_and_send(fleet, call[:cut]).close()
         fleet.loop.sleep(100)
         assert not fleet.program.front.connections and not fleet.program.service.sessions
         assert ledger(fleet).open_count == 0
@@ -507,20 +507,20 @@
     play(main)
 
 
-def short_idle(text):
+def with_short_idle_timeout(text):
     return text.replace("idle_ms: 60000", "idle_ms: 5000").replace("max_attempts: 3", "max_attempts: 1")
 
 
 def test_a_client_that_sends_a_byte_a_second_is_closed_after_the_idle_timeout():
     def main(fleet):
-        stream = raw(fleet, b"")
+        stream = connect_and_send(fleet, b"")
         with pytest.raises(StreamReset):
-            for byte in open_session(None, 1):
+            for byte in open_session_call(None, 1):
                 stream.write(bytes([byte]))
                 fleet.loop.sleep(1000)
         assert fleet.program.front.idled == 1
 
-    play(main, change=short_idle)
+    play(main, change=with_short_idle_timeout)
 
 
 def test_an_idle_client_is_closed_but_not_one_that_waits_for_its_answer():
@@ -533,10 +533,10 @@
         with pytest.raises(StreamReset):
             execute(idle, "select 1")
 
-    play(main, change=short_idle)
+    play(main, change=with_short_idle_timeout)
 
 
-def test_2000_idle_connections_come_and_go():
+def test_2000_closed_idle_connections_leave_no_tasks_and_few_timers():
     def main(fleet):
         before = len(fleet.loop.tasks)
         clients = [fleet.loop.connect(fleet.program.address) for _ in range(2000)]
@@ -550,17 +550,22 @@
         assert len(fleet.loop.tasks) <= before
         assert len(fleet.loop.timers) < 20
 
-    play(main, change=lambda text: short_idle(text.replace("max_connections: 100", "max_connections: 3000")))
+    play(
+        main,
+        change=lambda text: with_short_idle_timeout(
+            text.replace("max_connections: 100", "max_connections: 3000")
+        ),
+    )
 
 
-def test_running_out_of_descriptors_and_recovering():
+def test_statements_are_served_when_descriptors_run_out_and_afterwards():
     loop = RealLoop()
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
 
     def main(fleet):
         client = fleet.client()
         assert outcome(lambda: execute(client, "select 1")) == "served"
-        loop.sleep(200)  # until the operation is closed and its link is idle
+        loop.sleep(200)  # until the operation is closed and its connection is idle
         used = len([s for s in gc.get_objects() if isinstance(s, socket.socket) and s.fileno() >= 0])
         resource.setrlimit(resource.RLIMIT_NOFILE, (used + 60, hard))
         clients = []
@@ -571,21 +576,21 @@
                 except OSError:
                     loop.sleep(5)
             assert outcome(lambda: execute(client, "select 1")) == "served"
-            far = fleet.program.engine_client.attempt(
+            unreachable = fleet.program.engine_client.attempt(
                 "127.0.0.1:9", AttemptRequest(1, 0, Submission(0, "x", 9e9), 9e9, 0.0, 1)
             )
-            assert far.status == "moot"  # our own trouble says nothing of an engine
+            assert unreachable.status == "moot"  # a lack of own descriptors is no fault of the engine
         finally:
             for other in clients:
                 other.close()
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        late = fleet.client()
-        assert outcome(lambda: execute(late, "select 1")) == "served"
+        new_client = fleet.client()
+        assert outcome(lambda: execute(new_client, "select 1")) == "served"
 
     play(main, loop, engines=1)
 
 
-# Time.
+# Stalls, shutdown and a failing policy.
 
 
 def test_a_stall_past_all_deadlines_answers_everything_at_once():
@@ -593,7 +598,7 @@
         clients = [fleet.client() for _ in range(8)]
         handles = [execute(c, "select 1", work=4000, asynchronous=True, timeout=1) for c in clients]
         fleet.loop.sleep(20)
-        fleet.loop._time += 60_000  # the process had no turn, or a clock jumped
+        fleet.loop._time += 60_000  # the process was suspended, or a clock jumped
         states = [status(c, h).operationState for c, h in zip(clients, handles, strict=True)]
         assert states == [hs2.FAILED] * 8
         for client in clients:
@@ -607,19 +612,21 @@
 def test_closing_answers_open_queries_and_rejects_new_ones():
     def main(fleet):
         clients = [fleet.client() for _ in range(4)]
-        seen = []
+        outcomes = []
         for client in clients:
-            fleet.loop.spawn(lambda c=client: seen.append(outcome(lambda: execute(c, "build", work=20_000))))
+            fleet.loop.spawn(
+                lambda c=client: outcomes.append(outcome(lambda: execute(c, "build", work=20_000)))
+            )
         fleet.loop.sleep(50)
         fleet.program.close()
         fleet.loop.sleep(50)
-        assert seen == ["HYT00"] * 4  # sent, so they may have run
+        assert outcomes == ["HYT00"] * 4  # sent, so they may have run
         assert ledger(fleet).is_balanced() and ledger(fleet).open_count == 0
 
     play(main)
 
 
-def test_a_policy_that_fails_costs_no_query_its_answer():
+def test_queries_are_answered_in_time_although_the_policy_raises():
     loop = SimLoop(1)
 
     def main():
@@ -627,54 +634,56 @@
         client = fleet.client()
         step = fleet.program.driver.gateway.step
 
-        def broken(now, events):
+        def failing_step(now, events):
             if any(isinstance(e, policy.QueryArrived) for e in events):
                 raise RuntimeError("planted")
             return step(now, events)
 
-        fleet.program.driver.gateway.step = broken
-        began = loop.now()
+        fleet.program.driver.gateway.step = failing_step
+        started_ms = loop.now()
         assert outcome(lambda: execute(client, "select 1", timeout=1)) == "53000"  # it was never sent
-        assert loop.now() - began < 1000
+        assert loop.now() - started_ms < 1000
         assert fleet.program.driver.unanswered_by_policy == 1
         assert [where for where, _ in fleet.seen.failures] == ["policy"]
 
     loop.run(main)
 
 
-# The core alone.
+# The driver alone.
 
 
-class Dice:
-    """Engines by a seed: any end, after any time, some exactly when the time is up."""
+class RandomEngines:
+    """Engines whose attempts end at random, in any way and after any time, some exactly at the deadline."""
 
     def __init__(self, loop, seed):
         self.loop, self.random = loop, Random(seed)
-        self.out = self.most = 0
+        self.running = self.max_running = 0
 
     def update_grant(self, query, memory_mb, priority):
         pass
 
-    def attempt(self, engine, order):
+    def attempt(self, engine, request):
         draw = self.random
-        left = order.deadline_ms - self.loop.now()
-        took = draw.choice([left, left - 1e-9, draw.expovariate(1 / 60.0), draw.uniform(0.0, 2 * left)])
-        self.out += 1
+        left_ms = request.deadline_ms - self.loop.now()
+        took_ms = draw.choice(
+            [left_ms, left_ms - 1e-9, draw.expovariate(1 / 60.0), draw.uniform(0.0, 2 * left_ms)]
+        )
+        self.running += 1
         try:
-            self.loop.sleep(min(took, left))
+            self.loop.sleep(min(took_ms, left_ms))
         finally:
-            self.out -= 1
-        if took > left:
+            self.running -= 1
+        if took_ms > left_ms:
             return AttemptEnd("timeout")
-        end = draw.choice(["ok"] * 8 + ["error", "full", "connect_failed", "reset"])
-        return AttemptEnd(end, result=Result() if end == "ok" else None)
+        status = draw.choice(["ok"] * 8 + ["error", "full", "connect_failed", "reset"])
+        return AttemptEnd(status, result=Result() if status == "ok" else None)
 
     def check_health(self, engine):
         return AttemptEnd("ok")
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_every_query_ends_once_and_in_time_whatever_attempts_do(seed):
+def test_every_query_ends_once_and_in_time_however_attempts_end(seed):
     loop = SimLoop(seed)
     settings = policy.Settings(
         classes=(
@@ -708,7 +717,7 @@
         driver = Driver(
             loop,
             settings,
-            Dice(loop, seed),
+            RandomEngines(loop, seed),
             SilentObserver(),
             seed=seed,
             max_open=150,
@@ -720,10 +729,18 @@
         entries = []
         for _ in range(400):
             loop.sleep(random.expovariate(1 / 6.0))
-            c = random.randrange(4)
-            give_up = settings.classes[c].client_timeout_ms * random.choice([1.0, 1.0, 0.1, 0.02])
+            class_index = random.randrange(4)
+            timeout_ms = settings.classes[class_index].client_timeout_ms * random.choice(
+                [1.0, 1.0, 0.1, 0.02]
+            )
             entry = driver.submit(
-                Submission(c, "x", loop.now() + give_up, key=random.choice("klm"), estimated_work_ms=50.0),
+                Submission(
+                    class_index,
+                    "x",
+                    loop.now() + timeout_ms,
+                    key=random.choice("klm"),
+                    estimated_work_ms=50.0,
+                ),
                 lambda e: answers.setdefault(e, []).append((e.answer.kind, loop.now())),
             )
             entries.append(entry)
@@ -739,16 +756,16 @@
     loop.run(main)
 
 
-# What statements and sessions are, and what clients repeat.
+# Statement errors, session state, grants, repeated requests and limits.
 
 
-def test_a_statements_own_error_is_its_answer_and_no_engine_is_blamed():
+def test_an_error_of_the_statement_itself_is_its_answer_and_does_not_count_against_engines():
     def main(fleet):
         client = fleet.client()
-        for i in range(12):  # three errors in a row would shut an engine
-            with pytest.raises(RemoteError, match="error 42S02 of its own") as told:
+        for i in range(12):  # three errors in a row would eject an engine
+            with pytest.raises(RemoteError, match="error 42S02 of its own") as statement_error:
                 execute(client, "load x" if i % 2 else "select nothing", **{"standin.sqlstate": "42S02"})
-            assert told.value.status.sqlState == "42S02" and not told.value.hints
+            assert statement_error.value.status.sqlState == "42S02" and not statement_error.value.hints
         handle = execute(client, "select 1", asynchronous=True, **{"standin.sqlstate": "22012"})
         while (seen := status(client, handle)).operationState in (hs2.PENDING, hs2.RUNNING):
             pass
@@ -756,14 +773,14 @@
         assert outcome(lambda: fetch(client, handle)) == "22012"
         assert len(fleet.seen.attempts) == 13 and {a[3] for a in fleet.seen.attempts} == {"ok"}
         assert outcome(lambda: execute(client, "select 1", **{"standin.sqlstate": "XX000"})) == "53000"
-        assert len(fleet.seen.attempts) > 14  # this one speaks of the engine, and others are tried
+        assert len(fleet.seen.attempts) > 14  # this error concerns the engine, so others are tried
         fleet.loop.sleep(3000)
         assert not ledger(fleet).entries and not fleet.program.driver.attempts.tasks
 
     play(main)
 
 
-def test_set_and_use_apply_at_whatever_engine_a_statement_runs():
+def test_set_and_use_apply_at_every_engine():
     def main(fleet):
         client, other = fleet.client(), fleet.client()
         assert not execute(client, "use sales").hasResultSet
@@ -777,10 +794,10 @@
             if i == 3:
                 fleet.engines[0].crash()
         assert [e.counts.databases for e in fleet.engines] == [{"sales": 4, "default": 4}] * 2
-        execute(client, "use nowhere")  # known only to engines: the next statement tells
-        with pytest.raises(RemoteError, match="no such database") as told:
+        execute(client, "use nowhere")  # only engines know the databases: the next statement fails
+        with pytest.raises(RemoteError, match="no such database") as missing:
             execute(client, "select 1")
-        assert told.value.status.sqlState == "3F000"
+        assert missing.value.status.sqlState == "3F000"
         assert outcome(lambda: execute(client, "create temporary table t (a int)")) == "0A000"
         assert outcome(lambda: execute(other, "select 1")) == "served"
 
@@ -796,14 +813,14 @@
         for priority in (3, 0, 2, 2):
             driver._carry_out(policy.SetGrant(1, 0.0, priority))
         fleet.loop.sleep(50)
-        told = [each for e in fleet.engines for each in e.counts.terms]
-        assert told[-1] == ("build", "2") and 1 <= len(told) <= 3
-        for engine in fleet.engines:  # one that hears nothing more costs a link, and no answer
+        received = [update for e in fleet.engines for update in e.counts.terms]
+        assert received[-1] == ("build", "2") and 1 <= len(received) <= 3
+        for engine in fleet.engines:  # a hanging engine costs the update a connection, but no answer
             engine.faults.hang = True
         driver._carry_out(policy.SetGrant(1, 0.0, 1))
         fleet.loop.sleep(1500)
         updates = engine_client.grant_updates
-        assert (updates.running, updates.sent, updates.dropped) == (0, len(told), 1)
+        assert (updates.running, updates.sent, updates.dropped) == (0, len(received), 1)
         client.drop()
         fleet.loop.sleep(100)
         assert engine_client._attempts == {}
@@ -811,7 +828,7 @@
     play(main)
 
 
-def test_a_grant_that_changes_while_a_statement_is_being_sent_follows_it():
+def test_a_grant_that_changes_while_a_statement_is_sent_reaches_the_engine_afterwards():
     def main(fleet):
         client = fleet.client()
         for engine in fleet.engines:
@@ -822,20 +839,20 @@
 
             engine._ExecuteStatement = run
         execute(client, "build", work=400)
-        assert [each for e in fleet.engines for each in e.counts.terms] == [("build", "3")]
+        assert [update for e in fleet.engines for update in e.counts.terms] == [("build", "3")]
 
     play(main)
 
 
 def test_a_repeat_by_request_id_joins_the_open_request_and_each_client_gets_its_answer():
     def main(fleet):
-        first, second, stranger = fleet.client(), fleet.client(), fleet.client(user="bo")
-        name = {"fennelwind.request": "r1", "standin.threads": "4"}
-        one = execute(first, "build", work=800, rows=4, asynchronous=True, **name)
-        two = execute(second, "build", work=800, rows=4, asynchronous=True, **name)
-        execute(stranger, "build", work=800, asynchronous=True, **name)
+        first, second, other_user = fleet.client(), fleet.client(), fleet.client(user="bo")
+        overlay = {"fennelwind.request": "r1", "standin.threads": "4"}
+        one = execute(first, "build", work=800, rows=4, asynchronous=True, **overlay)
+        two = execute(second, "build", work=800, rows=4, asynchronous=True, **overlay)
+        execute(other_user, "build", work=800, asynchronous=True, **overlay)
         fleet.loop.sleep(20)
-        first.drop()  # it lost patience; the other asking keeps the query alive
+        first.drop()  # the repeat keeps the query running
         while status(second, two).operationState in (hs2.PENDING, hs2.RUNNING):
             pass
         assert ids(fetch(second, two)) == [0, 1, 2, 3]
@@ -853,7 +870,7 @@
     play(main)
 
 
-def test_closing_fails_all_who_wait_for_a_sent_query_as_it_may_have_run():
+def test_closing_fails_all_requests_that_wait_for_a_sent_query():
     def main(fleet):
         clients = [fleet.client() for _ in range(3)]
         handles = [
@@ -871,16 +888,18 @@
 def test_a_joined_request_fails_by_its_own_deadline_and_the_shared_query_runs_on():
     def main(fleet):
         clients = [fleet.client() for _ in range(3)]
-        name = {"fennelwind.request": "r1", "fennelwind.work_ms": "400"}
+        overlay = {"fennelwind.request": "r1", "fennelwind.work_ms": "400"}
         handles = [
-            execute(c, "build", work=40_000, asynchronous=True, timeout=1 + i, **name)
+            execute(c, "build", work=40_000, asynchronous=True, timeout=1 + i, **overlay)
             for i, c in enumerate(clients)
         ]
-        at = fleet.loop.now()
+        started_ms = fleet.loop.now()
         for i, (client, handle) in enumerate(zip(clients, handles, strict=True)):
             while (seen := status(client, handle)).operationState in (hs2.PENDING, hs2.RUNNING):
                 pass
-            assert seen.sqlState == "HYT00" and 1000 * i + 900 < fleet.loop.now() - at <= 1000 * (1 + i)
+            assert seen.sqlState == "HYT00" and 1000 * i + 900 < fleet.loop.now() - started_ms <= 1000 * (
+                1 + i
+            )
         fleet.loop.sleep(500)
         assert not any(e._running for e in fleet.engines)
         assert not ledger(fleet).entries and not len(fleet.program.driver.shared.coalescer)
@@ -890,17 +909,17 @@
 
 def test_the_margin_follows_answers_to_a_client_that_reads_slowly():
     def main(fleet):
-        before = fleet.program.driver.margin.ms
+        before_ms = fleet.program.driver.margin.ms
         for _ in range(6):
             fleet.program.driver.delivered(SimpleNamespace(answered_ms=fleet.loop.now() - 90.0))
-        after = fleet.program.driver.margin.ms
-        assert before == 30.0 and after > 90.0
-        client, at = fleet.client(), fleet.loop.now()
+        after_ms = fleet.program.driver.margin.ms
+        assert before_ms == 30.0 and after_ms > 90.0
+        client, started_ms = fleet.client(), fleet.loop.now()
         for engine in fleet.engines:
             engine.faults.lose = True
         with pytest.raises(RemoteError):
             execute(client, "load x", timeout=1)
-        assert fleet.loop.now() - at <= 1000 - after + 30  # it left that much earlier
+        assert fleet.loop.now() - started_ms <= 1000 - after_ms + 30  # answered earlier by the larger margin
 
     play(main)
 
@@ -928,35 +947,35 @@
     play(main, change=change)
 
 
-def test_a_registered_client_package_reads_rows():
-    """Impyla, in a process of its own, against the controller on sockets.
+def test_impyla_reads_rows():
+    """Runs Impyla in its own process against the controller on sockets.
 
-    Not in a thread: a cursor left to the garbage collector calls its server from whatever thread that runs
-    in, and in the loop's own the server would wait for itself.
+    In a thread, the garbage collector could close a cursor from the loop's thread, and that call would wait
+    for a server that runs in the same thread.
     """
-    loop, got = RealLoop(), {}
+    loop, results = RealLoop(), {}
 
     def main(fleet):
         for mechanism in ("PLAIN", "NOSASL"):
-            user = subprocess.Popen(
+            process = subprocess.Popen(
                 [sys.executable, "-c", IMPYLA, str(fleet.program.address.port), mechanism],
                 stdout=subprocess.PIPE,
                 text=True,
             )
-            while user.poll() is None:
+            while process.poll() is None:
                 loop.sleep(5)
-            with user.stdout:
-                got[mechanism] = json.loads(user.stdout.read())
+            with process.stdout:
+                results[mechanism] = json.loads(process.stdout.read())
         assert ledger(fleet).counts[0] == {"taken": 4, "served": 4}
 
     play(main, loop)
     for mechanism in ("PLAIN", "NOSASL"):
-        many, few, names = got[mechanism]
+        many, few, names = results[mechanism]
         assert many == [[i, f"row {i}"] for i in range(1234)]
         assert (few, names) == ([[0, "row 0"], [1, "row 1"]], ["id", "name"])
 
 
-def test_ended_queries_and_connections_leave_nothing_in_memory():
+def test_ended_queries_and_connections_leave_no_state():
     def main(fleet):
         def round_of_queries():
             for _ in range(10):
@@ -979,8 +998,8 @@
 
 def test_frames_of_another_length_than_their_message_are_rejected():
     def main(fleet):
-        call = open_session(None, 1)
-        stream = raw(fleet, pack(">i", len(call) + 3) + call + b"xyz")
+        call = open_session_call(None, 1)
+        stream = connect_and_send(fleet, pack(">i", len(call) + 3) + call + b"xyz")
         with fleet.loop.deadline(1000), pytest.raises(StreamReset):
             while stream.read():
                 pass
--- a/tests/dispatch/test_hard_cases.py
+++ b/tests/dispatch/test_edge_cases.py
@@ -1,4 +1,4 @@
-"""Herds, limits to the byte, time-outs shorter than a round trip, handles shared between connections."""
+"""Many clients at once, exact size limits, timeouts below a round trip, handles shared by connections."""
 
 import pytest
 from fleet import execute, fetch, ids, outcome
@@ -11,7 +11,7 @@
 from fennelwind.thrift.messages import CALL, write_message
 
 
-def roomy(text):
+def with_high_limits(text):
     return (
         text.replace("max_connections: 100", "max_connections: 600")
         .replace("max_sessions: 100", "max_sessions: 600")
@@ -21,42 +21,44 @@
 
 def test_500_clients_that_arrive_in_the_same_10_ms_each_get_one_answer_in_time():
     def main(fleet):
-        loop, took = fleet.loop, []
+        loop, ends = fleet.loop, []
 
         def arrive(i):
             loop.sleep(i / 50)
-            began = loop.now()
+            started_ms = loop.now()
             client = fleet.client(("sasl", "buffered", "framed", "http")[i % 4])
             end = outcome(lambda: execute(client, "select 1", timeout=3))
-            took.append((end, loop.now() - began))
+            ends.append((end, loop.now() - started_ms))
 
         tasks = [loop.spawn(arrive, i, name=f"arrive {i}") for i in range(500)]
         for task in tasks:
             task.join()
-        ends = [end for end, _ in took]
-        assert len(ends) == 500 and set(ends) <= {"served", "53000"}
-        assert ends.count("served") > 200 and max(ms for _, ms in took) < 3000
+        outcomes = [end for end, _ in ends]
+        assert len(outcomes) == 500 and set(outcomes) <= {"served", "53000"}
+        assert outcomes.count("served") > 200 and max(took_ms for _, took_ms in ends) < 3000
         assert ledger(fleet).counts[0]["taken"] == 500 and ledger(fleet).is_balanced()
 
-    play(main, change=roomy, engines=4)
+    play(main, change=with_high_limits, engines=4)
 
 
 @pytest.mark.parametrize("transport", ["sasl", "buffered", "framed", "http"])
 def test_a_statement_of_the_maximum_size_is_accepted_and_one_byte_more_is_not(transport):
-    limit = 1_000_000  # the test fleet's max_request_bytes; 16 MiB passes the same lines
+    limit = 1_000_000  # the test fleet's max_request_bytes; a limit of 16 MiB takes the same code path
 
     def main(fleet):
-        def size(client, letters):
-            request = hs2.TExecuteStatementReq(client.session, "select " + "x" * letters, {}, False)
+        def size_and_request(client, padding):
+            request = hs2.TExecuteStatementReq(client.session, "select " + "x" * padding, {}, False)
             return len(write_message("ExecuteStatement", CALL, 1, request)), request
 
         client = fleet.client(transport)
-        rest = limit - size(client, 0)[0]
-        assert size(client, rest)[0] == limit
-        assert client.call("ExecuteStatement", size(client, rest)[1]).operationHandle is not None
+        padding = limit - size_and_request(client, 0)[0]
+        assert size_and_request(client, padding)[0] == limit
+        assert (
+            client.call("ExecuteStatement", size_and_request(client, padding)[1]).operationHandle is not None
+        )
         other = fleet.client(transport)
         with pytest.raises((StreamReset, Malformed)):
-            client.call("ExecuteStatement", size(client, rest + 1)[1])
+            client.call("ExecuteStatement", size_and_request(client, padding + 1)[1])
         assert outcome(lambda: execute(other, "select 1")) == "served"
         assert ledger(fleet).counts[0] == {"taken": 2, "served": 2}
 
@@ -67,41 +69,41 @@
     def main(fleet):
         client = fleet.client()
         for timeout in ("0", "0.001", "1", "29"):
-            at = fleet.loop.now()
+            started_ms = fleet.loop.now()
             assert (
                 outcome(lambda t=timeout: execute(client, "select 1", **{"fennelwind.timeout_ms": t}))
                 == "53000"
             )
-            assert fleet.loop.now() - at < 5
+            assert fleet.loop.now() - started_ms < 5
         assert not fleet.seen.attempts and ledger(fleet).is_balanced()
         assert fleet.program.driver.unanswered_by_policy == 0
 
     play(main)
 
 
-def test_two_connections_that_read_one_answer_share_its_rows():
+def test_two_connections_that_fetch_from_one_handle_share_its_rows():
     def main(fleet):
-        ann, bo = fleet.client(), fleet.client("http")
-        for change in (1, 0):
-            handle = execute(ann, "select 1", rows=20_000 if change else 3000)
-            got, tasks = [], []
-
-            def read(client, handle=handle, got=got):
-                more = True
-                while more:
+        sasl_client, http_client = fleet.client(), fleet.client("http")
+        for is_streamed in (1, 0):
+            handle = execute(sasl_client, "select 1", rows=20_000 if is_streamed else 3000)
+            received, tasks = [], []
+
+            def read(client, handle=handle, received=received):
+                has_more = True
+                while has_more:
                     try:
                         page = fetch(client, handle, most=500)
                     except RemoteError as exc:  # both wait for the same page of a stream
                         assert "at a time" in str(exc)
                         fleet.loop.sleep(1)
                         continue
-                    got.extend(ids(page))
-                    more = page.hasMoreRows
+                    received.extend(ids(page))
+                    has_more = page.hasMoreRows
 
-            tasks = [fleet.loop.spawn(read, client) for client in (ann, bo)]
+            tasks = [fleet.loop.spawn(read, client) for client in (sasl_client, http_client)]
             for task in tasks:
                 task.join()
-            assert sorted(got) == list(range(20_000 if change else 3000))
+            assert sorted(received) == list(range(20_000 if is_streamed else 3000))
 
     play(main, change=lambda text: text.replace("max_result_bytes: 10000000", "max_result_bytes: 100000"))
 
--- a/tests/dispatch/test_sessions.py
+++ b/tests/dispatch/test_sessions.py
@@ -24,8 +24,8 @@
     state = SessionState({"opened": "1"})
     assert state.apply(statement)
     assert state.configuration(None) == {"opened": "1", **then}
-    mine = dict.fromkeys(then, "mine")
-    assert state.configuration(mine) == {"opened": "1", **mine}
+    overlay = dict.fromkeys(then, "mine")
+    assert state.configuration(overlay) == {"opened": "1", **overlay}
     assert state.apply("reset") and state.configuration({}) == {"opened": "1"}
 
 
@@ -60,7 +60,7 @@
         "",
     ],
 )
-def test_all_else_goes_to_an_engine(statement):
+def test_other_statements_go_to_an_engine(statement):
     state = SessionState()
     assert not state.apply(statement)
     assert (state.settings, state.database) == ({}, "")
@@ -78,27 +78,27 @@
         "/* x */ add archive z",
     ],
 )
-def test_state_that_lives_in_one_engines_session_is_rejected_by_name(statement):
-    with pytest.raises(SessionError, match="one engine's session") as refused:
+def test_statements_that_create_state_in_one_engines_session_are_rejected(statement):
+    with pytest.raises(SessionError, match="one engine's session") as rejected:
         SessionState().apply(statement)
-    assert refused.value.state == "0A000"
+    assert rejected.value.state == "0A000"
 
 
-def test_a_session_opens_with_settings_and_a_database_by_hives_keys():
+def test_a_session_opens_with_the_settings_and_database_of_hives_keys():
     state = SessionState({"use:database": "sales", "set:hiveconf:a": "1", "set:hivevar:b": "2", "c": "3"})
     assert state.database == "sales" and state.configuration(None) == {"a": "1", "b": "2", "c": "3"}
 
 
-def test_a_sessions_settings_are_bounded():
+def test_the_settings_of_a_session_are_limited():
     state = SessionState()
     for i in range(MAX_SETTINGS):
         state.apply(f"set s{i}=1")
-    assert state.apply("set s0=2")  # known ones may change
-    with pytest.raises(SessionError) as full:
+    assert state.apply("set s0=2")  # settings that are already recorded may change
+    with pytest.raises(SessionError) as too_many:
         state.apply("set one.more=1")
-    with pytest.raises(SessionError) as long:
+    with pytest.raises(SessionError) as too_long:
         state.apply("set s0=" + "x" * (MAX_VALUE_CHARS + 1))
-    assert (full.value.state, long.value.state) == ("54000", "22001")
+    assert (too_many.value.state, too_long.value.state) == ("54000", "22001")
     assert state.settings["s0"] == "2" and len(state.settings) == MAX_SETTINGS
 
 
--- a/tests/dispatch/test_thousand.py
+++ b/tests/dispatch/test_thousand.py
@@ -1,7 +1,7 @@
-"""A thousand mixed requests over 60 connections and both transports while answers are lost.
+"""A thousand mixed requests over 60 connections and all transports while engines lose answers.
 
-Each has to end exactly once, served, refused, failed, cancelled or left by its client, and before its client
-gives up; what may not run twice does not.
+Each has to end exactly once (served, rejected, failed, cancelled or abandoned by its client) before its
+client times out; a statement that must not run twice does not.
 """
 
 import os
@@ -19,7 +19,7 @@
 from fennelwind.thrift import hiveserver2 as hs2
 
 CONNECTIONS, REQUESTS = 60, 1000
-PROCESSES = 6  # that play seeds; the rest of the machine is for the tests beside them
+PROCESSES = 6  # for the seeds; other tests run on the same machine
 MIX = {
     "lookup": 40,
     "build": 4,
@@ -47,66 +47,66 @@
 classes {"""
 
 
-def change(text):
+def change_settings(text):
     text = text.replace("classes {", KEYED, 1).replace("max_sessions: 100", "max_sessions: 400")
     return text.replace("max_connections: 100", "max_connections: 200").replace(
         "max_sessions_per_user: 100", "max_sessions_per_user: 400"
     )
 
 
-class Thousand:
-    """Plays the requests; `ends` holds for each its kind, how it ended and how long that took."""
+class MixedRequests:
+    """Runs the requests; `ends` holds the kind, the end and the duration in ms of each."""
 
-    def __init__(self, loop, seed, lost):
-        self.loop, self.random, self.lost = loop, Random(seed), lost
-        self.ends, self.left, self.ran = {}, REQUESTS, Counter()
+    def __init__(self, loop, seed, loss_periods):
+        self.loop, self.random, self.loss_periods = loop, Random(seed), loss_periods
+        self.ends, self.remaining, self.executions = {}, REQUESTS, Counter()
 
     def play(self):
         loop = self.loop
-        self.fleet = fleet = Fleet(loop, engines=6, change=change)
+        self.fleet = fleet = Fleet(loop, engines=6, change=change_settings)
         for engine in fleet.engines:
-            self._watch(engine)
+            self._count_executions(engine)
         users = [loop.spawn(self._user, i, name=f"user {i}") for i in range(CONNECTIONS)]
-        losing = loop.spawn(self._lose, name="lose")
+        losing_task = loop.spawn(self._lose, name="lose")
         for user in users:
             user.join()
-        losing.cancel()
+        losing_task.cancel()
         for engine in fleet.engines:
             engine.faults.lose = False
         loop.sleep(3000)
         driver = fleet.program.driver
-        self.rest = driver.ledger.entries, driver.attempts.tasks, driver.gateway.queries
+        self.remaining_state = driver.ledger.entries, driver.attempts.tasks, driver.gateway.queries
         fleet.program.close()
 
-    def _watch(self, engine):
-        run = engine._ExecuteStatement
+    def _count_executions(self, engine):
+        execute_statement = engine._ExecuteStatement
 
         def counted(request, mine):
-            self.ran[request.statement] += 1
-            return run(request, mine)
+            self.executions[request.statement] += 1
+            return execute_statement(request, mine)
 
         engine._ExecuteStatement = counted
 
     def _lose(self):
-        """Let answers be lost: at one engine, at a third of them, at all."""
+        """Lose answers for a while at as many random engines as each loss period says, over and over."""
         while True:
-            for count, ms in self.lost:
+            for count, duration_ms in self.loss_periods:
                 for engine in self.random.sample(self.fleet.engines, count):
                     engine.faults.lose = True
-                self.loop.sleep(ms)
+                self.loop.sleep(duration_ms)
                 for engine in self.fleet.engines:
                     engine.faults.lose = False
-                self.loop.sleep(ms)
+                self.loop.sleep(duration_ms)
 
     def _user(self, number):
         transport = ("sasl", "buffered", "framed", "http")[number % 4]
         client = None
-        while self.left:
-            self.left -= 1
-            tag = REQUESTS - self.left
+        while self.remaining:
+            self.remaining -= 1
+            tag = REQUESTS - self.remaining
             (kind,) = self.random.choices(list(MIX), MIX.values())
             client = client or self.fleet.client(transport, user=f"user {number % 7}")
-            began = self.loop.now()
+            started_ms = self.loop.now()
             try:
                 with self.loop.deadline(TIMEOUT_MS[kind]):
                     end = self._request(client, kind, tag)
@@ -115,7 +115,7 @@
             except DeadlineExceeded:
                 end = "unanswered"
             assert tag not in self.ends
-            self.ends[tag] = kind, end, self.loop.now() - began
+            self.ends[tag] = kind, end, self.loop.now() - started_ms
             if end in ("left", "unanswered"):
                 client.drop()
                 client = None
@@ -143,74 +143,75 @@
             name = {"async": "select", "lookup": "select", "cancelled": "build"}.get(kind, kind)
             key = {"fennelwind.key": f"key {tag % 5}"} if kind == "merge" else {}
             rows = self.random.choice([0, 3, 50])
-            later = kind in ("async", "cancelled", "build")
+            is_asynchronous = kind in ("async", "cancelled", "build")
             handle = execute(
                 client,
                 f"{name} {tag}",
                 work=work * (20 if name == "build" else 1),
                 rows=rows,
-                asynchronous=later,
+                asynchronous=is_asynchronous,
                 **timeout,
                 **key,
             )
             if kind == "cancelled":
                 self.loop.sleep(self.random.uniform(0, 60))
                 client.call("CancelOperation", hs2.TCancelOperationReq(handle))
-            while later and (seen := status(client, handle)).operationState != hs2.FINISHED:
+            while is_asynchronous and (seen := status(client, handle)).operationState != hs2.FINISHED:
                 if seen.sqlState is not None:
                     client.call("CloseOperation", hs2.TCloseOperationReq(handle))
                     return ENDS[seen.sqlState]
                 self.loop.sleep(5)
-        got = (
+        received = (
             ids(fetch(client, handle))
             if kind != "metadata"
             else [*range(len(fetch(client, handle).results.columns[0].stringVal.values))]
         )
-        assert got == list(range(rows))
+        assert received == list(range(rows))
         client.call("CloseOperation", hs2.TCloseOperationReq(handle))
         return "served"
 
 
-def verdict(day):
-    ends = Counter(end for _, end, _ in day.ends.values())
-    assert len(day.ends) == REQUESTS and set(ends) <= {"served", "refused", "failed", "cancelled", "left"}
-    late = [(tag, *each) for tag, each in day.ends.items() if each[2] > TIMEOUT_MS[each[0]]]
+def check_rules(run):
+    ends = Counter(end for _, end, _ in run.ends.values())
+    assert len(run.ends) == REQUESTS and set(ends) <= {"served", "refused", "failed", "cancelled", "left"}
+    late = [(tag, *end) for tag, end in run.ends.items() if end[2] > TIMEOUT_MS[end[0]]]
     assert not late
-    ledger = day.fleet.program.driver.ledger
-    unseen = REQUESTS - sum(c["taken"] for c in ledger.counts)  # their clients went before they were read
+    ledger = run.fleet.program.driver.ledger
+    # Requests whose clients disconnected before they were read.
+    unseen = REQUESTS - sum(c["taken"] for c in ledger.counts)
     assert ledger.is_balanced() and 0 <= unseen <= ends["left"] / 4
-    assert (ledger.duplicate_answers, ledger.late_answers, day.fleet.program.driver.unanswered_by_policy) == (
+    assert (ledger.duplicate_answers, ledger.late_answers, run.fleet.program.driver.unanswered_by_policy) == (
         0,
         0,
         0,
     )
-    assert not any(day.rest)
-    twice = [s for s, count in day.ran.items() if count > 1 and s.startswith("load")]
+    assert not any(run.remaining_state)
+    twice = [s for s, count in run.executions.items() if count > 1 and s.startswith("load")]
     assert not twice
-    assert not any(e._operations for e in day.fleet.engines)
+    assert not any(e._operations for e in run.fleet.engines)
     return ends
 
 
-LOST = [(1, 900), (2, 700), (6, 400)]
+LOSS_PERIODS = [(1, 900), (2, 700), (6, 400)]  # number of engines that lose answers, and for how many ms
 
 
 SEEDS = range(20)
 
 
 def play_in_virtual_time(seed):
-    """Play a seed and check it; return how its requests ended."""
-    loop, broken = SimLoop(seed), []
-    loop.on_error = lambda task, exc: broken.append((task.name, repr(exc)))
-    day = Thousand(loop, seed, LOST)
-    loop.run(day.play)
-    ends = verdict(day)
-    assert broken == [] and day.fleet.seen.failures == []
+    """Run the requests of a seed and check the rules; return how many requests ended in which way."""
+    loop, task_errors = SimLoop(seed), []
+    loop.on_error = lambda task, exc: task_errors.append((task.name, repr(exc)))
+    run = MixedRequests(loop, seed, LOSS_PERIODS)
+    loop.run(run.play)
+    ends = check_rules(run)
+    assert task_errors == [] and run.fleet.seen.failures == []
     return ends
 
 
 @pytest.fixture(scope="module")
 def played():
-    """All seeds, each in virtual time of its own, so several processes play them with the same result."""
+    """Run all seeds in several processes; in virtual time, that does not change their results."""
     with ProcessPoolExecutor(min(PROCESSES, os.cpu_count() or 1), get_context("spawn")) as pool:
         yield {seed: pool.submit(play_in_virtual_time, seed) for seed in SEEDS}
 
@@ -222,13 +223,13 @@
 
 
 def test_a_thousand_mixed_requests_on_sockets():
-    loop, broken = RealLoop(), []
-    loop.on_error = lambda task, exc: broken.append((task.name, repr(exc)))
-    day = Thousand(loop, 1, LOST)
-    loop.run(day.play)
-    ends = Counter(end for _, end, _ in day.ends.values())
-    assert len(day.ends) == REQUESTS and broken == []  # how long each took is the machine's
-    ledger = day.fleet.program.driver.ledger
-    assert ledger.is_balanced() and ledger.duplicate_answers == 0 and not any(day.rest)
-    assert ends["served"] > 0  # how many is the machine's as well
-    assert not [s for s, count in day.ran.items() if count > 1 and s.startswith("load")]
+    loop, task_errors = RealLoop(), []
+    loop.on_error = lambda task, exc: task_errors.append((task.name, repr(exc)))
+    run = MixedRequests(loop, 1, LOSS_PERIODS)
+    loop.run(run.play)
+    ends = Counter(end for _, end, _ in run.ends.values())
+    assert len(run.ends) == REQUESTS and task_errors == []  # durations depend on the machine
+    ledger = run.fleet.program.driver.ledger
+    assert ledger.is_balanced() and ledger.duplicate_answers == 0 and not any(run.remaining_state)
+    assert ends["served"] > 0  # how many depends on the machine as well
+    assert not [s for s, count in run.executions.items() if count > 1 and s.startswith("load")]
--- a/tests/limits/test_connection_slots.py
+++ b/tests/limits/test_connection_slots.py
@@ -1,4 +1,4 @@
-"""Which connections a frontend closes for a new one, and which are overdue; no loop is needed for it."""
+"""Which connections a frontend closes for a new one, and which are overdue. Without an event loop."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -15,8 +15,8 @@
     slots = ConnectionSlots(9)
     for connection in "abcd":
         slots.add(connection, 0.0)
-    for at, connection in enumerate("ab"):
-        slots.message_received(connection, 10.0 + at)
+    for offset_ms, connection in enumerate("ab"):
+        slots.message_received(connection, 10.0 + offset_ms)
     assert slots.choose_to_close(100.0) == ("a", "idle")
     assert slots.choose_to_close(MUTE_TIMEOUT_MS + 1.0) == ("c", "mute")
     slots.remove("c")
@@ -32,7 +32,7 @@
     assert slots.choose_to_close(701.0) == ("e", "new") and len(slots) == 3
 
 
-def test_overdue_connections_have_their_reason_and_busy_ones_are_never_overdue():
+def test_overdue_connections_have_their_reason_and_busy_connections_are_never_overdue():
     slots = ConnectionSlots(9)
     for connection in "abcd":
         slots.add(connection, 0.0)
@@ -52,41 +52,41 @@
     assert list(slots.overdue(IDLE_TIMEOUT_MS + 2.0)) == []
 
 
-CALLS = st.sampled_from(["came", "heard", "owes", "owes_nothing", "half", "whole", "left", "room", "sweep"])
+CALLS = st.sampled_from(["add", "message", "busy", "idle", "partial", "complete", "remove", "slot", "sweep"])
 
 
 @given(st.lists(st.tuples(CALLS, st.integers(0, 4), st.floats(0.0, 3000.0)), max_size=60))
-def test_each_connection_has_one_slot_and_busy_ones_keep_theirs(calls):
-    slots, now, here = ConnectionSlots(3), 0.0, set()
-    for call, connection, later in calls:
-        now += later
-        if call == "came" and connection not in here:
+def test_each_connection_has_one_slot_and_busy_connections_keep_theirs(calls):
+    slots, now, connected = ConnectionSlots(3), 0.0, set()
+    for call, connection, elapsed_ms in calls:
+        now += elapsed_ms
+        if call == "add" and connection not in connected:
             slots.add(connection, now)
-            here.add(connection)
-        elif call == "room":
+            connected.add(connection)
+        elif call == "slot":
             chosen = slots.choose_to_close(now)
             assert (chosen is None) == (
                 not slots.new_since_ms and not set(slots.idle_since_ms) - set(slots.partial_since_ms)
             )
-            assert chosen is None or chosen[0] in here - slots.busy
+            assert chosen is None or chosen[0] in connected - slots.busy
         elif call == "sweep":
-            for gone, _ in list(slots.overdue(now)):
-                assert gone not in slots.busy
-                slots.remove(gone)
-                here.discard(gone)
-        elif connection in here:
+            for overdue, _ in list(slots.overdue(now)):
+                assert overdue not in slots.busy
+                slots.remove(overdue)
+                connected.discard(overdue)
+        elif connection in connected:
             match call:
-                case "heard":
+                case "message":
                     slots.message_received(connection, now)
-                case "owes":
+                case "busy":
                     slots.mark_busy(connection)
-                case "owes_nothing":
+                case "idle":
                     slots.mark_idle(connection, now)
-                case "half" | "whole":
-                    slots.bytes_received(connection, now, call == "half")
-                case "left":
+                case "partial" | "complete":
+                    slots.bytes_received(connection, now, call == "partial")
+                case "remove":
                     slots.remove(connection)
-                    here.discard(connection)
-        assert len(slots) == len(here) and set(slots.partial_since_ms) <= here
-        for table in (slots.new_since_ms, slots.idle_since_ms):
-            assert list(table.values()) == sorted(table.values())
+                    connected.discard(connection)
+        assert len(slots) == len(connected) and set(slots.partial_since_ms) <= connected
+        for since_ms in (slots.new_since_ms, slots.idle_since_ms):
+            assert list(since_ms.values()) == sorted(since_ms.values())
