--- a/fennelwind/policy/actions.py
+++ b/fennelwind/policy/actions.py
@@ -1,11 +1,11 @@
-"""What a gateway wants done: the typed actions that `Gateway.step` returns. All times are in milliseconds."""
+"""Actions: the typed output of `Gateway.step`. All times are in milliseconds."""
 
 from dataclasses import dataclass
 
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; a timeout of 0 means until the client gives up."""
+    """Start an attempt; a timeout of 0 means until the client's deadline."""
 
     query: int
     engine: str
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RejectQuery:
-    """Final answer: rejected; a retry by the client is harmless."""
+    """Give the final answer "rejected": the client may safely retry."""
 
     query: int
     retry_after_ms: float = 0.0
@@ -22,14 +22,14 @@
 
 @dataclass(slots=True, frozen=True)
 class FailQuery:
-    """Final answer: failed; the query may have run."""
+    """Give the final answer "failed": the query may have run."""
 
     query: int
 
 
 @dataclass(slots=True, frozen=True)
 class CancelAttempt:
-    """Cancel an attempt; its outcome is still awaited."""
+    """Cancel an attempt; an `AttemptEnded` event still follows."""
 
     query: int
     attempt: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetGrant:
-    """Set memory and priority of a query's next attempts, and of those that run."""
+    """Set memory and priority of a query's running and future attempts."""
 
     query: int
     memory_mb: float
@@ -46,7 +46,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartTimer:
-    """Ask for a TimerFired."""
+    """Request a `TimerFired` event after a delay."""
 
     delay_ms: float
     token: int
@@ -54,7 +54,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendPeerMessage:
-    """Send bytes to one gateway, or to all with `peer` None."""
+    """Send bytes to one gateway, or to all if `peer` is None."""
 
     data: bytes
     peer: int | None = None
@@ -62,19 +62,19 @@
 
 @dataclass(slots=True, frozen=True)
 class CheckHealth:
-    """Check an engine."""
+    """Check the health of an engine."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
 class SubscribeToEngines:
-    """Ask discovery for changes from now on."""
+    """Subscribe to changes of the engine list at discovery."""
 
 
 @dataclass(slots=True, frozen=True)
 class LogMessage:
-    """A line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/fennelwind/policy/constraints.py
+++ b/fennelwind/policy/constraints.py
@@ -1,21 +1,20 @@
-"""Where an attempt may go: draining engines, placement, idempotency group and slow start.
+"""Constraints on the engine of an attempt: engine state, placement, deduplication scope and slow start.
 
-These rules hold always, whatever the load: an engine that they exclude is never chosen, also when nothing
-else is left.
+They hold whatever the load: an engine that they exclude is never chosen, even if no other engine is left.
 """
 
 from fennelwind import policy
 from fennelwind.policy.model import Attempt, Engine, Query
 from fennelwind.policy.slow_start import SlowStart
 
-# Members as constants of the module: an enum's attribute costs a look-up for each engine that is considered.
+# Module constants: an enum's attribute would cost a lookup for each engine that is considered.
 READY = policy.EngineState.READY
 ALL_ENGINES = policy.DeduplicationScope.ALL
 SAME_CELL = policy.DeduplicationScope.CELL
 
 
 class Constraints:
-    """The rules on where an attempt may go."""
+    """The hard constraints on engines."""
 
     def __init__(self, settings: policy.Settings, slow_start: SlowStart) -> None:
         self.slow_start_ms, self.slow_start = settings.slow_start_ms, slow_start
@@ -34,18 +33,18 @@
         ):
             return False
         first = query.first_unresolved_attempt
-        if first is not None and not self._drops_repeats(query_class, first, endpoint):
+        if first is not None and not self._deduplicates(query_class, first, endpoint):
             return False
-        # Nearly all engines are warm: for those, no call is spent on this path of each engine considered.
+        # Most engines are warm: this test saves them the call below, as it runs for each engine considered.
         if now_ms - endpoint.started_ms >= self.slow_start_ms:
             return True
         return self.slow_start.permits(query, engine, now_ms)
 
-    def _drops_repeats(
+    def _deduplicates(
         self, query_class: policy.QueryClass, first: Attempt, endpoint: policy.EngineEndpoint
     ) -> bool:
-        """Return whether the engine knows of the first attempt, so that the query can't take effect twice."""
-        scope, known = query_class.deduplication_scope, first.engine.endpoint
+        """Return whether the engine recognises repeats of the first attempt, so that none takes effect."""
+        scope, original = query_class.deduplication_scope, first.engine.endpoint
         if scope == ALL_ENGINES:
             return True
-        return endpoint.zone == known.zone and (scope != SAME_CELL or endpoint.cell == known.cell)
+        return endpoint.zone == original.zone and (scope != SAME_CELL or endpoint.cell == original.cell)
--- a/fennelwind/policy/dispatch_queue.py
+++ b/fennelwind/policy/dispatch_queue.py
@@ -1,9 +1,9 @@
 """The dispatch queue: queries that wait for an engine, their order, and the per-key FIFO.
 
-Queries leave by their dispatch targets: those past it first, the highest priority weight leading, else the
-earliest target. Each class has two queues, for long queries and for short ones, and only the head of a
-queue is tried; a queue whose head found no room is blocked until something changes. Queries of a class that
-keeps the order of a key wait outside until all earlier ones of their key are over.
+Queries past their dispatch target go first, by descending priority weight; the others by earliest target.
+Each class has two queues, for long queries and for short ones, and only the head of a queue is tried. A
+queue whose head found no free capacity is blocked until an attempt ends or the fleet changes. A query of a
+class ordered by key is queued only when all earlier queries of its key have ended.
 """
 
 from collections import deque
@@ -21,22 +21,22 @@
 
 
 class PerKeyFifo:
-    """The queries of each key whose order is kept, in the order taken."""
+    """For each key of a class ordered by key, its queries in order of arrival."""
 
     def __init__(self) -> None:
         self.queries_by_key: dict[str, deque[Query]] = {}
 
     def add(self, query: Query) -> None:
-        """Place the query last among those of its key."""
+        """Append the query to those of its key."""
         if query.order_key is not None:
             self.queries_by_key.setdefault(query.order_key, deque()).append(query)
 
     def is_first(self, query: Query) -> bool:
-        """Return whether no earlier query of its key is left."""
+        """Return whether no earlier query of its key remains."""
         return query.order_key is None or self.queries_by_key[query.order_key][0] is query
 
     def remove(self, query: Query) -> Query | None:
-        """Remove the query; return the one that becomes first by that."""
+        """Remove the query; return the next one of its key if that becomes first, else None."""
         if query.order_key is None:
             return None
         queries = self.queries_by_key[query.order_key]
@@ -52,12 +52,12 @@
 
     def __init__(self, settings: policy.Settings) -> None:
         self.settings = settings
-        # Two for each class: heaps of (dispatch target, query's number, query).
+        # Two for each class: heaps of (dispatch target, query number, query).
         self.queues: list[list[tuple[float, int, Query]]] = [[] for _ in settings.classes * 2]
-        self.is_blocked = [False] * len(self.queues)  # those that found no room since the last change
-        self.unordered: list[Query] = []  # retries and held keys: something of their own may bar them
+        self.is_blocked = [False] * len(self.queues)  # by queue: its head found no free capacity
+        self.unordered: list[Query] = []  # retries and queries of held keys; each may be blocked alone
         self.key_order = PerKeyFifo()
-        self.key_held_until_ms: dict[str, float] = {}  # keys held after an outcome that is unknown
+        self.key_held_until_ms: dict[str, float] = {}  # keys held after an unknown outcome
 
     def add(self, query: Query, now_ms: float) -> None:
         """Queue the query, unless an earlier one of its key must end first."""
@@ -65,14 +65,14 @@
             self._insert(query, now_ms)
 
     def remove(self, query: Query, now_ms: float) -> None:
-        """Remove a query that is over from its key's order; queue the one that becomes first by that."""
-        follower = self.key_order.remove(query)
-        if follower is not None and follower.is_queued:
-            self._insert(follower, now_ms)
+        """Remove a finished query from its key's FIFO; queue the next one if that becomes first."""
+        successor = self.key_order.remove(query)
+        if successor is not None and successor.is_queued:
+            self._insert(successor, now_ms)
 
     def _insert(self, query: Query, now_ms: float) -> None:
         if query.attempts or self.is_key_held(query.order_key, now_ms):
-            self.unordered.append(query)  # may be barred alone, so it must not keep a queue waiting
+            self.unordered.append(query)  # may be blocked alone, so it must not hold up a whole queue
             return
         index = query.queue_index
         queue = self.queues[index]
@@ -80,16 +80,16 @@
         self.is_blocked[index] &= queue[0][2] is not query
 
     def record_outcome(self, query: Query, status: policy.AttemptStatus, now_ms: float) -> None:
-        """Hold the query's key for a while after an attempt that the engine may still be running."""
+        """Hold the query's key for `unresolved_hold_ms` if the engine may still be running the attempt."""
         if status in UNRESOLVED_STATUSES and query.order_key is not None:
             self.key_held_until_ms[query.order_key] = now_ms + self.settings.unresolved_hold_ms
 
     def is_key_held(self, key: str | None, now_ms: float) -> bool:
-        """Return whether the key is held now; queries without a key never are."""
+        """Return whether the key is held now; None never is."""
         return key is not None and self.key_held_until_ms.get(key, 0.0) > now_ms
 
     def forget_expired_holds(self, now_ms: float) -> None:
-        """Drop holds that are over, of keys with no query left."""
+        """Drop expired holds of keys that no query uses."""
         keys_in_use = self.key_order.queries_by_key
         self.key_held_until_ms = {
             key: until_ms
@@ -98,24 +98,24 @@
         }
 
     def unblock_all(self) -> None:
-        """Let every queue be tried again, as an attempt has ended or the fleet has changed."""
+        """Let every queue be tried again, after an attempt has ended or the fleet has changed."""
         self.is_blocked = [False] * len(self.queues)
 
     def block(self, query: Query) -> None:
-        """Mark the query's queue as one whose head found no room."""
+        """Mark the query's queue as blocked: its head found no free capacity."""
         self.is_blocked[query.queue_index] = True
 
     def ranked_unordered(self, now_ms: float) -> list[Query]:
-        """Return the queries outside the queues, in the order in which they may leave."""
+        """Return the queries outside the heaps, in dispatch order."""
         waiting = [query for query in self.unordered if query.is_queued]
         return sorted(waiting, key=lambda query: self._rank(query, now_ms))
 
     def drop_dispatched(self) -> None:
-        """Forget queries outside the queues that have left."""
+        """Drop queries outside the heaps that are no longer queued."""
         self.unordered = [query for query in self.unordered if query.is_queued]
 
     def head(self, now_ms: float) -> Query | None:
-        """Return the query to leave next, of the queues that are not blocked."""
+        """Return the query to dispatch next among the queues that are not blocked, or None."""
         heads = []
         for queue, is_blocked in zip(self.queues, self.is_blocked, strict=True):
             while queue and not queue[0][2].is_queued:
@@ -127,14 +127,14 @@
         return min(heads, key=lambda query: self._rank(query, now_ms))
 
     def has_other(self, query: Query) -> bool:
-        """Return whether the queues hold another query."""
+        """Return whether the heaps hold another queued query."""
         return any(
             queued.is_queued and queued is not query for queue in self.queues for _, _, queued in queue
         )
 
     @staticmethod
     def _rank(query: Query, now_ms: float) -> tuple[bool, float, float]:
-        """Return the sort key of dispatch: late ones first, by priority weight; then by target."""
+        """Return the sort key for dispatch: late queries first, by priority weight; then by target."""
         is_late = query.dispatch_target_ms < now_ms
         weight = -query.query_class.priority_weight if is_late else 0.0
         return not is_late, weight, query.dispatch_target_ms
--- a/fennelwind/policy/engine_registry.py
+++ b/fennelwind/policy/engine_registry.py
@@ -1,8 +1,8 @@
-"""The engines that a gateway knows, by the lists that discovery has sent.
+"""The engines that a gateway knows, from the engine lists that discovery sends.
 
-The gateway reports lists and the starts and ends of attempts. An engine with a new start time has
-restarted: its past says nothing, but what still runs there counts. An engine that is removed is kept until
-its last attempt has ended.
+The gateway reports lists and the starts and ends of attempts. An engine with a new start time has restarted:
+its statistics are reset, but attempts that still run there are kept. A removed engine is kept until its last
+attempt has ended.
 """
 
 from collections import deque
@@ -15,28 +15,28 @@
 from fennelwind.policy.selection import MAX_CACHED_TABLE_GROUPS
 
 DELTA, FAILED, REMOVED = policy.ListForm.DELTA, policy.ListForm.FAILED, policy.EngineState.REMOVED
-SUBSCRIBE_RETRY_MS = 1000.0  # ms before a failed subscription is tried again; discovery must not be flooded
-UNKNOWN_KIND_CORES = 1  # cores of an engine whose kind the settings don't state; too little overfills nothing
+SUBSCRIBE_RETRY_MS = 1000.0  # ms before a failed subscription is retried, so that discovery is not flooded
+UNKNOWN_KIND_CORES = 1  # for kinds missing in the settings; too low a figure can't oversubscribe
 
 
 class EngineRegistry:
-    """The engines of the fleet as one gateway knows them."""
+    """The engines of the fleet as known to one gateway."""
 
     def __init__(self, settings: policy.Settings, random: Random, concurrency: ConcurrencyLimits) -> None:
         self.settings, self.random, self.concurrency = settings, random, concurrency
         self.engines: dict[str, Engine] = {}
-        self.busy_engines: dict[str, Engine] = {}  # those with attempts running, so that work follows them
+        self.busy_engines: dict[str, Engine] = {}  # with running attempts; a tick visits only these
         self.subscribe_at_ms = float("-inf")
 
     def subscribe(self, now_ms: float) -> policy.SubscribeToEngines | None:
-        """Return the request for changes, where discovery must be asked: once, and again after a failure."""
+        """Return a subscription to list changes if one is required: once, and again after a failure."""
         if not self.settings.requires_subscription or now_ms < self.subscribe_at_ms:
             return None
-        self.subscribe_at_ms = float("inf")  # until it fails
+        self.subscribe_at_ms = float("inf")  # until the subscription fails
         return policy.SubscribeToEngines()
 
     def apply(self, event: policy.EngineListUpdate, now_ms: float) -> bool:
-        """Take over a list of engines; return False if it is none, as the subscription failed."""
+        """Apply an engine list; return False if the subscription failed and there is no list."""
         if event.form == FAILED:
             self.subscribe_at_ms = now_ms + SUBSCRIBE_RETRY_MS
             return False
@@ -55,7 +55,7 @@
         return True
 
     def _new_engine(self, endpoint: policy.EngineEndpoint, predecessor: Engine | None) -> Engine:
-        """Return the record of an engine that is new, or that has restarted under its old name."""
+        """Return the record of an engine that is new or has restarted under its old name."""
         settings, kind = self.settings, endpoint.kind
         is_kind_known = 0 <= kind < len(settings.kind_cores)
         cores = settings.kind_cores[kind] if is_kind_known else UNKNOWN_KIND_CORES
@@ -74,16 +74,16 @@
         return engine
 
     def record_start(self, engine: Engine) -> None:
-        """Remember that an attempt runs at the engine."""
+        """Record that an attempt has started at the engine."""
         self.busy_engines[engine.endpoint.engine] = engine
 
     def record_end(self, engine: Engine) -> None:
-        """Take note that an attempt has ended at the engine."""
+        """Record that an attempt has ended at the engine."""
         if not engine.running_attempts:
             self.busy_engines.pop(engine.endpoint.engine, None)
 
     def forget_removed(self) -> None:
-        """Drop engines that are removed and run nothing of this gateway."""
+        """Drop removed engines that run no attempt of this gateway."""
         for name, engine in list(self.engines.items()):
             if engine.endpoint.state == REMOVED and not engine.running_attempts:
                 del self.engines[name]
--- a/fennelwind/policy/estimates.py
+++ b/fennelwind/policy/estimates.py
@@ -1,46 +1,46 @@
-"""Means and baselines that a gateway learns from arrivals and answers.
+"""Statistics that a gateway learns from arrivals and answers.
 
-The gateway reports arrivals and ended attempts; the other rules read the means. By class of queries:
-mean answer time, mean work, and the baseline slowdown, near the best that the fleet does for its size.
+The gateway reports arrivals and ended attempts; the other rules read the estimates. For each query class:
+mean answer time, mean work, and the baseline slowdown, which is close to the best that the fleet achieves.
 The *slowdown* of an attempt is its time over its query's single-thread service time. Nothing here is shared
-between gateways; a fresh gateway learns anew. Means lag behind a change by some 20 samples.
+between gateways, and a restarted gateway learns anew. Means lag behind a change by some 20 samples.
 """
 
 from fennelwind import policy
 from fennelwind.policy.model import Engine, Query
 
 OK = policy.AttemptStatus.OK
-# What an attempt with these outcomes took tells how busy the fleet is; others end early or never ran.
+# Outcomes whose times show how busy the fleet is; attempts with others end early or never ran.
 TIMED_STATUSES = (OK, policy.AttemptStatus.TIMEOUT, policy.AttemptStatus.CANCELLED)
-ACTIVE_QUERIES = "active"  # field of the load report: queries that run on the engine, of all gateways
+ACTIVE_QUERIES = "active"  # field of the load report: queries of all gateways that run on the engine
 
-CLASS_SAMPLE_SHARE = 0.05  # share of a new sample in a class's mean: some 20 answers
-ENGINE_SAMPLE_SHARE = 0.15  # share in an engine's slowdown, a class's work, the fleet's load: some 7 samples
-MAX_OBJECTIVE_RATIO = 3.0  # objectives; a longer sample counts as this, so one bad plan can't drag a mean
-MAX_RELATIVE_SLOWDOWN = 8.0  # times the baseline; the same cap for an engine's slowdown
-BASELINE_FALL = 0.02  # share by which the baseline falls at an answer below it; near the 9th percentile
-BASELINE_RISE = 0.002  # share by which the baseline rises at an answer above it; slow, as most are above
-UNKNOWN_WORK_SHARE = 0.25  # of the objective; with half, admission would never let the first query start
+CLASS_SAMPLE_SHARE = 0.05  # weight of a new sample in a class's mean: averages some 20 answers
+ENGINE_SAMPLE_SHARE = 0.15  # weight for an engine's slowdown, a class's work, the fleet's load: 7 samples
+MAX_OBJECTIVE_RATIO = 3.0  # times the objective; cap of a sample, so that one bad plan can't distort a mean
+MAX_RELATIVE_SLOWDOWN = 8.0  # times the baseline; cap of a sample in an engine's slowdown, likewise
+BASELINE_FALL = 0.02  # share by which an answer below the baseline lowers it; near the 9th percentile
+BASELINE_RISE = 0.002  # share by which an answer above the baseline raises it; slow, as most are above
+UNKNOWN_WORK_SHARE = 0.25  # of the objective; with half, admission would reject even the first query
 
 
 class Estimates:
-    """The means of one gateway over the classes and over all attempts."""
+    """The statistics of one gateway, per query class and over all attempts."""
 
     def __init__(self, class_count: int) -> None:
-        self.mean_time_ms = [0.0] * class_count  # answer times; 0: none known
-        self.mean_work_ms = [0.0] * class_count  # work of all threads of a query; 0: none known
+        self.mean_time_ms = [0.0] * class_count  # answer times; 0: unknown
+        self.mean_work_ms = [0.0] * class_count  # work summed over a query's threads; 0: unknown
         self.baseline_slowdown = [1.0] * class_count
-        self.mean_query_work_ms = 0.0  # over the queries of all classes
-        self.mean_attempt_thread_ms = 0.0  # mean of attempts: time times threads
-        self.mean_attempt_ms = 0.0  # mean of attempts: time
-        self.mean_timed_attempt_ms = 0.0  # mean of timed attempts: time, capped
-        self.mean_timed_baseline_ms = 0.0  # mean of timed attempts: time at the baseline
-        self.fleet_threads_per_core = 0.0  # from pooled load reports; 0: none reported
+        self.mean_query_work_ms = 0.0  # over queries of all classes
+        self.mean_attempt_thread_ms = 0.0  # over attempts: time times threads
+        self.mean_attempt_ms = 0.0  # over attempts: time
+        self.mean_timed_attempt_ms = 0.0  # over attempts with a timed status: time, capped
+        self.mean_timed_baseline_ms = 0.0  # over the same: time at the baseline
+        self.fleet_threads_per_core = 0.0  # from the load reports of all engines; 0: none reported
 
     def work_ms(
         self, request: policy.QueryArrived, query_class: policy.QueryClass, class_index: int
     ) -> float:
-        """Return the work that a query is taken to need: as estimated, else as its class usually does."""
+        """Return the work assumed for a query: its estimate, else its class's mean, else a default."""
         return (
             request.estimated_work_ms
             or self.mean_work_ms[class_index]
@@ -48,7 +48,7 @@
         )
 
     def record_arrival(self, class_index: int, work_ms: float) -> None:
-        """Count the work of a query that came in."""
+        """Update the mean work with a query that has arrived."""
         mean_work_ms = self.mean_work_ms[class_index]
         self.mean_work_ms[class_index] += (work_ms - mean_work_ms) * (
             CLASS_SAMPLE_SHARE if mean_work_ms else 1.0
@@ -57,20 +57,20 @@
             CLASS_SAMPLE_SHARE if self.mean_query_work_ms else 1.0
         )
 
-    def start_mean_time(
+    def initialize_mean_time(
         self,
         request: policy.QueryArrived,
         query_class: policy.QueryClass,
         class_index: int,
         service_time_ms: float,
     ) -> None:
-        """Set the class's mean answer time at its first query: its estimate, else half the objective."""
+        """Set the class's mean answer time at its first query: the estimate, else half the objective."""
         self.mean_time_ms[class_index] = self.mean_time_ms[class_index] or (
             service_time_ms if request.estimated_work_ms else query_class.latency_objective_ms / 2
         )
 
     def record_attempt(self, query: Query, engine: Engine, event: policy.AttemptEnded) -> None:
-        """Count the time of an ended attempt and what its load report tells of the fleet."""
+        """Update the means with an ended attempt's time, and the fleet's load with its load report."""
         if event.status in TIMED_STATUSES:
             baseline_ms = query.service_time_ms * self.baseline_slowdown[query.class_index]
             capped_ms = min(event.took_ms, MAX_RELATIVE_SLOWDOWN * baseline_ms)
@@ -88,18 +88,18 @@
             )
 
     def relative_slowdown(self, query: Query, took_ms: float) -> float:
-        """Return an attempt's slowdown over its class's baseline, capped."""
+        """Return an attempt's slowdown relative to its class's baseline, capped."""
         slowdown = took_ms / query.service_time_ms
         return min(slowdown / self.baseline_slowdown[query.class_index], MAX_RELATIVE_SLOWDOWN)
 
     def record_answer(self, query: Query, event: policy.AttemptEnded) -> None:
-        """Count a good answer in the means of its class."""
+        """Update the statistics of the query's class with a successful answer."""
         index = query.class_index
         slowdown = event.took_ms / query.service_time_ms
         step = BASELINE_FALL if slowdown < self.baseline_slowdown[index] else -BASELINE_RISE
         self.baseline_slowdown[index] *= 1.0 - step
         took_ms = min(event.took_ms, MAX_OBJECTIVE_RATIO * query.query_class.latency_objective_ms)
         self.mean_time_ms[index] += (took_ms - self.mean_time_ms[index]) * CLASS_SAMPLE_SHARE
-        if not query.request.estimated_work_ms:  # nobody estimates what it needs: its answers do
+        if not query.request.estimated_work_ms:  # no estimate: learn the work from answers
             work_ms = event.measured_work_ms or took_ms * query.query_class.threads
             self.mean_work_ms[index] += (work_ms - self.mean_work_ms[index]) * ENGINE_SAMPLE_SHARE
--- a/fennelwind/policy/events.py
+++ b/fennelwind/policy/events.py
@@ -1,11 +1,11 @@
-"""What happens to a gateway: the typed events that `Gateway.step` takes. All times are in milliseconds."""
+"""Events: the typed input of `Gateway.step`. All times are in milliseconds."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
 
 
 class EngineState(StrEnum):
-    """What discovery says of an engine."""
+    """State of an engine, as discovery reports it."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -13,29 +13,29 @@
 
 
 class ListForm(StrEnum):
-    """How a list of engines relates to the ones before."""
+    """How an engine list relates to the previous one."""
 
-    DELTA = "delta"  # changes to the list before
-    FULL = "full"  # all engines; others are removed
-    CACHED = "cached"  # all engines as of an earlier time
-    FAILED = "failed"  # nothing was learnt
+    DELTA = "delta"  # changes to the previous list
+    FULL = "full"  # all engines; those not listed are removed
+    CACHED = "cached"  # all engines, from a stored and possibly stale list
+    FAILED = "failed"  # the subscription failed; it carries no list
 
 
 class AttemptStatus(StrEnum):
-    """How an attempt or a health check ended; rules on what may be repeated rest on it."""
+    """Outcome of an attempt or a health check; it determines whether the query may be retried."""
 
     OK = "ok"
     ERROR = "error"
-    OVERLOADED = "full"  # rejected by the engine: it never ran
+    OVERLOADED = "full"  # rejected by the engine: the attempt never ran
     TIMEOUT = "timeout"
-    CONNECT_FAILED = "connect_failed"  # it never ran
+    CONNECT_FAILED = "connect_failed"  # the attempt never ran
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"  # its query had ended or its time was up before it began: it never ran
+    NOT_STARTED = "moot"  # its query had ended or expired before the attempt was sent: it never ran
 
 
 class ProgressKind(IntEnum):
-    """What a progress report says of a running attempt."""
+    """What a progress report says about a running attempt."""
 
     SHARE_DONE = 1
     SPILLING = 2
@@ -44,7 +44,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineEndpoint:
-    """An engine, as the list of engines has it."""
+    """An entry of the engine list."""
 
     engine: str
     state: EngineState = EngineState.READY
@@ -52,12 +52,12 @@
     kind: int = 0
     cell: int = 0
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: long ago
+    started_ms: float = 0.0  # 0: unknown, taken as long ago
 
 
 @dataclass(slots=True, frozen=True)
 class EngineListUpdate:
-    """What discovery says of the engines."""
+    """An update of the engine list from discovery."""
 
     form: ListForm
     engines: tuple[EngineEndpoint, ...] = ()
@@ -65,15 +65,15 @@
 
 @dataclass(slots=True, frozen=True)
 class QueryArrived:
-    """A client's query has come in."""
+    """A client's query has arrived."""
 
     query: int
     class_index: int
     deadline_ms: float  # when the final answer is due: the client's deadline less the answer margin
     tenant: int = 0
     key: str | None = None
-    estimated_work_ms: float | None = None  # estimate of the work of all its threads
-    estimated_memory_mb: float = 0.0  # estimate; 0: none
+    estimated_work_ms: float | None = None  # estimated work, summed over its threads; None: no estimate
+    estimated_memory_mb: float = 0.0  # 0: no estimate
     table_group: int | None = None
     is_client_retry: bool = False
 
@@ -82,7 +82,7 @@
 class AttemptEnded:
     """An attempt has ended.
 
-    `is_final`: the caller has given the query's final answer; else the gateway may retry it.
+    `is_final`: the caller has given the query's final answer; otherwise the gateway may retry the query.
     """
 
     query: int
@@ -98,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ResultStarted:
-    """The answer of a streamed query has started."""
+    """A query has begun to stream its result to the client."""
 
     query: int
     attempt: int
@@ -106,14 +106,14 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientDisconnected:
-    """The client has disconnected; no answer is owed."""
+    """The client has disconnected; the query needs no answer."""
 
     query: int
 
 
 @dataclass(slots=True, frozen=True)
 class AttemptProgress:
-    """Progress of a running attempt."""
+    """A progress report of a running attempt."""
 
     query: int
     attempt: int
@@ -123,7 +123,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """A timer has come due."""
+    """A timer has expired."""
 
     token: int
 
@@ -148,9 +148,9 @@
 
 @dataclass(slots=True, frozen=True)
 class LoadAdvice:
-    """Engines to prefer, in order, with the whole load that each is taken to have now, over all gateways.
+    """Engines to prefer, in order, with the estimated current load of each, over all gateways.
 
-    A load is the busy share of the engine's busiest resource; the price of another zone is added to it.
+    A load is the utilisation of the engine's busiest resource, plus a penalty for being in another zone.
     """
 
     loads: dict[str, float]
--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -1,11 +1,11 @@
 """The gateway: takes the events of `fennelwind.policy`, owns the state, calls the rules, returns the actions.
 
-It decides nothing itself; each rule stands in a module of its own in this package. The driver
-(`dispatch/driver`) and the simulator's adapter call `Gateway.step`. There is no I/O, no clock and no
-logging here: time comes with each call, and chance from a generator that the caller's seed starts. Odd
-events (of queries that are over, of engines that are not known) are ignored. The rules use neither
-`HealthChecked` nor `PeerMessageReceived`, and no `CheckHealth`, `SendPeerMessage` or `LogMessage` is ever
-returned: the wire names them, so they stay in the interface.
+It makes no decision itself; each rule has its own module in this package. The driver (`dispatch/driver`) and
+the simulator's adapter call `Gateway.step`. There is no I/O, no clock and no logging here: each call passes
+the time, and random numbers come from a generator seeded by the caller. Unexpected events (for queries that
+have ended, or unknown engines) are ignored. `HealthChecked` and `PeerMessageReceived` are ignored too, and
+`CheckHealth`, `SendPeerMessage` and `LogMessage` are never returned: they are part of the interface because
+the wire defines them.
 """
 
 from random import Random
@@ -26,11 +26,11 @@
 
 OK = policy.AttemptStatus.OK
 
-FLEET_REVIEW_MS = 250.0  # ms between two reviews of the fleet; a tick later by more is our own stall
+FLEET_REVIEW_MS = 250.0  # ms between reviews of the fleet; a tick later than this is a stall
 
 
 class Gateway:
-    """The decisions of one gateway; instances share nothing."""
+    """The state and decisions of one gateway; instances share nothing."""
 
     def __init__(self, settings: policy.Settings, seed: int) -> None:
         self.settings = settings
@@ -55,20 +55,20 @@
         self.tick_at_ms = self.review_at_ms = self.period_at_ms = float("-inf")
 
     def step(self, now_ms: float, events: list[policy.Event]) -> list[policy.Action]:
-        """Take the time (ms) and all events of a tick; return the actions, in order."""
+        """Process the events of a tick at the given time (ms); return the actions, in order."""
         self.now_ms, self.actions = max(self.now_ms, now_ms), []
-        self._excuse_stall()
+        self._record_stall()
         for event in events:
-            self._take(event)
+            self._handle_event(event)
         if self.now_ms >= self.tick_at_ms:
             self._tick()
         self._dispatch()
         return self.actions
 
-    def _excuse_stall(self) -> None:
-        """Subtract time in which the gateway had no turn from its attempts' ages: none times out by it.
+    def _record_stall(self) -> None:
+        """Exclude a stall of this gateway from the ages of its attempts, so that none times out by it.
 
-        The price: a hung engine is detected later by that time.
+        A hung engine is therefore detected later, by the length of the stall.
         """
         late_ms = self.now_ms - self.tick_at_ms
         if FLEET_REVIEW_MS < late_ms < float("inf"):
@@ -76,7 +76,7 @@
                 for attempt in engine.running_attempts.values():
                     attempt.gateway_stall_ms += late_ms
 
-    def _take(self, event: policy.Event) -> None:
+    def _handle_event(self, event: policy.Event) -> None:
         match event:
             case policy.QueryArrived():
                 self._on_query_arrived(event)
@@ -94,7 +94,7 @@
             case policy.AttemptProgress(query) if query in self.queries:
                 self.retries.record_progress(self.queries[query], event, self.now_ms)
             case policy.TimerFired(token) if token == self.timer_token:
-                self.tick_at_ms = self.now_ms  # a rounded clock must not lose the only timer
+                self.tick_at_ms = self.now_ms  # with a rounded clock it may fire early, and no other is set
 
     def _on_query_arrived(self, request: policy.QueryArrived) -> None:
         if request.query in self.queries:
@@ -131,7 +131,7 @@
                 self._give_up(query)
 
     def _learn(self, attempt: Attempt, event: policy.AttemptEnded) -> None:
-        """Let the rules learn from an ended attempt."""
+        """Update the rules' statistics with an ended attempt."""
         query, engine = attempt.query, attempt.engine
         self.estimates.record_attempt(query, engine, event)
         if self.outliers.record_failure(engine, event.status, self.now_ms):
@@ -141,29 +141,29 @@
             self.outliers.record_answer(attempt)
             engine.record_table_group(query.request.table_group)
         if attempt.gateway_stall_ms:
-            return  # its time is as much this gateway's own as the engine's
+            return  # its time includes a stall of this gateway
         if event.status == OK:
             self.estimates.record_answer(query, event)
         elif not self.outliers.is_slower_than_known(attempt, slowdown):
-            return  # an attempt cut short tells only that it would have taken longer
+            return  # an attempt cut short gives only a lower bound of its time
         self.outliers.record_slowdown(engine, slowdown)
         self.concurrency.record_answer(query, engine, event.took_ms)
 
-    # The life of a query.
+    # Query lifecycle.
 
     def _enqueue(self, query: Query) -> None:
         if self.admission.latest_dispatch_ms(query) <= self.now_ms:
-            self._dispatch_late(query)  # a client may ask with no time left; the answer is due at once
+            self._dispatch_late(query)  # the deadline may leave no time; the answer is due at once
             return
         query.is_queued = True
         self.queue.add(query, self.now_ms)
         self.admission.add(query)
 
     def _dispatch_late(self, query: Query) -> None:
-        """Dispatch a query past its latest time if that is worth it and room is free now; else end it."""
+        """Dispatch a query past its latest dispatch time if admission and capacity allow it; else end it."""
         has_others_queued = self.queue.has_other(query)
-        may_go = self.admission.may_dispatch_late(query, has_others_queued, self.now_ms)
-        if not (may_go and self._try_start(query)) and not query.is_finished:
+        may_dispatch = self.admission.may_dispatch_late(query, has_others_queued, self.now_ms)
+        if not (may_dispatch and self._try_start(query)) and not query.is_finished:
             self._give_up(query)
 
     def _give_up(self, query: Query) -> None:
@@ -171,7 +171,7 @@
         self._close(query)
 
     def _close(self, query: Query) -> None:
-        """Mark a query as finished; cancel what still runs for it."""
+        """Mark a query as finished; cancel its running attempts."""
         query.is_finished, query.is_queued = True, False
         if query.running_attempts and self.settings.can_cancel and not query.has_result_started:
             for attempt in query.attempts:
@@ -185,12 +185,12 @@
         self.actions.append(policy.CancelAttempt(attempt.query.request.query, attempt.number))
 
     def _forget(self, query: Query) -> None:
-        """Drop a finished query once no attempt of it runs."""
+        """Drop a finished query once none of its attempts runs."""
         if not query.running_attempts:
             self.queries.pop(query.request.query, None)
             self.queue.remove(query, self.now_ms)
 
-    # Time.
+    # Periodic work.
 
     def _tick(self) -> None:
         if self.now_ms >= self.review_at_ms:
@@ -206,19 +206,19 @@
         subscription = self.registry.subscribe(self.now_ms)
         if subscription is not None:
             self.actions.append(subscription)
-        self.tick_at_ms = float("-inf")  # idle: the next event looks at the clock
-        if self.queries or self.settings.requires_subscription:  # else nothing to do until the next event
+        self.tick_at_ms = float("-inf")  # idle: the next event runs a tick
+        if self.queries or self.settings.requires_subscription:  # else there is nothing to do until then
             self.tick_at_ms = self.now_ms + TICK_MS
             self.timer_token += 1
             self.actions.append(policy.StartTimer(TICK_MS, self.timer_token))
 
     def _review_fleet(self) -> None:
-        """Look at the whole fleet: who is ready, what is usual, how many threads this gateway may run."""
+        """Update what depends on the whole fleet: ready engines, median slowdown and fair share."""
         self.review_at_ms = self.now_ms + FLEET_REVIEW_MS
         self.queue.unblock_all()
         self.registry.forget_removed()
         for engine in self.engines.values():
-            if not engine.running_attempts:  # engines that run attempts are looked at on each tick
+            if not engine.running_attempts:  # those with attempts are updated on each tick
                 self.outliers.update(engine, self.now_ms)
         self.selector.update_ready_engines(self.engines)
         self.outliers.update_median_slowdown(self.selector.ready_engines)
@@ -226,22 +226,22 @@
         self.queue.forget_expired_holds(self.now_ms)
 
     def _start_period(self) -> None:
-        """Adjust the limits of all engines, and forget a part of what is known of them."""
+        """Adjust the limits of all engines and decay their slowdowns, once per limit period."""
         self.period_at_ms = self.now_ms + LIMIT_PERIOD_MS
         for engine in self.engines.values():
             self.concurrency.adjust(engine)
             self.outliers.decay(engine)
 
     def _review_engine(self, engine: Engine) -> None:
-        """Look at an engine and at the attempts that run there."""
+        """Update an engine's outlier state, and the grants and timeouts of its running attempts."""
         self.outliers.update(engine, self.now_ms)
         for attempt in list(engine.running_attempts.values()):
             if self.settings.has_priorities and not attempt.query.is_finished:
-                self._grant(attempt.query)  # what has passed its objective meanwhile goes last
+                self._grant(attempt.query)  # a query now past its objective gets the lowest priority
             self._restart_if_timed_out(attempt)
 
     def _restart_if_timed_out(self, attempt: Attempt) -> None:
-        """Cancel an attempt that has timed out, or hedge it where it can't be cancelled."""
+        """Cancel an attempt that has timed out, or hedge it where attempts can't be cancelled."""
         query, median_slowdown = attempt.query, self.outliers.median_slowdown
         has_load_advice = bool(self.selector.load_advice)
         if not self.retries.has_timed_out(attempt, median_slowdown, has_load_advice, self.now_ms):
@@ -256,7 +256,7 @@
     # Dispatch.
 
     def _dispatch(self) -> None:
-        """Start attempts of all queries that may leave."""
+        """Start attempts for all queries that the rules let start now."""
         if self.queue.unordered:
             for query in self.queue.ranked_unordered(self.now_ms):
                 self._try_start(query)
@@ -266,13 +266,13 @@
                 self.queue.block(head)
 
     def _try_start(self, query: Query) -> bool:
-        """Start an attempt of the query if every rule allows it; return whether it left."""
+        """Start an attempt of the query if every rule allows it; return whether it was started."""
         if query.attempts and not self.retries.may_retry(query, self.now_ms):
             self._give_up(query)
             return False
-        if self._is_barred(query):
+        if self._is_on_hold(query):
             return False
-        self.slow_start.weigh(query)
+        self.slow_start.set_work(query)
         engine = self.selector.choose(query, self.engines, self.outliers.median_slowdown, self.now_ms)
         if engine is None:
             return False
@@ -285,8 +285,8 @@
         self.actions.append(policy.StartAttempt(query.request.query, engine.endpoint.engine))
         return True
 
-    def _is_barred(self, query: Query) -> bool:
-        """Return whether the query may start nowhere now, whatever the engines."""
+    def _is_on_hold(self, query: Query) -> bool:
+        """Return whether the query must not start now on any engine."""
         if query.attempts:
             if not self.retries.is_within_budget(self.now_ms):
                 return True
--- a/fennelwind/policy/grants.py
+++ b/fennelwind/policy/grants.py
@@ -1,24 +1,24 @@
-"""The resource grant of a query's next attempts: memory and priority on its engine.
+"""Resource grants: memory and priority of a query's attempts on its engine.
 
-The gateway asks at each start, and for running queries where engines heed priorities. A grant is set only
-where the engines honour it and it differs from the one before.
+The gateway updates the grant at each start, and on each tick for running queries where engines support
+priorities. A grant is sent only where engines support it and it differs from the previous one.
 """
 
 from fennelwind import policy
 from fennelwind.policy.estimates import Estimates
-from fennelwind.policy.model import USUAL_PRIORITY, Query
+from fennelwind.policy.model import DEFAULT_PRIORITY, Query
 
-GRANT_FACTOR = 2.5  # times the memory estimate; estimates scatter, and a spill costs more than idle memory
-QUEUEING_GRANT_FACTOR = 1.6  # the same where queries queue for memory: what is granted too much delays others
-SWAPPING_GRANT_FACTOR = 3.0  # the same where only memory in use counts, so that too much costs nothing
-SHORT_WORK_FACTOR = 1.0  # times the mean work of all queries; queries with less go first
-LONG_WORK_FACTOR = 4.0  # times the mean work of all queries; queries with more go last
-SHORT_PRIORITY, MEDIUM_PRIORITY, LONG_PRIORITY = 3, 2, 1  # of the wire; more goes first on the engine
-LATE_PRIORITY = 0  # of the wire; an answer past its objective is worth least, so it delays nobody
+GRANT_FACTOR = 2.5  # times the estimated memory; estimates vary, and a spill costs more than unused memory
+QUEUEING_GRANT_FACTOR = 1.6  # the same where queries queue for memory: an excess grant delays others
+SWAPPING_GRANT_FACTOR = 3.0  # the same where only memory in use counts: an excess grant costs nothing
+SHORT_WORK_FACTOR = 1.0  # times the mean work of all queries; a query with less is short
+LONG_WORK_FACTOR = 4.0  # times the mean work of all queries; a query with more is long
+SHORT_PRIORITY, MEDIUM_PRIORITY, LONG_PRIORITY = 3, 2, 1  # on the wire; higher goes first
+LATE_PRIORITY = 0  # on the wire; late answers are worth least, so they must not delay others
 
 
 class Grants:
-    """Memory and priority of queries, as far as the engines honour them."""
+    """Computes memory and priority grants, as far as the engines support them."""
 
     def __init__(self, settings: policy.Settings, estimates: Estimates) -> None:
         self.settings, self.estimates = settings, estimates
@@ -30,25 +30,25 @@
             self.memory_factor = GRANT_FACTOR
 
     def is_short(self, work_ms: float) -> bool:
-        """Return whether a query of so much work goes before others on its engine."""
+        """Return whether a query with this much work gets the priority of short queries."""
         return (
             self.settings.has_priorities and work_ms < SHORT_WORK_FACTOR * self.estimates.mean_query_work_ms
         )
 
     def update(self, query: Query, now_ms: float) -> policy.SetGrant | None:
-        """Return the action that sets the query's grant, if it differs from the one before."""
+        """Return the action that sets the query's grant, or None if the grant is unchanged."""
         settings = self.settings
         memory_mb = (
             self.memory_factor * query.request.estimated_memory_mb if settings.has_memory_grants else 0.0
         )
-        grant = memory_mb, self._priority(query, now_ms) if settings.has_priorities else USUAL_PRIORITY
+        grant = memory_mb, self._priority(query, now_ms) if settings.has_priorities else DEFAULT_PRIORITY
         if grant == query.grant:
             return None
         query.grant = grant
         return policy.SetGrant(query.request.query, *grant)
 
     def _priority(self, query: Query, now_ms: float) -> int:
-        """Return the query's priority on its engine: short ones first, those past their objective last."""
+        """Return the priority on the engine: short queries first, those past their objective last."""
         if now_ms > query.objective_at_ms:
             return LATE_PRIORITY
         if query.is_short:
--- a/fennelwind/policy/outliers.py
+++ b/fennelwind/policy/outliers.py
@@ -1,10 +1,9 @@
-"""Outlier detection: engines that are far slower than the fleet, or that fail, get no queries for a while.
+"""Outlier detection: engines that fail, or are far slower than the fleet, get no queries for a while.
 
-The gateway reports ended attempts and asks for a new look at an engine on each tick. An engine is compared
-with the median of the fleet, so a fault that slows all engines alike ejects none. If every engine is an
-outlier, selection uses them all the same. An engine that fails is ejected for a stated time, doubled with
-each further failure up to a maximum; an attempt started after the failure and answered ends the row of
-failures.
+The gateway reports ended attempts, and updates an engine with running attempts on each tick. An engine is
+compared with the median of the fleet, so a fault that slows all engines alike ejects none. If every engine is
+an outlier, selection uses them anyway. A failing engine is ejected for a fixed time that doubles with the
+second failure; an answered attempt that was started after the last failure resets the count of failures.
 """
 
 from statistics import median_low
@@ -14,7 +13,7 @@
 from fennelwind.policy.model import Attempt, Engine
 
 OK, ERROR = policy.AttemptStatus.OK, policy.AttemptStatus.ERROR
-# Outcomes that are the engine's fault at once; an error may be the query's own.
+# Outcomes that count as engine failures at once; an error may be the query's own fault.
 FAILURES = (
     policy.AttemptStatus.CONNECT_FAILED,
     policy.AttemptStatus.RESET,
@@ -22,27 +21,27 @@
 )
 
 OUTLIER_SLOWDOWN = 2.5  # times the fleet's median; a slower engine is an outlier, whatever the cause
-EJECTION_MS = 1000.0  # ms; an ejection lasts this times 2 after one failure, times 4 from the second on
-MAX_EJECTION_FACTOR = 4  # times EJECTION_MS; a recovered engine is used again within seconds
-MAX_CONSECUTIVE_ERRORS = 3  # a bad query errs once anywhere; an engine that errs quickly would draw all in
-OUTLIER_SAMPLE_SHARE = 0.5  # share of a new sample in an outlier's mean: two good answers bring it back
-DECAY_PER_PERIOD = 0.1  # share of an engine's slowdown forgotten in each limit period
+EJECTION_MS = 1000.0  # ms; an ejection lasts 2 times this after the first failure, 4 times from the second on
+MAX_EJECTION_FACTOR = 4  # times EJECTION_MS; so a recovered engine is used again within seconds
+MAX_CONSECUTIVE_ERRORS = 3  # a bad query errs once per engine; an engine that errs fast attracts all queries
+OUTLIER_SAMPLE_SHARE = 0.5  # weight of a new sample for an outlier: two good answers readmit it
+DECAY_PER_PERIOD = 0.1  # share by which an engine's mean slowdown returns to 1 in each limit period
 
 
 class OutlierDetector:
-    """Which engines stand out from the fleet."""
+    """Detects and ejects the outliers among the engines of one gateway."""
 
     def __init__(self, estimates: Estimates) -> None:
         self.estimates = estimates
-        self.median_slowdown = 1.0  # median of the fleet
+        self.median_slowdown = 1.0  # of the fleet
 
     def update_median_slowdown(self, ready_engines: list[Engine]) -> None:
-        """Set the median of all ready engines, with which each is compared."""
-        # The lower one of two: with the mean of both, one of two engines could never stand out.
+        """Update the median of all ready engines, with which each is compared."""
+        # The lower median: with the mean of two engines, neither could ever be an outlier.
         self.median_slowdown = median_low([engine.current_slowdown for engine in ready_engines] or [1.0])
 
     def update(self, engine: Engine, now_ms: float) -> None:
-        """Look at an engine by its answers and by the ages of what it has not answered."""
+        """Update an engine's current slowdown from its answers and the ages of its running attempts."""
         baselines = self.estimates.baseline_slowdown
         total, weight = engine.mean_slowdown / ENGINE_SAMPLE_SHARE, 1 / ENGINE_SAMPLE_SHARE
         for attempt in engine.running_attempts.values():
@@ -55,11 +54,11 @@
         engine.is_outlier = engine.ejected_until_ms > now_ms or is_slow
 
     def record_failure(self, engine: Engine, status: policy.AttemptStatus, now_ms: float) -> bool:
-        """Eject the engine if the outcome shows that it fails; return whether it does."""
+        """Eject the engine if the outcome counts as its failure; return whether it does."""
         if status in (OK, ERROR):
             engine.consecutive_errors = engine.consecutive_errors + 1 if status == ERROR else 0
-        errs_always = status == ERROR and engine.consecutive_errors >= MAX_CONSECUTIVE_ERRORS
-        if not errs_always and status not in FAILURES:
+        is_erring = status == ERROR and engine.consecutive_errors >= MAX_CONSECUTIVE_ERRORS
+        if not is_erring and status not in FAILURES:
             return False
         engine.failures += 1
         engine.failed_at_ms = now_ms
@@ -68,7 +67,7 @@
         return True
 
     def record_answer(self, attempt: Attempt) -> None:
-        """Count a good answer: it ends a row of failures if it was started after the last of them."""
+        """Record a successful attempt; reset the failures if it was started after the last of them."""
         engine = attempt.engine
         if attempt.started_ms > engine.failed_at_ms:
             engine.failures = 0
@@ -80,10 +79,10 @@
         return slowdown > engine.mean_slowdown and attempt.started_ms > engine.last_answered_start_ms
 
     def record_slowdown(self, engine: Engine, slowdown: float) -> None:
-        """Count the slowdown of an ended attempt."""
+        """Update the engine's mean slowdown with an ended attempt."""
         share = OUTLIER_SAMPLE_SHARE if engine.is_outlier else ENGINE_SAMPLE_SHARE
         engine.mean_slowdown += (slowdown - engine.mean_slowdown) * share
 
     def decay(self, engine: Engine) -> None:
-        """Forget a part of the engine's slowdown: a figure with no fresh answers must not bind for ever."""
+        """Decay the engine's mean slowdown towards 1, so that it expires without new answers."""
         engine.mean_slowdown += (1.0 - engine.mean_slowdown) * DECAY_PER_PERIOD
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -1,9 +1,9 @@
-"""Retries: what may be repeated, the retry budget, attempt timeouts and hedged requests.
+"""Retries: which queries may be retried, the retry budget, attempt timeouts and hedged requests.
 
-An attempt that takes far longer than its estimate and the fleet explain has timed out: it is cancelled and
-its query retried; where attempts can't be cancelled, a hedged request goes beside it. Both start work anew,
-so they are paid from two budgets: of all retries of the gateway over a sliding window, as the deployment
-states it, and of work that timeouts may start anew, which arrivals fill.
+An attempt has timed out if it takes far longer than its estimate and the slowdown of the fleet suggest: it is
+cancelled and its query retried or, where attempts can't be cancelled, a hedged request is started. Both
+restart work, so two budgets limit them: the retry budget, which the deployment configures, over all retries
+of the gateway in a sliding window; and the restart credit, work that timeouts may redo, earned by arrivals.
 """
 
 from fennelwind import policy
@@ -20,36 +20,36 @@
     policy.AttemptStatus.NOT_STARTED,
 )
 
-TIMEOUT_SLOWDOWN = 3.0  # times what an attempt should take; beyond it another engine is tried
-ADVISED_TIMEOUT_FACTOR = 2.0  # times that where loads are reported: an engine that reports is busy, not hung
-MAX_PROGRESS_AGE_PERIODS = 2.5  # progress intervals; what an older report says of an attempt is old news
-MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean; smaller queries get as much, as their estimates err most
-RESTART_WORK_SHARE = 0.15  # of the work that arrives: may be started anew by timeouts, else they feed a jam
-MAX_RESTART_QUERIES = 6.0  # mean queries of saved-up work; a long calm must not pay for a jam
+TIMEOUT_SLOWDOWN = 3.0  # times the expected time of an attempt; after that another engine is tried
+ADVISED_TIMEOUT_FACTOR = 2.0  # times that if load advice is given: an engine that reports is busy, not hung
+MAX_PROGRESS_AGE_INTERVALS = 2.5  # progress intervals; an older report is stale
+MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; the least for any query, as small estimates err most
+RESTART_WORK_SHARE = 0.15  # of arriving work; if timeouts restarted more, they would feed congestion
+MAX_RESTART_QUERIES = 6.0  # mean queries; bounds saved credit, so that a calm can't pay for congestion
 
 
 class RetryPolicy:
-    """The rules on repeating queries, and the budgets of one gateway."""
+    """The rules on retries, and the budgets of one gateway."""
 
     def __init__(self, settings: policy.Settings, estimates: Estimates) -> None:
         self.settings, self.estimates = settings, estimates
-        self.served = SlidingWindowSum()  # queries served, by their arrival
+        self.served = SlidingWindowSum()  # served queries, by arrival time
         self.retries = SlidingWindowSum()
-        self.restart_credit_ms = float("inf")  # work that timeouts may start anew
+        self.restart_credit_ms = float("inf")  # work that timeouts may restart
 
     def record_arrival(self, work_ms: float) -> None:
-        """Fill the credit of restarts by a share of the work that came in."""
+        """Add a share of a new query's work to the restart credit."""
         max_credit_ms = MAX_RESTART_QUERIES * self.estimates.mean_query_work_ms
         self.restart_credit_ms = min(self.restart_credit_ms + RESTART_WORK_SHARE * work_ms, max_credit_ms)
 
     def record_served(self, query: Query, now_ms: float) -> None:
-        """Count a query that was served: only those pay for retries, not what bad clients ask for."""
+        """Count a served query: only these earn retry budget, not failed requests of faulty clients."""
         window_ms = self.settings.retry_budget_window_ms
         if window_ms:
             self.served.add(query.arrived_ms, 1.0, now_ms - window_ms)
 
     def record_start(self, attempt: Attempt, now_ms: float) -> None:
-        """Count an attempt that is not its query's first; bind a keyed query to its first one."""
+        """Count an attempt that is a retry; record the first unresolved attempt of a keyed query."""
         query, window_ms = attempt.query, self.settings.retry_budget_window_ms
         if attempt.number and window_ms:
             self.retries.add(now_ms, 1.0, now_ms - window_ms)
@@ -57,14 +57,14 @@
             query.first_unresolved_attempt = attempt
 
     def record_outcome(self, query: Query, status: policy.AttemptStatus) -> None:
-        """Remember whether the query may have run; one that is proven not to have run may go anywhere."""
+        """Record whether the query may have run; if it certainly has not, it may go to any engine."""
         if status not in NEVER_RAN_STATUSES:
             query.is_outcome_unknown = True
         elif not query.is_outcome_unknown and not query.running_attempts:
             query.first_unresolved_attempt = None
 
     def record_progress(self, query: Query, event: policy.AttemptProgress, now_ms: float) -> None:
-        """Learn from a report of the share that is done how much longer an attempt needs."""
+        """Update an attempt's remaining time from a report of the share that is done."""
         if event.kind == SHARE_DONE and event.value > 0.0:
             query.record_progress(event.attempt, event.value, now_ms)
 
@@ -79,7 +79,7 @@
         return self.retries.total(since_ms) + 1 <= max_retries
 
     def may_retry(self, query: Query, now_ms: float) -> bool:
-        """Return whether idempotency and the limits leave room for a further attempt of the query."""
+        """Return whether idempotency and the attempt limit allow another attempt of the query."""
         settings, query_class = self.settings, query.query_class
         if len(query.attempts) >= settings.max_attempts or query.has_result_started:
             return False
@@ -88,13 +88,13 @@
         first = query.first_unresolved_attempt
         if first is None:
             return True
-        remembered_until_ms = first.started_ms + query_class.deduplication_window_ms
-        return now_ms + settings.resolution_ms < remembered_until_ms
+        deduplicated_until_ms = first.started_ms + query_class.deduplication_window_ms
+        return now_ms + settings.resolution_ms < deduplicated_until_ms
 
     def has_timed_out(
         self, attempt: Attempt, median_slowdown: float, has_load_advice: bool, now_ms: float
     ) -> bool:
-        """Return whether an attempt takes so long, or its engine is removed, that another should begin."""
+        """Return whether to start another attempt: this one is too slow, or its engine was removed."""
         query = attempt.query
         if (
             attempt.is_cancelled
@@ -108,14 +108,14 @@
         timeout_ms = self._timeout_ms(attempt, median_slowdown, has_load_advice)
         if attempt.age_ms(now_ms) < timeout_ms:
             return False
-        # With fresh progress reports it times out only if it needs another whole timeout: starting anew costs
+        # With recent progress reports it times out only if it needs another full timeout, as a restart loses
         # all its work. When reports stop, as from a hung engine, its age alone decides.
-        max_progress_age_ms = MAX_PROGRESS_AGE_PERIODS * self.settings.progress_interval_ms
+        max_progress_age_ms = MAX_PROGRESS_AGE_INTERVALS * self.settings.progress_interval_ms
         reports_progress = now_ms - attempt.progress_at_ms < max_progress_age_ms
         return not (reports_progress and attempt.remaining_ms < timeout_ms)
 
     def _timeout_ms(self, attempt: Attempt, median_slowdown: float, has_load_advice: bool) -> float:
-        """Return the time after which an attempt is taken to be lost or stuck."""
+        """Return the age in ms at which an attempt is taken to be lost or stuck."""
         query, index, estimates = attempt.query, attempt.query.class_index, self.estimates
         min_time_ms = MIN_TIMEOUT_WORK_SHARE * estimates.mean_work_ms[index] / query.query_class.threads
         time_ms = max(query.service_time_ms, min_time_ms)
@@ -124,13 +124,13 @@
         return factor * slowdown * time_ms * estimates.baseline_slowdown[index]
 
     def spend_restart_credit(self, query: Query, now_ms: float) -> bool:
-        """Pay for starting the query's work anew; return whether the budgets allow it.
+        """Spend credit on restarting the query's work; return whether the budgets allow it.
 
-        By work, not by number: short queries must not pay for starting long ones anew again and again.
+        The credit counts work, not queries: short queries must not pay for repeated restarts of long ones.
         """
         work_ms = query.service_time_ms * query.query_class.threads
-        max_price_ms = MAX_RESTART_QUERIES * self.estimates.mean_query_work_ms
-        if self.restart_credit_ms < min(work_ms, max_price_ms):
+        max_credit_ms = MAX_RESTART_QUERIES * self.estimates.mean_query_work_ms
+        if self.restart_credit_ms < min(work_ms, max_credit_ms):
             return False
         if not self.may_retry(query, now_ms) or not self.is_within_budget(now_ms):
             return False
--- a/fennelwind/policy/selection.py
+++ b/fennelwind/policy/selection.py
@@ -1,10 +1,10 @@
 """Engine selection: which engine an attempt goes to.
 
-Of a few engines that the constraints permit, the one with the fewest own queries for its size and speed.
-Engines that are about as loaded are tied; zone, cached tables and load settle a tie. Where load advice has
-come (whole loads of engines, over all gateways), it names the engines to consider. No engine is chosen if
-every permitted one is full: the query stays queued. Draws from the gateway's random generator only in
-fleets larger than a sample.
+Among a small sample of engines that the constraints permit, the one with the fewest queries of this gateway
+relative to its size and speed. Engines with about the same load are tied; zone, cached tables and load break
+the tie. Load advice (loads of engines over all gateways), if given, names the engines to consider. No engine
+is chosen if every permitted one is full: the query stays queued. The gateway's random generator is used only
+in fleets larger than the sample.
 """
 
 from random import Random
@@ -17,12 +17,12 @@
 
 READY = policy.EngineState.READY
 
-SAMPLE_SIZE = 12  # engines looked at for an attempt; a dozen nearly always hold a good one, at any size
-TIE_THREADS_PER_CORE = 0.5  # engines closer than this are tied: zone and cached tables are worth that much
-TIE_LOAD_SHARE = 0.25  # of the capacity; the same where whole loads are reported, a second old and noisy
-MIN_RELATIVE_SPEED = 0.1  # of the usual; a mean that one bad plan has spoilt must not hide an engine for good
-MAX_CACHED_TABLE_GROUPS = 4  # groups of tables that an engine is taken to keep in its caches
-GOLDEN_RATIO = 0.6180339887  # multiples of it spread gateways evenly over a ring of engines
+SAMPLE_SIZE = 12  # engines considered for an attempt; nearly always includes a good one, at any fleet size
+TIE_THREADS_PER_CORE = 0.5  # engines this close are tied: zone and cached tables are worth that much
+TIE_LOAD_SHARE = 0.25  # of the capacity; the same with load advice, which is a second old and noisy
+MIN_RELATIVE_SPEED = 0.1  # of the median; one bad plan in its mean must not exclude an engine for good
+MAX_CACHED_TABLE_GROUPS = 4  # table groups that an engine is assumed to keep cached
+GOLDEN_RATIO = 0.6180339887  # its multiples spread gateways evenly over a ring of engines
 
 
 class EngineSelector:
@@ -38,11 +38,11 @@
     ) -> None:
         self.settings, self.random = settings, random
         self.constraints, self.concurrency, self.slow_start = constraints, concurrency, slow_start
-        self.ready_engines: list[Engine] = []  # in this gateway's own order
-        self.load_advice: dict[str, float] = {}  # whole loads of the engines to prefer; empty: no advice
+        self.ready_engines: list[Engine] = []  # in the order that this gateway uses for ties
+        self.load_advice: dict[str, float] = {}  # total loads of the engines to prefer; empty: no advice
 
     def update_ready_engines(self, engines: dict[str, Engine]) -> None:
-        """Order the ready engines for ties: own zone first, from a point that spreads the gateways evenly."""
+        """Order the ready engines: own zone first, each zone's from an offset that differs by gateway."""
         ready = [engine for _, engine in sorted(engines.items()) if engine.endpoint.state == READY]
         self.ready_engines = []
         for is_own_zone in (True, False):
@@ -53,13 +53,13 @@
     def choose(
         self, query: Query, engines: dict[str, Engine], median_slowdown: float, now_ms: float
     ) -> Engine | None:
-        """Return the engine for the query's next attempt, or None if none has room."""
-        is_share_used = self.concurrency.is_share_used(query)
+        """Return the engine for the query's next attempt, or None if none has capacity."""
+        is_share_exhausted = self.concurrency.is_share_exhausted(query)
         sample = self._sample(engines)
         preferred = self._preferred(query, self._permitted(query, sample, now_ms), now_ms)
-        # Where each gateway prefers a few engines, each engine is shared by so many gateways fewer.
+        # With advice each gateway prefers a few engines, so each engine is shared by fewer gateways.
         limit_factor = max(1.0, len(self.ready_engines) / len(sample)) if self.load_advice and sample else 1.0
-        if is_share_used:
+        if is_share_exhausted:
             for engine in preferred:
                 engine.is_limit_reached = True
             return None
@@ -67,16 +67,16 @@
         return self._least_loaded(query, loads) if loads else None
 
     def _sample(self, engines: dict[str, Engine]) -> list[Engine]:
-        """Return the engines to look at: those of the load advice, else near ones and a random few."""
+        """Return the engines to consider: those of the load advice, else the first ones and a random few."""
         if self.load_advice:
             return [engines[name] for name in self.load_advice if name in engines]
-        near, far = self.ready_engines[: SAMPLE_SIZE // 2], self.ready_engines[SAMPLE_SIZE // 2 :]
+        first, others = self.ready_engines[: SAMPLE_SIZE // 2], self.ready_engines[SAMPLE_SIZE // 2 :]
         if len(self.ready_engines) > SAMPLE_SIZE:
-            far = self.random.sample(far, SAMPLE_SIZE // 2)
-        return near + far
+            others = self.random.sample(others, SAMPLE_SIZE // 2)
+        return first + others
 
     def _permitted(self, query: Query, sample: list[Engine], now_ms: float) -> list[Engine]:
-        """Return the engines of the sample that the constraints permit; if none is, all such of the fleet."""
+        """Return the permitted engines of the sample; if there are none, those of the whole fleet."""
         permits = self.constraints.permits
         permitted = [engine for engine in sample if permits(query, engine, now_ms)]
         if not permitted or self.load_advice and all(engine.is_outlier for engine in permitted):
@@ -84,13 +84,13 @@
         return permitted
 
     def _preferred(self, query: Query, permitted: list[Engine], now_ms: float) -> list[Engine]:
-        """Return the engines that are no outliers, new ones to the query first; if none is, what remains."""
+        """Return the healthy engines, untried ones if any; else the outliers that the query may use."""
         tried = {attempt.engine.endpoint.engine for attempt in query.attempts}
         healthy = [engine for engine in permitted if not engine.is_outlier]
         untried = [engine for engine in healthy if engine.endpoint.engine not in tried]
         if untried or healthy:
             return untried or healthy
-        # Where nothing healthy is left, what failed this query a moment ago would only fail it again.
+        # Ejected engines that this query has tried are left out: they would probably fail it again.
         return [e for e in permitted if e.endpoint.engine not in tried or e.ejected_until_ms <= now_ms]
 
     def _loads(
@@ -101,9 +101,9 @@
         median_slowdown: float,
         now_ms: float,
     ) -> dict[Engine, float]:
-        """Return the load that each engine with room would have with the query, for its size and speed."""
+        """Return the load that each engine with capacity would have with the query, by size and speed."""
         threads, advice = query.query_class.threads, self.load_advice
-        highest_load = max(advice.values(), default=0.0)  # for engines that the advice does not name
+        highest_load = max(advice.values(), default=0.0)  # for engines missing in the advice
         limit, warm_up_fraction = self.concurrency.limit, self.slow_start.warm_up_fraction
         loads = {}
         for engine in preferred:
@@ -120,11 +120,11 @@
         return loads
 
     def _least_loaded(self, query: Query, loads: dict[Engine, float]) -> Engine:
-        """Return the least loaded engine; of those tied with it, the best by zone, cached tables and load."""
+        """Return the least loaded engine; among ties, the best by zone, cached tables and load."""
         max_load = min(loads.values()) + (TIE_LOAD_SHARE if self.load_advice else TIE_THREADS_PER_CORE)
         tied = [engine for engine, load in loads.items() if load <= max_load]
         table_group, zone = query.request.table_group, self.settings.zone
-        if self.load_advice:  # the order is this gateway's own, so that it reuses connections that are open
+        if self.load_advice:  # its order differs by gateway, so that open connections are reused
             return min(tied, key=lambda engine: table_group not in engine.cached_table_groups)
         return min(
             tied,
--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -17,7 +17,7 @@
     "policy/settings.py": set(),
     "policy/events.py": set(),
     "policy/actions.py": set(),
-    "policy/model.py": {"USUAL_PRIORITY"},
+    "policy/model.py": {"DEFAULT_PRIORITY"},
     "policy/gateway.py": {"FLEET_REVIEW_MS"},
     "adapter.py": set(),
     "simulator_wire.py": {
