--- a/fennelwind/adapter.py
+++ b/fennelwind/adapter.py
@@ -1,8 +1,9 @@
-"""The simulator's adapter: hosts gateways and speaks the simulator's wire on the standard streams.
+"""The simulator's adapter: runs gateways and speaks the simulator's protocol on standard input and output.
 
-`python -m fennelwind.adapter` starts it, as `deploy/balancer.toml` says. It answers one batch at a time:
-lines to one or more instances in, their actions out. A line that the wire does not allow ends the program
-with code 2 and a line on standard error; a gateway that fails is reported on the wire, and the others go on.
+`deploy/balancer.toml` starts it with `python -m fennelwind.adapter`. It processes one batch at a time: it
+reads the events of one or more instances and writes their actions. A malformed line ends the program with
+exit code 2 and one line on standard error. A gateway that raises an exception is reported to the simulator,
+and the other instances go on.
 """
 
 import sys
@@ -15,12 +16,12 @@
 from fennelwind.policy.gateway import Gateway
 from fennelwind.simulator_wire import Fields, InstanceStart, WireError
 
-Line = tuple[str, list[str]]  # a message's name and its fields, unread
+Line = tuple[str, list[str]]  # a message's name and its unparsed fields
 
 
 @dataclass(slots=True)
 class InstanceBatch:
-    """What one instance gets in a batch: how it starts, if it starts there, and its events."""
+    """One instance's share of a batch: its events, and its settings and seed if it starts in this batch."""
 
     instance: int
     start: InstanceStart | None = None
@@ -28,27 +29,27 @@
 
 
 class Host:
-    """Hosts the instances of one process, each apart from the others."""
+    """Runs the gateway instances of one process, isolated from each other."""
 
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source, self.sink = source, sink
         self.gateways: dict[int, Gateway] = {}
-        self.settings: dict[int, policy.Settings] = {}  # of the instances that run
+        self.settings: dict[int, policy.Settings] = {}  # of the running instances
         self.engine_lists: dict[int, tuple[policy.EngineEndpoint, ...]] = {}
 
     def run(self) -> None:
-        """Answer batches until the input ends. Raises `WireError`."""
+        """Process batches until the input ends. Raises `WireError` for a malformed line."""
         while line := self.source.readline():
             message, fields = self._split(line)
             if message != simulator_wire.BATCH_START:
                 quoted = message[: simulator_wire.MAX_QUOTED_NAME] or "empty line"
                 raise WireError(f"{quoted}: a {simulator_wire.BATCH_START} was expected")
             now_ms = simulator_wire.read_now_ms(Fields(message, fields))
-            answer: list[str] = []
+            response: list[str] = []
             for batch in self._read_batch():
-                answer += self._answer(now_ms, batch)
-            answer.append(simulator_wire.BATCH_DONE)
-            self.sink.write("\n".join(answer) + "\n")
+                response += self._step_instance(now_ms, batch)
+            response.append(simulator_wire.BATCH_DONE)
+            self.sink.write("\n".join(response) + "\n")
             self.sink.flush()
 
     @staticmethod
@@ -57,7 +58,7 @@
         return message, fields
 
     def _lines(self) -> Iterator[Line]:
-        """Return the lines of a batch, up to its end."""
+        """Yield the lines of a batch, up to its end. Raises `WireError` if the input ends first."""
         while line := self.source.readline():
             message, fields = self._split(line)
             if message == simulator_wire.BATCH_END:
@@ -66,13 +67,13 @@
         raise WireError(f"{simulator_wire.BATCH_START}: the input ended before {simulator_wire.BATCH_END}")
 
     def _read_batch(self) -> list[InstanceBatch]:
-        """Read one batch: what each instance gets, in the order in which they were first named."""
+        """Read one batch; return the instances' shares in the order in which they were first named."""
         batches: list[InstanceBatch] = []
         instance: int | None = None
         current: InstanceBatch | None = None
         lines = self._lines()
-        for message, parts in lines:
-            fields = Fields(message, parts)
+        for message, raw_fields in lines:
+            fields = Fields(message, raw_fields)
             if message == simulator_wire.INSTANCE_SELECTED:
                 instance, current = simulator_wire.read_instance(fields), None
             elif message == simulator_wire.ENGINE_LIST:
@@ -91,13 +92,13 @@
             else:
                 event = self._read_event(instance, message, fields)
                 if current is None:
-                    current = self._batch_of(instance, batches)
+                    current = self._find_or_add(instance, batches)
                 current.events.append(event)
         return batches
 
     @staticmethod
-    def _batch_of(instance: int, batches: list[InstanceBatch]) -> InstanceBatch:
-        """Return the instance's part of the batch, which is new if it was not named before."""
+    def _find_or_add(instance: int, batches: list[InstanceBatch]) -> InstanceBatch:
+        """Return the instance's share of the batch; add an empty one if it has none yet."""
         for batch in batches:
             if batch.instance == instance:
                 return batch
@@ -112,7 +113,7 @@
         return simulator_wire.read_event(message, fields, settings, self.engine_lists)
 
     def _start(self, instance: int, fields: Fields) -> InstanceStart:
-        """Read how an instance starts; what ran under its number before is gone at once."""
+        """Read the settings and seed of an instance that starts; drop a previous one with its number."""
         start = simulator_wire.read_start(fields)
         self.gateways.pop(instance, None)
         self.settings[instance] = start.settings
@@ -122,20 +123,20 @@
         self.gateways.pop(instance, None)
         self.settings.pop(instance, None)
 
-    def _answer(self, now_ms: float, batch: InstanceBatch) -> list[str]:
-        """Let one instance decide, and return its actions as lines."""
+    def _step_instance(self, now_ms: float, batch: InstanceBatch) -> list[str]:
+        """Run one step of an instance; return its actions, or its failure, as lines."""
         try:
             if batch.start is not None:
                 self.gateways[batch.instance] = Gateway(batch.start.settings, batch.start.seed)
             actions = self.gateways[batch.instance].step(now_ms, batch.events)
             lines = [simulator_wire.action_line(action) for action in actions]
-        except Exception as error:  # the wire has a message for an instance that fails; the others go on
+        except Exception as error:  # reported on the wire; the other instances go on
             lines = [simulator_wire.failure_line(error)]
         return [simulator_wire.instance_line(batch.instance), *lines] if lines else []
 
 
 def main() -> int:
-    """Serve the wire on standard input and output."""
+    """Run the adapter on standard input and output; return the exit code."""
     for stream in (sys.stdin, sys.stdout):
         if isinstance(stream, TextIOWrapper):
             stream.reconfigure(encoding="utf-8", newline="\n")
--- a/fennelwind/simulator_wire.py
+++ b/fennelwind/simulator_wire.py
@@ -1,9 +1,9 @@
-"""The simulator's wire: its messages and fields, and what they are in the terms of `fennelwind.policy`.
+"""The simulator's wire protocol: conversion between its messages and the types of `fennelwind.policy`.
 
-The simulator writes batches of lines to the program's standard input and reads its answer from standard
-output. A line is a message's name and name=value pairs, with tabs between. This module alone knows the names;
-`adapter` reads and writes lines with it, and the platform's configuration has the same names of settings. It
-does no I/O. A line that the wire does not allow raises `WireError`, which names the message and the field.
+The simulator writes batches of lines to the program's standard input and reads its response from standard
+output. A line is a message name and name=value pairs, separated by tabs. Only this module knows the names;
+`adapter` reads and writes lines with it. The platform's configuration uses the same names for settings. This
+module does no I/O. A malformed line raises `WireError`, which names the message and the field.
 """
 
 from collections.abc import Callable, Iterator, Mapping
@@ -11,7 +11,7 @@
 
 from fennelwind import policy
 
-# Messages that frame a batch; the others are events and actions.
+# Messages that structure a batch; the others are events and actions.
 BATCH_START, BATCH_END, BATCH_DONE = "BATCH", "YOUR_TURN", "ACK"
 INSTANCE_SELECTED, INSTANCE_STARTED, INSTANCE_STOPPED = "ABOUT", "NEW_INSTANCE", "DOWN"
 ENGINE_LIST, ENGINE = "LIST", "EXECUTOR"
@@ -42,18 +42,18 @@
     "CANCELLED": policy.AttemptStatus.CANCELLED,
     "TOO_LATE": policy.AttemptStatus.NOT_STARTED,
 }
-HAS_ESTIMATE, IS_CLIENT_RETRY = 1, 2  # bits of a request's Options
-COST_MEMORY_BITS = 12  # low bits of an answer's Note hold its memory, those above its work in ms
-COST_MEMORY_UNIT_MB = 4.0  # MB that the Note's memory counts in
-MAX_NUMBER = 1e300  # larger numbers are refused: sums of them would overflow in the decisions
-MAX_QUOTED_NAME = 40  # characters of a message's name that an error repeats
-MAX_FAILURE_TEXT = 200  # characters of an exception that the wire's fault message carries
+HAS_ESTIMATE, IS_CLIENT_RETRY = 1, 2  # bits of Options in a request
+COST_MEMORY_BITS = 12  # low bits of an answer's Note hold its memory; the higher ones its work in ms
+COST_MEMORY_UNIT_MB = 4.0  # MB; unit of the memory in a Note
+MAX_NUMBER = 1e300  # larger numbers are rejected: their sums could overflow in the policy
+MAX_QUOTED_NAME = 40  # characters of a message name quoted in an error
+MAX_FAILURE_TEXT = 200  # characters of an exception's text in a failure line
 
-EngineLists = Mapping[int, tuple[policy.EngineEndpoint, ...]]  # lists of engines by their page
+EngineLists = Mapping[int, tuple[policy.EngineEndpoint, ...]]  # engine lists by page number
 
 
 class WireError(Exception):
-    """A line that the wire does not allow."""
+    """A line that violates the wire protocol."""
 
 
 def _number(text: str) -> float:
@@ -87,21 +87,21 @@
 
 
 class Fields:
-    """The name=value pairs of one line, read one by one."""
+    """The name=value pairs of one line."""
 
-    def __init__(self, message: str, parts: list[str]) -> None:
+    def __init__(self, message: str, raw_fields: list[str]) -> None:
         self.message = message
         self.pairs: dict[str, str] = {}
-        for part in parts:
-            name, separator, value = part.partition("=")
+        for raw_field in raw_fields:
+            name, separator, value = raw_field.partition("=")
             if not separator:
-                raise WireError(f"{message}: field {part[:MAX_QUOTED_NAME]!r} has no value")
+                raise WireError(f"{message}: field {raw_field[:MAX_QUOTED_NAME]!r} has no value")
             self.pairs[name] = value
 
-    def get(self, name: str, read: Callable = str, default: object = _MISSING):
-        """Return the field as `read` makes it of its text; an absent one takes the default, if there is one.
+    def get(self, name: str, parse: Callable = str, default: object = _MISSING):
+        """Return the field parsed by `parse`, or the default if the field is absent.
 
-        Raises `WireError` if the field is absent and has no default, or can't be read.
+        Raises `WireError` if the field is absent and there is no default, or if it can't be parsed.
         """
         text = self.pairs.get(name)
         if text is None:
@@ -109,22 +109,22 @@
                 raise WireError(f"{self.message}: field {name} is missing")
             return default
         try:
-            return read(text)
+            return parse(text)
         except (ValueError, KeyError):
             raise WireError(f"{self.message}: field {name} cannot be read") from None
 
 
-def read_settings(conf: Fields) -> policy.Settings:
+def read_settings(fields: Fields) -> policy.Settings:
     """Return the settings of a NEW_INSTANCE line.
 
-    Raises `WireError` for a field that can't be read, and `ValueError` for a value that no decision can use.
+    Raises `WireError` for a field that can't be parsed, and `ValueError` for an invalid setting.
     """
-    get = conf.get
+    get = fields.get
     threads = get("FamilyInfo.WidthByClass", _integers, ())
     locks_tables = get("FamilyInfo.ClassLoad", _bools, ())
     waits_for_locks = get("FamilyInfo.ClassWaits", _bools, ())
     classes = tuple(
-        _read_class(conf, index, threads, locks_tables, waits_for_locks)
+        _read_class(fields, index, threads, locks_tables, waits_for_locks)
         for index in range(get("Grades.count", int))
     )
     tenants = tuple(
@@ -173,14 +173,14 @@
 
 
 def _read_class(
-    conf: Fields,
+    fields: Fields,
     index: int,
     threads: tuple[int, ...],
     locks_tables: tuple[bool, ...],
     waits_for_locks: tuple[bool, ...],
 ) -> policy.QueryClass:
-    """Return one class; `threads` and the flags list those of all classes, as far as they are stated."""
-    get, prefix = conf.get, f"Grades.{index}."
+    """Return one class; `threads` and the flags hold one value per class; defaults apply beyond their end."""
+    get, prefix = fields.get, f"Grades.{index}."
     return policy.QueryClass(
         name=get(prefix + "Name", str, str(index)),
         latency_objective_ms=get(prefix + "AimMs", _number),
@@ -189,7 +189,7 @@
         latency_objective_slowdown=get(prefix + "AimStretch", _number, 0.0),
         late_weight_share=get(prefix + "LateWorth", _number, 0.0),
         idempotency=get(prefix + "Effect", IDEMPOTENCY.__getitem__),
-        # As text: the settings check it, so that an unknown one is refused by the name of the setting.
+        # As text: `Settings` validates it, so that the error names the setting.
         deduplication_scope=get(prefix + "Group", str, policy.DeduplicationScope.ALL),
         deduplication_window_ms=get(prefix + "MemorySpanMs", _number, 0.0),
         is_ordered_by_key=get(prefix + "SerialByKey", _bool, False),
@@ -207,24 +207,24 @@
 
 @dataclass(slots=True, frozen=True)
 class InstanceStart:
-    """What an instance starts with."""
+    """The settings and the random seed of an instance that starts."""
 
     settings: policy.Settings
     seed: int
 
 
 def read_now_ms(fields: Fields) -> float:
-    """Return the simulator's time of a batch, in ms."""
+    """Return the simulated time of a batch, in ms."""
     return fields.get("NowMs", _number)
 
 
 def read_instance(fields: Fields) -> int:
-    """Return the number of the instance that the next lines are about."""
+    """Return the number of the instance that the next lines belong to."""
     return fields.get("Who", int)
 
 
 def read_start(fields: Fields) -> InstanceStart:
-    """Return the settings and the seed of an instance that starts."""
+    """Return the settings and seed of an instance that starts. Raises `WireError`."""
     try:
         return InstanceStart(read_settings(fields), fields.get("Entropy", int))
     except ValueError as error:
@@ -234,18 +234,18 @@
 def read_engine_list(
     fields: Fields, lines: Iterator[tuple[str, list[str]]]
 ) -> tuple[int, tuple[policy.EngineEndpoint, ...]]:
-    """Return a list of engines and its page; the engines stand in the lines after it."""
+    """Return an engine list's page number and engines, which are read from the lines that follow."""
     count = fields.get("MembersList", int)
     endpoints = tuple(_read_endpoint(lines) for _ in range(count))
     return fields.get("Page", int), endpoints
 
 
 def _read_endpoint(lines: Iterator[tuple[str, list[str]]]) -> policy.EngineEndpoint:
-    message, parts = next(lines, (BATCH_END, []))
+    message, raw_fields = next(lines, (BATCH_END, []))
     if message != ENGINE:
         quoted = message[:MAX_QUOTED_NAME]
-        raise WireError(f"{ENGINE_LIST}: field MembersList promises more entries, got {quoted}")
-    get = Fields(message, parts).get
+        raise WireError(f"{ENGINE_LIST}: field MembersList announces more entries, got {quoted}")
+    get = Fields(message, raw_fields).get
     return policy.EngineEndpoint(
         engine=get("Executor"),
         state=get("State", ENGINE_STATES.__getitem__),
@@ -260,10 +260,10 @@
 def read_event(
     message: str, fields: Fields, settings: policy.Settings, engine_lists: EngineLists
 ) -> policy.Event:
-    """Return the event of a line to an instance with these settings."""
-    read = EVENT_READERS.get(message)
-    if read is not None:
-        return read(fields, settings)
+    """Return the event of a line for an instance with these settings. Raises `WireError`."""
+    reader = EVENT_READERS.get(message)
+    if reader is not None:
+        return reader(fields, settings)
     if message == "PEERS_KNOWN":
         return _read_list_update(fields, engine_lists)
     raise WireError(f"{message[:MAX_QUOTED_NAME]}: unknown message")
@@ -317,9 +317,7 @@
     return policy.AttemptProgress(
         query=get("Txn", int),
         attempt=get("Try", int),
-        kind=get(
-            "Sort", int
-        ),  # kinds that `ProgressKind` does not know are allowed, and ignored by the rules
+        kind=get("Sort", int),  # kinds missing in `ProgressKind` are allowed; the rules ignore them
         value=get("Value", _number),
     )
 
@@ -335,7 +333,7 @@
 
 
 def _read_load(fields: Fields, settings: policy.Settings) -> dict[str, float]:
-    """Return the load report of an answer, by the names that the settings give its columns."""
+    """Return the load report of an answer, keyed by the settings' `report_fields`."""
     values = fields.get("Load", _numbers, ())
     return dict(zip(settings.report_fields, values, strict=False))
 
@@ -373,18 +371,18 @@
 
 
 def instance_line(instance: int) -> str:
-    """Return the line before the actions of an instance."""
+    """Return the line that precedes an instance's actions."""
     return f"SPEAKING\tWho={instance}"
 
 
 def failure_line(error: Exception) -> str:
-    """Return the line that says that an instance's decisions have failed, and how."""
+    """Return the line that reports an exception raised by an instance."""
     text = " ".join(f"{type(error).__name__}: {error}".split())
     return f"GIVE_IN\tWords={text[:MAX_FAILURE_TEXT]}"
 
 
 def action_line(action: policy.Action) -> str:
-    """Return the line of an action."""
+    """Return the line for an action. Raises `TypeError` for an unknown action."""
     match action:
         case policy.StartAttempt(query, engine, timeout_ms):
             timeout = f"\tWithinMs={timeout_ms:.3f}" if timeout_ms else ""
@@ -401,7 +399,7 @@
 
 
 def _fleet_action_line(action: policy.Action) -> str:
-    """Return the line of an action that is about no query."""
+    """Return the line for an action that concerns no query."""
     match action:
         case policy.StartTimer(delay_ms, token):
             return f"AFTER\tDelayMs={delay_ms:.3f}\tMark={token}"
