--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A small hand-driven world for the module: lists, arrivals and outcomes, and nothing that decides."""
+"""Shared fixtures of the tests: a driver that feeds a gateway events by hand, and hooks for pytest."""
 
 import pytest
 import search_paths  # noqa: F401 - tests import from each other's folders
@@ -7,7 +7,7 @@
 from fennelwind import policy
 from fennelwind.policy.gateway import Gateway
 
-# Files whose tests start processes or take times: one of them at a time, whatever else runs beside.
+# Files whose tests start processes or measure times: they run one at a time, on one worker.
 PROCESSES = {
     "test_clearance_processes",
     "test_cli",
@@ -34,7 +34,7 @@
 
 
 def pytest_collection_modifyitems(items):
-    """Keep each file on one worker, and all that start processes on the same one."""
+    """Keep each file on one worker, and all files that start processes on the same one."""
     for item in items:
         name = item.path.stem
         item.add_marker(pytest.mark.xdist_group("processes" if name in PROCESSES else name))
@@ -70,13 +70,13 @@
 
 
 class Drive:
-    """Feeds one gateway and keeps count of what is out."""
+    """Feeds events to one gateway and records the engine of each attempt, by query."""
 
     def __init__(self, engines=2, entries=None, **changes):
         self.settings = settings(**changes)
         self.gateway = Gateway(self.settings, 7)
         self.now = 1000.0
-        self.tries = {}
+        self.attempt_engines = {}
         entries = entries or tuple(policy.EngineEndpoint(f"e{i}") for i in range(engines))
         self.step(policy.EngineListUpdate("cached", entries))
 
@@ -85,25 +85,27 @@
         actions = self.gateway.step(self.now, list(events))
         for action in actions:
             if isinstance(action, policy.StartAttempt):
-                self.tries.setdefault(action.query, []).append(action.engine)
+                self.attempt_engines.setdefault(action.query, []).append(action.engine)
         return actions
 
-    def ask(self, query, cls=0, work=100.0, left=None, **more):
-        left = self.settings.classes[cls].client_timeout_ms if left is None else left
-        return self.step(policy.QueryArrived(query, cls, self.now + left, estimated_work_ms=work, **more))
+    def ask(self, query, cls=0, work=100.0, time_left=None, **fields):
+        time_left = self.settings.classes[cls].client_timeout_ms if time_left is None else time_left
+        return self.step(
+            policy.QueryArrived(query, cls, self.now + time_left, estimated_work_ms=work, **fields)
+        )
 
-    def answer(self, query, status="ok", took=100.0, after=0.0, attempt=None, finished=None, **more):
-        attempt = len(self.tries[query]) - 1 if attempt is None else attempt
-        finished = status == "ok" if finished is None else finished
-        engine = self.tries[query][attempt]
+    def answer(self, query, status="ok", took=100.0, after=0.0, attempt=None, is_final=None, **fields):
+        attempt = len(self.attempt_engines[query]) - 1 if attempt is None else attempt
+        is_final = status == "ok" if is_final is None else is_final
+        engine = self.attempt_engines[query][attempt]
         return self.step(
-            policy.AttemptEnded(query, attempt, engine, status, took, finished, **more), after=after
+            policy.AttemptEnded(query, attempt, engine, status, took, is_final, **fields), after=after
         )
 
-    def run(self, ms):
-        """Let time pass in ticks; return all actions."""
+    def advance(self, duration_ms):
+        """Advance the time in ticks of 25 ms; return all actions."""
         actions = []
-        for _ in range(int(ms / 25.0)):
+        for _ in range(int(duration_ms / 25.0)):
             actions += self.step(policy.TimerFired(self.gateway.timer_token), after=25.0)
         return actions
 
--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter as a subprocess, on conversations written for these tests."""
+"""The adapter as a subprocess, with hand-written input."""
 
 import os
 import subprocess
@@ -46,23 +46,23 @@
 ]
 
 
-def batch(now, *lines):
+def batch_lines(now, *lines):
     return [f"BATCH\tNowMs={now}", *lines, "YOUR_TURN"]
 
 
-def start(who, entropy=5, listed=True):
-    lines = [f"ABOUT\tWho={who}", f"NEW_INSTANCE\tEntropy={entropy}\t{CONF}"]
-    return [*lines, *(LIST if listed else []), "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1"]
+def start_lines(instance, seed=5, has_list=True):
+    lines = [f"ABOUT\tWho={instance}", f"NEW_INSTANCE\tEntropy={seed}\t{CONF}"]
+    return [*lines, *(LIST if has_list else []), "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1"]
 
 
-def request(txn, now, service=0, work=50.0):
+def request_line(query, now, class_index=0, work=50.0):
     return (
-        f"REQUEST\tTxn={txn}\tService={service}\tDeadlineMs={now + 2000.0}\tExpectedMs={work}"
+        f"REQUEST\tTxn={query}\tService={class_index}\tDeadlineMs={now + 2000.0}\tExpectedMs={work}"
         f"\tFootprintMb=10\tDataGroup=3\tOptions=1\tStranger=x"
     )
 
 
-def run(arguments, text, env=None):
+def run_python(arguments, text, env=None):
     return subprocess.run(
         [sys.executable, *arguments],
         input=text,
@@ -74,115 +74,121 @@
     )
 
 
-def talk(lines, seed="0"):
-    env = {**os.environ, "PYTHONHASHSEED": seed}
-    return run(["-m", "fennelwind.adapter"], "\n".join(lines) + "\n", env)
+def run_adapter(lines, hash_seed="0"):
+    env = {**os.environ, "PYTHONHASHSEED": hash_seed}
+    return run_python(["-m", "fennelwind.adapter"], "\n".join(lines) + "\n", env)
 
 
-def conversation(whos):
-    lines = batch(0.0)
-    lines += batch(100.0, *(line for who in whos for line in start(who, entropy=who + 1)))
-    for n in range(40):
-        now = 105.0 + 5.0 * n
-        lines += batch(
+def conversation_lines(instances):
+    lines = batch_lines(0.0)
+    lines += batch_lines(
+        100.0, *(line for instance in instances for line in start_lines(instance, seed=instance + 1))
+    )
+    for number in range(40):
+        now = 105.0 + 5.0 * number
+        lines += batch_lines(
             now,
             *(
                 line
-                for who in whos
+                for instance in instances
                 for line in (
-                    f"ABOUT\tWho={who}",
-                    request(1000 * who + n, now, service=n % 2),
-                    f"TIMEOUT_FIRED\tMark={n}",
+                    f"ABOUT\tWho={instance}",
+                    request_line(1000 * instance + number, now, class_index=number % 2),
+                    f"TIMEOUT_FIRED\tMark={number}",
                 )
             ),
         )
     return lines
 
 
-def by_instance(text):
-    said, who = {}, None
+def actions_by_instance(text):
+    actions, instance_line = {}, None
     for line in text.splitlines():
         if line.startswith("SPEAKING"):
-            who = line
+            instance_line = line
         elif line != "ACK":
-            said.setdefault(who, []).append(line)
-    return said
+            actions.setdefault(instance_line, []).append(line)
+    return actions
 
 
-def test_a_request_is_sent_and_its_end_is_taken():
-    lines = batch(8412.25, *start(3), request(77, 8412.25))
-    first = talk(lines)
+def test_rejected_attempt_is_retried_on_another_engine():
+    lines = batch_lines(8412.25, *start_lines(3), request_line(77, 8412.25))
+    first = run_adapter(lines)
     assert first.returncode == 0 and first.stderr == ""
     out = first.stdout.splitlines()
     assert out[0] == "SPEAKING\tWho=3" and out[-1] == "ACK"
-    issue = next(line for line in out if line.startswith("ISSUE\tTxn=77\t"))
-    engine = issue.split("Executor=")[1]
+    start_line = next(line for line in out if line.startswith("ISSUE\tTxn=77\t"))
+    engine = start_line.split("Executor=")[1]
     answer = (
         f"ANSWER\tTxn=77\tTookMs=18.5\tTry=0\tComplete=0\tDisposition=RESOURCE_EXHAUSTED"
         f"\tExecutor={engine}\tLoad=0.5,3"
     )
-    again = talk(lines + batch(8431.0, "ABOUT\tWho=3", answer)).stdout
+    again = run_adapter(lines + batch_lines(8431.0, "ABOUT\tWho=3", answer)).stdout
     other = "10.0.0.2:5001" if engine == "10.0.0.1:5001" else "10.0.0.1:5001"
     assert f"ISSUE\tTxn=77\tExecutor={other}" in again
 
 
-def test_refusal_tells_when_to_come_back():
+def test_rejection_carries_the_retry_after_time():
     expired = "REQUEST\tTxn=5\tService=0\tDeadlineMs=100.0\tOptions=0"
-    assert "SHED\tTxn=5\tWaitMs=400.000" in talk(batch(100.0, *start(0), expired)).stdout
+    assert "SHED\tTxn=5\tWaitMs=400.000" in run_adapter(batch_lines(100.0, *start_lines(0), expired)).stdout
 
 
-def test_same_bytes_under_any_hash_seed():
-    outs = {talk(conversation([0, 1, 2]), seed).stdout for seed in ("0", "1", "4242")}
-    assert len(outs) == 1 and "ISSUE" in outs.pop()
+def test_output_does_not_depend_on_the_hash_seed():
+    outputs = {
+        run_adapter(conversation_lines([0, 1, 2]), hash_seed).stdout for hash_seed in ("0", "1", "4242")
+    }
+    assert len(outputs) == 1 and "ISSUE" in outputs.pop()
 
 
-def test_same_actions_split_over_processes():
-    together = by_instance(talk(conversation([0, 1, 2])).stdout)
+def test_instances_act_alike_in_one_process_and_in_several():
+    together = actions_by_instance(run_adapter(conversation_lines([0, 1, 2])).stdout)
     apart = {}
-    for who in (0, 1, 2):
-        apart.update(by_instance(talk(conversation([who])).stdout))
+    for instance in (0, 1, 2):
+        apart.update(actions_by_instance(run_adapter(conversation_lines([instance])).stdout))
     assert together == apart and len(apart) == 3
 
 
-def test_a_stopped_instance_starts_anew():
-    lines = batch(10.0, *start(1), request(1, 10.0))
-    lines += batch(
+def test_stopped_instance_can_start_again_in_the_same_batch():
+    lines = batch_lines(10.0, *start_lines(1), request_line(1, 10.0))
+    lines += batch_lines(
         20.0,
         "ABOUT\tWho=1",
         "DOWN",
         f"NEW_INSTANCE\tEntropy=9\t{CONF}",
         "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1",
-        request(2, 20.0),
+        request_line(2, 20.0),
     )
-    done = talk(lines)
+    done = run_adapter(lines)
     assert done.returncode == 0
     assert done.stdout.count("ISSUE\tTxn=2\t") == 1
 
 
-def test_list_numbers_are_reused_in_order():
+def test_list_page_can_be_redefined_within_a_batch():
     newer = [
         "LIST\tPage=0\tMembersList=1",
         "EXECUTOR\tExecutor=10.0.0.9:5001\tState=in_service\tSku=0",
         "ABOUT\tWho=0",
         "PEERS_KNOWN\tForm=Complete\tPage=0\tIndex=2",
-        request(4, 10.0),
+        request_line(4, 10.0),
     ]
-    out = talk(batch(10.0, *start(0), *start(1, listed=False), request(3, 10.0), *newer)).stdout
-    said = by_instance(out)
-    assert any("Txn=4\tExecutor=10.0.0.9" in line for line in said["SPEAKING\tWho=0"])
-    assert not any("10.0.0.9" in line for line in said["SPEAKING\tWho=1"])
+    out = run_adapter(
+        batch_lines(10.0, *start_lines(0), *start_lines(1, has_list=False), request_line(3, 10.0), *newer)
+    ).stdout
+    actions = actions_by_instance(out)
+    assert any("Txn=4\tExecutor=10.0.0.9" in line for line in actions["SPEAKING\tWho=0"])
+    assert not any("10.0.0.9" in line for line in actions["SPEAKING\tWho=1"])
 
 
-def test_a_failing_module_becomes_the_wires_fault():
-    broken = "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1"
+def test_failing_instance_is_reported_on_the_wire():
+    event = "PEERS_KNOWN\tForm=Persisted\tPage=0\tIndex=1"
     script = (
-        "import fennelwind.policy.gateway as r\n"
-        "def boom(self, now, events): raise RuntimeError('no\\nluck')\n"
-        "r.Gateway.step = boom\n"
-        "import fennelwind.adapter as a\nraise SystemExit(a.main())"
+        "import fennelwind.policy.gateway as gateway\n"
+        "def fail(self, now, events): raise RuntimeError('no\\nluck')\n"
+        "gateway.Gateway.step = fail\n"
+        "import fennelwind.adapter as adapter\nraise SystemExit(adapter.main())"
     )
-    lines = batch(1.0, *start(0)) + batch(2.0, "ABOUT\tWho=0", broken)
-    done = run(["-c", script], "\n".join(lines) + "\n")
+    lines = batch_lines(1.0, *start_lines(0)) + batch_lines(2.0, "ABOUT\tWho=0", event)
+    done = run_python(["-c", script], "\n".join(lines) + "\n")
     assert done.returncode == 0
     assert done.stdout.splitlines()[:3] == ["SPEAKING\tWho=0", "GIVE_IN\tWords=RuntimeError: no luck", "ACK"]
 
@@ -202,14 +208,14 @@
         ("LIST\tPage=1\tMembersList=2\nEXECUTOR\tExecutor=a:1\tState=in_service", ["LIST", "MembersList"]),
     ],
 )
-def test_malformed_lines_end_the_process_in_one_line(line, names):
-    done = talk(batch(1.0, *start(0)) + batch(2.0, "ABOUT\tWho=0", line))
+def test_malformed_line_ends_the_process_with_one_error_line(line, names):
+    done = run_adapter(batch_lines(1.0, *start_lines(0)) + batch_lines(2.0, "ABOUT\tWho=0", line))
     assert done.returncode != 0
     assert done.stderr.count("\n") == 1 and "Traceback" not in done.stderr
     assert all(name in done.stderr for name in names)
     assert done.stdout.splitlines()[-1] == "ACK"
 
 
-def test_no_input_ends_well():
-    done = run(["-m", "fennelwind.adapter"], "")
+def test_empty_input_ends_with_success():
+    done = run_python(["-m", "fennelwind.adapter"], "")
     assert (done.returncode, done.stdout, done.stderr) == (0, "", "")
--- a/tests/policy/test_admission.py
+++ b/tests/policy/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: answers in time, late dispatch and rejection."""
+"""Admission: rejection in time, and late dispatch."""
 
 import dataclasses
 
@@ -8,25 +8,25 @@
 from fennelwind import policy
 
 
-def full_house(drive, engines=1):
-    """Put queries on every engine until nothing more leaves; return the held one's id."""
-    n = 100
-    while sends(drive.ask(n)):
-        n += 1
-    return n
+def fill_engines(drive, engines=1):
+    """Send queries until one is queued; return its number."""
+    query = 100
+    while sends(drive.ask(query)):
+        query += 1
+    return query
 
 
-@pytest.mark.parametrize("left", [0.0, -5.0, 10.0])
-def test_a_query_with_no_time_left_is_rejected_at_once(left):
+@pytest.mark.parametrize("time_left", [0.0, -5.0, 10.0])
+def test_a_query_with_no_time_left_is_rejected_at_once(time_left):
     drive = Drive()
-    assert of(drive.ask(1, left=left), policy.RejectQuery)
+    assert of(drive.ask(1, time_left=time_left), policy.RejectQuery)
     assert not drive.gateway.queries
 
 
 def test_a_queued_query_is_answered_before_its_deadline():
     drive = Drive(engines=1, entries=(policy.EngineEndpoint("e0", state="draining"),))
     assert not sends(drive.ask(1, cls=1, work=400.0))
-    actions = drive.run(15000.0)
+    actions = drive.advance(15000.0)
     assert [a.query for a in of(actions, policy.RejectQuery)] == [1]
     assert not drive.gateway.queries and not sends(actions)
 
@@ -38,46 +38,46 @@
     assert not sends(drive.step(policy.EngineListUpdate("delta", (policy.EngineEndpoint("e0"),))))
 
 
-def test_queries_are_answered_without_any_engine():
+def test_queries_are_rejected_in_time_without_any_engine():
     drive = Drive(entries=(policy.EngineEndpoint("e0", state="gone"),))
     assert not sends(drive.ask(1))
-    assert len(of(drive.run(4000.0), policy.RejectQuery)) == 1
+    assert len(of(drive.advance(4000.0), policy.RejectQuery)) == 1
 
 
-def test_a_queued_query_unlikely_to_be_in_time_is_rejected_early():
-    """Under overload, work for answers that come late is taken from those that could be in time."""
+def test_queued_query_unlikely_to_meet_its_objective_is_rejected_early():
+    """Under overload, work on late answers uses capacity that queries still in time need."""
     drive = Drive(engines=1)
-    held = full_house(drive)  # its aim is 800 away and it needs 100 at best
-    actions = drive.run(700.0)
-    assert [a.query for a in of(actions, policy.RejectQuery)] == [held]
+    queued = fill_engines(drive)  # its objective is 800 ms away, and it takes at least 100 ms
+    actions = drive.advance(700.0)
+    assert [a.query for a in of(actions, policy.RejectQuery)] == [queued]
 
 
-def past_its_objective(**changes):
-    """Return a drive whose only query ran beyond its objective, and the engine that it ran at."""
+def drive_past_objective(**changes):
+    """Return a driver whose only query has passed its objective while running, and the query's engine."""
     late = dataclasses.replace(LOOKUP, late_weight_share=0.4, client_timeout_ms=6000.0)
     elsewhere = dataclasses.replace(LOOKUP, zones=(9,))
     drive = Drive(engines=2, classes=(dataclasses.replace(late, **changes), elsewhere))
-    first = sends(drive.ask(1, left=6000.0))[0][1]
+    first = sends(drive.ask(1, time_left=6000.0))[0][1]
     drive.step(after=1500.0)
     return drive, first
 
 
-def test_a_query_past_its_objective_is_retried_where_a_late_answer_has_worth():
-    """Found on calm days: one called off as slow was refused, though engines had room and time was left."""
-    drive, first = past_its_objective()
-    again = sends(drive.step(policy.AttemptEnded(1, 0, first, "cancelled", 1500.0, False)))
-    assert len(again) == 1 and again[0][0] == 1 and again[0][1] != first
+def test_query_past_its_objective_is_retried_where_a_late_answer_has_weight():
+    """Guards against rejecting a query cancelled as slow though engines have capacity and time is left."""
+    drive, first = drive_past_objective()
+    retried = sends(drive.step(policy.AttemptEnded(1, 0, first, "cancelled", 1500.0, False)))
+    assert len(retried) == 1 and retried[0][0] == 1 and retried[0][1] != first
 
 
-def test_a_query_past_its_objective_is_rejected_at_once_where_a_late_answer_has_none():
-    drive, first = past_its_objective(late_weight_share=0.0)
+def test_query_past_its_objective_is_rejected_at_once_where_a_late_answer_has_no_weight():
+    drive, first = drive_past_objective(late_weight_share=0.0)
     actions = drive.step(policy.AttemptEnded(1, 0, first, "cancelled", 1500.0, False))
     assert not sends(actions) and of(actions, policy.RejectQuery)
 
 
-def test_a_query_past_its_objective_gives_way_to_whatever_is_queued():
-    drive, first = past_its_objective()
-    drive.ask(2, cls=1)  # held, as no engine is permitted to it
+def test_query_past_its_objective_is_not_retried_while_others_are_queued():
+    drive, first = drive_past_objective()
+    drive.ask(2, cls=1)  # queued, as no engine is permitted for it
     assert drive.gateway.queries[2].is_queued
     actions = drive.step(policy.AttemptEnded(1, 0, first, "cancelled", 1500.0, False))
     assert not sends(actions) and [action.query for action in of(actions, policy.RejectQuery)] == [1]
--- a/tests/policy/test_concurrency.py
+++ b/tests/policy/test_concurrency.py
@@ -6,13 +6,13 @@
 from fennelwind.policy import concurrency
 
 
-def test_limit_is_cut_by_the_worst_class_once_a_period():
+def test_limit_is_cut_by_the_worst_class_once_per_period():
     drive = Drive(engines=1)
     engine = drive.gateway.engines["e0"]
-    start = engine.concurrency_limit
+    initial_limit = engine.concurrency_limit
     engine.objective_ratios = [(2.6, 2.0), (1.0, 2.0)]
     drive.gateway._start_period()
-    assert engine.concurrency_limit == pytest.approx(start / 1.3)
+    assert engine.concurrency_limit == pytest.approx(initial_limit / 1.3)
     for _ in range(10):
         engine.objective_ratios = [(30.0, 10.0), (0.0, 0.0)]
         drive.gateway._start_period()
@@ -32,10 +32,10 @@
         drive.gateway._start_period()
     assert (
         engine.concurrency_limit == concurrency.MAX_THREADS_PER_CORE * 8
-    )  # else it is huge by the time it is needed
+    )  # without a maximum it would be huge when pressure begins
 
 
-def test_limit_binds_under_pressure_only():
+def test_limit_applies_only_under_pressure():
     drive = Drive(engines=1)
     engine = drive.gateway.engines["e0"]
     engine.concurrency_limit = 3.0
--- a/tests/policy/test_estimates.py
+++ b/tests/policy/test_estimates.py
@@ -1,4 +1,4 @@
-"""Means learnt from arrivals and answers."""
+"""Statistics learnt from arrivals and answers."""
 
 from conftest import Drive, sends
 
@@ -11,13 +11,13 @@
     assert drive.gateway.estimates.mean_time_ms[0] == 400.0
 
 
-def test_a_class_without_estimates_is_served_from_its_first_query_on():
+def test_class_without_estimates_is_served_from_its_first_query():
     drive = Drive()
     assert sends(drive.ask(1, work=None)) != []
     assert sends(drive.ask(2, cls=1, work=None)) != []
 
 
-def test_the_work_of_a_class_without_estimates_is_learnt_from_answers():
+def test_work_of_a_class_without_estimates_is_learnt_from_answers():
     drive = Drive(engines=2)
     for n in range(40):
         drive.step(policy.QueryArrived(n, 0, drive.now + 4000.0))
@@ -25,8 +25,8 @@
     assert 10.0 <= drive.gateway.estimates.mean_work_ms[0] < 12.0
     drive.step(policy.QueryArrived(100, 0, drive.now + 4000.0))
     assert drive.gateway.queries[100].service_time_ms < 12.0
-    told = Drive(engines=2)
+    estimated = Drive(engines=2)
     for n in range(40):
-        told.ask(n, work=100.0)
-        told.answer(n, took=10.0)
-    assert told.gateway.estimates.mean_work_ms[0] == 100.0  # an estimate is believed
+        estimated.ask(n, work=100.0)
+        estimated.answer(n, took=10.0)
+    assert estimated.gateway.estimates.mean_work_ms[0] == 100.0  # estimates take precedence over answers
--- a/tests/policy/test_faults.py
+++ b/tests/policy/test_faults.py
@@ -1,4 +1,4 @@
-"""Faults by kind of symptom, and idempotency at its edges; each test says what good behaviour is."""
+"""Behaviour under faults, by symptom, and edge cases of idempotency."""
 
 import dataclasses
 
@@ -14,12 +14,12 @@
 
 
 def test_non_idempotent_query_at_a_removed_engine_is_neither_cancelled_nor_retried():
-    """Only its outcome can tell that it never ran; until then there is nothing to do but wait."""
+    """Only the attempt's outcome can show that it never ran, so the gateway must wait for it."""
     drive = Drive(engines=3, classes=(UNSAFE,))
     drive.ask(1, work=400.0)
-    lost = drive.tries[1][0]
-    drive.step(policy.EngineListUpdate("delta", (policy.EngineEndpoint(lost, state="gone"),)))
-    actions = drive.run(6000.0)
+    removed = drive.attempt_engines[1][0]
+    drive.step(policy.EngineListUpdate("delta", (policy.EngineEndpoint(removed, state="gone"),)))
+    actions = drive.advance(6000.0)
     assert (
         not sends(actions) and not of(actions, policy.RejectQuery) and not of(actions, policy.CancelAttempt)
     )
@@ -35,31 +35,33 @@
     assert not drive.gateway.queries
 
 
-@pytest.mark.parametrize("after,again", [(1990.0, True), (1995.0, False), (2000.0, False), (2005.0, False)])
-def test_keyed_query_is_retried_only_inside_its_deduplication_window(after, again):
-    """A tick of 5 ms may pass before the send counts, so the last one is a tick before the end."""
+@pytest.mark.parametrize(
+    "after,is_retried", [(1990.0, True), (1995.0, False), (2000.0, False), (2005.0, False)]
+)
+def test_keyed_query_is_retried_only_inside_its_deduplication_window(after, is_retried):
+    """The attempt may start up to `resolution_ms` (5 ms) later, so retries end that long before it."""
     cls = dataclasses.replace(KEYED, latency_objective_ms=3500.0)
     drive = Drive(engines=3, classes=(cls,), can_cancel=False, allows_concurrent_attempts=False)
     drive.ask(1)
     actions = drive.answer(1, "error", took=after, after=after)
-    assert bool(sends(actions)) == again
-    assert bool(of(actions, policy.RejectQuery)) != again
+    assert bool(sends(actions)) == is_retried
+    assert bool(of(actions, policy.RejectQuery)) != is_retried
 
 
-@pytest.mark.parametrize("effect", ["safe", "keyed", "unsafe"])
-def test_a_query_given_up_is_answered_in_the_same_step_with_retry_after(effect):
-    cls = dataclasses.replace(LOOKUP, idempotency=effect, deduplication_window_ms=1000.0)
+@pytest.mark.parametrize("idempotency", ["safe", "keyed", "unsafe"])
+def test_query_not_retried_is_answered_in_the_same_step_with_retry_after(idempotency):
+    cls = dataclasses.replace(LOOKUP, idempotency=idempotency, deduplication_window_ms=1000.0)
     drive = Drive(classes=(cls,), max_attempts=1)
-    assert of(drive.ask(1, left=0.0), policy.RejectQuery) == [policy.RejectQuery(1, 500.0)]
+    assert of(drive.ask(1, time_left=0.0), policy.RejectQuery) == [policy.RejectQuery(1, 500.0)]
     drive.ask(2)
     actions = drive.answer(2, "error", took=10.0)
     final = [a for a in actions if isinstance(a, policy.RejectQuery | policy.FailQuery)]
-    assert final == ([policy.FailQuery(2)] if effect == "unsafe" else [policy.RejectQuery(2, 500.0)])
+    assert final == ([policy.FailQuery(2)] if idempotency == "unsafe" else [policy.RejectQuery(2, 500.0)])
     assert not drive.gateway.queries
 
 
-def test_a_fresh_gateway_has_only_the_free_part_of_the_retry_budget():
-    """Each instance counts from its start: what one took before a restart gives its successor nothing."""
+def test_new_gateway_has_only_the_free_part_of_the_retry_budget():
+    """The budget is counted from the start of an instance: queries served before a restart do not count."""
     drive = Drive(
         engines=4,
         retry_budget_free=3.0,
@@ -69,18 +71,22 @@
     )
     for n in range(4):
         drive.ask(n)
-    assert sum(len(sends(drive.answer(n, "error", took=5.0))) for n in range(4)) == 3  # 3 and a fifth of 4
+    assert (
+        sum(len(sends(drive.answer(n, "error", took=5.0))) for n in range(4)) == 3
+    )  # 3 free ones; errors add no share
 
 
-def test_all_engines_slow_together_is_no_engines_fault():
-    """Something that all depend on: none is shut out, and hardly any attempt is called off."""
+def test_engines_that_are_all_slow_are_not_ejected():
+    """A slow shared dependency: no engine may be ejected, and no attempt cancelled."""
     drive = Drive(engines=6)
     cancels = []
     for first in range(0, 60, 6):
         for n in range(first, first + 6):
             drive.ask(n)
-        cancels += of(drive.run(250.0), policy.CancelAttempt)
-        assert len({drive.tries[n][0] for n in range(first, first + 6)}) == 6  # all are used all the time
+        cancels += of(drive.advance(250.0), policy.CancelAttempt)
+        assert (
+            len({drive.attempt_engines[n][0] for n in range(first, first + 6)}) == 6
+        )  # all engines stay in use
         for n in range(first, first + 6):
             drive.answer(n, took=250.0)
     assert not any(e.is_outlier for e in drive.gateway.engines.values())
@@ -88,17 +94,17 @@
     for first in range(100, 220, 6):
         for n in range(first, first + 6):
             drive.ask(n)
-        drive.run(100.0)
+        drive.advance(100.0)
         for n in range(first, first + 6):
             drive.answer(n)
-    drive.run(500.0)
-    assert drive.gateway.outliers.median_slowdown < 1.2  # back to normal within 20 answers of each engine
+    drive.advance(500.0)
+    assert drive.gateway.outliers.median_slowdown < 1.2  # recovered within 20 answers of each engine
 
 
-@pytest.mark.parametrize("gateways", [1, 20])
-def test_a_jump_of_demand_is_bounded_and_over_when_it_ends(gateways):
-    """What comes at once is held up to the part; all get an answer, and the next query leaves at once."""
-    drive = Drive(engines=4, gateway_count=gateways)
+@pytest.mark.parametrize("gateway_count", [1, 20])
+def test_burst_of_queries_is_limited_and_has_no_effect_after_its_end(gateway_count):
+    """Attempts stay within the fair share; every query is answered, and the next one starts at once."""
+    drive = Drive(engines=4, gateway_count=gateway_count)
     for n in range(300):
         drive.ask(n)
     assert (
@@ -106,16 +112,16 @@
         <= sum(e.running_threads for e in drive.gateway.engines.values())
         <= drive.gateway.concurrency.allowed_threads + 1
     )
-    refused = {a.query for a in of(drive.run(900.0), policy.RejectQuery)}
-    held = [q for q in drive.gateway.queries if drive.gateway.queries[q].is_queued]
-    assert not held and len(refused) + len(drive.tries) == 300
-    for n in list(drive.tries):
+    rejected = {a.query for a in of(drive.advance(900.0), policy.RejectQuery)}
+    queued = [q for q in drive.gateway.queries if drive.gateway.queries[q].is_queued]
+    assert not queued and len(rejected) + len(drive.attempt_engines) == 300
+    for n in list(drive.attempt_engines):
         drive.answer(n, took=900.0)
-    drive.run(1000.0)
+    drive.advance(1000.0)
     assert not drive.gateway.queries and sends(drive.ask(1000))
 
 
-def test_engines_removed_in_waves_are_forgotten_and_their_successors_used():
+def test_engines_replaced_in_groups_are_forgotten_and_the_new_ones_used():
     drive = Drive(
         engines=8,
         cold_capacity_share=0.3,
@@ -123,25 +129,25 @@
         overload_multiple=2.0,
         overload_window_ms=3000.0,
     )
-    for wave in range(2):
-        old = [f"e{2 * wave}", f"e{2 * wave + 1}"]
+    for number in range(2):
+        old = [f"e{2 * number}", f"e{2 * number + 1}"]
         drive.step(
             policy.EngineListUpdate("delta", tuple(policy.EngineEndpoint(e, state="draining") for e in old))
         )
-        assert not {e for n in range(20) for _, e in sends(drive.ask(100 * wave + n))} & set(old)
+        assert not {e for n in range(20) for _, e in sends(drive.ask(100 * number + n))} & set(old)
         drive.step(
             policy.EngineListUpdate("delta", tuple(policy.EngineEndpoint(e, state="gone") for e in old))
         )
-    for n in list(drive.tries):
+    for n in list(drive.attempt_engines):
         drive.answer(n)
     new = tuple(policy.EngineEndpoint(f"n{i}", started_ms=drive.now - 10.0) for i in range(4))
     drive.step(policy.EngineListUpdate("delta", new))
-    drive.run(500.0)
+    drive.advance(500.0)
     assert sorted(drive.gateway.engines) == ["e4", "e5", "e6", "e7", "n0", "n1", "n2", "n3"]
     assert {e for n in range(500, 540) for _, e in sends(drive.ask(n))} >= {"n0", "n1", "n2", "n3"}
 
 
-def test_a_query_with_a_far_larger_estimate_than_usual_has_a_low_priority():
+def test_query_with_a_far_larger_estimate_than_the_mean_has_a_low_priority():
     drive = Drive(engines=2, has_priorities=True)
     for n in range(30):
         drive.ask(n)
--- a/tests/policy/test_gateway.py
+++ b/tests/policy/test_gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: lists, odd events and unusable settings."""
+"""The gateway: engine lists, unexpected events and invalid settings."""
 
 import dataclasses
 
@@ -14,17 +14,17 @@
     assert {e for n in range(6) for _, e in sends(drive.ask(n))} == {"e0"}
 
 
-def test_subscribes_where_it_must_ask_and_again_after_a_failure():
+def test_subscribes_once_and_again_after_a_failure():
     drive = Drive(requires_subscription=True)
-    assert not of(drive.run(2000.0), policy.SubscribeToEngines)  # once, at the start
+    assert not of(drive.advance(2000.0), policy.SubscribeToEngines)  # once, at the start
     drive.step(policy.EngineListUpdate("failed"))
-    assert len(of(drive.run(2000.0), policy.SubscribeToEngines)) == 1
+    assert len(of(drive.advance(2000.0), policy.SubscribeToEngines)) == 1
 
 
-def test_odd_events_are_ignored():
+def test_unexpected_events_are_ignored():
     drive = Drive()
     before = dict(drive.gateway.engines)
-    odd = [
+    unexpected = [
         policy.AttemptEnded(9, 0, "e0", "ok", 1.0, True),
         policy.ClientDisconnected(9),
         policy.ResultStarted(9, 0),
@@ -33,11 +33,11 @@
         policy.PeerMessageReceived(5, b"\xff"),
         policy.HealthChecked("zz", "ok", 1.0),
     ]
-    assert not [a for a in drive.step(*odd) if not isinstance(a, policy.StartTimer)]
+    assert not [a for a in drive.step(*unexpected) if not isinstance(a, policy.StartTimer)]
     assert drive.gateway.engines == before
     drive.ask(1)
     drive.answer(1)
-    assert not sends(drive.answer(1)) and not drive.gateway.queries  # told twice
+    assert not sends(drive.answer(1)) and not drive.gateway.queries  # reported twice
 
 
 @pytest.mark.parametrize(
@@ -50,6 +50,6 @@
         ({"classes": (dataclasses.replace(REPORT, latency_objective_ms=0.0),)}, "latency_objective_ms"),
     ],
 )
-def test_unusable_settings_are_named(change, name):
+def test_invalid_setting_is_named_in_the_error(change, name):
     with pytest.raises(ValueError, match=name):
         settings(**change)
--- a/tests/policy/test_large_fleets.py
+++ b/tests/policy/test_large_fleets.py
@@ -42,9 +42,9 @@
     drive = counted(engines)
     drive.ask(1)
     drive.answer(1)
-    drive.run(100.0)
+    drive.advance(100.0)
     before = drive.gateway.looks
-    assert not of(drive.run(2000.0), policy.StartAttempt)
+    assert not of(drive.advance(2000.0), policy.StartAttempt)
     assert not drive.gateway.queries
     assert not of(drive.step(after=1.0), policy.StartTimer)
     assert before <= 6 * engines
@@ -140,14 +140,14 @@
     assert [e.mean_slowdown for e in drive.gateway.engines.values()] == lags
     drive.ask(10)
     assert of(
-        drive.run(1500.0), policy.CancelAttempt
+        drive.advance(1500.0), policy.CancelAttempt
     )  # what is silent while the gateway has its turns is found again
 
 
 def test_a_restarted_engine_is_no_outlier():
     drive = Drive(engines=2)
     drive.ask(1)
-    bad = drive.tries[1][0]
+    bad = drive.attempt_engines[1][0]
     drive.answer(1, "reset", took=5.0)
     drive.gateway.engines[bad].mean_slowdown = 7.0
     assert drive.gateway.engines[bad].is_outlier
@@ -186,10 +186,10 @@
         drive.gateway._learn(
             attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": active})
         )
-    drive.run(300.0)
+    drive.advance(300.0)
     for n in range(1, 10):
         drive.ask(n, cls=1, work=4000.0)
-    assert sum(n in drive.tries for n in range(1, 10)) == sent
+    assert sum(n in drive.attempt_engines for n in range(1, 10)) == sent
     assert (drive.gateway.concurrency.allowed_threads > 4.8) == (active < 10.0)
 
 
@@ -211,7 +211,7 @@
         drive.gateway._learn(
             attempt, policy.AttemptEnded(0, 0, "", "ok", 1000.0, False, load={"active": 30.0})
         )
-    drive.run(300.0)
+    drive.advance(300.0)
     assert drive.gateway.concurrency.allowed_threads < 1.0
     assert not sends(drive.ask(1, cls=1, work=4000.0))
     assert len([n for n in range(2, 9) if sends(drive.ask(n, work=100.0))]) == 4
@@ -252,12 +252,12 @@
         drive.answer(n)
     for n in range(100, 104):
         drive.ask(n, cls=1, work=4000.0)
-    out = [n for n in range(100, 104) if n in drive.tries]
-    cancelled = {a.query for a in drive.run(8000.0) if isinstance(a, policy.CancelAttempt)}
+    out = [n for n in range(100, 104) if n in drive.attempt_engines]
+    cancelled = {a.query for a in drive.advance(8000.0) if isinstance(a, policy.CancelAttempt)}
     assert len(out) == 4 and len(cancelled) <= 1
 
 
 def test_the_first_stuck_attempt_of_a_fresh_gateway_times_out():
     drive = Drive(engines=4)
     drive.ask(1, cls=1, work=4000.0)
-    assert [a.query for a in drive.run(8000.0) if isinstance(a, policy.CancelAttempt)] == [1]
+    assert [a.query for a in drive.advance(8000.0) if isinstance(a, policy.CancelAttempt)] == [1]
--- a/tests/policy/test_outliers.py
+++ b/tests/policy/test_outliers.py
@@ -12,10 +12,10 @@
         drive.ask(n)
     silent = "e0"
     for n in range(6):
-        if drive.tries[n][0] != silent:
+        if drive.attempt_engines[n][0] != silent:
             drive.answer(n, took=100.0, after=10.0)
-    stuck = [n for n in range(6) if drive.tries[n][0] == silent]
-    cancels = of(drive.run(600.0), policy.CancelAttempt)
+    stuck = [n for n in range(6) if drive.attempt_engines[n][0] == silent]
+    cancels = of(drive.advance(600.0), policy.CancelAttempt)
     assert drive.gateway.engines[silent].current_slowdown > 1.5  # two ages count against it at once
     assert sorted(a.query for a in cancels) == stuck
     assert all(e != silent for n in stuck for _, e in sends(drive.answer(n, "cancelled", took=600.0)))
@@ -24,11 +24,11 @@
 def test_failing_engine_is_ejected_and_comes_back_within_a_stated_time():
     drive = Drive(engines=2)
     drive.ask(1)
-    bad = drive.tries[1][0]
+    bad = drive.attempt_engines[1][0]
     drive.answer(1, "reset", took=5.0)
-    drive.run(25.0)
+    drive.advance(25.0)
     assert all(e != bad for n in range(2, 8) for _, e in sends(drive.ask(n)))
-    drive.run(2 * outliers.EJECTION_MS)
+    drive.advance(2 * outliers.EJECTION_MS)
     assert bad in {e for n in range(8, 14) for _, e in sends(drive.ask(n))}
 
 
@@ -38,7 +38,7 @@
     lost = 0
     for n in range(60):
         drive.ask(n)
-        drive.run(25.0)
+        drive.advance(25.0)
         if n % 3:
             drive.answer(n, took=60.0)
         else:
@@ -51,13 +51,13 @@
 def test_an_engine_with_errors_in_a_row_is_ejected():
     drive = Drive()
     drive.ask(0)
-    bad = drive.tries[0][0]
+    bad = drive.attempt_engines[0][0]
     drive.answer(0, "error", took=1.0, attempt=0)
     for query in range(1, 12):
-        if drive.tries.get(query - 1, [bad])[-1] == bad and query > 1:
+        if drive.attempt_engines.get(query - 1, [bad])[-1] == bad and query > 1:
             drive.answer(query - 1, "error", took=1.0)
         drive.ask(query)
-    assert [drive.tries[q][0] for q in range(8, 12)].count(bad) == 0
+    assert [drive.attempt_engines[q][0] for q in range(8, 12)].count(bad) == 0
 
 
 def test_a_query_that_errs_everywhere_ejects_no_engine():
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -35,13 +35,13 @@
 def test_never_two_attempts_at_once_where_not_allowed():
     drive = Drive(engines=3, allows_concurrent_attempts=False, can_cancel=False)
     drive.ask(1)
-    assert not sends(drive.run(3900.0))
+    assert not sends(drive.advance(3900.0))
 
 
 def test_request_is_hedged_where_an_attempt_cannot_be_cancelled():
     drive = Drive(engines=3, can_cancel=False)
     drive.ask(1)
-    assert len(sends(drive.run(700.0))) == 1
+    assert len(sends(drive.advance(700.0))) == 1
 
 
 def test_retry_budget_over_a_sliding_window():
@@ -95,8 +95,10 @@
 def test_attempts_at_a_removed_engine_are_cancelled():
     drive = Drive(engines=2)
     drive.ask(1)
-    drive.step(policy.EngineListUpdate("delta", (policy.EngineEndpoint(drive.tries[1][0], state="gone"),)))
-    assert [a.query for a in of(drive.run(25.0), policy.CancelAttempt)] == [1]
+    drive.step(
+        policy.EngineListUpdate("delta", (policy.EngineEndpoint(drive.attempt_engines[1][0], state="gone"),))
+    )
+    assert [a.query for a in of(drive.advance(25.0), policy.CancelAttempt)] == [1]
 
 
 def test_timeouts_are_rationed_by_work():
@@ -104,7 +106,7 @@
     for n in range(6):
         drive.ask(n)
     drive.gateway.retries.restart_credit_ms = 200.0  # ms of work; each of them has 100
-    assert len(of(drive.run(3000.0), policy.CancelAttempt)) == 2
+    assert len(of(drive.advance(3000.0), policy.CancelAttempt)) == 2
 
 
 def test_keyed_query_is_not_retried_after_its_deduplication_window():
@@ -120,10 +122,10 @@
     drive = Drive(engines=2, progress_interval_ms=1000.0)
     drive.ask(1, cls=1, work=4000.0)
     for second in range(1, 5):
-        assert not of(drive.run(1000.0), policy.CancelAttempt)
+        assert not of(drive.advance(1000.0), policy.CancelAttempt)
         drive.step(policy.AttemptProgress(1, 0, 1, second / 4.5))
     assert of(
-        drive.run(6000.0), policy.CancelAttempt
+        drive.advance(6000.0), policy.CancelAttempt
     )  # the notes end, so the engine may hang: its age decides again
 
 
@@ -132,7 +134,7 @@
     drive.ask(1, cls=1, work=4000.0)
     cancels = []
     for second in range(1, 7):
-        cancels += of(drive.run(1000.0), policy.CancelAttempt)
+        cancels += of(drive.advance(1000.0), policy.CancelAttempt)
         drive.step(policy.AttemptProgress(1, 0, 1, second / 100.0))
     assert [a.query for a in cancels] == [1]
 
@@ -151,7 +153,7 @@
     drive = Drive(engines=2, progress_interval_ms=1000.0)
     drive.ask(1, cls=1, work=4000.0)
     drive.step(note)
-    assert of(drive.run(9000.0), policy.CancelAttempt)
+    assert of(drive.advance(9000.0), policy.CancelAttempt)
 
 
 def test_sums_over_a_window_keep_nothing_longer():
--- a/tests/policy/test_selection.py
+++ b/tests/policy/test_selection.py
@@ -22,6 +22,8 @@
     drive.ask(1)
     drive.answer(1, "connect_failed", took=1.0)
     drive.answer(1, "connect_failed", took=1.0)
-    assert len(drive.tries[1]) == 2 and len(set(drive.tries[1])) == 2  # each engine once, then it waits
-    later = drive.run(3000)
+    assert (
+        len(drive.attempt_engines[1]) == 2 and len(set(drive.attempt_engines[1])) == 2
+    )  # each engine once, then it waits
+    later = drive.advance(3000)
     assert [q for q, _ in sends(later)][:1] == [1] or drive.gateway.queries == {}
--- a/tests/policy/test_slow_start.py
+++ b/tests/policy/test_slow_start.py
@@ -76,4 +76,4 @@
         drive.ask(query, cls=1, work=50.0)
         drive.answer(query, took=20.0)
     drive.ask(99, cls=1, work=1.5 * budget)  # far above the class's mean
-    assert 99 not in drive.tries
+    assert 99 not in drive.attempt_engines
