--- a/tests/policy/test_estimates.py
+++ b/tests/policy/test_estimates.py
@@ -19,14 +19,14 @@
 
 def test_work_of_a_class_without_estimates_is_learnt_from_answers():
     drive = Drive(engines=2)
-    for n in range(40):
-        drive.step(policy.QueryArrived(n, 0, drive.now + 4000.0))
-        drive.answer(n, took=10.0)
+    for query in range(40):
+        drive.step(policy.QueryArrived(query, 0, drive.now + 4000.0))
+        drive.answer(query, took=10.0)
     assert 10.0 <= drive.gateway.estimates.mean_work_ms[0] < 12.0
     drive.step(policy.QueryArrived(100, 0, drive.now + 4000.0))
     assert drive.gateway.queries[100].service_time_ms < 12.0
     estimated = Drive(engines=2)
-    for n in range(40):
-        estimated.ask(n, work=100.0)
-        estimated.answer(n, took=10.0)
+    for query in range(40):
+        estimated.ask(query, work=100.0)
+        estimated.answer(query, took=10.0)
     assert estimated.gateway.estimates.mean_work_ms[0] == 100.0  # estimates take precedence over answers
--- a/tests/policy/test_faults.py
+++ b/tests/policy/test_faults.py
@@ -69,10 +69,10 @@
         retry_budget_window_ms=5000.0,
         max_attempts=9,
     )
-    for n in range(4):
-        drive.ask(n)
+    for query in range(4):
+        drive.ask(query)
     assert (
-        sum(len(sends(drive.answer(n, "error", took=5.0))) for n in range(4)) == 3
+        sum(len(sends(drive.answer(query, "error", took=5.0))) for query in range(4)) == 3
     )  # 3 free ones; errors add no share
 
 
@@ -81,22 +81,22 @@
     drive = Drive(engines=6)
     cancels = []
     for first in range(0, 60, 6):
-        for n in range(first, first + 6):
-            drive.ask(n)
+        for query in range(first, first + 6):
+            drive.ask(query)
         cancels += of(drive.advance(250.0), policy.CancelAttempt)
         assert (
-            len({drive.attempt_engines[n][0] for n in range(first, first + 6)}) == 6
+            len({drive.attempt_engines[query][0] for query in range(first, first + 6)}) == 6
         )  # all engines stay in use
-        for n in range(first, first + 6):
-            drive.answer(n, took=250.0)
+        for query in range(first, first + 6):
+            drive.answer(query, took=250.0)
     assert not any(e.is_outlier for e in drive.gateway.engines.values())
     assert not cancels and drive.gateway.outliers.median_slowdown > 1.5
     for first in range(100, 220, 6):
-        for n in range(first, first + 6):
-            drive.ask(n)
+        for query in range(first, first + 6):
+            drive.ask(query)
         drive.advance(100.0)
-        for n in range(first, first + 6):
-            drive.answer(n)
+        for query in range(first, first + 6):
+            drive.answer(query)
     drive.advance(500.0)
     assert drive.gateway.outliers.median_slowdown < 1.2  # recovered within 20 answers of each engine
 
@@ -105,8 +105,8 @@
 def test_burst_of_queries_is_limited_and_has_no_effect_after_its_end(gateway_count):
     """Attempts stay within the fair share; every query is answered, and the next one starts at once."""
     drive = Drive(engines=4, gateway_count=gateway_count)
-    for n in range(300):
-        drive.ask(n)
+    for query in range(300):
+        drive.ask(query)
     assert (
         1
         <= sum(e.running_threads for e in drive.gateway.engines.values())
@@ -115,8 +115,8 @@
     rejected = {a.query for a in of(drive.advance(900.0), policy.RejectQuery)}
     queued = [q for q in drive.gateway.queries if drive.gateway.queries[q].is_queued]
     assert not queued and len(rejected) + len(drive.attempt_engines) == 300
-    for n in list(drive.attempt_engines):
-        drive.answer(n, took=900.0)
+    for query in list(drive.attempt_engines):
+        drive.answer(query, took=900.0)
     drive.advance(1000.0)
     assert not drive.gateway.queries and sends(drive.ask(1000))
 
@@ -134,24 +134,24 @@
         drive.step(
             policy.EngineListUpdate("delta", tuple(policy.EngineEndpoint(e, state="draining") for e in old))
         )
-        assert not {e for n in range(20) for _, e in sends(drive.ask(100 * number + n))} & set(old)
+        assert not {e for query in range(20) for _, e in sends(drive.ask(100 * number + query))} & set(old)
         drive.step(
             policy.EngineListUpdate("delta", tuple(policy.EngineEndpoint(e, state="gone") for e in old))
         )
-    for n in list(drive.attempt_engines):
-        drive.answer(n)
+    for query in list(drive.attempt_engines):
+        drive.answer(query)
     new = tuple(policy.EngineEndpoint(f"n{i}", started_ms=drive.now - 10.0) for i in range(4))
     drive.step(policy.EngineListUpdate("delta", new))
     drive.advance(500.0)
     assert sorted(drive.gateway.engines) == ["e4", "e5", "e6", "e7", "n0", "n1", "n2", "n3"]
-    assert {e for n in range(500, 540) for _, e in sends(drive.ask(n))} >= {"n0", "n1", "n2", "n3"}
+    assert {e for query in range(500, 540) for _, e in sends(drive.ask(query))} >= {"n0", "n1", "n2", "n3"}
 
 
 def test_query_with_a_far_larger_estimate_than_the_mean_has_a_low_priority():
     drive = Drive(engines=2, has_priorities=True)
-    for n in range(30):
-        drive.ask(n)
-        drive.answer(n)
+    for query in range(30):
+        drive.ask(query)
+        drive.answer(query)
     drive.ask(50, cls=1, work=4000.0)
     assert drive.gateway.queries[50].grant[1] == 1
     assert [t.priority for t in of(drive.ask(51, work=50.0), policy.SetGrant)] == [3]
--- a/tests/policy/test_properties.py
+++ b/tests/policy/test_properties.py
@@ -1,4 +1,4 @@
-"""The rules together, over generated sequences of events, by a checker that knows only their wording."""
+"""All rules together, over generated event sequences, with an independent checker of each action."""
 
 from collections import defaultdict
 
@@ -10,7 +10,7 @@
 from fennelwind.policy.gateway import Gateway
 
 NEVER_RAN = ("full", "connect_failed", "moot")
-DOUBT = ("timeout", "reset", "cancelled")
+UNRESOLVED = ("timeout", "reset", "cancelled")
 STATUSES = ("ok", "error", "full", "timeout", "connect_failed", "reset", "cancelled")
 CLASSES = (
     policy.QueryClass("safe", 500.0, 2000.0, 1.0),
@@ -57,7 +57,7 @@
         ),
     }
 )
-SITE = st.fixed_dictionaries(
+SETTINGS = st.fixed_dictionaries(
     {
         "allows_concurrent_attempts": st.booleans(),
         "can_cancel": st.booleans(),
@@ -71,10 +71,10 @@
 
 
 class Checker:
-    """Plays the world's side for one gateway and checks every action by the rules."""
+    """Simulates clients, engines and the clock for one gateway, and checks every action by the rules."""
 
-    def __init__(self, site):
-        self.site = policy.Settings(
+    def __init__(self, changes):
+        self.settings = policy.Settings(
             classes=CLASSES,
             kind_cores=(4, 8),
             retry_budget_free=1.0,
@@ -85,153 +85,165 @@
             slow_start_ms=3000.0,
             overload_window_ms=500.0,
             resolution_ms=5.0,
-            **site,
+            **changes,
         )
-        self.gateway = Gateway(self.site, 3)
-        self.now, self.count, self.token, self.timer = 0.0, 0, 0, None
-        self.asked, self.final, self.tries, self.out = {}, {}, defaultdict(list), {}
-        self.keys, self.rest, self.taken, self.further = defaultdict(list), {}, [], []
-        self.sent = defaultdict(list)
-        self.entries = {
+        self.gateway = Gateway(self.settings, 3)
+        self.now, self.query_count, self.timer_token, self.timer_at_ms = 0.0, 0, 0, None
+        # By query: the request, the time of its final answer, and its attempts as [engine, start, status].
+        # Start times of running attempts, by query and number.
+        self.asked, self.final, self.attempts, self.out = {}, {}, defaultdict(list), {}
+        # Queries and hold times of each key; the times of arrivals and of retries.
+        self.queries_by_key, self.held_until_ms, self.arrivals, self.retries = defaultdict(list), {}, [], []
+        self.sent_work = defaultdict(list)  # by engine: (time, work)
+        self.endpoints = {
             f"e{i}": policy.EngineEndpoint(f"e{i}", zone=i % 2, kind=i // 3, cell=i) for i in range(5)
         }
-        self.step([policy.EngineListUpdate("cached", tuple(self.entries.values()))])
+        self.step([policy.EngineListUpdate("cached", tuple(self.endpoints.values()))])
 
     def step(self, events):
-        if self.timer is not None and self.timer <= self.now:
-            events = [*events, policy.TimerFired(self.token)]
-            self.timer = None
+        if self.timer_at_ms is not None and self.timer_at_ms <= self.now:
+            events = [*events, policy.TimerFired(self.timer_token)]
+            self.timer_at_ms = None
         for action in self.gateway.step(self.now, events):
-            self.check(action)
-        for query, told in self.asked.items():
-            assert query in self.final or self.now <= told.deadline_ms + self.site.answer_slack_ms, "lost"
+            self.check_action(action)
+        for query, request in self.asked.items():
+            assert query in self.final or self.now <= request.deadline_ms + self.settings.answer_slack_ms, (
+                "not answered in time"
+            )
 
-    def check(self, action):
+    def check_action(self, action):
         match action:
             case policy.StartTimer(delay, token):
                 assert delay > 0
-                self.timer, self.token = self.now + delay, token
+                self.timer_at_ms, self.timer_token = self.now + delay, token
             case policy.CancelAttempt(query, attempt):
-                assert self.site.can_cancel and attempt < len(self.tries[query])
+                assert self.settings.can_cancel and attempt < len(self.attempts[query])
             case policy.RejectQuery(query):
-                told = self.finish(query)
-                cls = CLASSES[told.class_index]
-                clean = all(s in NEVER_RAN for _, _, s in self.tries[query])
+                request = self.record_answer(query)
+                cls = CLASSES[request.class_index]
+                never_ran = all(s in NEVER_RAN for _, _, s in self.attempts[query])
                 assert (
-                    clean
+                    never_ran
                     or cls.idempotency == "safe"
                     or cls.idempotency == "keyed"
                     and cls.deduplication_scope == "all"
                 )
             case policy.FailQuery(query):
-                self.finish(query)
+                self.record_answer(query)
             case policy.StartAttempt(query, engine):
-                self.check_send(query, engine)
+                self.check_start(query, engine)
 
-    def finish(self, query):
+    def record_answer(self, query):
         assert query not in self.final, "two final answers"
         self.final[query] = self.now
         return self.asked[query]
 
-    def check_send(self, query, engine):
-        told, entry, tries = self.asked[query], self.entries[engine], self.tries[query]
-        cls = CLASSES[told.class_index]
+    def check_start(self, query, engine):
+        request, endpoint, attempts = self.asked[query], self.endpoints[engine], self.attempts[query]
+        cls = CLASSES[request.class_index]
         assert query not in self.final
-        assert entry.state == "ready", "drain"
-        assert cls.zones is None or entry.zone in cls.zones
-        assert cls.kinds is None or entry.kind in cls.kinds
-        assert len(tries) < self.site.max_attempts
-        pending = [n for n in range(len(tries)) if (query, n) in self.out]
-        assert not pending or self.site.allows_concurrent_attempts
-        maybe = [(e, t) for n, (e, t, s) in enumerate(tries) if s not in NEVER_RAN]
-        if maybe and cls.idempotency == "unsafe":
-            raise AssertionError("effect twice")
-        if maybe and cls.idempotency == "keyed":
-            first, when = maybe[0]
-            assert self.now <= when + cls.deduplication_window_ms
-            assert entry.zone == self.entries[first].zone
-            assert cls.deduplication_scope != "cell" or entry.cell == self.entries[first].cell
+        assert endpoint.state == "ready", "engine is not ready"
+        assert cls.zones is None or endpoint.zone in cls.zones
+        assert cls.kinds is None or endpoint.kind in cls.kinds
+        assert len(attempts) < self.settings.max_attempts
+        running = [n for n in range(len(attempts)) if (query, n) in self.out]
+        assert not running or self.settings.allows_concurrent_attempts
+        maybe_run = [(e, t) for n, (e, t, s) in enumerate(attempts) if s not in NEVER_RAN]
+        if maybe_run and cls.idempotency == "unsafe":
+            raise AssertionError("non-idempotent query may run twice")
+        if maybe_run and cls.idempotency == "keyed":
+            first, started = maybe_run[0]
+            assert self.now <= started + cls.deduplication_window_ms
+            assert endpoint.zone == self.endpoints[first].zone
+            assert cls.deduplication_scope != "cell" or endpoint.cell == self.endpoints[first].cell
         if cls.is_ordered_by_key:
-            for earlier in self.keys[told.key]:
+            for earlier in self.queries_by_key[request.key]:
                 if earlier == query:
                     break
-                assert earlier in self.final and not any(q == earlier for q, _ in self.out), "order"
-            assert tries or self.rest.get(told.key, 0.0) <= self.now, "rest after doubt"
-        if tries:
-            self.further.append(self.now)
-            if self.site.retry_budget_window_ms:
-                since = self.now - self.site.retry_budget_window_ms
-                took = sum(t > since for t in self.taken)
-                assert sum(t > since for t in self.further) <= 1.0 + 0.2 * took + 1e-9, "budget"
+                assert earlier in self.final and not any(q == earlier for q, _ in self.out), "out of order"
+            assert attempts or self.held_until_ms.get(request.key, 0.0) <= self.now, "key is held"
+        if attempts:
+            self.retries.append(self.now)
+            if self.settings.retry_budget_window_ms:
+                since = self.now - self.settings.retry_budget_window_ms
+                arrived = sum(t > since for t in self.arrivals)
+                assert sum(t > since for t in self.retries) <= 1.0 + 0.2 * arrived + 1e-9, (
+                    "retry budget exceeded"
+                )
         if (
-            self.site.overload_multiple
-            and entry.started_ms
-            and self.now - entry.started_ms < self.site.slow_start_ms
+            self.settings.overload_multiple
+            and endpoint.started_ms
+            and self.now - endpoint.started_ms < self.settings.slow_start_ms
         ):
-            work = self.gateway.estimates.mean_work_ms[told.class_index]
+            work = self.gateway.estimates.mean_work_ms[request.class_index]
             recent = (
-                sum(w for t, w in self.sent[engine] if t > self.now - self.site.overload_window_ms) + work
+                sum(w for t, w in self.sent_work[engine] if t > self.now - self.settings.overload_window_ms)
+                + work
             )
-            share = 0.3 + 0.7 * (self.now - entry.started_ms) / self.site.slow_start_ms
-            cores = self.site.kind_cores[entry.kind]
+            share = 0.3 + 0.7 * (self.now - endpoint.started_ms) / self.settings.slow_start_ms
+            cores = self.settings.kind_cores[endpoint.kind]
             assert (
-                recent <= 2.0 * share * cores * self.site.overload_window_ms / self.site.gateway_count + 1e-6
-            ), "cold"
-        self.sent[engine].append((self.now, self.gateway.estimates.mean_work_ms[told.class_index]))
-        self.out[query, len(tries)] = self.now
-        tries.append([engine, self.now, None])
+                recent
+                <= 2.0 * share * cores * self.settings.overload_window_ms / self.settings.gateway_count + 1e-6
+            ), "slow-start budget exceeded"
+        self.sent_work[engine].append((self.now, self.gateway.estimates.mean_work_ms[request.class_index]))
+        self.out[query, len(attempts)] = self.now
+        attempts.append([engine, self.now, None])
 
     def outcome(self, query, attempt, status):
-        sent = self.out.pop((query, attempt))
-        record = self.tries[query][attempt]
+        started = self.out.pop((query, attempt))
+        record = self.attempts[query][attempt]
         record[2] = status
-        told = self.asked[query]
+        request = self.asked[query]
         if status == "ok" and query not in self.final:
             self.final[query] = self.now
-        if status in DOUBT and CLASSES[told.class_index].is_ordered_by_key:
-            self.rest[told.key] = self.now + self.site.unresolved_hold_ms
-        return policy.AttemptEnded(query, attempt, record[0], status, self.now - sent, query in self.final)
+        if status in UNRESOLVED and CLASSES[request.class_index].is_ordered_by_key:
+            self.held_until_ms[request.key] = self.now + self.settings.unresolved_hold_ms
+        return policy.AttemptEnded(query, attempt, record[0], status, self.now - started, query in self.final)
 
     def play(self, step):
         target = self.now + step["after"]
-        while self.timer is not None and self.timer < target:
-            self.now = self.timer
-            self.step(self.overdue())
+        while self.timer_at_ms is not None and self.timer_at_ms < target:
+            self.now = self.timer_at_ms
+            self.step(self.timed_out())
         self.now = target
-        events = self.overdue()
-        waiting = [q for q in self.asked if q not in self.final]
-        if step["gone"] and waiting:
-            self.final[waiting[0]] = self.now
-            events.append(policy.ClientDisconnected(waiting[0]))
-        for pick, status in step["answers"]:
+        events = self.timed_out()
+        unanswered = [q for q in self.asked if q not in self.final]
+        if step["gone"] and unanswered:
+            self.final[unanswered[0]] = self.now
+            events.append(policy.ClientDisconnected(unanswered[0]))
+        for choice, status in step["answers"]:
             if self.out:
-                events.append(self.outcome(*sorted(self.out)[pick % len(self.out)], status))
+                events.append(self.outcome(*sorted(self.out)[choice % len(self.out)], status))
         if step["listed"] is not None:
-            i, state, restarted = step["listed"]
-            old = self.entries[f"e{i}"]
-            launched = self.now if restarted and state == "ready" else old.started_ms
-            self.entries[f"e{i}"] = policy.EngineEndpoint(
-                f"e{i}", state, old.zone, old.kind, old.cell, started_ms=launched
+            index, state, has_restarted = step["listed"]
+            known = self.endpoints[f"e{index}"]
+            started_ms = self.now if has_restarted and state == "ready" else known.started_ms
+            self.endpoints[f"e{index}"] = policy.EngineEndpoint(
+                f"e{index}", state, known.zone, known.kind, known.cell, started_ms=started_ms
+            )
+            events.append(policy.EngineListUpdate("delta", (self.endpoints[f"e{index}"],)))
+        for cls, time_left, key, work in step["asks"]:
+            self.query_count += 1
+            request = policy.QueryArrived(
+                self.query_count, cls, self.now + time_left, key=key, estimated_work_ms=work
             )
-            events.append(policy.EngineListUpdate("delta", (self.entries[f"e{i}"],)))
-        for cls, left, key, work in step["asks"]:
-            self.count += 1
-            told = policy.QueryArrived(self.count, cls, self.now + left, key=key, estimated_work_ms=work)
-            self.asked[self.count] = told
-            self.taken.append(self.now)
+            self.asked[self.query_count] = request
+            self.arrivals.append(self.now)
             if CLASSES[cls].is_ordered_by_key:
-                self.keys[key].append(self.count)
-            events.append(told)
+                self.queries_by_key[key].append(self.query_count)
+            events.append(request)
         self.step(events)
 
-    def overdue(self):
-        """Attempts end at the client's deadline at the latest."""
-        late = [(q, n) for q, n in sorted(self.out) if self.asked[q].deadline_ms <= self.now]
-        return [self.outcome(q, n, "timeout") for q, n in late]
+    def timed_out(self):
+        """Return the ends of attempts whose client deadline has passed."""
+        expired = [(q, n) for q, n in sorted(self.out) if self.asked[q].deadline_ms <= self.now]
+        return [self.outcome(q, n, "timeout") for q, n in expired]
 
 
+# Hypothesis derives the examples from the code of this function: changing even a name in it draws others.
 @hypothesis_settings(max_examples=250, deadline=None, derandomize=True, database=None)
-@given(SITE, st.lists(STEP, min_size=5, max_size=40))
+@given(SETTINGS, st.lists(STEP, min_size=5, max_size=40))
 def test_all_seven_rules_hold_together(site, steps):
     checker = Checker(site)
     for step in steps:
@@ -239,4 +251,4 @@
     for _ in range(30):
         checker.play({"after": 130.0, "asks": [], "answers": [], "gone": False, "listed": None})
     assert all(q in checker.final for q in checker.asked)
-    assert not checker.gateway.queries or checker.out  # nothing is kept for what is over
+    assert not checker.gateway.queries or checker.out  # ended queries are forgotten
--- a/tests/policy/test_retries.py
+++ b/tests/policy/test_retries.py
@@ -14,7 +14,7 @@
 
 
 @pytest.mark.parametrize(
-    "status,again",
+    "status,is_retried",
     [
         ("connect_failed", True),
         ("full", True),
@@ -24,15 +24,15 @@
         ("cancelled", False),
     ],
 )
-def test_non_idempotent_query_is_retried_only_when_proven_not_to_have_run(status, again):
+def test_non_idempotent_query_is_retried_only_when_proven_not_to_have_run(status, is_retried):
     drive = Drive(classes=(UNSAFE,))
     drive.ask(1)
     actions = drive.answer(1, status)
-    assert bool(sends(actions)) == again
-    assert bool(of(actions, policy.FailQuery)) != again and not of(actions, policy.RejectQuery)
+    assert bool(sends(actions)) == is_retried
+    assert bool(of(actions, policy.FailQuery)) != is_retried and not of(actions, policy.RejectQuery)
 
 
-def test_never_two_attempts_at_once_where_not_allowed():
+def test_no_concurrent_attempts_where_not_allowed():
     drive = Drive(engines=3, allows_concurrent_attempts=False, can_cancel=False)
     drive.ask(1)
     assert not sends(drive.advance(3900.0))
@@ -44,39 +44,39 @@
     assert len(sends(drive.advance(700.0))) == 1
 
 
-def test_retry_budget_over_a_sliding_window():
+def test_retry_budget_is_counted_over_a_sliding_window():
     drive = Drive(engines=4, retry_budget_free=2.0, retry_budget_share=0.1, retry_budget_window_ms=10000.0)
-    for n in range(10):
-        drive.ask(n)
-        drive.answer(n, took=10.0)
-    for n in range(10, 20):
-        drive.ask(n)
-    further = 0
-    for n in range(10, 20):
-        further += len(sends(drive.answer(n, "error", took=10.0)))
-    assert further == 3  # 2 and a tenth of the ten that were served
+    for query in range(10):
+        drive.ask(query)
+        drive.answer(query, took=10.0)
+    for query in range(10, 20):
+        drive.ask(query)
+    retried = 0
+    for query in range(10, 20):
+        retried += len(sends(drive.answer(query, "error", took=10.0)))
+    assert retried == 3  # 2 free ones, and a tenth of the ten served queries
     assert not sends(drive.step(after=100.0))
 
 
-def test_queries_that_are_withdrawn_or_err_add_nothing_to_the_retry_budget():
+def test_disconnected_or_failed_queries_add_nothing_to_the_retry_budget():
     drive = Drive(engines=4, retry_budget_free=2.0, retry_budget_share=0.1, retry_budget_window_ms=10000.0)
-    for n in range(50):  # a bad client's
-        drive.ask(n)
-        drive.step(policy.ClientDisconnected(n))
-    for n in range(50, 60):
-        drive.ask(n)
-    assert sum(len(sends(drive.answer(n, "error", took=10.0))) for n in range(50, 60)) == 2
+    for query in range(50):  # from a faulty client
+        drive.ask(query)
+        drive.step(policy.ClientDisconnected(query))
+    for query in range(50, 60):
+        drive.ask(query)
+    assert sum(len(sends(drive.answer(query, "error", took=10.0))) for query in range(50, 60)) == 2
 
 
-def test_queries_taken_before_the_window_add_nothing_to_the_retry_budget():
+def test_queries_that_arrived_before_the_window_add_nothing_to_the_retry_budget():
     drive = Drive(engines=4, retry_budget_free=1.0, retry_budget_share=0.5, retry_budget_window_ms=1000.0)
-    for n in range(8):
-        drive.ask(n)
+    for query in range(8):
+        drive.ask(query)
     drive.step(after=900.0)
     drive.ask(8)
     drive.answer(8, took=10.0)
-    for n in range(8):
-        drive.answer(n, took=1000.0, after=25.0)  # served in the window, and taken before it
+    for query in range(8):
+        drive.answer(query, took=1000.0, after=25.0)  # served in the window, but arrived before it
     drive.ask(9)
     drive.ask(10)
     assert len(sends(drive.answer(9, "error", took=1.0)) + sends(drive.answer(10, "error", took=1.0))) == 1
@@ -101,24 +101,24 @@
     assert [a.query for a in of(drive.advance(25.0), policy.CancelAttempt)] == [1]
 
 
-def test_timeouts_are_rationed_by_work():
+def test_restarts_are_limited_by_work():
     drive = Drive(engines=1)
-    for n in range(6):
-        drive.ask(n)
-    drive.gateway.retries.restart_credit_ms = 200.0  # ms of work; each of them has 100
+    for query in range(6):
+        drive.ask(query)
+    drive.gateway.retries.restart_credit_ms = 200.0  # ms of work; each query has 100
     assert len(of(drive.advance(3000.0), policy.CancelAttempt)) == 2
 
 
 def test_keyed_query_is_not_retried_after_its_deduplication_window():
-    brief = dataclasses.replace(KEYED, deduplication_window_ms=100.0)
-    drive = Drive(entries=(policy.EngineEndpoint("e0"), policy.EngineEndpoint("e1")), classes=(brief,))
+    short_window = dataclasses.replace(KEYED, deduplication_window_ms=100.0)
+    drive = Drive(entries=(policy.EngineEndpoint("e0"), policy.EngineEndpoint("e1")), classes=(short_window,))
     drive.ask(1, work=10.0)
-    actions = drive.answer(1, "error", took=150.0, after=150.0)  # well before aim and deadline
+    actions = drive.answer(1, "error", took=150.0, after=150.0)  # well before objective and deadline
     assert not sends(actions) and of(actions, policy.FailQuery)
 
 
 def test_an_attempt_that_reports_progress_does_not_time_out():
-    """Notes of progress tell a busy engine from a hung one; to start anew would waste all that was done."""
+    """Progress reports distinguish a busy engine from a hung one; a restart would waste the work done."""
     drive = Drive(engines=2, progress_interval_ms=1000.0)
     drive.ask(1, cls=1, work=4000.0)
     for second in range(1, 5):
@@ -126,7 +126,7 @@
         drive.step(policy.AttemptProgress(1, 0, 1, second / 4.5))
     assert of(
         drive.advance(6000.0), policy.CancelAttempt
-    )  # the notes end, so the engine may hang: its age decides again
+    )  # the reports stop, so the engine may hang: the attempt's age decides again
 
 
 def test_an_attempt_with_hardly_any_progress_times_out():
@@ -149,14 +149,14 @@
         policy.AttemptProgress(1, 0, 9, 0.5),
     ],
 )
-def test_odd_progress_reports_are_harmless(note):
+def test_unusual_progress_reports_do_not_prevent_the_timeout(note):
     drive = Drive(engines=2, progress_interval_ms=1000.0)
     drive.ask(1, cls=1, work=4000.0)
     drive.step(note)
     assert of(drive.advance(9000.0), policy.CancelAttempt)
 
 
-def test_sums_over_a_window_keep_nothing_longer():
+def test_sliding_windows_drop_old_entries():
     drive = Drive(
         retry_budget_window_ms=2000.0,
         retry_budget_free=2.0,
@@ -164,7 +164,7 @@
         overload_multiple=2.0,
         overload_window_ms=1000.0,
     )
-    for query in range(300):  # nothing ever asks for a further attempt, and no engine is cold
+    for query in range(300):  # no query is retried, and no engine is cold
         drive.ask(query, work=10.0)
         drive.answer(query, took=10.0, after=50.0)
     gateway = drive.gateway
--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -1,4 +1,4 @@
-"""Limits that the readers of the decisions rely on, over all modules of the package."""
+"""Source conventions of the policy package: module sizes, named constants and their reasons."""
 
 import ast
 import re
@@ -11,8 +11,8 @@
 PACKAGE = ROOT / "fennelwind" / "policy"
 MODULES = sorted(PACKAGE.glob("*.py"))
 MAX_MODULE_LINES = 300
-# Modules that hold no tuned value (what a deployment states, records, the wire), with the plain numbers that
-# they may name.
+# Modules without tuning constants (settings, records, the wire), with the numeric constants that they may
+# define.
 UNTUNED = {
     "policy/settings.py": set(),
     "policy/events.py": set(),
@@ -33,7 +33,7 @@
 
 
 def constants(path):
-    """Return the names and nodes of all assignments at the top of a module."""
+    """Yield the names and the node of each assignment at the top level of a module."""
     tree = ast.parse(path.read_text(encoding="utf-8"))
     for node in tree.body:
         if isinstance(node, ast.Assign | ast.AnnAssign):
@@ -43,17 +43,17 @@
 
 
 def is_alias(value):
-    """Tell whether a value is a member of an enum of the interface, or a tuple of such members."""
+    """Return whether a value is a member of a public enum of the package, or a tuple of such members."""
     members = value.elts if isinstance(value, ast.Tuple) else [value]
     return all(re.fullmatch(r"policy\.\w+\.[A-Z_]+", ast.unparse(member)) for member in members)
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_each_module_is_short_enough_to_read_at_once(path):
+def test_size_of_each_module_is_limited(path):
     assert len(path.read_text(encoding="utf-8").splitlines()) <= MAX_MODULE_LINES
 
 
-def test_decisions_are_as_short_as_one_module_was():
+def test_total_size_of_decision_modules_is_limited():
     lines = [
         line
         for path in MODULES
@@ -64,20 +64,20 @@
     assert 100 < len(lines) <= 1200
 
 
-def test_lines_hold_110_characters():
+def test_lines_have_at_most_110_characters():
     for path in MODULES:
         for line in path.read_text(encoding="utf-8").splitlines():
             assert len(line) <= 110, f"{path.name}: {line[:40]}"
 
 
-def test_gateway_names_its_interface_at_the_top():
+def test_gateway_docstring_names_its_interface():
     assert "`fennelwind.policy`" in "".join(
         (PACKAGE / "gateway.py").read_text(encoding="utf-8").splitlines()[:3]
     )
 
 
 @pytest.mark.parametrize("name", UNTUNED)
-def test_tuned_values_stand_beside_their_rules_only(name):
+def test_tuning_constants_are_defined_only_beside_their_rules(name):
     numbers = {
         constant
         for names, node in constants(ROOT / "fennelwind" / name)
@@ -91,7 +91,7 @@
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
 def test_every_constant_has_a_reason(path):
-    """On its line, or on the line above; names for members of the interface's enums need none."""
+    """A comment on its line or on the line above; aliases of public enum members need none."""
     lines = path.read_text(encoding="utf-8").splitlines()
     for names, node in constants(path):
         if names == ["__all__"] or names in (["Event"], ["Action"]) or is_alias(node.value):
@@ -103,8 +103,8 @@
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
-def test_each_number_of_a_rule_has_a_name(path):
-    """In a rule stand only 0, 1 and 2 and the fractions of nothing and all; the rest is a named constant."""
+def test_numbers_in_functions_are_named_constants(path):
+    """Functions use only the literals 0, 0.5, 1 and 2; other numbers are named constants."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.FunctionDef):
             for part in ast.walk(node):
@@ -112,8 +112,8 @@
                     assert part.value in (0, 1, 2, 0.5), f"{path.name}:{part.lineno}"
 
 
-def test_the_deploy_file_names_every_rule():
-    """The bench reads the decisions from the files listed there; a folder counts for nothing."""
+def test_deploy_file_lists_every_decision_module():
+    """The bench reads the decision modules from the files listed there; a listed folder is ignored."""
     listed = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))["policy"]
     interface = {"__init__", "settings", "events", "actions", "model"}
     rules = {f"fennelwind/policy/{path.name}" for path in MODULES if path.stem not in interface}
