--- a/fennelwind/raft/__init__.py
+++ b/fennelwind/raft/__init__.py
@@ -1,1 +1,1 @@
-"""The agreed record: members, votes, log, snapshots; free of I/O."""
+"""The Raft core: elections, replication, membership changes, snapshots and replicated state. No I/O."""
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -13,11 +13,11 @@
 
 @dataclass(slots=True)
 class Campaign:
-    """One member's campaign: a pre-vote for the next term, which writes nothing, or the election in it."""
+    """A candidate's campaign: a pre-vote, which writes nothing, or the election itself."""
 
     is_pre_vote: bool
-    term: int  # the term of the election, or of the one that the pre-vote is for
-    vote_write_number: int = 0  # the write with its own vote, which counts when that is done
+    term: int  # the term of the election, also in a pre-vote for it
+    vote_write_number: int = 0  # its own vote counts once this write is durable
     granted: set[Incarnation] = field(default_factory=set)
 
     def is_won(self, voters: Sequence[Incarnation]) -> bool:
@@ -31,14 +31,14 @@
 
 
 def start_pre_vote(member: "RaftMember") -> None:
-    """Ask whether a majority would vote for this member: only then a term is worth it."""
+    """Ask whether a majority would vote for this member, before starting a term for it."""
     member.leader = None
     member.campaign = Campaign(True, member.term + 1, granted={member.me})
     _request_votes(member, member.term + 1, pb.Vote(before=True))
 
 
 def start_election(member: "RaftMember", handed_over: bool = False) -> None:
-    """Begin a term and request votes; this member's own vote counts once it is on the disk."""
+    """Begin a term and request votes; this member's own vote counts once it is durable."""
     member.become_follower(member.term + 1, None)
     member.voted_for = member.me
     member.save_hard_state()
@@ -49,41 +49,45 @@
 
 def _request_votes(member: "RaftMember", term: int, vote: pb.Vote) -> None:
     vote.last_index, vote.last_term = member.log.last_index, member.log.last_term
-    for life in member.log.configuration.voters:
-        if life != member.me:
-            member.send(life, pb.Message(term=term, vote=vote))
+    for voter in member.log.configuration.voters:
+        if voter != member.me:
+            member.send(voter, pb.Message(term=term, vote=vote))
 
 
 def handle_vote_request(member: "RaftMember", sender: Incarnation, term: int, vote: pb.Vote) -> None:
-    """Answer a vote request. A member that hears a live leader rejects it, unless that leader handed over.
+    """Answer a vote request; reject it while a leader is alive, unless that leader transferred leadership.
 
-    A candidate outside this log's configuration may be in a later one, and is answered. A member whose
+    A candidate outside this log's configuration may be in a later one, so it gets an answer. A member whose
     storage has failed, or that has no log yet, does not answer.
     """
     if member.storage_failed or member.is_empty:
         member.counters["vote not given"] += 1
         return
-    known = sender in member.log.configuration.incarnations
-    heard = member.has_live_leader() and not (vote.handed_over and known and not vote.before)
-    fit = is_log_up_to_date(vote, member.log.last_term, member.log.last_index)
+    is_known = sender in member.log.configuration.incarnations
+    has_leader = member.has_live_leader() and not (vote.handed_over and is_known and not vote.before)
+    is_up_to_date = is_log_up_to_date(vote, member.log.last_term, member.log.last_index)
     if vote.before:
-        granted = fit and not heard and term > member.term
+        granted = is_up_to_date and not has_leader and term > member.term
         answer = pb.VoteAnswer(before=True, granted=granted)
         member.send(sender, pb.Message(term=term if granted else member.term, vote_answer=answer))
         if (
             member.leader_state is not None
-            and not known
+            and not is_known
             and member.log.configuration.index <= member.commit_index
         ):
-            word = pb.JoinAnswer(word=pb.JoinAnswer.REFUSED, leader=member.me.name, life=member.me.id)
-            member.send(sender, pb.Message(term=member.term, join_answer=word))  # it may not know yet
+            notice = pb.JoinAnswer(word=pb.JoinAnswer.REFUSED, leader=member.me.name, life=member.me.id)
+            member.send(
+                sender, pb.Message(term=member.term, join_answer=notice)
+            )  # it may not know of its removal
         return
-    if heard:
+    if has_leader:
         member.counters["vote not given"] += 1
         return
     if term > member.term:
         member.become_follower(term, None)
-    granted = term == member.term and fit and member.voted_for in (None, sender) and member.leader is None
+    granted = (
+        term == member.term and is_up_to_date and member.voted_for in (None, sender) and member.leader is None
+    )
     if granted:
         if member.voted_for is None:
             member.voted_for = sender
@@ -93,7 +97,7 @@
 
 
 def handle_vote_response(member: "RaftMember", sender: Incarnation, term: int, answer: pb.VoteAnswer) -> None:
-    """Count an answer, if it is one to what is asked now."""
+    """Count a response that belongs to the current campaign."""
     campaign = member.campaign
     if campaign is None or sender not in member.log.configuration.voters:
         member.counters["late"] += 1
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -1,7 +1,7 @@
-"""What a member does while it leads: entries out, answers in, commits, reads, members, handing over.
+"""The leader's state for one term: replication, commits, reads, membership changes, leadership transfer.
 
-No I/O. It lives from the election to the term's end; what waits at that end is answered UNKNOWN where it may
-be done all the same.
+No I/O. A `Leader` exists from its election to the end of its leadership. Proposals still pending then are
+answered UNKNOWN, since they may be committed all the same.
 """
 
 from collections import deque
@@ -9,38 +9,38 @@
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import ChangeMembership, Incarnation, ProposalOutcome, Propose
-from fennelwind.raft.progress import PIECES, PROBE, STREAM, Progress
+from fennelwind.raft.progress import PROBE, SNAPSHOT, STREAM, Progress
 from fennelwind.raft.read_index import ReadIndexQueue
 from fennelwind.raft.replicated_state import MAX_COMMAND_BYTES
 
 if TYPE_CHECKING:
     from fennelwind.raft.member import RaftMember
 
-PROMOTION_LAG_ENTRIES = 64  # entries that a joiner may lack when it gets its vote: a step or two of traffic
-MAX_VOTERS = 7  # more only make each commit wait for more disks
-MAX_MEMBERS = 9  # with those who catch up
-SLOW_ROUND_DIVISOR = 4.0  # of an election time-out: a round that takes longer counts as slow
-MAX_TRACKED_ROUNDS = (
-    64  # rounds whose start is remembered; an answer to an older one does not adapt the message size
-)
-REMOVAL_NOTICE_TIMEOUTS = 10  # election time-outs for which a removed member is told so
+# Entries that a learner may lag when it becomes a voter: one or two steps of traffic.
+PROMOTION_LAG_ENTRIES = 64
+MAX_VOTERS = 7  # more voters only make each commit wait for more disks
+MAX_MEMBERS = 9  # including learners
+SLOW_ROUND_DIVISOR = 4.0  # a round slower than the election timeout divided by this counts as slow
+# Rounds whose start is known; a response to an older round doesn't adapt the message size.
+MAX_TRACKED_ROUNDS = 64
+REMOVAL_NOTICE_TIMEOUTS = 10  # election timeouts for which a removed member is still sent its removal
 
 
 class Leader:
-    """The leader's part of the member."""
+    """The leader role of a `RaftMember`."""
 
     def __init__(self, member: "RaftMember", now: float) -> None:
         self.member, self.term = member, member.term
         self.started_ms = now
         self.clock_base_ms = member.last_entry_clock_ms()
-        self.last_entry_ms = now  # when an entry was last stamped
+        self.last_entry_ms = now  # when the last entry was appended
         self.peers: dict[Incarnation, Progress] = {}
-        self.pending_proposals: deque[tuple[int, int]] = deque()  # entry's index, token of its proposal
+        self.pending_proposals: deque[tuple[int, int]] = deque()  # entry's index, proposal's token
         self.pending_reads = ReadIndexQueue(member.timing.max_pending_reads)
         self.round = 0
-        self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # when each began
+        self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # round, start
         self.next_heartbeat_ms = now
-        self.transfer_deadline_ms: float | None = None  # ms: until then nothing is proposed
+        self.transfer_deadline_ms: float | None = None  # proposals are rejected until then
         self.transfer_target: Incarnation | None = None
         self._append(pb.Entry(nothing=True), now)
         self.sync_peers(now)
@@ -48,10 +48,7 @@
     # Entries
 
     def clock_ms(self, now: float) -> int:
-        """Return the log's clock.
-
-        Its value at the start of this term and what this member has measured since.
-        """
+        """Return the replicated clock: its value at the start of this term plus the time since then."""
         return max(self.clock_base_ms + int(now - self.started_ms), self.member.last_entry_clock_ms())
 
     def _append(self, entry: pb.Entry, now: float) -> int:
@@ -64,9 +61,8 @@
     def propose(self, event: Propose, now: float) -> None:
         """Append a command to the log, or reject it."""
         timing, member = self.member.timing, self.member
-        if (
-            event.command.ByteSize() > MAX_COMMAND_BYTES + 1024
-        ):  # its machine's name and numbers beside the body
+        # 1024 bytes are for the fields beside the body: the state machine's name and numbers.
+        if event.command.ByteSize() > MAX_COMMAND_BYTES + 1024:
             member.actions.append(ProposalOutcome(event.token, pb.Result.TOO_LARGE))
         elif self.transfer_deadline_ms is not None or not member.accepts_commands():
             member.actions.append(
@@ -87,9 +83,9 @@
             self.pending_proposals.append((self._append(pb.Entry(command=event.command), now), event.token))
 
     def can_change_membership(self) -> bool:
-        """Whether the members may change.
+        """Whether a membership change may begin.
 
-        One at a time, and only once an entry of the own term is committed.
+        Changes are made one at a time, and only once an entry of this term is committed.
         """
         member = self.member
         return (
@@ -106,11 +102,11 @@
         if not self.can_change_membership():
             refusal = pb.Result.TOO_MANY
         elif event.add is not None:
-            life = Incarnation(event.add.name, event.add.life)
-            if life in known:
+            incarnation = Incarnation(event.add.name, event.add.life)
+            if incarnation in known:
                 member.actions.append(ProposalOutcome(event.token, index=configuration.index))
                 return
-            if not life.id or len(known) >= MAX_MEMBERS or self.is_name_alive(life.name, now):
+            if not incarnation.id or len(known) >= MAX_MEMBERS or self.is_name_alive(incarnation.name, now):
                 refusal = pb.Result.NOT_MEMBER
         elif event.remove not in known or configuration.voters == (event.remove,):
             refusal = pb.Result.NOT_MEMBER
@@ -121,20 +117,20 @@
         elif event.add is not None:
             self.pending_proposals.append((self.add_learner(event.add, now), event.token))
         else:
-            kept = [m for life, m in known.items() if life != event.remove]
+            kept = [m for incarnation, m in known.items() if incarnation != event.remove]
             self.pending_proposals.append((self._append_members(kept, now), event.token))
 
     def is_name_alive(self, name: str, now: float) -> bool:
-        """Whether a member of this name was heard of late: then nobody else comes under it."""
+        """Whether a member of this name responded recently: then no other incarnation may take its place."""
         return name == self.member.me.name or any(
-            life.name == name
+            incarnation.name == name
             and now - peer.last_response_ms < self.member.timing.election_timeout_ms
             and peer.acknowledged_round
-            for life, peer in self.peers.items()
+            for incarnation, peer in self.peers.items()
         )
 
     def add_learner(self, joiner: pb.Member, now: float) -> int:
-        """Add a member without a vote, in place of an earlier life of its name; return the entry's index."""
+        """Add a learner, replacing an earlier incarnation of its name; return the entry's index."""
         kept = [m for m in self.member.log.configuration.members.members if m.name != joiner.name]
         added = pb.Member(name=joiner.name, life=joiner.life, address=joiner.address)
         return self._append_members([*kept, added], now)
@@ -146,45 +142,47 @@
         return index
 
     def handle_join(self, sender: Incarnation, joiner: pb.Member, now: float) -> "pb.JoinAnswer.Word":
-        """Answer a member that asks to join."""
-        member, words = self.member, pb.JoinAnswer
+        """Answer a join request; add the member as a learner if that is possible now."""
+        member, answers = self.member, pb.JoinAnswer
         if sender in member.log.configuration.incarnations:
-            return words.LEARNING
+            return answers.LEARNING
         if sender.name not in {
             *member.configured_members,
-            *(life.name for life in member.log.configuration.incarnations),
+            *(incarnation.name for incarnation in member.log.configuration.incarnations),
         }:
-            return words.REFUSED
+            return answers.REFUSED
         if self.is_name_alive(sender.name, now) or len(member.log.configuration.incarnations) >= MAX_MEMBERS:
-            return words.REFUSED
+            return answers.REFUSED
         if not self.can_change_membership():
-            return words.WAIT
+            return answers.WAIT
         self.add_learner(joiner, now)
-        return words.LEARNING
+        return answers.LEARNING
 
     def sync_peers(self, now: float) -> None:
-        """Track the configuration's members; a removed one is still sent entries for a while, to learn it."""
+        """Track the configuration's members; a removed one stays for a while, to learn of its removal."""
         log = self.member.log
-        present = [life for life in log.configuration.incarnations if life != self.member.me]
-        for life in present:
-            if life not in self.peers:
-                self.peers[life] = Progress(log.last_index + 1, now)
-            self.peers[life].removal_index = 0
-        for life, peer in self.peers.items():
-            if life not in present and not peer.removal_index:
+        present = [
+            incarnation for incarnation in log.configuration.incarnations if incarnation != self.member.me
+        ]
+        for incarnation in present:
+            if incarnation not in self.peers:
+                self.peers[incarnation] = Progress(log.last_index + 1, now)
+            self.peers[incarnation].removal_index = 0
+        for incarnation, peer in self.peers.items():
+            if incarnation not in present and not peer.removal_index:
                 peer.removal_index = log.configuration.index
                 peer.removal_notice_until_ms = (
                     now + REMOVAL_NOTICE_TIMEOUTS * self.member.timing.election_timeout_ms
                 )
 
-    # Answers
+    # Responses
 
     def voters(self) -> tuple[Incarnation, ...]:
-        """Return those whose disks and words count."""
+        """Return the members that count towards a majority."""
         return self.member.log.configuration.voters
 
     def handle_append_response(self, sender: Incarnation, answer: pb.AppendAnswer, now: float) -> None:
-        """Take a member's word on entries."""
+        """Process a response to an append request."""
         peer = self.peers[sender]
         self._record_response(peer, answer.round, now)
         peer.cannot_write = answer.cannot_write
@@ -192,7 +190,7 @@
             self.member.counters["beyond the log"] += 1
             return
         if answer.cannot_write:
-            if peer.mode != PIECES:
+            if peer.mode != SNAPSHOT:
                 peer.mode, peer.is_awaiting_response = PROBE, False
                 peer.next_index = max(peer.match_index, min(answer.index, self.member.log.last_index)) + 1
                 peer.in_flight.clear()
@@ -201,25 +199,26 @@
         else:
             peer.backtrack(answer.index)
 
-    def _record_response(self, peer: Progress, number: int, now: float) -> None:
-        """Note an answer. The round-trip time sets the message size: answers to rounds wait for no disk."""
-        number = min(number, self.round)
-        if number > peer.acknowledged_round:
-            peer.acknowledged_round = number
-            began = next((at for one, at in self.round_starts if one == number), None)
-            if began is not None:
+    def _record_response(self, peer: Progress, round_number: int, now: float) -> None:
+        """Record a response; its round-trip time, which includes no disk write, adapts the message size."""
+        round_number = min(round_number, self.round)
+        if round_number > peer.acknowledged_round:
+            peer.acknowledged_round = round_number
+            started_ms = next((at for number, at in self.round_starts if number == round_number), None)
+            if started_ms is not None:
                 timing = self.member.timing
                 peer.adapt_message_size(
-                    now - began > timing.election_timeout_ms / SLOW_ROUND_DIVISOR, timing.max_append_bytes
+                    now - started_ms > timing.election_timeout_ms / SLOW_ROUND_DIVISOR,
+                    timing.max_append_bytes,
                 )
         peer.last_response_ms = now
 
     def handle_chunk_response(self, sender: Incarnation, answer: pb.PieceAnswer, now: float) -> None:
-        """Take a member's word on a snapshot's pieces."""
+        """Process a response to a snapshot chunk."""
         peer = self.peers[sender]
         self._record_response(peer, answer.round, now)
         if (
-            peer.mode == PIECES
+            peer.mode == SNAPSHOT
             and peer.snapshot_head is not None
             and answer.index == peer.snapshot_head.index
         ):
@@ -228,68 +227,80 @@
                 False,
             )
 
-    # What follows from it
+    # Timers and commits
 
     def tick(self, now: float) -> bool:
-        """Do what is due; tell whether it still leads."""
+        """Act on expired timers; return whether this member still leads."""
         timing = self.member.timing
         if now >= self.next_heartbeat_ms:
             self.next_heartbeat_ms, self.transfer_target = now + timing.heartbeat_ms, None
             if not self.has_quorum(now):
                 return False
-            for peer in self.peers.values():  # a lost one is sent again
+            for peer in self.peers.values():  # a lost probe or chunk is sent again
                 peer.is_awaiting_response &= now < peer.sent_ms + timing.election_timeout_ms
             self.start_round()
-            for life in [
-                life
-                for life, p in self.peers.items()
-                if p.removal_index
+            for incarnation in [
+                incarnation
+                for incarnation, peer in self.peers.items()
+                if peer.removal_index
                 and (
-                    now >= p.removal_notice_until_ms
-                    or (p.match_index >= p.removal_index and p.sent_commit_index >= p.removal_index)
+                    now >= peer.removal_notice_until_ms
+                    or (
+                        peer.match_index >= peer.removal_index
+                        and peer.sent_commit_index >= peer.removal_index
+                    )
                 )
             ]:
-                del self.peers[life]
+                del self.peers[incarnation]
         if self.transfer_deadline_ms is not None and now >= self.transfer_deadline_ms:
             self.transfer_deadline_ms = self.transfer_target = None
-        if (time_at := self.clock_entry_due_ms()) is not None and now >= time_at:
+        if (clock_due_ms := self.clock_entry_due_ms()) is not None and now >= clock_due_ms:
             self._append(pb.Entry(nothing=True), now)
         return True
 
     def clock_entry_due_ms(self) -> float | None:
-        """Return when time alone is to be written: something lapses and nobody proposes."""
-        due, timing = self.member.next_expiry_clock_ms, self.member.timing
-        if due is None:
+        """Return when to append an entry only for its clock: something expires and nobody proposes."""
+        expiry_ms, timing = self.member.next_expiry_clock_ms, self.member.timing
+        if expiry_ms is None:
             return None
-        at = self.last_entry_ms + timing.clock_entry_interval_ms
-        reaches = self.started_ms + (due - self.clock_base_ms)  # when the clock will say so
-        if self.member.last_entry_clock_ms() < due and self.member.log.last_index == self.member.commit_index:
-            at = min(at, reaches)
-        return at
+        due_ms = self.last_entry_ms + timing.clock_entry_interval_ms
+        reached_ms = self.started_ms + (expiry_ms - self.clock_base_ms)  # when the clock reaches the expiry
+        if (
+            self.member.last_entry_clock_ms() < expiry_ms
+            and self.member.log.last_index == self.member.commit_index
+        ):
+            due_ms = min(due_ms, reached_ms)
+        return due_ms
 
     def next_deadline_ms(self) -> float:
-        """Return when `tick` is wanted next."""
+        """Return when `tick` has to be called next."""
         times = (self.next_heartbeat_ms, self.transfer_deadline_ms, self.clock_entry_due_ms())
         return min(at for at in times if at is not None)
 
     def has_quorum(self, now: float) -> bool:
-        """Whether a majority's word came within an election time-out."""
+        """Whether a majority responded within the election timeout."""
         voters = self.voters()
         since = now - self.member.timing.election_timeout_ms
-        heard = sum(life == self.member.me or self.peers[life].last_response_ms > since for life in voters)
-        return 2 * heard > len(voters)
+        responsive = sum(
+            incarnation == self.member.me or self.peers[incarnation].last_response_ms > since
+            for incarnation in voters
+        )
+        return 2 * responsive > len(voters)
 
     def _quorum_value(self, own: int, others: dict[Incarnation, int]) -> int:
-        """Return what more than half of the voters have reached."""
+        """Return the highest value that more than half of the voters have reached."""
         voters = self.voters()
-        reached = sorted(own if life == self.member.me else others[life] for life in voters)
+        reached = sorted(
+            own if incarnation == self.member.me else others[incarnation] for incarnation in voters
+        )
         return reached[(len(reached) - 1) // 2] if reached else 0
 
     def quorum_commit_index(self) -> int:
         """Return the commit index: the highest index on a majority's disks, if its entry is of this term."""
         member = self.member
         index = self._quorum_value(
-            member.pending_writes.durable_index, {life: p.match_index for life, p in self.peers.items()}
+            member.pending_writes.durable_index,
+            {incarnation: peer.match_index for incarnation, peer in self.peers.items()},
         )
         return (
             index
@@ -301,11 +312,11 @@
         """Begin a heartbeat round, which confirms leadership once a majority has answered it."""
         self.round += 1
         self.round_starts.append((self.round, self.member.now_ms))
-        for life, peer in self.peers.items():
-            self._send_entries(life, peer, True)
+        for incarnation, peer in self.peers.items():
+            self._send_entries(incarnation, peer, True)
 
     def finish_step(self, now: float) -> bool:
-        """Send what there is to send, answer what can be answered; tell whether it still leads."""
+        """Commit, answer, replicate and serve reads; return whether this member still leads."""
         member = self.member
         commit = self.quorum_commit_index()
         if commit > member.commit_index:
@@ -318,7 +329,7 @@
                 member.me not in member.log.configuration.incarnations
                 and member.log.configuration.index <= commit
             ):
-                self.start_round()  # the others learn that it is agreed
+                self.start_round()  # the others learn that its removal is committed
                 self._send_timeout_now(now)
                 return False
         configuration = member.log.configuration
@@ -329,15 +340,15 @@
             self._promote_learner(now)
         if len(self.pending_reads):
             self._serve_reads()
-        for life, peer in self.peers.items():
-            self._send_entries(life, peer, False)
+        for incarnation, peer in self.peers.items():
+            self._send_entries(incarnation, peer, False)
         if self.transfer_deadline_ms is not None:
             self._send_timeout_now(now)
         return True
 
     def _promote_learner(self, now: float) -> None:
         members = list(self.member.log.configuration.members.members)
-        for place, candidate in enumerate(members):
+        for position, candidate in enumerate(members):
             peer = self.peers.get(Incarnation(candidate.name, candidate.life))
             if candidate.votes or peer is None or peer.cannot_write or peer.mode != STREAM:
                 continue
@@ -345,7 +356,7 @@
                 peer.match_index + PROMOTION_LAG_ENTRIES >= self.member.log.last_index
                 and now - peer.last_response_ms < self.member.timing.election_timeout_ms
             ):
-                members[place] = pb.Member(
+                members[position] = pb.Member(
                     name=candidate.name, life=candidate.life, address=candidate.address, votes=True
                 )
                 self._append_members(members, now)
@@ -363,58 +374,58 @@
         if member.log.term(member.commit_index) != self.term:
             return  # what earlier leaders committed isn't known yet
         confirmed = self._quorum_value(
-            self.round, {life: p.acknowledged_round for life, p in self.peers.items()}
+            self.round, {incarnation: peer.acknowledged_round for incarnation, peer in self.peers.items()}
         )
         reads.assign_index(member.commit_index, self.round + 1)
         if reads.needs_round(self.round) and confirmed >= self.round:
             self.start_round()
             confirmed = self._quorum_value(
-                self.round, {life: p.acknowledged_round for life, p in self.peers.items()}
+                self.round, {incarnation: peer.acknowledged_round for incarnation, peer in self.peers.items()}
             )
         member.actions += reads.pop_confirmed(confirmed)
 
-    # Messages
+    # Replication
 
-    def _send_entries(self, life: Incarnation, peer: Progress, beat: bool) -> None:
-        """Send a member what it lacks, within the bounds; with `beat` (a heartbeat) a message in any case."""
+    def _send_entries(self, incarnation: Incarnation, peer: Progress, is_heartbeat: bool) -> None:
+        """Send a peer the entries it lacks, within the flow limits; a heartbeat sends at least a message."""
         member, timing = self.member, self.member.timing
         while True:
-            if peer.mode != PIECES and member.log.term(peer.next_index - 1) is None:
+            if peer.mode != SNAPSHOT and member.log.term(peer.next_index - 1) is None:
                 if member.snapshots.index < peer.next_index - 1:
-                    return  # can't be: what is not held is in the snapshot
+                    return  # impossible: entries that aren't held are in the snapshot
                 peer.start_snapshot(member.snapshots.head, member.snapshots.data)
-            if peer.mode == PIECES:
-                self._send_snapshot_chunk(life, peer, beat)
+            if peer.mode == SNAPSHOT:
+                self._send_snapshot_chunk(incarnation, peer, is_heartbeat)
                 return
             entries: list[pb.Entry] = []
-            most = min(peer.max_message_bytes, timing.max_append_bytes)
-            free = (
+            max_bytes = min(peer.max_message_bytes, timing.max_append_bytes)
+            can_send = (
                 not peer.is_awaiting_response
                 if peer.mode == PROBE
                 else len(peer.in_flight)
-                < max(1, timing.max_in_flight_appends * most // timing.max_append_bytes)
+                < max(1, timing.max_in_flight_appends * max_bytes // timing.max_append_bytes)
             )
-            if peer.cannot_write and not beat:
-                free = False
-            if free and peer.next_index <= member.log.last_index:
-                entries = member.log.batch(peer.next_index, member.log.last_index, most)
-            if not entries and not beat:
+            if peer.cannot_write and not is_heartbeat:
+                can_send = False
+            if can_send and peer.next_index <= member.log.last_index:
+                entries = member.log.batch(peer.next_index, member.log.last_index, max_bytes)
+            if not entries and not is_heartbeat:
                 return
-            before = peer.next_index - 1
+            previous_index = peer.next_index - 1
             member.send(
-                life,
+                incarnation,
                 pb.Message(
                     term=self.term,
                     append=pb.Append(
-                        before_index=before,
-                        before_term=member.log.term(before),
+                        before_index=previous_index,
+                        before_term=member.log.term(previous_index),
                         commit=member.commit_index,
                         round=self.round,
                         entries=entries,
                     ),
                 ),
             )
-            peer.sent_commit_index, beat = member.commit_index, False
+            peer.sent_commit_index, is_heartbeat = member.commit_index, False
             if peer.mode == PROBE:
                 if entries:
                     peer.is_awaiting_response, peer.sent_ms = True, member.now_ms
@@ -423,11 +434,11 @@
                 peer.next_index = entries[-1].index + 1
                 peer.in_flight.append(entries[-1].index)
 
-    def _send_snapshot_chunk(self, life: Incarnation, peer: Progress, beat: bool) -> None:
-        if peer.snapshot_head is None or (peer.is_awaiting_response and not beat):
+    def _send_snapshot_chunk(self, incarnation: Incarnation, peer: Progress, is_heartbeat: bool) -> None:
+        if peer.snapshot_head is None or (peer.is_awaiting_response and not is_heartbeat):
             return
-        if beat:  # it has to hear its leader, whatever becomes of the pieces
-            self.member.send(life, pb.Message(term=self.term, append=pb.Append(round=self.round)))
+        if is_heartbeat:  # the peer has to hear its leader, whatever happens to the chunks
+            self.member.send(incarnation, pb.Message(term=self.term, append=pb.Append(round=self.round)))
         if peer.is_awaiting_response or peer.cannot_write:
             return
         data = peer.snapshot_data[
@@ -436,7 +447,7 @@
         ]
         peer.is_awaiting_response, peer.sent_ms = True, self.member.now_ms
         self.member.send(
-            life,
+            incarnation,
             pb.Message(
                 term=self.term,
                 piece=pb.Piece(
@@ -445,32 +456,32 @@
             ),
         )
 
-    # Handing over
+    # Leadership transfer
 
     def start_transfer(self, now: float) -> None:
-        """Begin a leadership transfer: nothing is proposed until it succeeds or times out."""
+        """Begin a leadership transfer: proposals are rejected until it succeeds or times out."""
         if self.transfer_deadline_ms is None:
             self.transfer_deadline_ms = now + self.member.timing.election_timeout_ms
 
     def _send_timeout_now(self, now: float) -> None:
         """Tell the best successor to start an election, once its log is complete."""
-        life = self.best_successor(now)
+        successor = self.best_successor(now)
         if (
-            life is not None
-            and life != self.transfer_target
-            and self.peers[life].match_index == self.member.log.last_index
+            successor is not None
+            and successor != self.transfer_target
+            and self.peers[successor].match_index == self.member.log.last_index
         ):
-            self.transfer_target = life
-            self.member.send(life, pb.Message(term=self.term, take_over=pb.TakeOver()))
+            self.transfer_target = successor
+            self.member.send(successor, pb.Message(term=self.term, take_over=pb.TakeOver()))
 
     def best_successor(self, now: float) -> Incarnation | None:
-        """Return the voter that is best to lead next; None: nobody is."""
+        """Return the responsive voter with the most complete log; None if there is none."""
         since = now - self.member.timing.election_timeout_ms
-        fit = [
-            life
-            for life in self.voters()
-            if life != self.member.me
-            and self.peers[life].last_response_ms > since
-            and not self.peers[life].cannot_write
+        candidates = [
+            incarnation
+            for incarnation in self.voters()
+            if incarnation != self.member.me
+            and self.peers[incarnation].last_response_ms > since
+            and not self.peers[incarnation].cannot_write
         ]
-        return max(fit, key=lambda life: self.peers[life].match_index, default=None)
+        return max(candidates, key=lambda incarnation: self.peers[incarnation].match_index, default=None)
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a base, and the configuration as of each entry. No I/O."""
+"""The in-memory log: entries after a base index, and the configuration as of each entry. No I/O."""
 
 from bisect import bisect_right
 from collections.abc import Iterable, Sequence
@@ -9,16 +9,16 @@
 
 
 class Configuration(NamedTuple):
-    """The group's members and voters, in force from the entry at `index` on."""
+    """The group's members and voters, in effect from the entry at `index` on."""
 
     index: int
     members: pb.Members
-    incarnations: tuple[Incarnation, ...]  # all of them, in order of their names
-    voters: tuple[Incarnation, ...]  # those whose votes and disks count
+    incarnations: tuple[Incarnation, ...]  # all members, ordered by name
+    voters: tuple[Incarnation, ...]  # the members that count towards a majority
 
 
 def make_configuration(index: int, members: pb.Members) -> Configuration:
-    """Return the configuration that an entry at this index puts in force."""
+    """Return the configuration that an entry at this index puts into effect."""
     return Configuration(
         index,
         members,
@@ -28,9 +28,9 @@
 
 
 class Log:
-    """Entries without gaps from `base_index` + 1 to `last_index`; entries are never changed once they are in.
+    """Contiguous entries from `base_index` + 1 to `last_index`; an appended entry is never modified.
 
-    All up to `base_index` is committed and in a snapshot; of it only the last entry's term is known.
+    All up to `base_index` is committed and in a snapshot; only the term at `base_index` is still known.
     """
 
     def __init__(self, head: pb.SnapshotHead | None, entries: Sequence[pb.Entry]) -> None:
@@ -73,19 +73,21 @@
         return self.configurations[-1]
 
     def configuration_at(self, index: int) -> Configuration:
-        """Return the configuration in force at an index."""
-        return next(found for found in reversed(self.configurations) if found.index <= index)
+        """Return the configuration in effect at an index."""
+        return next(
+            configuration for configuration in reversed(self.configurations) if configuration.index <= index
+        )
 
     def configurations_from(self, index: int) -> list[Configuration]:
-        """Return the configuration in force at an index, and all later ones."""
+        """Return the configuration in effect at an index and all later ones."""
         if self.configurations[-1].index <= index:
             return self.configurations[-1:]
         return self.configurations[
-            bisect_right(self.configurations, index, key=lambda found: found.index) - 1 :
+            bisect_right(self.configurations, index, key=lambda configuration: configuration.index) - 1 :
         ]
 
     def term(self, index: int) -> int | None:
-        """Return an entry's term; None where the log doesn't hold it."""
+        """Return an entry's term, or None if the log doesn't hold it."""
         if index == self.base_index:
             return self.base_term
         if self.base_index < index <= self.last_index:
@@ -93,18 +95,18 @@
         return None
 
     def slice(self, first: int, last: int) -> list[pb.Entry]:
-        """Return the entries from `first` to `last`, both included, as far as they are held."""
+        """Return the held entries from `first` to `last`, both included."""
         return self.entries[max(first - self.base_index - 1, 0) : max(last - self.base_index, 0)]
 
-    def batch(self, first: int, last: int, most: int) -> list[pb.Entry]:
-        """Return entries from `first` on of at most so many bytes, but one at least if there is one."""
-        taken, size = [], 0
+    def batch(self, first: int, last: int, max_bytes: int) -> list[pb.Entry]:
+        """Return entries from `first` on, of at most `max_bytes` together but at least one if any is held."""
+        entries, size = [], 0
         for entry in self.slice(first, last):
             size += entry.ByteSize()
-            if taken and size > most:
+            if entries and size > max_bytes:
                 break
-            taken.append(entry)
-        return taken
+            entries.append(entry)
+        return entries
 
     def append(self, entries: Iterable[pb.Entry]) -> None:
         """Add entries that follow the last one."""
@@ -115,25 +117,25 @@
                 self.configurations.append(make_configuration(entry.index, entry.members))
 
     def truncate_after(self, after: int) -> None:
-        """Drop all entries after an index; the configuration is again the one as of that index."""
+        """Remove all entries after an index; the configuration reverts to the one at that index."""
         self.size_bytes -= sum(entry.ByteSize() for entry in self.slice(after + 1, self.last_index))
         del self.entries[max(after - self.base_index, 0) :]
         while self.configurations[-1].index > after:
             self.configurations.pop()
 
     def compact(self, base: int) -> None:
-        """Forget entries up to `base`, which a snapshot holds."""
+        """Discard entries up to `base`, which a snapshot covers."""
         term = self.term(base)
         if term is None or base <= self.base_index:
             return
         self.size_bytes -= sum(entry.ByteSize() for entry in self.slice(self.base_index + 1, base))
         del self.entries[: base - self.base_index]
         self.base_index, self.base_term = base, term
-        place = bisect_right(self.configurations, base, key=lambda found: found.index) - 1
-        del self.configurations[:place]
+        position = bisect_right(self.configurations, base, key=lambda configuration: configuration.index) - 1
+        del self.configurations[:position]
 
     def find_conflict_index(self, term: int, index: int) -> int:
-        """Return the last index up to `index` whose term is not above `term`: no later entry can match."""
+        """Return the last index up to `index` whose term is at most `term`: no later entry can match."""
         index = min(index, self.last_index)
         while index > self.base_index and self.entries[index - self.base_index - 1].term > term:
             index -= 1
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -1,7 +1,7 @@
-"""One member of the Raft group, by the Raft paper. No I/O, no clock.
+"""One member of a Raft group: the consensus core as a deterministic state machine. No I/O, no clock.
 
-`RaftMember.step(now, events) -> actions`; see messages.py. A member is a value: it may be copied, stepped,
-compared.
+The interface is `RaftMember.step(now, events) -> actions`; messages.py defines both. A member holds no
+outside resources, so it can be copied, stepped and compared.
 """
 
 import math
@@ -21,25 +21,25 @@
 from fennelwind.raft.pending_writes import PendingWrites
 from fennelwind.raft.snapshots import Snapshots
 
-MAX_APPLY_ENTRIES = 1024  # entries in one `Apply`, so that the carrier can look up between two
-DISK_STUCK_TIMEOUTS = (
-    10  # election time-outs for which a leader's disk may stand while others agree without it
-)
-CAMPAIGN_PAUSE_TIMEOUTS = 3  # election time-outs for which a member that handed over does not ask for votes
-MAX_HELD_MESSAGES = 1024  # messages that wait for a term's write; what is more is lost, as on a bad link
-REMOVAL_PAUSE_TIMEOUTS = 40  # election time-outs for which one that was told of its removal asks nobody
-MAX_TERM = 1 << 62  # no honest term comes near
+MAX_APPLY_ENTRIES = 1024  # entries in one `Apply`, so that the host can do other work between two batches
+# Election timeouts without progress of the leader's own disk, while others commit without it, before it hands
+# over.
+DISK_STUCK_TIMEOUTS = 10
+CAMPAIGN_PAUSE_TIMEOUTS = 3  # election timeouts without campaigns after a leadership transfer
+MAX_HELD_MESSAGES = 1024  # messages held until the hard state is durable; more are dropped, like packet loss
+REMOVAL_PAUSE_TIMEOUTS = 40  # election timeouts without campaigns after a notice of removal
+MAX_TERM = 1 << 62  # a correct member never reaches it; larger terms are malformed
 
 
 @dataclass(slots=True, frozen=True)
 class MemberStatus:
-    """What there is to see of a member."""
+    """A snapshot of a member's state for monitoring."""
 
     role: str
     term: int
     leader: str
     commit_index: int
-    delivered_index: int  # entries up to here went to the carrier
+    delivered_index: int  # entries up to here were passed to the host
     last_index: int
     durable_index: int
     base_index: int
@@ -47,18 +47,21 @@
     pending_proposals: int
     pending_reads: int
     members: pb.Members
-    match_index: dict[str, int]  # a leader's: what each other member has on its disk
+    match_index: dict[str, int]  # leader only: each peer's durable index that matches the leader's log
     counters: dict[str, int]
 
 
 class RaftMember:
-    """One member. `stated` are the members that the settings name; their lives are empty there."""
+    """One member of the Raft group.
+
+    `configured_members` are the members named in the settings; the settings don't know their incarnations.
+    """
 
     def __init__(
-        self, timing: Timing, durable: DurableState, seed: int, stated: Iterable[pb.Member] = ()
+        self, timing: Timing, durable: DurableState, seed: int, configured_members: Iterable[pb.Member] = ()
     ) -> None:
         self.timing, self.me = timing, durable.me
-        self.configured_members = {member.name: member for member in stated}
+        self.configured_members = {member.name: member for member in configured_members}
         self.random = Random(f"council {seed} {self.me.name} {self.me.id.hex()}")
         self.log = Log(durable.snapshot_head, durable.entries)
         self.term = durable.hard_state.term
@@ -69,7 +72,7 @@
         self.actions: list[Action] = []
         self.snapshots = Snapshots(self, durable)
         self.commit_index = self.delivered_index = self.snapshots.index
-        self.leader_match_index = self.commit_index  # up to here the log is as the present leader's
+        self.leader_match_index = self.commit_index  # up to here the log matches the current leader's
         self.pending_writes = PendingWrites(self.log.last_index)
         self.leader: Incarnation | None = None
         self.leader_state: Leader | None = None
@@ -79,25 +82,23 @@
         self.now_ms = self.last_leader_contact_ms = self.no_campaign_until_ms = (
             self.removal_pause_until_ms
         ) = -math.inf
-        self.removed_configuration_index = 0  # the members that it knew when it was told of its removal
-        self.last_write_progress_ms = -math.inf  # when a write came back last, or none was under way
-        self.randomized_election_timeout_ms = (
-            0.0  # ms without a word from a leader, after which votes are asked for
-        )
-        self.election_deadline_ms: float | None = None  # when to look whether that is so
-        self.leader_round = 0  # the leader's last
-        self.reported_index = 0  # what the leader was last told that is on the disk
+        self.removed_configuration_index = 0  # latest configuration in the log at the last notice of removal
+        self.last_write_progress_ms = -math.inf  # when a write last completed or none was in flight
+        self.randomized_election_timeout_ms = 0.0  # silence of the leader that starts a campaign
+        self.election_deadline_ms: float | None = None  # when to check for that silence
+        self.leader_round = 0  # latest heartbeat round received from the leader
+        self.reported_index = 0  # highest durable index reported to the leader
         self.append_response_due = False
         self.next_expiry_clock_ms: int | None = None
         self.commands_seen = False
-        self.counters: Counter[str] = Counter()  # of what was dropped, and why
+        self.counters: Counter[str] = Counter()  # dropped messages and unusual events by reason
         self._reported_role: api.RoleChanged | None = None
         self._timer_ms: float | None = None
 
-    # The step
+    # Step
 
     def step(self, now: float, events: Sequence[Event] = ()) -> list[Action]:
-        """Take what happened; return what is to be done, in order."""
+        """Process events at a time; return the actions to carry out, in order."""
         if self.now_ms == -math.inf:
             self.now_ms = now
             self.reset_election_timer()
@@ -125,8 +126,8 @@
                     self.leader_state.read(token)
                 else:
                     self.reject_read(token, self._no_leader_refusal())
-            case api.Applied(_, due):
-                self.next_expiry_clock_ms = due
+            case api.Applied(_, next_expiry_ms):
+                self.next_expiry_clock_ms = next_expiry_ms
             case api.Snapshot():
                 self.snapshots.save_taken(event)
             case api.ChangeMembership(token):
@@ -141,7 +142,7 @@
             case api.StorageRecovered(durable):
                 self._recover_storage(durable)
             case api.TimerFired():
-                self._timer_ms = None  # it may have come early: it is wanted again
+                self._timer_ms = None  # it may have fired early: request it again
 
     def _tick(self) -> None:
         now = self.now_ms
@@ -149,7 +150,7 @@
             self.last_write_progress_ms = now
         if self.leader_state is not None:
             if self._is_disk_stuck():
-                self.last_write_progress_ms = now  # where nobody takes over, as much later again
+                self.last_write_progress_ms = now  # if nobody takes over, retry after the same period
                 self.counters["stuck disk"] += 1
                 self._transfer_leadership()
             if not self.leader_state.tick(now):
@@ -179,7 +180,7 @@
                 self._bootstrap_group()
 
     def _must_not_campaign(self) -> bool:
-        """Whether it asks for no votes: it handed over, or was removed and not let in again since."""
+        """Whether campaigns are suspended: it transferred leadership, or was removed and not added again."""
         removed = (
             self.now_ms < self.removal_pause_until_ms
             and self.log.configuration.index <= self.removed_configuration_index
@@ -192,9 +193,10 @@
             self.leader_state.start_transfer(self.now_ms)
 
     def _is_disk_stuck(self) -> bool:
-        """Whether the disk stands while the others agree: then one of them leads better.
+        """Whether this leader's disk makes no progress while the others commit without it.
 
-        The log can't be shortened without it, and at its bound a leader takes nothing more.
+        It should hand over then: the log can't be compacted without the disk, and at the size limit of the
+        log a leader rejects all proposals.
         """
         return (
             self.pending_writes.durable_index < self.commit_index
@@ -203,7 +205,7 @@
         )
 
     def _finish_step(self) -> None:
-        """Do what follows from all that came in this step."""
+        """Act on the combined effect of the step's events: commit, write, reply, report role and timer."""
         if self.leader_state is not None and not self.leader_state.finish_step(self.now_ms):
             self.become_follower(self.term, None)
         if self.campaign is not None and self.campaign.is_won(self.log.configuration.voters):
@@ -215,32 +217,33 @@
             self._send_append_response()
         self.deliver_committed()
         self.snapshots.request_if_due()
-        part = self.role
-        shown = api.RoleChanged(part, self.term, self.leader.name if self.leader is not None else "")
-        if shown != self._reported_role:
-            self._reported_role = shown
-            self.actions.append(shown)
-        at = self._next_deadline_ms()
-        if at is not None and at != self._timer_ms:
-            self._timer_ms = at
-            self.actions.append(api.Timer(at))
+        role = self.role
+        current = api.RoleChanged(role, self.term, self.leader.name if self.leader is not None else "")
+        if current != self._reported_role:
+            self._reported_role = current
+            self.actions.append(current)
+        deadline_ms = self._next_deadline_ms()
+        if deadline_ms is not None and deadline_ms != self._timer_ms:
+            self._timer_ms = deadline_ms
+            self.actions.append(api.Timer(deadline_ms))
 
     def _next_deadline_ms(self) -> float | None:
         if self.leader_state is not None:
             return self.leader_state.next_deadline_ms()
-        asks, joins = (
+        election_ms, join_ms = (
             self.election_deadline_ms if self._can_campaign() else None,
             self.bootstrap.next_request_ms,
         )
         return min(
-            (at for at in (asks, joins if self._should_join() else None) if at is not None), default=None
+            (at for at in (election_ms, join_ms if self._should_join() else None) if at is not None),
+            default=None,
         )
 
-    # Who it is
+    # Role and membership
 
     @property
     def role(self) -> str:
-        """Its part, as `RoleChanged` tells it."""
+        """The role that `RoleChanged` reports."""
         if self.leader_state is not None:
             return "leader"
         if self.storage_failed and self.me in self.log.configuration.incarnations:
@@ -253,40 +256,47 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether it has no record."""
+        """Whether it has no log and no term yet."""
         return not self.log.last_index and not self.term
 
     def _can_campaign(self) -> bool:
-        """Whether it may ask for votes: it has one, or has one until it is agreed that it has not.
+        """Whether it may campaign: it is a voter in the committed configuration or a later one in its log.
 
-        One that wrote its own removal may be the only one that has it, and nobody else can be elected then.
+        A member that wrote its own removal may be the only one holding that entry; nobody else could be
+        elected then.
         """
         if self.storage_failed:
             return False
-        return any(self.me in found.voters for found in self.log.configurations_from(self.commit_index))
+        return any(
+            self.me in configuration.voters
+            for configuration in self.log.configurations_from(self.commit_index)
+        )
 
     def _should_join(self) -> bool:
-        """Whether it never was a member, as far as its log tells: one that was removed asks nobody."""
+        """Whether to ask for admission: its log never listed it. A removed member doesn't ask."""
         if self.storage_failed or self.me in self.log.configuration.incarnations:
             return False
-        return not any(self.me in found.incarnations for found in self.log.configurations)
+        return not any(self.me in configuration.incarnations for configuration in self.log.configurations)
 
     def accepts_commands(self) -> bool:
-        """Whether commands may come: not while they would rest on the founder's disk alone."""
+        """Whether to accept commands: not while only the bootstrapping member's disk would hold them."""
         return (
             self.commands_seen
             or self.snapshots.index > 0
-            or any(2 * len(found.voters) > len(self.configured_members) for found in self.log.configurations)
+            or any(
+                2 * len(configuration.voters) > len(self.configured_members)
+                for configuration in self.log.configurations
+            )
         )
 
     def last_entry_clock_ms(self) -> int:
-        """Return the record's clock as of the last entry."""
+        """Return the replicated clock as of the last log entry."""
         if self.log.entries:
             return self.log.entries[-1].clock_ms
         return self.snapshots.head.clock_ms if self.snapshots.head is not None else 0
 
     def status(self) -> MemberStatus:
-        """Return what there is to see."""
+        """Return a snapshot of the state for monitoring."""
         leader_state = self.leader_state
         return MemberStatus(
             role=self.role,
@@ -301,16 +311,21 @@
             pending_proposals=len(leader_state.pending_proposals) if leader_state else 0,
             pending_reads=len(leader_state.pending_reads) if leader_state else 0,
             members=self.log.configuration.members,
-            match_index={life.name: peer.match_index for life, peer in leader_state.peers.items()}
+            match_index={
+                incarnation.name: peer.match_index for incarnation, peer in leader_state.peers.items()
+            }
             if leader_state
             else {},
             counters=dict(self.counters),
         )
 
-    # What leaves
+    # Output
 
     def send(self, to: Incarnation, message: pb.Message) -> None:
-        """Send a message once the last term and vote are on the disk; a mute member's promises nothing."""
+        """Send a message once the last term and vote are durable; at once if the storage failed.
+
+        A member whose storage failed grants and acknowledges nothing, so its messages need no write.
+        """
         if self.storage_failed or self.pending_writes.is_hard_state_durable:
             self.actions.append(api.Send(to, message))
         elif len(self.pending_writes.held_sends) >= MAX_HELD_MESSAGES:
@@ -319,13 +334,13 @@
             self.pending_writes.hold(api.Send(to, message))
 
     def append_entries(self, entries: Sequence[pb.Entry]) -> None:
-        """Add entries to the log, and have them written."""
+        """Append entries to the log and to the next write."""
         self.log.append(entries)
         if not self.storage_failed:
             self.pending_writes.entries += entries
 
     def save_hard_state(self) -> None:
-        """Have term and vote written, with the next write."""
+        """Add term and vote to the next write."""
         if not self.storage_failed:
             voted = self.voted_for or Incarnation("", b"")
             self.pending_writes.set_hard_state(
@@ -348,16 +363,16 @@
         )
 
     def reject_read(self, token: int, refusal: int) -> None:
-        """Tell a reader that it can't be served here and now."""
+        """Reject a read, naming the leader if another member leads."""
         name = self.leader.name if self.leader is not None and self.leader != self.me else ""
         self.actions.append(api.ReadOutcome(token, refusal=refusal, leader=name))
 
     def deliver_committed(self) -> None:
-        """Hand over entries that are agreed."""
-        upto = min(self.commit_index, self.log.last_index)
-        while self.delivered_index < upto:
+        """Pass committed entries to the host."""
+        last = min(self.commit_index, self.log.last_index)
+        while self.delivered_index < last:
             entries = self.log.slice(
-                self.delivered_index + 1, min(self.delivered_index + MAX_APPLY_ENTRIES, upto)
+                self.delivered_index + 1, min(self.delivered_index + MAX_APPLY_ENTRIES, last)
             )
             self.commands_seen |= any(entry.WhichOneof("what") == "command" for entry in entries)
             self.delivered_index = entries[-1].index
@@ -366,19 +381,19 @@
     # Terms and votes
 
     def reset_election_timer(self) -> None:
-        """Draw anew how long to wait for a leader's word."""
+        """Draw a new randomized election timeout and start it."""
         self.randomized_election_timeout_ms = self.timing.election_timeout_ms * (1.0 + self.random.random())
         self.election_deadline_ms = self.now_ms + self.randomized_election_timeout_ms
 
     def has_live_leader(self) -> bool:
-        """Whether it leads, or heard who leads, so lately that nobody else should."""
+        """Whether it leads, or heard from the leader within the election timeout."""
         return self.leader_state is not None or (
             self.leader is not None
             and self.now_ms < self.last_leader_contact_ms + self.timing.election_timeout_ms
         )
 
     def become_follower(self, term: int, leader: Incarnation | None) -> None:
-        """Be no leader; take a later term if there is one."""
+        """Step down to follower; adopt the term if it is later. What was pending is answered."""
         leader_state, self.leader_state, self.campaign = self.leader_state, None, None
         if term > self.term:
             self.term, self.voted_for = term, None
@@ -401,8 +416,8 @@
             for token in leader_state.pending_reads.pop_all():
                 self.reject_read(token, self._no_leader_refusal())
 
-    def _handle_election_won(self, ballot: Campaign) -> None:
-        if ballot.is_pre_vote:
+    def _handle_election_won(self, campaign: Campaign) -> None:
+        if campaign.is_pre_vote:
             election.start_election(self)
             return
         self.campaign, self.leader = None, self.me
@@ -456,24 +471,26 @@
             case "join":
                 self._handle_join(sender, message.join)
             case "join_answer":
-                word = message.join_answer
+                response = message.join_answer
                 if self._should_join():
-                    self.bootstrap.handle_response(sender, word, self.now_ms)
+                    self.bootstrap.handle_response(sender, response, self.now_ms)
                 elif (
-                    word.word == pb.JoinAnswer.REFUSED
-                    and word.leader == sender.name
+                    response.word == pb.JoinAnswer.REFUSED
+                    and response.leader == sender.name
                     and not self.has_live_leader()
                 ):
-                    self.campaign = (
-                        None  # it was removed, as a leader says; should that be late, it asks again
-                    )
+                    # The leader says that it was removed. The notice may be stale, so the pause is limited.
+                    self.campaign = None
                     self.removal_pause_until_ms = (
                         self.now_ms + REMOVAL_PAUSE_TIMEOUTS * self.timing.election_timeout_ms
                     )
                     self.removed_configuration_index = self.log.configuration.index
 
     def _accept_leader(self, sender: Incarnation, term: int, append: bool) -> bool:
-        """Take a leader's message as one; False: it is late, or a stranger's while another is heard."""
+        """Process the term and sender of a leader's message.
+
+        Returns False for a stale message, and for one from an unknown leader while a known one is alive.
+        """
         if term < self.term:
             if append and not self.storage_failed:
                 self.send(sender, pb.Message(term=self.term, append_answer=pb.AppendAnswer()))
@@ -527,7 +544,7 @@
         ]
         if new_entries and new_entries[0].index <= log.last_index:
             if new_entries[0].index <= self.commit_index:
-                self.counters["against what is agreed"] += 1  # can't be, unless a disk or a member lies
+                self.counters["against what is agreed"] += 1  # only possible if a disk or a member is faulty
                 return
             log.truncate_after(new_entries[0].index - 1)
             self.pending_writes.truncate_after(new_entries[0].index - 1)
@@ -538,7 +555,7 @@
         self.append_response_due |= is_new_round or not new_entries
 
     def _send_append_response(self) -> None:
-        """Tell the leader what is on the disk; nothing that is only in memory counts."""
+        """Report the durable index to the leader; entries only in memory don't count."""
         self.append_response_due = False
         if self.leader is None or self.leader_state is not None:
             return
@@ -550,26 +567,26 @@
         self.send(self.leader, pb.Message(term=self.term, append_answer=answer))
 
     def _handle_join(self, sender: Incarnation, join: pb.Join) -> None:
-        word = pb.JoinAnswer.WAIT
+        status = pb.JoinAnswer.WAIT
         if (join.member.name, join.member.life) != sender:
             self.counters["malformed"] += 1
             return
         if self.leader_state is not None:
-            word = self.leader_state.handle_join(sender, join.member, self.now_ms)
+            status = self.leader_state.handle_join(sender, join.member, self.now_ms)
         elif self.is_empty and not self.storage_failed:
-            word = pb.JoinAnswer.EMPTY
+            status = pb.JoinAnswer.EMPTY
         leader = self.leader.name if self.leader is not None else ""
-        self.send(sender, pb.Message(join_answer=pb.JoinAnswer(word=word, leader=leader, life=self.me.id)))
+        self.send(sender, pb.Message(join_answer=pb.JoinAnswer(word=status, leader=leader, life=self.me.id)))
 
     def _bootstrap_group(self) -> None:
-        stated = self.configured_members[self.me.name]
-        me = pb.Member(name=self.me.name, life=self.me.id, address=stated.address, votes=True)
+        configured = self.configured_members[self.me.name]
+        me = pb.Member(name=self.me.name, life=self.me.id, address=configured.address, votes=True)
         self.term = 1
         self.save_hard_state()
         self.append_entries([pb.Entry(term=1, index=1, members=pb.Members(members=[me]))])
         self.election_deadline_ms = self.now_ms
 
-    # The disk
+    # Storage
 
     def _handle_write_completed(self, number: int) -> None:
         if self.storage_failed:
@@ -587,11 +604,11 @@
             self.append_response_due = True
 
     def _handle_write_failed(self) -> None:
-        """Have no vote and lead nobody: what the disk holds isn't known any more."""
+        """Stop voting and leading: what the disk holds is no longer known."""
         if self.leader_state is not None:
-            heir = self.leader_state.best_successor(self.now_ms)
-            if heir is not None:
-                self.actions.append(api.Send(heir, pb.Message(term=self.term, take_over=pb.TakeOver())))
+            successor = self.leader_state.best_successor(self.now_ms)
+            if successor is not None:
+                self.actions.append(api.Send(successor, pb.Message(term=self.term, take_over=pb.TakeOver())))
         self.storage_failed = True
         self.pending_writes.discard()
         self.snapshots.discard_pending()
@@ -599,26 +616,26 @@
             self.become_follower(self.term, None)
 
     def _recover_storage(self, durable: DurableState) -> None:
-        """Go on from what the folder holds; what was promised, and the folder lacks, is written first."""
+        """Resume from what the folder holds; first rewrite the promised state that it lacks."""
         self.pending_writes.discard()
-        disk, snapshots = Log(durable.snapshot_head, durable.entries), self.snapshots
+        durable_log, snapshots = Log(durable.snapshot_head, durable.entries), self.snapshots
         if durable.snapshot_head is not None and durable.snapshot_head.index > snapshots.index:
-            snapshots.install(durable.snapshot_head, durable.snapshot, disk)
+            snapshots.install(durable.snapshot_head, durable.snapshot, durable_log)
         self.storage_failed = False
-        same = max(disk.base_index, self.log.base_index)
-        if disk.term(same) is None or disk.term(same) != self.log.term(same):
-            self.log.compact(snapshots.index)  # the folder's log doesn't reach this one: all goes there anew
-            same = self.log.base_index
-            self.pending_writes.durable_index = same
-            snapshots.write(snapshots.head, snapshots.data, same + 1, cut_after=same)
+        matching = max(durable_log.base_index, self.log.base_index)
+        if durable_log.term(matching) is None or durable_log.term(matching) != self.log.term(matching):
+            self.log.compact(snapshots.index)  # the two logs don't overlap: rewrite everything
+            matching = self.log.base_index
+            self.pending_writes.durable_index = matching
+            snapshots.write(snapshots.head, snapshots.data, matching + 1, truncate_after=matching)
         else:
-            while same < min(disk.last_index, self.log.last_index) and disk.term(same + 1) == self.log.term(
-                same + 1
-            ):
-                same += 1
-            self.pending_writes.durable_index = same
-            if same < disk.last_index:
-                self.pending_writes.truncate_after(same)
-        self.pending_writes.entries = self.log.slice(same + 1, self.log.last_index)
+            while matching < min(durable_log.last_index, self.log.last_index) and durable_log.term(
+                matching + 1
+            ) == self.log.term(matching + 1):
+                matching += 1
+            self.pending_writes.durable_index = matching
+            if matching < durable_log.last_index:
+                self.pending_writes.truncate_after(matching)
+        self.pending_writes.entries = self.log.slice(matching + 1, self.log.last_index)
         self.save_hard_state()
         self.reset_election_timer()
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -1,10 +1,9 @@
-"""The interface between the Raft core, which decides, and its host (`cluster.raft_host`).
+"""The interface between the Raft core, which decides, and its host (`cluster.raft_host`), which does the I/O.
 
-Events go in, actions come out.
-
-`RaftMember.step(now, events) -> actions`. Times are ms on the member's own clock, which never goes back. The
-host makes writes in their order, sends messages without waiting, and hands the core whatever comes of it.
-Nothing that rests on a write leaves before its `WriteCompleted`: the core holds it back.
+Events go in and actions come out: `RaftMember.step(now, events) -> actions`. Times are ms on the member's own
+clock, which never goes back. The host carries out writes in order, sends messages without waiting, and passes
+the results to the core as events. The core holds back every message that depends on a write until the write's
+`WriteCompleted`.
 """
 
 from dataclasses import dataclass, field
@@ -14,7 +13,7 @@
 
 
 class Incarnation(NamedTuple):
-    """Who a member is: its name, and the number drawn when its folder was made."""
+    """The identity of a member: its name, and a random id drawn when its folder was created."""
 
     name: str
     id: bytes
@@ -22,43 +21,38 @@
 
 @dataclass(slots=True, frozen=True)
 class Timing:
-    """How long a member waits, in ms, and what it holds at most."""
+    """A member's timeouts, in ms, and its limits."""
 
     heartbeat_ms: float = 50.0
-    election_timeout_ms: float = 300.0  # to twice that is drawn anew for each wait
+    election_timeout_ms: float = 300.0  # each wait draws a value from this to twice this
     max_append_bytes: int = 512 * 1024  # bytes of entries in one message
-    max_in_flight_appends: int = 4  # messages of entries unanswered by one member
+    max_in_flight_appends: int = 4  # unacknowledged messages with entries per peer
     max_chunk_bytes: int = 256 * 1024  # bytes of a snapshot in one message
-    max_pending_proposals: int = 4096  # proposals that wait for their entry's commit
-    max_pending_reads: int = 4096  # reads that wait for a majority to confirm the leader
-    retained_entries: int = 10_000  # entries that the snapshot covers, kept for members that lag a little
-    max_log_bytes: int = (
-        64 * 1024 * 1024
-    )  # bytes of log: a snapshot is due; at twice that nothing is proposed
-    clock_entry_interval_ms: float = (
-        1000.0  # time alone is written so often while something is going to lapse
-    )
+    max_pending_proposals: int = 4096  # proposals waiting for their entry to be committed
+    max_pending_reads: int = 4096  # reads waiting for a majority to confirm the leader
+    retained_entries: int = 10_000  # entries kept behind a snapshot, for members that lag a little
+    max_log_bytes: int = 64 * 1024 * 1024  # a larger log is compacted; at twice this proposals are rejected
+    # While something is going to expire, an entry is appended at least this often to advance the clock.
+    clock_entry_interval_ms: float = 1000.0
 
 
 @dataclass(slots=True)
 class DurableState:
-    """What a member's folder held when it was opened."""
+    """The contents of a member's folder when it was opened."""
 
     me: Incarnation
     hard_state: pb.HardState = field(default_factory=pb.HardState)
     snapshot_head: pb.SnapshotHead | None = None
     snapshot: bytes = b""
-    entries: list[pb.Entry] = field(
-        default_factory=list
-    )  # without gaps; the first ones may be covered by the snapshot
+    entries: list[pb.Entry] = field(default_factory=list)  # contiguous; the snapshot may cover the first ones
 
 
-# What happens to a member.
+# Events.
 
 
 @dataclass(slots=True, frozen=True)
 class MessageReceived:
-    """A message of another member, whose name and life were checked against the connection's hello."""
+    """A message from another member, identified by the hello of its connection."""
 
     sender: Incarnation
     message: pb.Message
@@ -66,16 +60,16 @@
 
 @dataclass(slots=True, frozen=True)
 class WriteCompleted:
-    """All writes up to this number are on the disk."""
+    """All writes up to this number are durable."""
 
     number: int
 
 
 @dataclass(slots=True, frozen=True)
 class WriteFailed:
-    """The write with this number and all later ones are not on the disk, and nothing of them counts.
+    """The write with this number failed, and so did all later ones; none of them counts as durable.
 
-    Until `StorageRecovered` the member has no vote, acknowledges nothing and leads nobody.
+    Until `StorageRecovered` the member neither votes, nor acknowledges entries, nor leads.
     """
 
     number: int
@@ -84,19 +78,19 @@
 
 @dataclass(slots=True, frozen=True)
 class StorageRecovered:
-    """The folder takes writes again; what it holds was read anew."""
+    """The folder accepts writes again and was read again."""
 
     durable: DurableState
 
 
 @dataclass(slots=True, frozen=True)
 class DiskSpaceLow:
-    """The disk is nearly full: who leads hands over while it still can."""
+    """The disk is nearly full: a leader transfers leadership while it still can."""
 
 
 @dataclass(slots=True, frozen=True)
 class Propose:
-    """Somebody's command; `ProposalOutcome` with this token tells what became of it."""
+    """A command to replicate; answered by a `ProposalOutcome` with this token."""
 
     token: int
     command: pb.Command
@@ -104,7 +98,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadRequested:
-    """Somebody wants to read what is true now; `ReadOutcome` with this token tells from which index on."""
+    """A linearizable read; answered by a `ReadOutcome` with this token."""
 
     token: int
 
@@ -113,7 +107,7 @@
 class Applied:
     """The host has applied entries up to this index.
 
-    `next_expiry_clock_ms` tells when something in the replicated state expires next.
+    `next_expiry_clock_ms` is when something in the replicated state expires next, on the replicated clock.
     """
 
     index: int
@@ -122,7 +116,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Snapshot:
-    """The record's state as of an index that is applied, asked for by `TakeSnapshot`."""
+    """The replicated state as of an applied index, in response to `TakeSnapshot`."""
 
     index: int
     clock_ms: int
@@ -131,12 +125,12 @@
 
 @dataclass(slots=True, frozen=True)
 class TransferLeadership:
-    """The member is going to end, or cannot do its part: who leads lets another lead."""
+    """The member shuts down or cannot work: if it leads, it transfers leadership."""
 
 
 @dataclass(slots=True, frozen=True)
 class ChangeMembership:
-    """An operator, or a lost member's return, changes the members by one; `ProposalOutcome` follows."""
+    """Add or remove one member; answered by a `ProposalOutcome` with this token."""
 
     token: int
     add: pb.Member | None = None
@@ -145,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TimerFired:
-    """The time that `Timer` named has come."""
+    """The time requested by `Timer` has come."""
 
 
 Event = (
@@ -164,12 +158,12 @@
 )
 
 
-# What is to be done.
+# Actions.
 
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A message for a member; lost where it can't be sent at once."""
+    """Send a message to a member; drop it if it can't be sent at once."""
 
     to: Incarnation
     message: pb.Message
@@ -177,11 +171,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """What has to be on the disk, as one step, in the order of numbers.
-
-    `WriteCompleted` or `WriteFailed` follows.
+    """Write to the folder atomically, in order of the numbers; answered by `WriteCompleted` or `WriteFailed`.
 
-    Applied in this order: the snapshot, which replaces all entries up to its head but those from
+    Applied in this order: the snapshot, which replaces all entries up to its head except those from
     `retain_from` on; the truncation of the log after `truncate_after`; the entries; the hard state.
     """
 
@@ -196,14 +188,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Entries that are agreed, in order; each comes once, but after a `Restore`."""
+    """Apply committed entries, in order; after a `Restore`, entries behind the snapshot follow."""
 
     entries: tuple[pb.Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Restore:
-    """A snapshot is agreed in place of entries that this member never saw."""
+    """Replace the replicated state by a committed snapshot; this member never got the entries in it."""
 
     head: pb.SnapshotHead
     data: bytes
@@ -211,15 +203,15 @@
 
 @dataclass(slots=True, frozen=True)
 class TakeSnapshot:
-    """The log has grown: `Snapshot` is wanted."""
+    """Take a snapshot, as the log has grown; answered by `Snapshot`."""
 
 
 @dataclass(slots=True, frozen=True)
 class ProposalOutcome:
-    """What became of a proposal. Where it was done, its result comes from applying the entry at `index`."""
+    """The outcome of a proposal. If it succeeded, its result comes from applying the entry at `index`."""
 
     token: int
-    refusal: int = 0  # pb.Result.Refusal; 0: done, or to be done, at `index`
+    refusal: int = 0  # pb.Result.Refusal; 0: committed at `index`
     index: int = 0
     leader: str = ""
     retry_after_ms: int = 0
@@ -227,7 +219,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadOutcome:
-    """The read may be answered from a state of at least this index; a refusal where nobody can say."""
+    """The read can be served from state applied up to at least this index, unless refused."""
 
     token: int
     index: int = 0
@@ -237,18 +229,21 @@
 
 @dataclass(slots=True, frozen=True)
 class Timer:
-    """`TimerFired` is wanted at this time; the last one counts."""
+    """Request `TimerFired` at this time; replaces the previous request."""
 
     at_ms: float
 
 
 @dataclass(slots=True, frozen=True)
 class RoleChanged:
-    """The member's part: `leader`, `follower`, `asking`, `learner`, `outside` or `mute` (can't write)."""
+    """The member's role.
+
+    `leader`, `follower`, `asking` (candidate), `learner`, `outside` (not a member) or `mute` (can't write).
+    """
 
     role: str
     term: int
-    leader: str  # by name; "": none is known
+    leader: str  # name; "" if unknown
 
 
 Action = Send | Write | Apply | Restore | TakeSnapshot | ProposalOutcome | ReadOutcome | Timer | RoleChanged
--- a/fennelwind/raft/progress.py
+++ b/fennelwind/raft/progress.py
@@ -1,54 +1,53 @@
-"""What a leader knows of one other member, and how much it may have on its way to it. No I/O."""
+"""A leader's view of one peer's log, with flow control for what it sends to it. No I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
 
 from fennelwind.raft import council_pb2 as pb
 
-INITIAL_MESSAGE_BYTES = 64 * 1024  # bytes of one message, until round-trip times are known
-MIN_MESSAGE_BYTES = 16 * 1024  # bytes of one message at least
+INITIAL_MESSAGE_BYTES = 64 * 1024  # message size until round-trip times are known
+MIN_MESSAGE_BYTES = 16 * 1024
 
-PROBE, STREAM, PIECES = "probe", "stream", "pieces"  # one message at a time; several; snapshot chunks first
+# One append request at a time; several in flight; snapshot chunks before any entries.
+PROBE, STREAM, SNAPSHOT = "probe", "stream", "pieces"
 
 
 @dataclass(slots=True)
 class Progress:
-    """One member's log as its leader sees it."""
+    """The progress of replication to one peer."""
 
-    next_index: int  # the entry to send next
-    last_response_ms: float  # ms, when its last answer came
-    match_index: int = 0  # up to here its log is on its disk and as the leader's
+    next_index: int  # index of the next entry to send
+    last_response_ms: float  # when its last response arrived
+    match_index: int = 0  # up to here its log is durable and matches the leader's
     mode: str = PROBE
-    is_awaiting_response: bool = False  # a probe or a piece is out
-    sent_ms: float = 0.0  # ms, when it left
-    in_flight: deque[int] = field(default_factory=deque)  # last index of each message without an answer
-    acknowledged_round: int = 0  # the last round that it answered
-    sent_commit_index: int = 0  # the last that it was told
+    is_awaiting_response: bool = False  # a probe or a snapshot chunk is in flight
+    sent_ms: float = 0.0  # when that was sent
+    in_flight: deque[int] = field(default_factory=deque)  # last index of each unacknowledged message
+    acknowledged_round: int = 0  # the latest round that it responded to
+    sent_commit_index: int = 0  # the latest commit index sent to it
     cannot_write: bool = False
-    snapshot_head: pb.SnapshotHead | None = None  # the snapshot that is being sent
+    snapshot_head: pb.SnapshotHead | None = None  # the snapshot being sent
     snapshot_data: bytes = b""
-    snapshot_offset: int = 0  # all before it has come
-    max_message_bytes: int = (
-        INITIAL_MESSAGE_BYTES  # bytes of one message, so that it is no cause to miss a heartbeat
-    )
-    removal_index: int = 0  # the index that removes it; 0: it is a member
-    removal_notice_until_ms: float = 0.0  # ms, when it is no longer told that it was removed
+    snapshot_offset: int = 0  # bytes of it that the peer has received
+    max_message_bytes: int = INITIAL_MESSAGE_BYTES  # kept small enough not to delay heartbeats
+    removal_index: int = 0  # index of the entry that removes it; 0 for a member
+    removal_notice_until_ms: float = 0.0  # when to stop sending it entries about its removal
 
-    def adapt_message_size(self, late: bool, most: int) -> None:
+    def adapt_message_size(self, is_slow: bool, max_bytes: int) -> None:
         """Halve the message size after a slow round, double it after a fast one."""
         self.max_message_bytes = (
             max(self.max_message_bytes // 2, MIN_MESSAGE_BYTES)
-            if late
-            else min(self.max_message_bytes * 2, max(most, MIN_MESSAGE_BYTES))
+            if is_slow
+            else min(self.max_message_bytes * 2, max(max_bytes, MIN_MESSAGE_BYTES))
         )
 
     def record_match(self, index: int) -> None:
-        """Its log matches the leader's, on its disk, up to here."""
+        """Record that the peer's durable log matches the leader's up to this index."""
         self.match_index = max(self.match_index, index)
         while self.in_flight and self.in_flight[0] <= self.match_index:
             self.in_flight.popleft()
         if (
-            self.mode == PIECES
+            self.mode == SNAPSHOT
             and self.snapshot_head is not None
             and self.match_index < self.snapshot_head.index
         ):
@@ -61,20 +60,17 @@
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def backtrack(self, index: int) -> None:
-        """The member rejected an append.
-
-        Probe from after this index, but never from before `match_index` + 1.
-        """
-        if self.mode == PIECES:
+        """After a rejected append, probe from behind this index, but not from before `match_index` + 1."""
+        if self.mode == SNAPSHOT:
             return
         self.next_index = max(min(index, self.next_index - 1), self.match_index) + 1
         self.mode, self.is_awaiting_response = PROBE, False
         self.in_flight.clear()
 
     def start_snapshot(self, head: pb.SnapshotHead, data: bytes) -> None:
-        """Send it a snapshot, as the entries that it lacks are no longer in the log."""
+        """Switch to sending a snapshot: the entries that the peer lacks are no longer in the log."""
         self.mode, self.is_awaiting_response, self.snapshot_head, self.snapshot_data, self.snapshot_offset = (
-            PIECES,
+            SNAPSHOT,
             False,
             head,
             data,
--- a/fennelwind/raft/snapshot_chunks.py
+++ b/fennelwind/raft/snapshot_chunks.py
@@ -1,4 +1,4 @@
-"""A snapshot that comes in pieces, and goes on where it broke off. No I/O."""
+"""Reassembly of a snapshot received in chunks; an interrupted transfer resumes where it stopped. No I/O."""
 
 import crc32c
 
@@ -8,14 +8,17 @@
 
 
 class SnapshotReceiver:
-    """The snapshot that is coming in, as far as it has come."""
+    """The chunks received so far of an incoming snapshot."""
 
     def __init__(self) -> None:
         self.head: pb.SnapshotHead | None = None
         self.data = bytearray()
 
     def add_chunk(self, chunk: pb.Piece) -> bytes | None:
-        """Add a chunk; return the whole when it is whole and sound. One that doesn't fit on is left out."""
+        """Add a chunk; return the snapshot once it is complete and its checksum matches, else None.
+
+        A chunk that doesn't follow the received data is ignored.
+        """
         if self.head != chunk.head:
             self.head, self.data = chunk.head, bytearray()
         if chunk.offset == len(self.data) and len(self.data) + len(chunk.data) <= chunk.head.size:
@@ -24,19 +27,19 @@
             return None
         data = bytes(self.data)
         if crc32c.crc32c(data) != chunk.head.crc32c:
-            self.data = bytearray()  # begins anew
+            self.data = bytearray()  # corrupt: receive it again from the start
             return None
         return data
 
     def reset(self) -> None:
-        """Forget what has come."""
+        """Discard what was received."""
         self.head, self.data = None, bytearray()
 
 
 def make_snapshot_head(
     index: int, term: int, clock_ms: int, members: pb.Members, data: bytes
 ) -> pb.SnapshotHead:
-    """Return what is to be known of a snapshot."""
+    """Return the header of a snapshot."""
     return pb.SnapshotHead(
         index=index, term=term, clock_ms=clock_ms, members=members, size=len(data), crc32c=crc32c.crc32c(data)
     )
--- a/fennelwind/raft/state_machine.py
+++ b/fennelwind/raft/state_machine.py
@@ -1,57 +1,58 @@
-"""What keeps state on the record: the same commands give the same state on every controller, byte for byte.
+"""The interface of replicated state machines: equal commands give equal state on every controller.
 
-A machine has no clock and no chance. Time comes with each entry; it never goes back, and while the council
-has no leader it stands still.
+A state machine uses neither a clock nor randomness, and its state is equal byte for byte. Time comes with
+each entry; it never goes back, and it stands still while the Raft group has no leader.
 """
 
 from typing import NamedTuple, Protocol
 
 
 class LogPosition(NamedTuple):
-    """Where on the record a command stands."""
+    """The position of a command in the replicated log."""
 
-    index: int  # of its entry, from 1
-    clock_ms: int  # the record's clock
+    index: int  # of its entry, starting at 1
+    clock_ms: int  # the replicated clock
 
 
 class Facts(Protocol):
-    """What machines may know of one another: numbers by kind and key, as of the entry being applied."""
+    """What state machines can read of each other: numbers by kind and key, as of the entry being applied."""
 
     def fact(self, kind: str, key: str) -> int:
-        """Return what the record says; 0 where nobody says anything.
+        """Return a fact, or 0 if no state machine provides it.
 
-        Kinds: `fence` (key: a task; the fence of its present holder, 0 if nobody holds it), `moving` (key: a
-        table; how many of its shards are under way), `changing` (key: a table; 1 while its schema changes).
+        Kinds: `fence` (key: a task; the fencing token of its current holder, 0 if nobody holds it), `moving`
+        (key: a table; how many of its shards are being moved), `changing` (key: a table; 1 while its schema
+        changes).
         """
 
 
 class UnreadableCommandError(Exception):
-    """The command's bytes are none of this machine's; the record answers UNREADABLE, state is as before."""
+    """The state machine can't parse the command; its result is UNREADABLE and the state is unchanged."""
 
 
 class StateMachine(Protocol):
-    """State on the record.
+    """A replicated state machine.
 
-    A refusal is a result like any other; only `UnreadableCommandError` may be raised.
+    A refusal is an ordinary result; the only exception that may be raised is `UnreadableCommandError`.
     """
 
     name: str
-    kinds: tuple[str, ...]  # of the facts that it tells
+    kinds: tuple[str, ...]  # kinds of the facts that it provides
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out; return its result. Raises `UnreadableCommandError`."""
+        """Apply a command; return its result. Raises `UnreadableCommandError`."""
 
     def expire_due(self, at: LogPosition) -> None:
-        """Let lapse what is due at this time; called ahead of each entry from `due` on."""
+        """Expire what is due; called before an entry once `next_expiry_clock_ms` is reached."""
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when something lapses next, on the record's clock; None: never."""
+        """Return when something expires next, on the replicated clock; None if nothing does."""
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a fact of one of its kinds; 0 where there is nothing to say."""
+        """Return a fact of one of its kinds; 0 if there is none."""
 
     def snapshot(self) -> bytes:
-        """Return its state; equal states give equal bytes."""
+        """Return the serialized state; equal states give equal bytes."""
 
     def restore(self, data: bytes) -> None:
-        """Take a state in place of its own; b"" is the empty one."""
+        """Replace the state by a serialized one; b"" is the empty state."""
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -164,7 +164,7 @@
         tasks = [loop.spawn(ours.propose, "sum", b"1", 5000) for _ in range(300)]
         answers = sorted(int(task.join()) for task in tasks)
         assert answers == list(range(1, 301))
-        kept = [client.kept for client in there.state.record._clients.values()]
+        kept = [client.results for client in there.state.record._clients.values()]
         assert max(map(len, kept)) <= 64
 
     play(main)
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -72,8 +72,8 @@
         [
             Line(
                 ReplicatedState._command,
-                "if command.number in client.kept:",
-                "client.kept.clear()\n    if False:",
+                "if command.number in session.results:",
+                "session.results.clear()\n    if False:",
             )
         ],
         ("stop", "cut", "kill"),
@@ -96,7 +96,7 @@
     ),
     Defect(
         "a snapshot forgets what clients have done",
-        [Line(ReplicatedState.restore, "{kept.number: kept.result for kept in told.kept}", "{}")],
+        [Line(ReplicatedState.restore, "{result.number: result.result for result in saved.kept}", "{}")],
     ),
     Defect(
         "one entry in forty is left out",
