--- a/fennelwind/raft_storage/__init__.py
+++ b/fennelwind/raft_storage/__init__.py
@@ -1,1 +1,1 @@
-"""The record on disk: segments, checksums, snapshots, and what a full or lying disk gets."""
+"""Durable storage of a Raft member: log segments, checksums, snapshots; handling of full and faulty disks."""
--- a/fennelwind/raft_storage/errors.py
+++ b/fennelwind/raft_storage/errors.py
@@ -1,11 +1,11 @@
-"""What a member's folder can be found to be, each with what an operator can do."""
+"""Errors of a member's folder, each with advice for an operator."""
 
 from fennelwind.errors import FennelwindError
 
-JOIN_ANEW = (
+REJOIN_ADVICE = (
     "Stop the member, move the folder away and keep it, and start the member with an empty one: it "
-    "joins anew and gets all from the others. Do so with one member at a time, while a majority of "
-    "the others is well."
+    "joins again and gets everything from the others. Do so with one member at a time, while a majority "
+    "of the others is healthy."
 )
 
 
@@ -13,11 +13,11 @@
     """The folder can't be used as it is."""
 
     code = "store-error"
-    advice = "Read the text; the folder was not changed."
+    advice = "Read the message; the folder was not changed."
 
 
 class WrongFleetError(StoreError):
-    """The folder is a member's of another fleet."""
+    """The folder belongs to a member of another fleet."""
 
     code = "store-other-fleet"
     advice = (
@@ -26,7 +26,7 @@
 
 
 class WrongMemberError(StoreError):
-    """The folder is another member's."""
+    """The folder belongs to another member."""
 
     code = "store-other-member"
     advice = (
@@ -46,63 +46,63 @@
 
 
 class MetaMissingError(StoreError):
-    """There is a log, but nothing that says whose it is."""
+    """There is a log, but no `meta` file that identifies its owner."""
 
     code = "store-meta-missing"
-    advice = "The file `meta` was taken away. " + JOIN_ANEW
+    advice = "The file `meta` was removed. " + REJOIN_ADVICE
 
 
 class MetaDamagedError(StoreError):
-    """What says whose folder it is can't be read."""
+    """The `meta` file, which identifies the folder's owner, can't be read."""
 
     code = "store-meta-damaged"
-    advice = "The file `meta` was changed from outside or the disk is bad. " + JOIN_ANEW
+    advice = "The file `meta` was changed by another program or the disk is faulty. " + REJOIN_ADVICE
 
 
 class SegmentMissingError(StoreError):
-    """A part of the log is not there."""
+    """A segment of the log is missing."""
 
     code = "store-segment-missing"
-    advice = "A file of the log was taken away. Put it back if you have it. Otherwise: " + JOIN_ANEW
+    advice = "A file of the log was removed. Restore it if you have it. Otherwise: " + REJOIN_ADVICE
 
 
 class LogDamagedError(StoreError):
-    """What was acknowledged can't be read any more; nothing of the log was dropped for it."""
+    """Acknowledged entries can't be read any more; nothing was removed from the log."""
 
     code = "store-log-damaged"
-    advice = "The disk changed or lost what it had taken: look at its state first. " + JOIN_ANEW
+    advice = "The disk changed or lost data that it had stored: check its health first. " + REJOIN_ADVICE
 
 
 class SnapshotDamagedError(StoreError):
-    """No snapshot that the log can be read behind is whole."""
+    """There is no intact snapshot that the log continues."""
 
     code = "store-snapshot-damaged"
-    advice = "The disk changed or lost what it had taken: look at its state first. " + JOIN_ANEW
+    advice = "The disk changed or lost data that it had stored: check its health first. " + REJOIN_ADVICE
 
 
 class WriteTooLargeError(StoreError):
-    """More than the folder takes at once; nothing was written."""
+    """The write exceeds a size limit; nothing was written."""
 
     code = "store-write-too-large"
-    advice = "The record's state has outgrown its bound. Look which machine holds so much state."
+    advice = "The replicated state exceeds its size limit. Find out which state machine holds so much state."
 
 
 class InvalidWriteError(StoreError):
-    """A write that does not fit what is there: a fault of the program, not of the disk."""
+    """A write that does not fit the log: a fault of the program, not of the disk."""
 
     code = "store-write-refused"
     advice = "This is a fault of the program; keep the log and the folder and report it. Restart the member."
 
 
 class StoreStoppedError(StoreError):
-    """An earlier write failed; nothing is written until the folder was read anew."""
+    """An earlier write failed; nothing is written until the folder has been read again."""
 
     code = "store-stopped"
-    advice = "Nothing to do: the member reads its folder anew. The error before this one says what failed."
+    advice = "Nothing to do: the member reads its folder again. The error before this one says what failed."
 
 
 class InsufficientSpaceError(StoreError):
-    """There is not yet room enough to write again."""
+    """There is not yet enough free space to write again."""
 
     code = "store-no-room"
-    advice = "Make room on the disk that holds the folder; the member comes back by itself."
+    advice = "Free space on the disk that holds the folder; the member then resumes by itself."
--- a/fennelwind/raft_storage/log_index.py
+++ b/fennelwind/raft_storage/log_index.py
@@ -1,148 +1,162 @@
-"""What the log holds, without its contents: kept while writing, made anew while reading. No I/O."""
+"""An index of the log on disk, without the entries: maintained on writes, rebuilt on reads. No I/O."""
 
 from collections.abc import Callable, Iterable
 
 from fennelwind.raft import council_pb2 as pb
-from fennelwind.raft_storage import store_pb2 as kept
+from fennelwind.raft_storage import store_pb2
 from fennelwind.raft_storage.errors import InvalidWriteError
 
-GENERATIONS = 2  # snapshots kept: if the newer can't be read, the log behind the older still says all
+GENERATIONS = 2  # snapshots kept: if the newer one is unreadable, the older one and the log replace it
 
 
-class Shape:
-    """Terms of the entries held, the hard state, and the snapshots behind which the log can be read."""
+class LogIndex:
+    """The terms of the held entries, the hard state, and the snapshots from which the log can be replayed."""
 
     def __init__(
         self,
         last_index: int = 0,
         last_term: int = 0,
-        hard: bytes = b"",
-        heads: Iterable[pb.SnapshotHead] = (),
+        hard_state: bytes = b"",
+        snapshot_heads: Iterable[pb.SnapshotHead] = (),
     ) -> None:
-        self.start, self.start_term = last_index, last_term  # of the entry before the first one held
+        self.base_index, self.base_term = last_index, last_term  # of the entry before the first held one
         self.terms: list[int] = []
-        self.hard = hard
-        self.heads = list(heads)  # the older first
-        self.keep_from = 0  # entries from here on are wanted though a snapshot holds them; 0: none
+        self.hard_state = hard_state
+        self.snapshot_heads = list(snapshot_heads)  # oldest first
+        self.retain_from = 0  # first entry retained although a snapshot covers it; 0: none
 
     @classmethod
-    def of(cls, head: kept.Head) -> "Shape":
-        """Return what a segment's first record says."""
+    def from_head(cls, head: store_pb2.Head) -> "LogIndex":
+        """Return the index as of a segment's first record."""
         heads = [pb.SnapshotHead.FromString(data) for data in head.heads]
-        shape = cls(head.last_index, head.last_term, head.hard, heads)
-        shape.keep_from = head.keep_from
-        return shape
+        index = cls(head.last_index, head.last_term, head.hard, heads)
+        index.retain_from = head.keep_from
+        return index
 
     @property
-    def last(self) -> int:
-        """Return the last entry's index."""
-        return self.start + len(self.terms)
+    def last_index(self) -> int:
+        """The last entry's index."""
+        return self.base_index + len(self.terms)
 
     @property
-    def agreed(self) -> int:
-        """Return the newest snapshot's index: no log is cut before it."""
-        return self.heads[-1].index if self.heads else 0
+    def snapshot_index(self) -> int:
+        """The newest snapshot's index, or 0; the log is never truncated before it."""
+        return self.snapshot_heads[-1].index if self.snapshot_heads else 0
 
     @property
     def last_term(self) -> int:
-        """Return the last entry's term; 0: there is none, or it is not known."""
-        return self.terms[-1] if self.terms else self.start_term
+        """The last entry's term; 0 if there is none or it is unknown."""
+        return self.terms[-1] if self.terms else self.base_term
 
     def term(self, index: int) -> int | None:
-        """Return an entry's term; None: it is not held."""
-        if index == self.start:
-            return self.start_term
-        return self.terms[index - self.start - 1] if self.start < index <= self.last else None
-
-    def joins(self, head: pb.SnapshotHead) -> bool:
-        """Tell whether the log goes on behind a snapshot; otherwise it takes the place of all entries."""
-        if head.index < max(self.start, self.agreed) or head.index == self.start and not self.start_term:
+        """Return an entry's term, or None if the entry is not held."""
+        if index == self.base_index:
+            return self.base_term
+        return self.terms[index - self.base_index - 1] if self.base_index < index <= self.last_index else None
+
+    def follows(self, head: pb.SnapshotHead) -> bool:
+        """Return whether the log continues after a snapshot; otherwise the snapshot replaces all entries."""
+        if (
+            head.index < max(self.base_index, self.snapshot_index)
+            or head.index == self.base_index
+            and not self.base_term
+        ):
             return True
         return self.term(head.index) == head.term
 
-    def snapshot(self, head: pb.SnapshotHead, keep_from: int) -> None:
-        """Take a snapshot; one older than the newest changes nothing."""
-        if not self.joins(head):
-            keep_from = 0
-            self.start, self.start_term, self.terms, self.heads = head.index, head.term, [], []
-        elif head.index < max(self.start, self.agreed):
+    def add_snapshot(self, head: pb.SnapshotHead, retain_from: int) -> None:
+        """Add a snapshot; ignore one that is older than the newest."""
+        if not self.follows(head):
+            retain_from = 0
+            self.base_index, self.base_term, self.terms, self.snapshot_heads = head.index, head.term, [], []
+        elif head.index < max(self.base_index, self.snapshot_index):
             return
-        self.heads = [h for h in self.heads if h.index != head.index] + [head]
-        self.keep_from = keep_from
-
-    def cut(self, after: int, with_head: bool) -> None:
-        """Drop the entries behind an index; with a snapshot, what it holds stays."""
-        if with_head:
-            after = max(after, self.agreed)
-        if after < self.agreed:
-            raise InvalidWriteError(f"cut behind {after}, but {self.agreed} is agreed", after=after)
-        if after < self.start:  # reading began behind it, since nobody needs what lies there
-            self.start, self.start_term = after, 0
-        del self.terms[after - self.start :]
+        self.snapshot_heads = [h for h in self.snapshot_heads if h.index != head.index] + [head]
+        self.retain_from = retain_from
+
+    def truncate_after(self, after: int, has_snapshot: bool) -> None:
+        """Remove the entries after an index; with a snapshot, entries that it covers stay.
+
+        Raises `InvalidWriteError` if that would remove entries covered by an earlier snapshot.
+        """
+        if has_snapshot:
+            after = max(after, self.snapshot_index)
+        if after < self.snapshot_index:
+            raise InvalidWriteError(
+                f"truncation after {after}, but {self.snapshot_index} is committed", after=after
+            )
+        if after < self.base_index:  # the replay began later, as entries up to there are no longer needed
+            self.base_index, self.base_term = after, 0
+        del self.terms[after - self.base_index :]
 
     def append(self, entries: Iterable[pb.Entry]) -> int:
-        """Take entries behind those that are held; return how many were new.
+        """Append entries; return how many were new. Raises `InvalidWriteError` for a gap or a lower term.
 
-        One of the same index and term is the same entry; so is one that a snapshot holds, which is agreed.
+        An entry of the same index and term is the same entry; so is one covered by a snapshot, as it is
+        committed.
         """
-        last, last_term, terms, taken = self.last, self.last_term, self.terms, 0
+        last, last_term, terms, added = self.last_index, self.last_term, self.terms, 0
         for entry in entries:
             index, term = entry.index, entry.term
-            if index <= last and self.term(index) in ((term, None) if index <= self.agreed else (term,)):
+            if index <= last and self.term(index) in (
+                (term, None) if index <= self.snapshot_index else (term,)
+            ):
                 continue
             if index != last + 1 or term < last_term:
                 raise InvalidWriteError(
-                    f"entry {index} of term {term} behind {last} of term {last_term}", index=index, term=term
+                    f"entry {index} of term {term} after entry {last} of term {last_term}",
+                    index=index,
+                    term=term,
                 )
             terms.append(term)
-            last, last_term, taken = index, term, taken + 1
-        return taken
+            last, last_term, added = index, term, added + 1
+        return added
 
-    def trim(self, generations: int = GENERATIONS) -> None:
-        """Keep so many generations only, and no terms that none of them needs.
+    def drop_old_generations(self, generations: int = GENERATIONS) -> None:
+        """Keep only the newest generations of snapshots, and the terms that they need.
 
-        Before there are as many, the empty log is the oldest: all entries stay.
+        While there are fewer snapshots, the empty log counts as the oldest generation: all entries stay.
         """
-        del self.heads[:-generations]
-        if len(self.heads) == generations and self.heads[0].index > self.start:
-            floor = self.heads[0]
-            del self.terms[: floor.index - self.start]
-            self.start, self.start_term = floor.index, floor.term
+        del self.snapshot_heads[:-generations]
+        if len(self.snapshot_heads) == generations and self.snapshot_heads[0].index > self.base_index:
+            oldest = self.snapshot_heads[0]
+            del self.terms[: oldest.index - self.base_index]
+            self.base_index, self.base_term = oldest.index, oldest.term
 
 
 class Replay:
-    """Reads a log's groups in their order; holds the entries."""
+    """Replays the groups of a log in order and collects the entries."""
 
-    def __init__(self, shape: Shape) -> None:
-        self.shape = shape
-        self.entries: list[pb.Entry] = []  # ends where `shape` does
+    def __init__(self, log_index: LogIndex) -> None:
+        self.log_index = log_index
+        self.entries: list[pb.Entry] = []  # up to the last index of `log_index`
 
-    def take(self, group: kept.Group, good: Callable[[pb.SnapshotHead], bool]) -> None:
-        """Carry a group out; a snapshot that can't be read is passed over where the log says all without it.
+    def apply(self, group: store_pb2.Group, is_readable: Callable[[pb.SnapshotHead], bool]) -> None:
+        """Apply a group; skip an unreadable snapshot if the log contains everything without it.
 
-        Raises `InvalidWriteError` if it does not fit what is before it, `DecodeError` if it can't be read.
+        Raises `InvalidWriteError` if the group doesn't fit the log, `DecodeError` if it can't be parsed.
         """
-        shape = self.shape
+        index = self.log_index
         for step in group.steps:
             if step.head:
                 head = pb.SnapshotHead.FromString(step.head)
-                joins = shape.joins(head)
-                if not joins:
+                follows = index.follows(head)
+                if not follows:
                     self.entries.clear()
-                if not joins or good(head):
-                    shape.snapshot(head, step.keep_from)
+                if not follows or is_readable(head):
+                    index.add_snapshot(head, step.keep_from)
             if step.HasField("cut_after"):
-                last = shape.last
-                shape.cut(step.cut_after, bool(step.head))
-                del self.entries[max(0, len(self.entries) - (last - shape.last)) :]
+                last = index.last_index
+                index.truncate_after(step.cut_after, bool(step.head))
+                del self.entries[max(0, len(self.entries) - (last - index.last_index)) :]
             entries = [pb.Entry.FromString(data) for data in step.entries]
-            taken = shape.append(entries)
-            self.entries += entries[len(entries) - taken :]
+            added = index.append(entries)
+            self.entries += entries[len(entries) - added :]
             if step.hard:
-                shape.hard = step.hard
+                index.hard_state = step.hard
 
-    def wanted(self) -> list[pb.Entry]:
-        """Return the entries behind the newest snapshot, and those before it that are wanted and held."""
-        shape = self.shape
-        first = min(shape.keep_from or shape.agreed + 1, shape.agreed + 1)
-        return self.entries[max(0, len(self.entries) - (shape.last + 1 - first)) :]
+    def retained_entries(self) -> list[pb.Entry]:
+        """Return the entries after the newest snapshot, and the retained ones that it covers."""
+        index = self.log_index
+        first = min(index.retain_from or index.snapshot_index + 1, index.snapshot_index + 1)
+        return self.entries[max(0, len(self.entries) - (index.last_index + 1 - first)) :]
--- a/fennelwind/raft_storage/record_format.py
+++ b/fennelwind/raft_storage/record_format.py
@@ -1,7 +1,8 @@
-"""Records in files: how they are framed, read back, and what damage to them can mean. No I/O.
+"""The framing of records in files, and the classification of damaged ones. No I/O.
 
-A record: magic, kind, length, number, CRC32C of the payload, CRC32C of all that, the payload, one byte that
-is not zero. The last byte lets a torn write be told from a flipped bit: see `torn`.
+A record consists of magic, kind, length, number, CRC32C of the payload, CRC32C of the fields before, the
+payload, and one byte that is not zero. The last byte distinguishes a torn write from a flipped bit; see
+`is_torn`.
 """
 
 from struct import Struct
@@ -11,84 +12,85 @@
 
 MAGIC = b"\xf7fwr"
 META, HEAD, PART, LAST, MARK, SNAPSHOT, PIECE = range(1, 8)
-RECORD_MOST = 1 << 20  # bytes of one record's payload; larger groups are cut into parts
-SECTOR = 512  # bytes; no disk tears a write within less
+MAX_PAYLOAD_BYTES = 1 << 20  # of one record; larger groups are split into parts
+SECTOR_BYTES = 512  # a disk writes a sector as a whole or not at all
 END = b"\xa5"
 
-_FRONT = Struct("<4sB3xIQI")  # magic, kind, length, number, CRC32C of the payload
+_HEADER = Struct("<4sB3xIQI")  # magic, kind, length, number, CRC32C of the payload
 _CRC = Struct("<I")
-FRONT = _FRONT.size + _CRC.size
-AROUND = FRONT + len(END)  # bytes of a record besides its payload
+HEADER_BYTES = _HEADER.size + _CRC.size
+OVERHEAD_BYTES = HEADER_BYTES + len(END)  # bytes of a record besides its payload
 
 
 class Record(NamedTuple):
-    """A record as it was read."""
+    """A record read from a file."""
 
     kind: int
     number: int
     payload: bytes
-    end: int  # offset behind it
+    end: int  # offset of the byte after it
 
 
 def pack(kind: int, number: int, payload: bytes) -> bytes:
-    """Return a record's bytes."""
-    front = _FRONT.pack(MAGIC, kind, len(payload), number, crc32c(payload))
-    return b"".join((front, _CRC.pack(crc32c(front)), payload, END))
+    """Return the bytes of a record."""
+    header = _HEADER.pack(MAGIC, kind, len(payload), number, crc32c(payload))
+    return b"".join((header, _CRC.pack(crc32c(header)), payload, END))
 
 
-def parts(number: int, payload: bytes) -> bytes:
-    """Return a group's bytes: one record, or as many as its length takes."""
-    cuts = range(0, max(1, len(payload)), RECORD_MOST)
+def pack_group(number: int, payload: bytes) -> bytes:
+    """Return the bytes of a group: one record, or several if it is larger than `MAX_PAYLOAD_BYTES`."""
+    offsets = range(0, max(1, len(payload)), MAX_PAYLOAD_BYTES)
     return b"".join(
-        pack(LAST if at == cuts[-1] else PART, number, payload[at : at + RECORD_MOST]) for at in cuts
+        pack(LAST if at == offsets[-1] else PART, number, payload[at : at + MAX_PAYLOAD_BYTES])
+        for at in offsets
     )
 
 
-def _front(data: bytes, at: int) -> tuple[int, int, int, int] | None:
-    """Return (kind, length, number, CRC of the payload) of the record there; None: it can't be read."""
-    if len(data) - at < FRONT:
+def _read_header(data: bytes, at: int) -> tuple[int, int, int, int] | None:
+    """Return (kind, length, number, payload CRC) of the record at an offset, or None if unreadable."""
+    if len(data) - at < HEADER_BYTES:
         return None
-    magic, kind, length, number, crc = _FRONT.unpack_from(data, at)
-    (told,) = _CRC.unpack_from(data, at + _FRONT.size)
-    if magic != MAGIC or length > RECORD_MOST or crc32c(data[at : at + _FRONT.size]) != told:
+    magic, kind, length, number, crc = _HEADER.unpack_from(data, at)
+    (header_crc,) = _CRC.unpack_from(data, at + _HEADER.size)
+    if magic != MAGIC or length > MAX_PAYLOAD_BYTES or crc32c(data[at : at + _HEADER.size]) != header_crc:
         return None
     return kind, length, number, crc
 
 
-def read(data: bytes, at: int) -> Record | None:
-    """Return the record at an offset; None: there is none that is whole."""
-    front = _front(data, at)
-    if front is None:
+def read_record(data: bytes, at: int) -> Record | None:
+    """Return the record at an offset, or None if there is no complete and valid one."""
+    header = _read_header(data, at)
+    if header is None:
         return None
-    kind, length, number, crc = front
-    begin, end = at + FRONT, at + AROUND + length
-    payload = data[begin : begin + length]
+    kind, length, number, crc = header
+    start, end = at + HEADER_BYTES, at + OVERHEAD_BYTES + length
+    payload = data[start : start + length]
     if end > len(data) or data[end - 1 : end] != END or crc32c(payload) != crc:
         return None
     return Record(kind, number, payload, end)
 
 
-def torn(data: bytes, at: int, number: int) -> bool:
-    """Tell whether what lies at an offset can be the remains of group `number`, never synced.
+def is_torn(data: bytes, at: int, number: int) -> bool:
+    """Return whether the data at an offset can be the remains of an unsynced write of group `number`.
 
-    The next group is only written when a sync has brought this one to the disk; so a later one's record
-    proves that this one was whole. A sector that was never written is absent or reads as zeros; a record
-    begins and ends with bytes that are not zero. So a record that is there in its full length with no sector
-    of zeros was written whole, and something has changed it since.
+    The next group is only written once this one is synced, so a record of a later group proves that this one
+    was complete. A sector that was never written is absent or reads as zeros, and a record begins and ends
+    with bytes that are not zero. So a record with its full length and no sector of zeros was written
+    completely, and was damaged later.
     """
-    found = data.find(MAGIC, at)
-    while found >= 0:
-        front = _front(data, found)
-        if front is not None and front[2] > number:
+    position = data.find(MAGIC, at)
+    while position >= 0:
+        header = _read_header(data, position)
+        if header is not None and header[2] > number:
             return False
-        found = data.find(MAGIC, found + 1)
-    front = _front(data, at)
-    end = at + (FRONT if front is None else AROUND + front[1])
+        position = data.find(MAGIC, position + 1)
+    header = _read_header(data, at)
+    end = at + (HEADER_BYTES if header is None else OVERHEAD_BYTES + header[1])
     if end > len(data):
         return True
-    sector = at - at % SECTOR
+    sector = at - at % SECTOR_BYTES
     while sector < end:
-        if not any(data[max(sector, at) : sector + SECTOR]):
+        if not any(data[max(sector, at) : sector + SECTOR_BYTES]):
             return True
-        sector += SECTOR
+        sector += SECTOR_BYTES
     return False
--- a/tests/raft_storage/test_store.py
+++ b/tests/raft_storage/test_store.py
@@ -31,8 +31,7 @@
 from fennelwind.loop.simdisk import Platter, SimDisk
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Write
-from fennelwind.raft_storage import record_format
-from fennelwind.raft_storage import store_pb2 as kept
+from fennelwind.raft_storage import record_format, store_pb2
 from fennelwind.raft_storage.errors import (
     InsufficientSpaceError,
     InvalidWriteError,
@@ -205,7 +204,7 @@
 
 
 def test_a_newer_format_is_refused():
-    meta = kept.Meta(format=2, fleet="fleet", name="a", life=LIFE)
+    meta = store_pb2.Meta(format=2, fleet="fleet", name="a", life=LIFE)
     disk = SimDisk(None, built().platter)
     disk.remove("meta")
     disk.append("meta", record_format.pack(record_format.META, 0, meta.SerializeToString()))
@@ -269,7 +268,7 @@
     play.write(Write(1, truncate_after=8, entries=tuple(entry(index, 2, 20) for index in range(9, 12))))
     for index in (10, 11):
         play.write(Write(1, snapshot_head=pb.SnapshotHead(index=index, term=2), snapshot=b"s"))
-    assert play.store.first == 2
+    assert play.store.first_segment == 2
     play.kill()
     assert play.start()
 
@@ -306,7 +305,7 @@
 
 def test_a_full_disk_stops_the_store_until_there_is_room_again():
     play = filled_up()
-    assert play.store.full and play.store.is_low_on_space()
+    assert play.store.is_disk_full and play.store.is_low_on_space()
     with pytest.raises(InsufficientSpaceError) as told:
         play.store.reopen()
     assert told.value.facts["wanted"] == SMALL.min_free_bytes
@@ -336,7 +335,9 @@
         assert play.write(Write(1, entries=(entry(index, 1),)))
     play.kill()
     assert play.start()
-    assert [head.index for head in play.store.shape.heads] == [last - 1]  # what was dropped stays so
+    assert [head.index for head in play.store.log_index.snapshot_heads] == [
+        last - 1
+    ]  # what was dropped stays so
 
 
 def test_what_is_small_takes_a_part_of_the_reserve():
@@ -353,7 +354,7 @@
 
 def test_the_reserve_is_taken_again_when_there_is_room():
     play = filled_up()
-    assert play.store._give_reserve(SMALL.reserve_bytes)
+    assert play.store._release_reserve(SMALL.reserve_bytes)
     play.platter.room += 20_000
     assert play.again() and play.platter.names["reserve"].shown == bytes(SMALL.reserve_bytes)
 
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -395,7 +395,7 @@
     """Return where the last record begins: a write that was torn was never marked as being on the disk."""
     begin, end = 0, 0
     while end < len(data):
-        begin, end = end, record_format.read(data, end).end
+        begin, end = end, record_format.read_record(data, end).end
     return begin
 
 
--- a/tests/support/storedefects.py
+++ b/tests/support/storedefects.py
@@ -87,11 +87,11 @@
     """Go on in the file whose sync failed."""
 
     def written(self, *writes):
-        before = self.group, self.size
+        before = self.group, self.segment_size
         try:
             write(self, *writes)
         except SyncFailed:
-            if (self.group, self.size) != before or any(one.snapshot_head for one in writes):
+            if (self.group, self.segment_size) != before or any(one.snapshot_head for one in writes):
                 raise
             self.group += 1
             self.failed = False
@@ -103,10 +103,10 @@
     """Take what a failed write left as if it were acknowledged."""
 
     def reopened(self, *more):
-        if not (self.full and not more[0]):
+        if not (self.is_disk_full and not more[0]):
             data = self.disk.read(f"{LOG}{self.segment:010d}", 0, 1 << 20)
             at, number = 0, self.group
-            while (record := record_format.read(data, at)) is not None:
+            while (record := record_format.read_record(data, at)) is not None:
                 at, number = (
                     record.end,
                     max(number, record.number if record.kind == record_format.LAST else 0),
@@ -123,14 +123,14 @@
     def written(self, group, writes):
         if any(one.snapshot_head is not None for one in writes):
             heads, newest = (
-                list(self.shape.heads),
+                list(self.log_index.snapshot_heads),
                 [w.snapshot_head for w in writes if w.snapshot_head is not None][-1],
             )
-            self.shape.heads = heads[-1:] + [newest]
+            self.log_index.snapshot_heads = heads[-1:] + [newest]
             names = [n for n in self.disk.names() if n.startswith(LOG) and not n.endswith(NEW)]
             for name in names[:-1] if heads else []:
                 self.disk.remove(name)
-            self.shape.heads = heads
+            self.log_index.snapshot_heads = heads
         write(self, group, writes)
 
     return patch.object(Store, "_write", written)
@@ -138,19 +138,21 @@
 
 NO_CHECKSUMS = [patch.object(record_format, "crc32c", lambda data: 0)]
 ALL_TORN = [
-    patch.object(record_format, "torn", lambda data, at, number: True)
+    patch.object(record_format, "is_torn", lambda data, at, number: True)
 ]  # damage at the end is a torn tail
 DEFECTS = {
     "a write is acknowledged without a sync": [
-        Line(Store._write, "self.disk.sync(_log(self.segment))", "pass")
+        Line(Store._write, "self.disk.sync(_log_name(self.segment))", "pass")
+    ],
+    "files are renamed without a sync": [
+        Line(Store._write_file_once, "self.disk.sync(temporary_name)", "pass")
     ],
-    "files are renamed without a sync": [Line(Store._put_once, "self.disk.sync(new)", "pass")],
     "names are not synced": [patch.object(SimDisk, "sync_names", lambda self: None)],
     "rename before sync": [
         Line(
-            Store._put_once,
-            "self.disk.sync(new)\n    self.disk.rename(new, name)",
-            "self.disk.rename(new, name)\n    self.disk.sync(name)",
+            Store._write_file_once,
+            "self.disk.sync(temporary_name)\n    self.disk.rename(temporary_name, name)",
+            "self.disk.rename(temporary_name, name)\n    self.disk.sync(name)",
         )
     ],
     "a failed sync is tried again": [sync_again(SimDisk.sync)],
@@ -159,14 +161,14 @@
     "what reads well at opening is trusted": [
         Line(  # the last group is not written again
             Store._read_log,
-            "return segments, again",
-            "segments[-1].groups.extend(again)\n    return segments, []",
+            "return segments, rewritten",
+            "segments[-1].groups.extend(rewritten)\n    return segments, []",
         )
     ],
     "old segments are removed before the new snapshot counts": [sweep_first(Store._write)],
     "the old snapshot is removed first": [
         Line(
-            Store._put,
+            Store._write_file,
             "pieces = list(pieces)",
             "pieces = list(pieces)\n    if name.startswith(SNAPSHOT):\n"
             "        for old in [o for o in self.disk.names() if o.startswith(SNAPSHOT) and o != name]:\n"
@@ -176,27 +178,31 @@
     "a snapshot is written behind the group that names it": [
         Line(
             Store._write,
-            "self._put(_snapshot(write.snapshot_head), _pieces(write.snapshot_head, write.snapshot))",
+            "self._write_file(\n                _snapshot_name(write.snapshot_head),\n"
+            "                _snapshot_records(write.snapshot_head, write.snapshot),\n            )",
             "pass",
             "self.group += 1",
             "self.group += 1\n    for one in [w for w in writes if w.snapshot_head is not None]:\n"
-            "        self._put(_snapshot(one.snapshot_head), _pieces(one.snapshot_head, one.snapshot))",
+            "        self._write_file(_snapshot_name(one.snapshot_head),"
+            " _snapshot_records(one.snapshot_head, one.snapshot))",
         )
     ],
     "a mark is written before the sync": [
         Line(
             Store._write,
-            "data = record_format.parts(",
-            "self.group += 1\n    self._mark()\n    with suppress(DiskError):\n"
-            "        self.disk.sync(_marks(self.segment))\n    self.group -= 1\n"
-            "    data = record_format.parts(",
+            "data = record_format.pack_group(",
+            "self.group += 1\n    self._write_mark()\n    with suppress(DiskError):\n"
+            "        self.disk.sync(_marks_name(self.segment))\n    self.group -= 1\n"
+            "    data = record_format.pack_group(",
         )
     ],
     "meta is not written anew": [
-        Line(Store.open.__func__, "store._check_meta()\n        store._put_meta()", "store._check_meta()")
+        Line(Store.open.__func__, "store._check_meta()\n        store._write_meta()", "store._check_meta()")
+    ],
+    "a full disk is not told": [
+        Line(Store.write, "self.is_disk_full = True\n        raise", "self.is_disk_full = True")
     ],
-    "a full disk is not told": [Line(Store.write, "self.full = True\n        raise", "self.full = True")],
-    "no torn tail is cut": [patch.object(record_format, "torn", lambda data, at, number: False)],
+    "no torn tail is cut": [patch.object(record_format, "is_torn", lambda data, at, number: False)],
 }
 
 
--- a/tests/support/storemodel.py
+++ b/tests/support/storemodel.py
@@ -239,7 +239,7 @@
             if shrink and self.model.last > self.model.agreed:
                 index = self.random.randint(self.model.agreed + 1, self.model.last)
                 head, data = pb.SnapshotHead(index=index, term=self.model.terms[index]), b"small"
-                if self.store.full:
+                if self.store.is_disk_full:
                     self.models = [
                         *self.models,
                         self.model.after(Write(1, snapshot_head=head, snapshot=data)),
