--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -5,7 +5,7 @@
 import pytest
 from council_chaos import Chaos
 from council_world import Council
-from sums import Sum
+from sum_machine import Sum
 
 from fennelwind.cluster import disaster_recovery
 from fennelwind.cluster.disaster_recovery import restart_alone, summarize
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from sums import Sum
+from sum_machine import Sum
 
 from fennelwind.cluster import keeper_pb2 as pb
 from fennelwind.cluster.errors import (
--- a/tests/raft/test_council_defects.py
+++ b/tests/raft/test_raft_defects.py
@@ -1,7 +1,7 @@
 """Each defect planted in the council's core is found, by a day or by the search."""
 
 import pytest
-from council_defects import DEFECTS, by_search, by_seeds
+from raft_defects import DEFECTS, by_search, by_seeds
 
 AGAIN = 60  # seeds more: which day finds a defect moves with each change of the core
 
--- a/tests/raft/test_council.py
+++ b/tests/raft/test_raft_member.py
@@ -4,8 +4,8 @@
 from random import Random
 
 import pytest
-from council_cluster import TIGHT, Cluster, Image, play
-from council_search import STARTS, Search, run
+from raft_cluster import TIGHT, Cluster, Image, play
+from raft_search import STARTS, Search, run
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import messages as api
--- a/tests/raft/test_record.py
+++ b/tests/raft/test_replicated_state.py
@@ -3,7 +3,7 @@
 import pytest
 from hypothesis import given, settings
 from hypothesis import strategies as st
-from sums import Sum
+from sum_machine import Sum
 
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft import replicated_state as record_module
--- a/tests/raft_storage/test_store.py
+++ b/tests/raft_storage/test_store.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, precondition, rule
 from planted import planted
-from storedefects import ALL_TORN, DEFECTS, NO_CHECKSUMS, Late, Through, found_after, on
-from storemodel import (
+from store_defects import ALL_TORN, DEFECTS, NO_CHECKSUMS, Late, Through, found_after, on
+from store_model import (
     FAULTS,
     LIFE,
     LOSSES,
--- a/tests/support/fuzz_store.py
+++ b/tests/support/fuzz_store.py
@@ -15,7 +15,7 @@
 import time
 from collections import Counter
 
-from storemodel import LOSSES, Play, changed_folder, random_play
+from store_model import LOSSES, Play, changed_folder, random_play
 
 BAD_MOST = 20  # failures after which it ends
 WRITES = 8  # of the play whose power is cut twice
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -2,7 +2,7 @@
 
 python tests/support/lease_council.py --seeds 1000 [--kind fences|plain]
 
-As lease_play.py, but the record is agreed by cores (council_cluster.py, with all its checks). They crash
+As lease_play.py, but the record is agreed by cores (raft_cluster.py, with all its checks). They crash
 with unsynced writes lost, are cut off one way or both, lose and double messages, and hand over; snapshots are
 small and frequent. Each member's clock has its own pace within the stated drift.
 """
@@ -14,8 +14,8 @@
 import sys
 from collections import Counter
 
-from council_cluster import Cluster, Node
 from lease_play import Controller, Play, main
+from raft_cluster import Cluster, Node
 
 from fennelwind.leases import lease_events
 from fennelwind.leases.model import ControllerIncarnation
--- a/tests/support/council_cluster.py
+++ b/tests/support/raft_cluster.py
@@ -1,6 +1,6 @@
 """A council in virtual time: N cores, disks that lose, networks that lose, double, reorder and cut, by seed.
 
-Run as a program it plays many seeds: `python tests/support/council_cluster.py --seeds 10000`. Every step is
+Run as a program it plays many seeds: `python tests/support/raft_cluster.py --seeds 10000`. Every step is
 checked against what may never be: see `Checks`.
 """
 
--- a/tests/support/council_defects.py
+++ b/tests/support/raft_defects.py
@@ -1,6 +1,6 @@
 """Defects planted in the council's core, and how soon the tests find each.
 
-Run as a program it makes the table of docs/results/council.md: `python tests/support/council_defects.py`.
+Run as a program it makes the table of docs/results/council.md: `python tests/support/raft_defects.py`.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
@@ -15,10 +15,10 @@
 from typing import NamedTuple
 from unittest.mock import patch
 
-import council_cluster
-import council_search
-from council_cluster import Cluster
+import raft_cluster
+import raft_search
 from planted import Line, broken, planted, row
+from raft_cluster import Cluster
 
 from fennelwind.raft import election, snapshots
 from fennelwind.raft.election import Campaign
@@ -221,17 +221,17 @@
 def by_seeds(name: str, first: int, seeds: int, part: float = 1.0) -> tuple[int, str] | None:
     """Return how many seeds it took until a day was broken, and by what; None: none was."""
     with planted(DEFECTS[name].changes):
-        return broken(partial(council_cluster.play, seed, part=part) for seed in range(first, first + seeds))
+        return broken(partial(raft_cluster.play, seed, part=part) for seed in range(first, first + seeds))
 
 
 def by_search(name: str, states: int, *starts: str) -> tuple[str, str] | None:
     """Return after how many states from which start the search found it, and what; None: it did not."""
     with planted(DEFECTS[name].changes):
-        for start in starts or council_search.STARTS:
-            search, bounds = council_search.Search(), council_search.STARTS[start]
+        for start in starts or raft_search.STARTS:
+            search, bounds = raft_search.Search(), raft_search.STARTS[start]
             try:
                 begin = getattr(search, start)(replace(bounds, failures=bounds.crashes))
-                council_search.run(search, begin, states, 100)
+                raft_search.run(search, begin, states, 100)
             except Exception as exc:
                 return f"{getattr(exc, 'states', 0)} from `{start}`", getattr(exc, "what", repr(exc))
     return None
--- a/tests/support/council_search.py
+++ b/tests/support/raft_search.py
@@ -3,7 +3,7 @@
 Cores are values here: what happens to one is worked out once for each state of it, and remembered. A message
 that is lost is one that is never delivered; one that is doubled is delivered and stays. Time is each member's
 own: it jumps to where its core would act, or forgets its leader.
-`python tests/support/council_search.py --states 1000000`.
+`python tests/support/raft_search.py --states 1000000`.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
--- a/tests/support/council_storm.py
+++ b/tests/support/raft_storm.py
@@ -1,6 +1,6 @@
 """Machines drop, links break, disks fill, together: processes of a council under faults drawn by a seed.
 
-`python tests/support/council_storm.py 3 60 7` plays seeds 7 to 9 for 60 s each, judged as the process tests
+`python tests/support/raft_storm.py 3 60 7` plays seeds 7 to 9 for 60 s each, judged as the process tests
 are. What a seed draws is the same each time; when processes meet it is not.
 """
 
--- a/tests/support/storedefects.py
+++ b/tests/support/store_defects.py
@@ -1,6 +1,6 @@
 """Defects planted in the record on disk, each of which the plays or the damage must find.
 
-Prints, for each, what finds it and after how many plays: `python tests/support/storedefects.py`.
+Prints, for each, what finds it and after how many plays: `python tests/support/store_defects.py`.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
@@ -11,7 +11,7 @@
 from unittest.mock import patch
 
 from planted import Line, broken, planted, row
-from storemodel import random_play
+from store_model import random_play
 
 from fennelwind.loop.disk import DiskError, SyncFailed
 from fennelwind.loop.simdisk import SimDisk
