--- a/tests/raft/test_raft_defects.py
+++ b/tests/raft/test_raft_defects.py
@@ -1,13 +1,13 @@
-"""Each defect planted in the council's core is found, by a day or by the search."""
+"""Each defect planted in the Raft core is found, by a simulated play or by the exhaustive search."""
 
 import pytest
 from raft_defects import DEFECTS, by_search, by_seeds
 
-AGAIN = 60  # seeds more: which day finds a defect moves with each change of the core
+MAX_SEEDS = 60  # which seed finds a defect changes with the core
 
 
 @pytest.mark.parametrize("name", DEFECTS)
 def test_a_planted_defect_is_found(name):
-    first, more = DEFECTS[name].near
-    found = by_search(name, more, first) if isinstance(first, str) else by_seeds(name, first, AGAIN, more)
+    first, size = DEFECTS[name].found_by
+    found = by_search(name, size, first) if isinstance(first, str) else by_seeds(name, first, MAX_SEEDS, size)
     assert found is not None
--- a/tests/raft/test_raft_member.py
+++ b/tests/raft/test_raft_member.py
@@ -4,7 +4,7 @@
 from random import Random
 
 import pytest
-from raft_cluster import TIGHT, Cluster, Image, play
+from raft_cluster import TIGHT_TIMING, Cluster, DiskImage, play
 from raft_search import STARTS, Search, run
 
 from fennelwind.raft import council_pb2 as pb
@@ -275,11 +275,11 @@
 
 
 def test_proposals_and_reads_that_wait_are_bounded():
-    one = One(timing=replace(TIGHT, max_log_bytes=1 << 20)).lead().agree()
-    for token in range(TIGHT.max_pending_proposals):
+    one = One(timing=replace(TIGHT_TIMING, max_log_bytes=1 << 20)).lead().agree()
+    for token in range(TIGHT_TIMING.max_pending_proposals):
         assert not one.propose(token)
     assert one.propose(99)[0].refusal == pb.Result.TOO_MANY
-    one.do(*(api.ReadRequested(token) for token in range(TIGHT.max_pending_reads + 1)))
+    one.do(*(api.ReadRequested(token) for token in range(TIGHT_TIMING.max_pending_reads + 1)))
     assert [a.refusal for a in one.of(api.ReadOutcome)] == [pb.Result.TOO_MANY]
 
 
@@ -381,16 +381,18 @@
 
 
 def test_a_folder_that_lost_all_gets_snapshot_and_log_again():
-    one = One(*(entry(i) for i in range(2, 20)), timing=replace(TIGHT, max_log_bytes=100)).lead().agree()
+    one = (
+        One(*(entry(i) for i in range(2, 20)), timing=replace(TIGHT_TIMING, max_log_bytes=100)).lead().agree()
+    )
     one.do(api.Snapshot(15, 0, b"state"))
     one.written()
     one.do(api.WriteFailed(one.core.pending_writes.last_number + 1, False))
     one.do(api.StorageRecovered(DurableState(A, pb.HardState())))
-    image = Image()
+    image = DiskImage()
     for write in one.of(api.Write):
-        image.take(write)
-    assert image.head.index == 15 and image.snapshot == b"state" and image.entries[-1].index == 20
-    assert image.hard.term == 2 and image.hard.voted_name == "a"
+        image.apply_write(write)
+    assert image.snapshot_head.index == 15 and image.snapshot == b"state" and image.entries[-1].index == 20
+    assert image.hard_state.term == 2 and image.hard_state.voted_name == "a"
 
 
 # Handing over
@@ -424,7 +426,7 @@
 def test_a_leader_ends_and_another_leads_within_one_round():
     cluster = founded()
     leader, began = cluster.leader(), cluster.now
-    cluster.give(leader.name, api.TransferLeadership())
+    cluster.deliver(leader.name, api.TransferLeadership())
     while cluster.leader() is leader or cluster.leader() is None:
         cluster.run(cluster.now + 1.0)
     assert cluster.now - began < 300.0  # no election time-out was waited for
@@ -467,12 +469,12 @@
         cluster.crash(name)
     token = cluster.propose("a")
     cluster.run(cluster.now + 100.0)
-    assert token not in cluster.done and len(cluster.voters()) <= 1
+    assert token not in cluster.committed_indexes and len(cluster.voters()) <= 1
 
 
 def test_a_member_that_returns_empty_is_another_and_catches_up_before_it_votes():
     cluster = founded()
-    index = cluster.await_done()
+    index = cluster.commit_command()
     name = next(n for n in cluster.nodes if n != cluster.leader().name)
     cluster.wipe(name)
     cluster.start(name)
@@ -508,11 +510,11 @@
 def test_a_removed_member_falls_silent():
     cluster = founded()
     name = next(n for n in cluster.nodes if n != cluster.leader().name)
-    cluster.cut(name, cluster.leader().name)  # it never hears of it
+    cluster.block(name, cluster.leader().name)  # it never hears of it
     cluster.run(cluster.now + 1000.0)
-    cluster.change(cluster.leader().name, remove=cluster.nodes[name].me)
+    cluster.change_membership(cluster.leader().name, remove=cluster.nodes[name].me)
     cluster.run(cluster.now + 10_000.0)
-    cluster.cuts.clear()
+    cluster.blocked_links.clear()
     cluster.run(cluster.now + 2000.0)
     term, votes = cluster.leader().core.term, cluster.counts["vote"]
     cluster.run(cluster.now + 3000.0)
@@ -534,10 +536,10 @@
 def test_a_leader_that_removes_itself_leads_until_it_is_agreed():
     cluster = founded()
     leader = cluster.leader()
-    cluster.change(leader.name, remove=leader.me)
+    cluster.change_membership(leader.name, remove=leader.me)
     cluster.run(cluster.now + 3000.0)
     assert cluster.leader() is not leader and len(cluster.voters()) == 2
-    cluster.await_done()
+    cluster.commit_command()
 
 
 # Snapshots, time, reads
@@ -548,13 +550,13 @@
     name = next(n for n in cluster.nodes if n != cluster.leader().name)
     cluster.crash(name)
     for _ in range(60):
-        cluster.await_done(size=100)
-    cluster.loss = 0.4
+        cluster.commit_command(size=100)
+    cluster.loss_rate = 0.4
     cluster.start(name)
     before = cluster.counts["piece"]
     while cluster.nodes[name].applied < 60:
         cluster.run(cluster.now + 50.0)
-    pieces = -(-len(cluster.leader().core.snapshots.data) // TIGHT.max_chunk_bytes)
+    pieces = -(-len(cluster.leader().core.snapshots.data) // TIGHT_TIMING.max_chunk_bytes)
     assert pieces > 1 and cluster.counts["restores"] and cluster.counts["piece"] - before < 20 * pieces
 
 
@@ -571,15 +573,15 @@
 
 def test_time_alone_is_written_while_something_is_due_and_only_then():
     cluster = founded()
-    index = cluster.await_done()
+    index = cluster.commit_command()
     cluster.run(cluster.now + 3000.0)
     assert cluster.leader().applied == index
-    cluster.due_every = 1000
-    cluster.await_done()
-    began, clock = len(cluster.checks.agreed), cluster.leader().clock_ms
+    cluster.expiry_interval_ms = 1000
+    cluster.commit_command()
+    began, clock = len(cluster.checks.committed), cluster.leader().clock_ms
     cluster.run(cluster.now + 4000.0)
     passed = cluster.leader().clock_ms - clock
-    assert 3000 < passed < 5000 and 8 < len(cluster.checks.agreed) - began < 20
+    assert 3000 < passed < 5000 and 8 < len(cluster.checks.committed) - began < 20
 
 
 def test_a_read_waits_for_a_round_that_began_after_it():
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -50,7 +50,7 @@
         self.waiting: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
         self.at_index: dict[tuple[str, int], int] = {}  # the token whose entry a member is going to apply
         for node in self.nodes.values():
-            node.rate = play.pace()
+            node.clock_rate = play.pace()
 
     # What lease_play asks of its leader.
 
@@ -67,8 +67,8 @@
 
     def change(self) -> None:
         """Let another lead."""
-        for node in self.leading():
-            self.give(node.name, api.TransferLeadership())
+        for node in self.leaders():
+            self.deliver(node.name, api.TransferLeadership())
 
     def begin(self) -> None:
         """Found the council, and open clients."""
@@ -80,16 +80,20 @@
             self.run(self.now + 200.0)
             self.clients = [
                 e.index
-                for e in self.checks.agreed
+                for e in self.checks.committed
                 if e.WhichOneof("what") == "command" and not e.command.client
             ][:CLIENTS]
 
     def command(self, name: str, command: council.Command) -> int:
-        self.tokens += 1
-        self.asked[self.tokens] = ("propose", self.now, max(self.checks.acked, self.checks.read))
-        self.sent[self.tokens] = command.body
-        self.give(name, api.Propose(self.tokens, command))
-        return self.tokens
+        self.last_token += 1
+        self.pending_requests[self.last_token] = (
+            "propose",
+            self.now,
+            max(self.checks.acknowledged_index, self.checks.read_index),
+        )
+        self.proposed_bodies[self.last_token] = command.body
+        self.deliver(name, api.Propose(self.last_token, command))
+        return self.last_token
 
     # Carrying out.
 
@@ -97,17 +101,17 @@
         self.records[name] = ReplicatedState([LeaseStateMachine()])
         super().start(name)
 
-    def _act(self, node: Node, action: api.Action) -> None:
+    def _carry_out(self, node: Node, action: api.Action) -> None:
         record = self.records[node.name]
         match action:
             case api.TakeSnapshot():
                 snapshot = api.Snapshot(node.applied, node.clock_ms, node.state + record.snapshot())
-                self.at(self.random.uniform(0, 5), self._give_if, node, node.epoch, snapshot)
+                self.schedule(self.random.uniform(0, 5), self._deliver_if_running, node, node.epoch, snapshot)
                 self.counts["snapshots"] += 1
                 return
             case api.Restore(_, data):
                 record.restore(data[32:])
-        super()._act(node, action)
+        super()._carry_out(node, action)
         match action:
             case api.Apply(entries):
                 for entry in entries:
@@ -117,9 +121,9 @@
                         self._told(node.name, entry.index, result)
                     if ahead:
                         self.play.watched()
-                self.at(
+                self.schedule(
                     0.1,
-                    self._give_if,
+                    self._deliver_if_running,
                     node,
                     node.epoch,
                     api.Applied(node.applied, record.next_expiry_clock_ms()),
@@ -161,12 +165,12 @@
         pass
 
     def at(self, when: float, what, *args) -> None:
-        self.members.at(max(0.0, when - self.now), what, *args)
+        self.members.schedule(max(0.0, when - self.now), what, *args)
 
     def run(self) -> Counter:
         members = self.members
-        members.loss, members.double = self.random.choice(((0, 0), (0.05, 0.05), (0.15, 0.1)))
-        members.delay = self.random.choice(((0.5, 3.0), (1.0, 20.0)))
+        members.loss_rate, members.duplication_rate = self.random.choice(((0, 0), (0.05, 0.05), (0.15, 0.1)))
+        members.delay_range_ms = self.random.choice(((0.5, 3.0), (1.0, 20.0)))
         for _ in range(self.random.randint(4, 16)):
             self.at(self.from_ms + self.random.uniform(0, self.played_ms), self.fault)
         self.at(self.from_ms + self.played_ms, self.end_of_faults)
@@ -180,7 +184,7 @@
         leader = self.members.leader()
         name = leader.name if leader is not None and self.random.random() < 0.9 else self.random.choice("abc")
         if self.members.nodes[name].core is not None:
-            self.members.waiting[self.members.tokens + 1] = (who, life, token)
+            self.members.waiting[self.members.last_token + 1] = (who, life, token)
             self.members.command(name, command)
 
     def no_leader(self, ms: float) -> None:
@@ -194,9 +198,9 @@
                 members.crash(name)
             case 1:
                 for other in others:
-                    members.cut(name, other, both=random.random() < 0.6)
+                    members.block(name, other, both=random.random() < 0.6)
             case 2:
-                members.nodes[name].slow = 50.0
+                members.nodes[name].disk_slowdown = 50.0
             case 3:
                 for each in "abc":
                     members.crash(each)
@@ -204,15 +208,15 @@
 
     def heal(self) -> None:
         members = self.members
-        members.cuts.clear()
+        members.blocked_links.clear()
         for name, node in members.nodes.items():
-            node.slow = 1.0
+            node.disk_slowdown = 1.0
             if node.core is None:
                 members.start(name)
-            members.mend(name)
+            members.repair_disk(name)
 
     def end_of_faults(self) -> None:
-        self.members.loss = self.members.double = 0.0
+        self.members.loss_rate = self.members.duplication_rate = 0.0
         self.heal()
         super().end_of_faults()
 
--- a/tests/support/raft_cluster.py
+++ b/tests/support/raft_cluster.py
@@ -1,10 +1,10 @@
-"""A council in virtual time: N cores, disks that lose, networks that lose, double, reorder and cut, by seed.
+"""A simulated Raft group in virtual time, with faulty disks and networks, all drawn by a seed.
 
-Run as a program it plays many seeds: `python tests/support/raft_cluster.py --seeds 10000`. Every step is
-checked against what may never be: see `Checks`.
+As a program it plays many seeds: `python tests/support/raft_cluster.py --seeds 10000`. Every step is checked
+for violated invariants; see `InvariantChecks`.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for running as a program
 
 # isort: split
 
@@ -22,7 +22,7 @@
 from fennelwind.raft.member import RaftMember
 from fennelwind.raft.messages import DurableState, Incarnation, Timing
 
-TIGHT = Timing(
+TIGHT_TIMING = Timing(
     heartbeat_ms=50,
     election_timeout_ms=300,
     max_append_bytes=300,
@@ -36,177 +36,191 @@
 )
 
 
-class Broken(AssertionError):
-    """Something happened that may never happen."""
+class InvariantViolation(AssertionError):
+    """An invariant of Raft was violated."""
 
 
-def digest(before: bytes, entry: pb.Entry) -> bytes:
-    """Return the state that an entry makes of a state: any difference shows in all that follow."""
-    return hashlib.sha256(before + entry.SerializeToString(deterministic=True)).digest()
+def digest(state: bytes, entry: pb.Entry) -> bytes:
+    """Return a state digest after an entry; it depends on all entries before."""
+    return hashlib.sha256(state + entry.SerializeToString(deterministic=True)).digest()
 
 
-class Image:
-    """What a folder holds, and what has been written to it without being sure."""
+class DiskImage:
+    """A member's folder: what is durable, and the writes that are not synced yet."""
 
     def __init__(self) -> None:
-        self.hard = pb.HardState()
-        self.head: pb.SnapshotHead | None = None
+        self.hard_state = pb.HardState()
+        self.snapshot_head: pb.SnapshotHead | None = None
         self.snapshot = b""
         self.entries: list[pb.Entry] = []
         self.pending: deque[api.Write] = deque()
 
-    def take(self, write: api.Write) -> None:
-        """Make a write sure."""
+    def apply_write(self, write: api.Write) -> None:
+        """Make a write durable."""
         if write.snapshot_head is not None:
-            self.head, self.snapshot = write.snapshot_head, write.snapshot
+            self.snapshot_head, self.snapshot = write.snapshot_head, write.snapshot
             self.entries = [e for e in self.entries if e.index >= write.retain_from]
         if write.truncate_after is not None:
             self.entries = [e for e in self.entries if e.index <= write.truncate_after]
         for entry in write.entries:
-            last = self.entries[-1].index if self.entries else self.head.index if self.head else 0
+            last = (
+                self.entries[-1].index
+                if self.entries
+                else self.snapshot_head.index
+                if self.snapshot_head
+                else 0
+            )
             if entry.index != last + 1:
-                raise Broken(f"entry {entry.index} written behind {last}")
+                raise InvariantViolation(f"entry {entry.index} written after entry {last}")
             self.entries.append(entry)
         if write.hard_state is not None:
-            if write.hard_state.term < self.hard.term:
-                raise Broken("a term goes back on the disk")
-            self.hard = write.hard_state
+            if write.hard_state.term < self.hard_state.term:
+                raise InvariantViolation("the term on disk decreases")
+            self.hard_state = write.hard_state
 
-    def durable(self, me: Incarnation) -> DurableState:
+    def durable_state(self, me: Incarnation) -> DurableState:
         """Return what is read when the folder is opened."""
-        return DurableState(me, self.hard, self.head, self.snapshot, list(self.entries))
+        return DurableState(me, self.hard_state, self.snapshot_head, self.snapshot, list(self.entries))
 
     def holds(self, index: int, term: int) -> bool:
-        """Whether an entry is on the disk, by itself or in the snapshot."""
-        if self.head is not None and index <= self.head.index:
+        """Whether an entry is durable, in the log or in the snapshot."""
+        if self.snapshot_head is not None and index <= self.snapshot_head.index:
             return True
         return any(e.index == index and e.term == term for e in self.entries)
 
 
-class Checks:
-    """What may never be, checked at each step."""
+class InvariantChecks:
+    """Raft's safety invariants, checked at each step."""
 
     def __init__(self) -> None:
-        self.leaders: dict[int, Incarnation] = {}
+        self.leaders_by_term: dict[int, Incarnation] = {}
         self.votes: dict[tuple[Incarnation, int], Incarnation] = {}
-        self.terms: dict[Incarnation, int] = {}  # the last in which each gave its vote
-        self.entries: dict[tuple[int, int], tuple[bytes, int]] = {}  # by index and term: bytes, term before
-        self.agreed: list[pb.Entry] = []
-        self.digests: list[bytes] = [b""]
-        self.acked = self.read = 0  # the highest index that somebody was told
-
-    def leads(self, node: "Node") -> None:
-        """One leader a term, and it has all that was agreed before."""
+        self.last_voted_terms: dict[Incarnation, int] = {}  # the last term in which each member voted
+        self.entries: dict[
+            tuple[int, int], tuple[bytes, int]
+        ] = {}  # by index and term: bytes, previous entry's term
+        self.committed: list[pb.Entry] = []
+        self.state_digests: list[bytes] = [b""]
+        self.acknowledged_index = self.read_index = 0  # the highest index answered
+
+    def check_leader(self, node: "Node") -> None:
+        """At most one leader per term, and it has all entries committed before."""
         core = node.core
-        if self.leaders.setdefault(core.term, node.me) != node.me:
-            raise Broken(f"two leaders in term {core.term}")
-        if self.agreed:
-            last = self.agreed[-1]
+        if self.leaders_by_term.setdefault(core.term, node.me) != node.me:
+            raise InvariantViolation(f"two leaders in term {core.term}")
+        if self.committed:
+            last = self.committed[-1]
             held = core.log.term(last.index)
             if last.term < core.term and core.log.base_index < last.index and held != last.term:
-                raise Broken(f"the leader of term {core.term} lacks agreed entry {last.index}")
+                raise InvariantViolation(f"the leader of term {core.term} lacks committed entry {last.index}")
 
-    def voted(self, voter: Incarnation, term: int, candidate: Incarnation) -> None:
-        """One vote a term, whatever was lost in between."""
-        self.terms[voter] = max(self.terms.get(voter, 0), term)
+    def check_vote(self, voter: Incarnation, term: int, candidate: Incarnation) -> None:
+        """At most one vote per term, even across crashes."""
+        self.last_voted_terms[voter] = max(self.last_voted_terms.get(voter, 0), term)
         if self.votes.setdefault((voter, term), candidate) != candidate:
-            raise Broken(f"{voter.name} voted twice in term {term}")
+            raise InvariantViolation(f"{voter.name} voted twice in term {term}")
 
-    def remembers(self, node: "Node") -> None:
-        """A member knows whom it has given its vote, whatever became of it since."""
+    def check_vote_kept(self, node: "Node") -> None:
+        """A member never forgets a vote that it granted."""
         core = node.core
         given = self.votes.get((node.me, core.term))
-        if core.term < self.terms.get(node.me, 0) or given not in (None, core.voted_for):
-            raise Broken(f"{node.name} has forgotten a promise")
+        if core.term < self.last_voted_terms.get(node.me, 0) or given not in (None, core.voted_for):
+            raise InvariantViolation(f"{node.name} has forgotten a vote")
 
-    def headed(self, head: pb.SnapshotHead) -> None:
-        """A snapshot's head says what was agreed up to its entry."""
-        members = [e.members for e in self.agreed[: head.index] if e.WhichOneof("what") == "members"]
-        last = self.agreed[head.index - 1]
+    def check_snapshot_head(self, head: pb.SnapshotHead) -> None:
+        """A snapshot's header matches the committed entries up to its index."""
+        members = [e.members for e in self.committed[: head.index] if e.WhichOneof("what") == "members"]
+        last = self.committed[head.index - 1]
         if (head.term, head.clock_ms, head.members) != (last.term, last.clock_ms, members[-1]):
-            raise Broken(f"the head of the snapshot at {head.index} is not what was agreed")
+            raise InvariantViolation(
+                f"the head of the snapshot at {head.index} does not match the committed entries"
+            )
 
-    def logged(self, log, entries) -> None:
-        """Entries of one index and term are the same, and so is what lies before them."""
+    def check_log_matching(self, log, entries) -> None:
+        """Log matching: entries of the same index and term are equal, and follow the same term."""
         for entry in entries:
             before = log.term(entry.index - 1)
             this = (entry.SerializeToString(deterministic=True), before)
             known = self.entries.setdefault((entry.index, entry.term), this)
             if known[0] != this[0] or (None not in (known[1], before) and known[1] != before):
-                raise Broken(f"two logs differ at entry {entry.index} of term {entry.term}")
+                raise InvariantViolation(f"two logs differ at entry {entry.index} of term {entry.term}")
 
-    def apply(self, node: "Node", entry: pb.Entry, images: dict[Incarnation, Image]) -> None:
-        """Agreed entries are the same everywhere, for ever, and on the disks of more than half."""
+    def check_applied(self, node: "Node", entry: pb.Entry, images: dict[Incarnation, DiskImage]) -> None:
+        """Committed entries are equal on all members, never change, and are durable on a majority."""
         if entry.index != node.applied + 1:
-            raise Broken(f"{node.name} applied {entry.index} behind {node.applied}")
-        if entry.index <= len(self.agreed):
-            if self.agreed[entry.index - 1] != entry:
-                raise Broken(f"agreed entry {entry.index} differs at {node.name}")
+            raise InvariantViolation(f"{node.name} applied {entry.index} after {node.applied}")
+        if entry.index <= len(self.committed):
+            if self.committed[entry.index - 1] != entry:
+                raise InvariantViolation(f"committed entry {entry.index} differs at {node.name}")
         else:
-            if self.agreed and entry.clock_ms < self.agreed[-1].clock_ms:
-                raise Broken("the record's clock goes back")
-            held = {life for life, image in images.items() if image.holds(entry.index, entry.term)}
-            # by those who counted when it was agreed: new members may have been written in the same step
+            if self.committed and entry.clock_ms < self.committed[-1].clock_ms:
+                raise InvariantViolation("the replicated clock goes back")
+            held = {
+                incarnation for incarnation, image in images.items() if image.holds(entry.index, entry.term)
+            }
+            # Count the voters at the time of the commit: a new configuration may be in the same step.
             if not any(
                 2 * len(held.intersection(voters)) > len(voters)
                 for voters in (configuration.voters for configuration in node.core.log.configurations[-2:])
             ):
-                raise Broken(f"entry {entry.index} agreed with {len(held)} disks")
-            self.agreed.append(entry)
-            self.digests.append(digest(self.digests[-1], entry))
+                raise InvariantViolation(f"entry {entry.index} committed with {len(held)} disks")
+            self.committed.append(entry)
+            self.state_digests.append(digest(self.state_digests[-1], entry))
 
 
 @dataclass
 class Node:
-    """One member: its core while it runs, its folder, its clock, its state."""
+    """One simulated member: its core while it runs, its folder, its clock, its applied state."""
 
     name: str
     me: Incarnation
-    rate: float
-    offset: float
-    image: Image = field(default_factory=Image)
+    clock_rate: float
+    clock_offset_ms: float
+    image: DiskImage = field(default_factory=DiskImage)
     core: RaftMember | None = None
     applied: int = 0
     state: bytes = b""
     clock_ms: int = 0
     inbox: list[api.Event] = field(default_factory=list)
-    timer: float = 0.0
-    failing: bool = False
-    broken: bool = False  # a write failed and the folder has not been read anew
-    slow: float = 1.0
+    timer_ms: float = 0.0
+    fails_writes: bool = False
+    write_failed: bool = False  # a write failed and the folder has not been read again
+    disk_slowdown: float = 1.0
     epoch: int = 0
     restarts: int = 0
-    life_count: int = 0
+    incarnation_count: int = 0
 
 
 class Cluster:
-    """Members, clients and what lies between them, by one seed."""
+    """Simulated members, clients and network, driven by one seed."""
 
     def __init__(
         self,
         seed: int,
         members: int = 3,
-        timing: Timing = TIGHT,
+        timing: Timing = TIGHT_TIMING,
         core: type[RaftMember] = RaftMember,
-        stated: int | None = None,
+        configured_count: int | None = None,
     ) -> None:
         self.random, self.seed, self.timing, self.core = Random(seed), seed, timing, core
-        self.now, self.queue, self.count = 0.0, [], 0
-        self.checks, self.counts = Checks(), Counter()
+        self.now, self.queue, self.sequence = 0.0, [], 0
+        self.checks, self.counts = InvariantChecks(), Counter()
         names = [chr(ord("a") + i) for i in range(members)]
-        self.stated = [pb.Member(name=n, address=f"{n}:1") for n in names[:stated]]
+        self.configured_members = [pb.Member(name=n, address=f"{n}:1") for n in names[:configured_count]]
         self.nodes = {n: self._node(n) for n in names}
-        self.lost: dict[Incarnation, Image] = {}
-        self.cuts: set[tuple[str, str]] = set()
-        self.loss = self.double = 0.0
-        self.delay = (0.5, 3.0)
-        self.sync = (0.2, 2.0)
-        self.tokens = 0
-        self.asked: dict[int, tuple[str, float, int]] = {}  # token: kind, time, what had been told by then
-        self.sent: dict[int, bytes] = {}
-        self.done: dict[int, int] = {}  # token: index
-        self.refused: Counter[int] = Counter()
-        self.due_every: int | None = None
+        self.wiped_images: dict[Incarnation, DiskImage] = {}
+        self.blocked_links: set[tuple[str, str]] = set()
+        self.loss_rate = self.duplication_rate = 0.0
+        self.delay_range_ms = (0.5, 3.0)
+        self.sync_range_ms = (0.2, 2.0)
+        self.last_token = 0
+        self.pending_requests: dict[
+            int, tuple[str, float, int]
+        ] = {}  # by token: kind, time, highest index answered by then
+        self.proposed_bodies: dict[int, bytes] = {}
+        self.committed_indexes: dict[int, int] = {}  # by token
+        self.refusals: Counter[int] = Counter()
+        self.expiry_interval_ms: int | None = None
 
     def _node(self, name: str) -> Node:
         return Node(
@@ -218,190 +232,198 @@
 
     # Time
 
-    def at(self, delay: float, what, *args) -> None:
-        """Have something done later."""
-        self.count += 1
-        heapq.heappush(self.queue, (self.now + delay, self.count, what, args))
+    def schedule(self, delay: float, call, *args) -> None:
+        """Call something after a delay."""
+        self.sequence += 1
+        heapq.heappush(self.queue, (self.now + delay, self.sequence, call, args))
 
     def run(self, until: float) -> None:
-        """Play up to a time."""
+        """Run events up to a time."""
         while self.queue and self.queue[0][0] <= until:
-            self.now, _, what, args = heapq.heappop(self.queue)
-            what(*args)
+            self.now, _, call, args = heapq.heappop(self.queue)
+            call(*args)
         self.now = until
 
     # Members
 
     def start(self, name: str) -> None:
-        """Open a folder and begin."""
+        """Start a member from its folder."""
         node = self.nodes[name]
         node.epoch += 1
         node.restarts += 1
         node.image.pending.clear()
         seed = self.seed + node.restarts
-        node.core = self.core(self.timing, node.image.durable(node.me), seed, self.stated)
-        self.checks.remembers(node)
+        node.core = self.core(self.timing, node.image.durable_state(node.me), seed, self.configured_members)
+        self.checks.check_vote_kept(node)
         node.applied, node.state, node.clock_ms, node.inbox = 0, b"", 0, []
-        node.failing = node.broken = False
+        node.fails_writes = node.write_failed = False
         self.step(node, [])
 
-    def begin_founded(self) -> None:
-        """Begin where all are members already and nothing else has happened."""
+    def start_bootstrapped(self) -> None:
+        """Start all members with a log that makes all of them voters."""
         members = pb.Members(
             members=[pb.Member(name=n, life=node.me.id, votes=True) for n, node in sorted(self.nodes.items())]
         )
         for node in self.nodes.values():
-            node.image.hard = pb.HardState(term=1)
+            node.image.hard_state = pb.HardState(term=1)
             node.image.entries = [pb.Entry(term=1, index=1, members=members)]
         self.start_all()
 
     def start_all(self) -> None:
-        """Begin everywhere."""
+        """Start all members."""
         for name in sorted(self.nodes):
             self.start(name)
 
-    def crash(self, name: str, whole: bool = False) -> None:
-        """Kill a member; of what was not sure a part, in order, may be there all the same."""
+    def crash(self, name: str, keep_all: bool = False) -> None:
+        """Crash a member; a prefix of its unsynced writes may survive."""
         node = self.nodes[name]
         if node.core is None:
             return
         survives = self.random.randint(0, len(node.image.pending)) if self.random.random() < 0.5 else 0
-        for _ in range(len(node.image.pending) if whole else survives):
-            node.image.take(node.image.pending.popleft())
+        for _ in range(len(node.image.pending) if keep_all else survives):
+            node.image.apply_write(node.image.pending.popleft())
         node.image.pending.clear()
         node.core = None
         node.epoch += 1
         self.counts["crashes"] += 1
 
     def wipe(self, name: str) -> None:
-        """Have a member's folder lost; it comes back as another life."""
+        """Delete a member's folder; it comes back as another incarnation."""
         self.crash(name)
         old = self.nodes[name]
-        self.lost[old.me] = old.image  # what it said before is on its way and counts: it was one loss of few
+        self.wiped_images[old.me] = (
+            old.image
+        )  # its messages in flight still count: only a minority loses its disk
         node = self.nodes[name] = Node(
             name,
-            Incarnation(name, b"%s%d" % (name.encode(), old.life_count + 2)),
-            old.rate,
-            old.offset,
+            Incarnation(name, b"%s%d" % (name.encode(), old.incarnation_count + 2)),
+            old.clock_rate,
+            old.clock_offset_ms,
             epoch=old.epoch + 1,
             restarts=old.restarts,
-            life_count=old.life_count + 1,
+            incarnation_count=old.incarnation_count + 1,
         )
         self.counts["wipes"] += 1
         node.core = None
 
     def clock(self, node: Node) -> float:
-        """Return a member's own time."""
-        return node.offset + self.now * node.rate
+        """Return a member's local time in ms."""
+        return node.clock_offset_ms + self.now * node.clock_rate
 
-    def give(self, name: str, *events: api.Event) -> None:
-        """Let something happen to a member; sometimes with what comes next."""
+    def deliver(self, name: str, *events: api.Event) -> None:
+        """Deliver events to a member; sometimes batched with later ones."""
         node = self.nodes[name]
         if node.core is None:
             return
         node.inbox += events
         if len(node.inbox) < 4 and self.random.random() < 0.3:
-            self.at(0.2, self._look, node, node.epoch)
+            self.schedule(0.2, self._process_inbox, node, node.epoch)
             return
-        self._look(node, node.epoch)
+        self._process_inbox(node, node.epoch)
 
-    def _look(self, node: Node, epoch: int) -> None:
+    def _process_inbox(self, node: Node, epoch: int) -> None:
         if node.core is not None and node.epoch == epoch and node.inbox:
             events, node.inbox = node.inbox, []
             self.step(node, events)
 
     def step(self, node: Node, events: list[api.Event]) -> None:
-        """Step a core, check it, and do what it says."""
+        """Step a core, check invariants, carry out its actions."""
         core = node.core
         self.counts["steps"] += 1
         actions = core.step(self.clock(node), events)
-        self.checks.remembers(node)
+        self.checks.check_vote_kept(node)
         if core.leader_state is not None:
-            self.checks.leads(node)
+            self.checks.check_leader(node)
         for action in actions:
-            self._act(node, action)
+            self._carry_out(node, action)
         if core.delivered_index != node.applied:
-            raise Broken("not all that is agreed was handed over")
+            raise InvariantViolation("not all committed entries were delivered")
 
-    def _act(self, node: Node, action: api.Action) -> None:
+    def _carry_out(self, node: Node, action: api.Action) -> None:
         match action:
             case api.Send(to, message):
                 self._send(node, to, message)
             case api.Write(number):
-                self.checks.logged(node.core.log, action.entries)
+                self.checks.check_log_matching(node.core.log, action.entries)
                 if action.snapshot_head is not None:
-                    self.checks.headed(action.snapshot_head)
+                    self.checks.check_snapshot_head(action.snapshot_head)
                 node.image.pending.append(action)
-                self.at(self.random.uniform(*self.sync) * node.slow, self._synced, node, node.epoch, number)
+                self.schedule(
+                    self.random.uniform(*self.sync_range_ms) * node.disk_slowdown,
+                    self._finish_sync,
+                    node,
+                    node.epoch,
+                    number,
+                )
             case api.Apply(entries):
-                images = self.lost | {n.me: n.image for n in self.nodes.values()}
+                images = self.wiped_images | {n.me: n.image for n in self.nodes.values()}
                 for entry in entries:
-                    self.checks.apply(node, entry, images)
+                    self.checks.check_applied(node, entry, images)
                     node.applied, node.state = entry.index, digest(node.state, entry)
                     node.clock_ms = entry.clock_ms
-                    if node.state != self.checks.digests[entry.index]:
-                        raise Broken(f"{node.name} has another state at {entry.index}")
+                    if node.state != self.checks.state_digests[entry.index]:
+                        raise InvariantViolation(f"{node.name} has a different state at {entry.index}")
                 due = None
-                if self.due_every:
-                    due = (node.clock_ms // self.due_every + 1) * self.due_every
-                self.at(0.1, self._give_if, node, node.epoch, api.Applied(node.applied, due))
+                if self.expiry_interval_ms:
+                    due = (node.clock_ms // self.expiry_interval_ms + 1) * self.expiry_interval_ms
+                self.schedule(0.1, self._deliver_if_running, node, node.epoch, api.Applied(node.applied, due))
             case api.Restore(head, data):
-                if head.index < node.applied or data[:32] != self.checks.digests[head.index]:
-                    raise Broken(f"{node.name} restored another state at {head.index}")
+                if head.index < node.applied or data[:32] != self.checks.state_digests[head.index]:
+                    raise InvariantViolation(f"{node.name} restored a different state at {head.index}")
                 node.applied, node.state, node.clock_ms = head.index, data[:32], head.clock_ms
                 self.counts["restores"] += 1
             case api.TakeSnapshot():
                 data = node.state + bytes(self.random.randint(0, 300))
                 snapshot = api.Snapshot(node.applied, node.clock_ms, data)
-                self.at(self.random.uniform(0, 5), self._give_if, node, node.epoch, snapshot)
+                self.schedule(self.random.uniform(0, 5), self._deliver_if_running, node, node.epoch, snapshot)
                 self.counts["snapshots"] += 1
             case api.Timer(at):
-                node.timer = at
-                delay = max((at - self.clock(node)) / node.rate, 0.0) + 1e-6
-                self.at(delay, self._timer, node, node.epoch, at)
+                node.timer_ms = at
+                delay = max((at - self.clock(node)) / node.clock_rate, 0.0) + 1e-6
+                self.schedule(delay, self._fire_timer, node, node.epoch, at)
             case api.ProposalOutcome():
-                self._answered(action)
+                self._handle_proposal_outcome(action)
             case api.ReadOutcome():
-                self._readable(action)
-            case api.RoleChanged(part):
-                self.counts["became " + part] += 1
+                self._handle_read_outcome(action)
+            case api.RoleChanged(role):
+                self.counts["became " + role] += 1
 
-    def _give_if(self, node: Node, epoch: int, event: api.Event) -> None:
+    def _deliver_if_running(self, node: Node, epoch: int, event: api.Event) -> None:
         if node.core is not None and node.epoch == epoch:
-            self.give(node.name, event)
+            self.deliver(node.name, event)
 
-    def _timer(self, node: Node, epoch: int, at: float) -> None:
-        if node.core is not None and node.epoch == epoch and node.timer == at:
+    def _fire_timer(self, node: Node, epoch: int, at: float) -> None:
+        if node.core is not None and node.epoch == epoch and node.timer_ms == at:
             events, node.inbox = node.inbox, []
             self.step(node, [*events, api.TimerFired()])
 
-    def _synced(self, node: Node, epoch: int, number: int) -> None:
-        if node.core is None or node.epoch != epoch or node.broken:
+    def _finish_sync(self, node: Node, epoch: int, number: int) -> None:
+        if node.core is None or node.epoch != epoch or node.write_failed:
             return
-        if node.failing:
+        if node.fails_writes:
             survives = self.random.randint(0, len(node.image.pending))
             first = node.image.pending[0].number if node.image.pending else number
             for _ in range(survives):
-                node.image.take(node.image.pending.popleft())
+                node.image.apply_write(node.image.pending.popleft())
             node.image.pending.clear()
-            node.broken = True
+            node.write_failed = True
             self.counts["failed writes"] += 1
-            self.give(node.name, api.WriteFailed(first, self.random.random() < 0.5))
+            self.deliver(node.name, api.WriteFailed(first, self.random.random() < 0.5))
             return
         done = 0
         while node.image.pending and node.image.pending[0].number <= number:
             done = node.image.pending[0].number
-            node.image.take(node.image.pending.popleft())
+            node.image.apply_write(node.image.pending.popleft())
         if done:
-            self.give(node.name, api.WriteCompleted(done))
+            self.deliver(node.name, api.WriteCompleted(done))
 
-    def mend(self, name: str) -> None:
-        """Let a folder take writes again."""
+    def repair_disk(self, name: str) -> None:
+        """Let a folder accept writes again."""
         node = self.nodes[name]
-        node.failing = False
-        if node.core is not None and node.broken:
-            node.broken = False
-            self.give(name, api.StorageRecovered(node.image.durable(node.me)))
+        node.fails_writes = False
+        if node.core is not None and node.write_failed:
+            node.write_failed = False
+            self.deliver(name, api.StorageRecovered(node.image.durable_state(node.me)))
 
     # The network
 
@@ -409,163 +431,179 @@
         body = message.WhichOneof("body")
         self.counts[body] += 1
         if body == "vote_answer" and message.vote_answer.granted and not message.vote_answer.before:
-            self.checks.voted(node.me, message.term, to)
+            self.checks.check_vote(node.me, message.term, to)
         if body == "vote" and not message.vote.before:
-            self.checks.voted(node.me, message.term, node.me)
+            self.checks.check_vote(node.me, message.term, node.me)
         if (body == "vote_answer" and message.vote_answer.granted) or (
             body == "append_answer" and message.append_answer.took
         ):
-            self._promised(node, message)
-        if (node.name, to.name) in self.cuts:
+            self._check_promise(node, message)
+        if (node.name, to.name) in self.blocked_links:
             return
-        for _ in range(1 + (self.random.random() < self.double)):
-            if self.random.random() >= self.loss:
-                self.at(self.random.uniform(*self.delay), self._deliver, node.me, to, message)
+        for _ in range(1 + (self.random.random() < self.duplication_rate)):
+            if self.random.random() >= self.loss_rate:
+                self.schedule(self.random.uniform(*self.delay_range_ms), self._receive, node.me, to, message)
 
-    def _promised(self, node: Node, message: pb.Message) -> None:
+    def _check_promise(self, node: Node, message: pb.Message) -> None:
         if node.core.storage_failed:
-            raise Broken(f"{node.name} can't write and promises")
+            raise InvariantViolation(f"{node.name} makes promises after a failed write")
         index = message.append_answer.index
         if index and not node.image.holds(index, node.core.log.term(index) or 0):
-            raise Broken(f"{node.name} says that {index} is on its disk")
-        if node.image.hard.term < message.term and not message.vote_answer.before:
-            raise Broken(f"{node.name} speaks in term {message.term} without having written it")
+            raise InvariantViolation(f"{node.name} acknowledges {index} before it is durable")
+        if node.image.hard_state.term < message.term and not message.vote_answer.before:
+            raise InvariantViolation(
+                f"{node.name} sends a message of term {message.term} before that is durable"
+            )
 
-    def _deliver(self, sender: Incarnation, to: Incarnation, message: pb.Message) -> None:
+    def _receive(self, sender: Incarnation, to: Incarnation, message: pb.Message) -> None:
         node = self.nodes.get(to.name)
         if node is None or node.core is None or (to.id and to != node.me):
             return
-        if (sender.name, to.name) in self.cuts:
+        if (sender.name, to.name) in self.blocked_links:
             return
-        self.give(to.name, api.MessageReceived(sender, message))
+        self.deliver(to.name, api.MessageReceived(sender, message))
 
-    def cut(self, a: str, b: str, both: bool = True) -> None:
-        """Let nothing from a reach b (nor back)."""
-        self.cuts.add((a, b))
+    def block(self, a: str, b: str, both: bool = True) -> None:
+        """Drop messages from a to b, and back if `both`."""
+        self.blocked_links.add((a, b))
         if both:
-            self.cuts.add((b, a))
+            self.blocked_links.add((b, a))
 
     # Clients
 
     def propose(self, name: str, size: int = 8) -> int:
-        """Ask a member to have a command done; return the token."""
-        self.tokens += 1
-        body = b"%d " % self.tokens + bytes(size)
-        self.asked[self.tokens] = ("propose", self.now, max(self.checks.acked, self.checks.read))
-        self.sent[self.tokens] = body
-        command = pb.Command(client=1, number=self.tokens, machine="m", body=body)
-        self.give(name, api.Propose(self.tokens, command))
-        return self.tokens
+        """Propose a command to a member; return the token."""
+        self.last_token += 1
+        body = b"%d " % self.last_token + bytes(size)
+        self.pending_requests[self.last_token] = (
+            "propose",
+            self.now,
+            max(self.checks.acknowledged_index, self.checks.read_index),
+        )
+        self.proposed_bodies[self.last_token] = body
+        command = pb.Command(client=1, number=self.last_token, machine="m", body=body)
+        self.deliver(name, api.Propose(self.last_token, command))
+        return self.last_token
 
     def read(self, name: str) -> int:
-        """Ask a member for a read; return the token."""
-        self.tokens += 1
-        self.asked[self.tokens] = ("read", self.now, max(self.checks.acked, self.checks.read))
-        self.give(name, api.ReadRequested(self.tokens))
-        return self.tokens
-
-    def change(self, name: str, add: pb.Member | None = None, remove: Incarnation | None = None) -> int:
-        """Ask a member to change the members; return the token."""
-        self.tokens += 1
-        self.asked[self.tokens] = ("change", self.now, 0)
-        self.give(name, api.ChangeMembership(self.tokens, add, remove))
-        return self.tokens
-
-    def _answered(self, answer: api.ProposalOutcome) -> None:
-        kind, _, told = self.asked.pop(answer.token)
+        """Request a read from a member; return the token."""
+        self.last_token += 1
+        self.pending_requests[self.last_token] = (
+            "read",
+            self.now,
+            max(self.checks.acknowledged_index, self.checks.read_index),
+        )
+        self.deliver(name, api.ReadRequested(self.last_token))
+        return self.last_token
+
+    def change_membership(
+        self, name: str, add: pb.Member | None = None, remove: Incarnation | None = None
+    ) -> int:
+        """Request a membership change from a member; return the token."""
+        self.last_token += 1
+        self.pending_requests[self.last_token] = ("change", self.now, 0)
+        self.deliver(name, api.ChangeMembership(self.last_token, add, remove))
+        return self.last_token
+
+    def _handle_proposal_outcome(self, answer: api.ProposalOutcome) -> None:
+        kind, _, answered_index = self.pending_requests.pop(answer.token)
         if answer.refusal:
-            self.refused[answer.refusal] += 1
+            self.refusals[answer.refusal] += 1
             self.counts["refused"] += 1
             return
-        self.done[answer.token] = answer.index
+        self.committed_indexes[answer.token] = answer.index
         if kind != "propose":
             return
         self.counts["done"] += 1
-        if answer.index > len(self.checks.agreed):
-            raise Broken(f"{answer.token} answered before entry {answer.index} was agreed")
-        if self.checks.agreed[answer.index - 1].command.body != self.sent[answer.token]:
-            raise Broken(f"{answer.token} answered with another's entry")
-        if answer.index <= told:
-            raise Broken(f"{answer.token} stands before what had been answered when it was asked")
-        self.checks.acked = max(self.checks.acked, answer.index)
-
-    def _readable(self, answer: api.ReadOutcome) -> None:
-        _, _, told = self.asked.pop(answer.token)
+        if answer.index > len(self.checks.committed):
+            raise InvariantViolation(f"{answer.token} answered before entry {answer.index} was committed")
+        if self.checks.committed[answer.index - 1].command.body != self.proposed_bodies[answer.token]:
+            raise InvariantViolation(f"{answer.token} answered with another's entry")
+        if answer.index <= answered_index:
+            raise InvariantViolation(
+                f"{answer.token} is ordered before an index answered ahead of its proposal"
+            )
+        self.checks.acknowledged_index = max(self.checks.acknowledged_index, answer.index)
+
+    def _handle_read_outcome(self, answer: api.ReadOutcome) -> None:
+        _, _, answered_index = self.pending_requests.pop(answer.token)
         if answer.refusal:
-            self.refused[answer.refusal] += 1
+            self.refusals[answer.refusal] += 1
             return
         self.counts["reads"] += 1
-        if answer.index < told:
-            raise Broken(f"a read sees {answer.index}, though {told} had been answered when it was asked")
-        self.checks.read = max(self.checks.read, answer.index)
+        if answer.index < answered_index:
+            raise InvariantViolation(
+                f"a read sees {answer.index}, though {answered_index} was answered before its request"
+            )
+        self.checks.read_index = max(self.checks.read_index, answer.index)
 
-    # Looking
+    # Inspection
 
-    def leading(self) -> list[Node]:
-        """Return all who think that they lead."""
+    def leaders(self) -> list[Node]:
+        """Return all members that believe to lead."""
         return [n for n in self.nodes.values() if n.core is not None and n.core.leader_state is not None]
 
     def leader(self) -> Node | None:
-        """Return who leads in the latest term."""
-        return max(self.leading(), key=lambda n: n.core.term, default=None)
+        """Return the leader of the latest term, or None."""
+        return max(self.leaders(), key=lambda n: n.core.term, default=None)
 
-    def await_leader(self, most: float = 10_000.0) -> Node:
-        """Play until somebody leads."""
-        end = self.now + most
+    def await_leader(self, max_ms: float = 10_000.0) -> Node:
+        """Run until there is a leader."""
+        end = self.now + max_ms
         while self.now < end:
             leader = self.leader()
             if leader is not None:
                 return leader
             self.run(self.now + 10.0)
-        raise Broken("nobody leads")
+        raise InvariantViolation("no leader")
 
     def voters(self) -> list[str]:
-        """Return the names of those who vote, as the leader has it."""
+        """Return the names of the voters in the leader's configuration."""
         leader = self.leader()
-        return [life.name for life in leader.core.log.configuration.voters] if leader else []
+        return [incarnation.name for incarnation in leader.core.log.configuration.voters] if leader else []
 
-    def await_done(self, most: float = 10_000.0, size: int = 8) -> int:
-        """Have a command done, however often it takes; return its index."""
-        end = self.now + most
+    def commit_command(self, max_ms: float = 10_000.0, size: int = 8) -> int:
+        """Propose a command until it is committed; return its index."""
+        end = self.now + max_ms
         while self.now < end:
             leader = self.await_leader()
             token = self.propose(leader.name, size)
-            while token in self.asked and self.now < end:
+            while token in self.pending_requests and self.now < end:
                 self.run(self.now + 5.0)
-            if token in self.done:
-                return self.done[token]
+            if token in self.committed_indexes:
+                return self.committed_indexes[token]
             self.run(self.now + 50.0)
-        raise Broken("nothing gets done")
+        raise InvariantViolation("no command is committed")
 
-    def settle(self) -> None:
-        """Mend all, and see that all members come to the same."""
-        self.cuts.clear()
-        self.loss = self.double = 0.0
+    def converge(self) -> None:
+        """Repair everything and check that all members converge."""
+        self.blocked_links.clear()
+        self.loss_rate = self.duplication_rate = 0.0
         for name, node in self.nodes.items():
-            node.slow = 1.0
+            node.disk_slowdown = 1.0
             if node.core is None:
                 self.start(name)
-            self.mend(name)
+            self.repair_disk(name)
         while any(node.image.pending for node in self.nodes.values()):
             self.run(self.now + 50.0)
-        index = self.await_done(20_000.0)
+        index = self.commit_command(20_000.0)
         end = self.now + 20_000.0
-        while self.behind(index):
+        while self.lagging_members(index):
             if self.now > end:
-                raise Broken(f"{self.behind(index)} never come to {index}")
+                raise InvariantViolation(f"{self.lagging_members(index)} never reach {index}")
             self.run(self.now + 100.0)
 
-    def behind(self, index: int) -> list[str]:
+    def lagging_members(self, index: int) -> list[str]:
         """Return the members that have not applied an entry."""
         leader = self.await_leader()
         return [
-            life.name
-            for life in leader.core.log.configuration.incarnations
-            if self.nodes[life.name].applied < index and self.nodes[life.name].me == life
+            incarnation.name
+            for incarnation in leader.core.log.configuration.incarnations
+            if self.nodes[incarnation.name].applied < index and self.nodes[incarnation.name].me == incarnation
         ]
 
 
-TROUBLES = (
+FAULTS = (
     "crash",
     "all",
     "cut",
@@ -582,45 +620,47 @@
 
 
 def play(seed: int, core: type[RaftMember] = RaftMember, part: float = 1.0) -> Cluster:
-    """Play one seed's day, or the first part of it: a council is founded, troubled, and comes to rest."""
+    """Play one seed, or the first part of it: start a group, inject faults, check that it converges."""
     random = Random(f"day {seed}")
     size = random.choice((1, 2, 3, 3, 3, 3, 4, 5, 5))
     cluster = Cluster(seed, size, core=core)
-    cluster.due_every = random.choice((None, None, 100, 1000))
-    short = random.random() < 0.8
-    if short:
-        cluster.begin_founded()
+    cluster.expiry_interval_ms = random.choice((None, None, 100, 1000))
+    starts_bootstrapped = random.random() < 0.8
+    if starts_bootstrapped:
+        cluster.start_bootstrapped()
     else:
         cluster.start_all()
-    cluster.loss, cluster.double = random.choice(((0, 0), (0.05, 0.05), (0.2, 0.2)))
-    cluster.delay = random.choice(((0.5, 3.0), (1.0, 40.0)))
-    cluster.sync = random.choice(((0.2, 2.0), (1.0, 60.0)))
-    troubles = random.sample(TROUBLES, random.randint(1, 7))
+    cluster.loss_rate, cluster.duplication_rate = random.choice(((0, 0), (0.05, 0.05), (0.2, 0.2)))
+    cluster.delay_range_ms = random.choice(((0.5, 3.0), (1.0, 40.0)))
+    cluster.sync_range_ms = random.choice(((0.2, 2.0), (1.0, 60.0)))
+    faults = random.sample(FAULTS, random.randint(1, 7))
     names = sorted(cluster.nodes)
-    cluster.run(random.choice((300.0, 700.0 if short else 3000.0)))
+    cluster.run(random.choice((300.0, 700.0 if starts_bootstrapped else 3000.0)))
     end = cluster.now + random.choice((2000.0, 5000.0)) * part
-    wiped = False
+    is_folder_lost = False
     while cluster.now < end:
         cluster.run(cluster.now + random.expovariate(1 / 25.0))
         name = random.choice(names)
-        ask = random.random()
-        leading = [node.name for node in cluster.leading()]
-        target = random.choice(leading) if leading and random.random() < 0.8 else name  # the old one as well
-        if ask < 0.5:
+        draw = random.random()
+        leading = [node.name for node in cluster.leaders()]
+        target = (
+            random.choice(leading) if leading and random.random() < 0.8 else name
+        )  # also a deposed leader
+        if draw < 0.5:
             for _ in range(random.choice((1, 1, 1, 12))):
                 cluster.propose(target, random.choice((8, 8, 200)))
-        elif ask < 0.8:
+        elif draw < 0.8:
             cluster.read(target)
-        elif ask < 0.92:
-            wiped |= trouble(cluster, random, random.choice(troubles), name, wiped)
+        elif draw < 0.92:
+            is_folder_lost |= inject_fault(cluster, random, random.choice(faults), name, is_folder_lost)
         else:
-            heal(cluster, random, name)
-    cluster.settle()
+            repair(cluster, random, name)
+    cluster.converge()
     return cluster
 
 
-def trouble(cluster: Cluster, random: Random, kind: str, name: str, wiped: bool) -> bool:
-    """Make one trouble; tell whether a folder was lost."""
+def inject_fault(cluster: Cluster, random: Random, kind: str, name: str, is_folder_lost: bool) -> bool:
+    """Inject one fault; return whether a folder was lost."""
     names = sorted(cluster.nodes)
     other = random.choice(names)
     match kind:
@@ -630,14 +670,14 @@
             for each in names:
                 cluster.crash(each)
         case "cut" if other != name:
-            cluster.cut(name, other)
+            cluster.block(name, other)
         case "one-way" if other != name:
-            cluster.cut(name, other, both=False)
+            cluster.block(name, other, both=False)
         case "half":
             half = set(random.sample(names, random.randint(0, len(names))))
             for a in half:
                 for b in set(names) - half:
-                    cluster.cut(a, b)
+                    cluster.block(a, b)
         case "minority":
             leader = cluster.leader()
             if leader is None or len(names) < 3:
@@ -646,43 +686,45 @@
             near = {leader.name, *random.sample(others, random.randint(0, (len(names) - 1) // 2))}
             for a in near:
                 for b in set(names) - near:
-                    cluster.cut(a, b)
-            if not wiped and leader.core.accepts_commands() and random.random() < 0.5:
+                    cluster.block(a, b)
+            if not is_folder_lost and leader.core.accepts_commands() and random.random() < 0.5:
                 for each in random.sample(sorted(set(names) - near), min(2, len(names) - len(near))):
                     if leader.core is not None:
-                        cluster.change(leader.name, remove=cluster.nodes[each].me)
-            for _ in range(random.choice((0, 40))):  # the old leader is asked until it steps down
+                        cluster.change_membership(leader.name, remove=cluster.nodes[each].me)
+            for _ in range(random.choice((0, 40))):  # request from the old leader until it steps down
                 cluster.run(cluster.now + 10.0)
-                for each in sorted(cluster.leading(), key=lambda n: -n.core.term):
+                for each in sorted(cluster.leaders(), key=lambda n: -n.core.term):
                     cluster.propose(each.name)
                     cluster.read(each.name)
         case "fail":
-            cluster.nodes[name].failing = True
+            cluster.nodes[name].fails_writes = True
         case "slow":
-            cluster.nodes[name].slow = random.choice((1.0, 20.0, 100.0))
+            cluster.nodes[name].disk_slowdown = random.choice((1.0, 20.0, 100.0))
         case "hand over":
-            cluster.give(name, api.TransferLeadership())
+            cluster.deliver(name, api.TransferLeadership())
         case "room":
-            cluster.give(name, api.DiskSpaceLow())
+            cluster.deliver(name, api.DiskSpaceLow())
         case "member":
-            for leader in cluster.leading():
+            for leader in cluster.leaders():
                 for each in random.sample(names, random.choice((1, 1, min(2, len(names))))):
                     node = cluster.nodes[each]
-                    if leader.core is None or wiped or not leader.core.accepts_commands():
+                    if leader.core is None or is_folder_lost or not leader.core.accepts_commands():
                         continue
                     if node.me in leader.core.log.configuration.incarnations:
-                        cluster.change(leader.name, remove=node.me)
+                        cluster.change_membership(leader.name, remove=node.me)
                     else:
-                        cluster.change(leader.name, add=pb.Member(name=each, life=node.me.id, address=each))
+                        cluster.change_membership(
+                            leader.name, add=pb.Member(name=each, life=node.me.id, address=each)
+                        )
         case "wipe":
             leader = cluster.leader()
-            if wiped or leader is None or leader.name == name or len(cluster.voters()) < 3:
+            if is_folder_lost or leader is None or leader.name == name or len(cluster.voters()) < 3:
                 return False
             cluster.run(cluster.now + 500.0)
             leader = cluster.leader()
-            if not cluster.checks.agreed:
+            if not cluster.checks.committed:
                 return False
-            voters, last = cluster.voters(), cluster.checks.agreed[-1]
+            voters, last = cluster.voters(), cluster.checks.committed[-1]
             fresh = [n for n in voters if cluster.nodes[n].image.holds(last.index, last.term)]
             if (
                 leader is None
@@ -697,88 +739,97 @@
     return False
 
 
-def heal(cluster: Cluster, random: Random, name: str) -> None:
-    """Mend something."""
+def repair(cluster: Cluster, random: Random, name: str) -> None:
+    """Repair something."""
     node = cluster.nodes[name]
     if node.core is None:
         cluster.start(name)
-    elif node.failing or node.broken:
-        cluster.mend(name)
-    elif cluster.cuts:
-        for pair in random.sample(sorted(cluster.cuts), max(1, len(cluster.cuts) // 2)):
-            cluster.cuts.discard(pair)
+    elif node.fails_writes or node.write_failed:
+        cluster.repair_disk(name)
+    elif cluster.blocked_links:
+        for pair in random.sample(sorted(cluster.blocked_links), max(1, len(cluster.blocked_links) // 2)):
+            cluster.blocked_links.discard(pair)
     else:
-        node.slow = 1.0
+        node.disk_slowdown = 1.0
 
 
-def speed(members: int, batch: int, commands: int, size: int = 100) -> tuple[float, float]:
-    """Return commands and steps per second of processor time of all cores together, in steps of a batch each.
+def measure_speed(members: int, batch: int, commands: int, size: int = 100) -> tuple[float, float]:
+    """Return commands and steps per second of CPU time of all cores together, with batches of proposals.
 
-    Messages and writes come at once, and time passes for the leader alone, so that nobody else asks:
-    what is counted is the cores' own work.
+    Messages and writes take no time, and time passes for the leader only, so that no other member campaigns:
+    this measures only the cores' work.
     """
-    lives = [Incarnation(chr(ord("a") + i), b"x") for i in range(members)]
+    incarnations = [Incarnation(chr(ord("a") + i), b"x") for i in range(members)]
     first = pb.Entry(
         term=1,
         index=1,
-        members=pb.Members(members=[pb.Member(name=life.name, life=life.id, votes=True) for life in lives]),
+        members=pb.Members(
+            members=[
+                pb.Member(name=incarnation.name, life=incarnation.id, votes=True)
+                for incarnation in incarnations
+            ]
+        ),
     )
     cores = {
-        life: RaftMember(Timing(), DurableState(life, pb.HardState(term=1), entries=[first]), 1)
-        for life in lives
+        incarnation: RaftMember(Timing(), DurableState(incarnation, pb.HardState(term=1), entries=[first]), 1)
+        for incarnation in incarnations
     }
-    boxes: dict[Incarnation, list[api.Event]] = {life: [] for life in lives}
-    counts, now, leader = Counter(), 0.0, lives[0]
+    inboxes: dict[Incarnation, list[api.Event]] = {incarnation: [] for incarnation in incarnations}
+    counts, now, leader = Counter(), 0.0, incarnations[0]
 
-    def step(life: Incarnation, events: list[api.Event]) -> None:
+    def step(incarnation: Incarnation, events: list[api.Event]) -> None:
         counts["steps"] += 1
-        for action in cores[life].step(now if life == leader else 0.0, events):
+        for action in cores[incarnation].step(now if incarnation == leader else 0.0, events):
             match action:
                 case api.Send(to, message):
-                    boxes[to].append(api.MessageReceived(life, message))
+                    inboxes[to].append(api.MessageReceived(incarnation, message))
                 case api.Write(number):
-                    boxes[life].append(api.WriteCompleted(number))
+                    inboxes[incarnation].append(api.WriteCompleted(number))
                 case api.ProposalOutcome(_, refusal):
                     counts["done" if not refusal else "refused"] += 1
                 case api.TakeSnapshot():
-                    boxes[life].append(api.Snapshot(cores[life].delivered_index, 0, bytes(1000)))
-
-    def quiet() -> None:
-        while any(boxes.values()):
-            for life in lives:
-                events, boxes[life] = boxes[life], []
+                    inboxes[incarnation].append(
+                        api.Snapshot(cores[incarnation].delivered_index, 0, bytes(1000))
+                    )
+
+    def run_until_quiet() -> None:
+        while any(inboxes.values()):
+            for incarnation in incarnations:
+                events, inboxes[incarnation] = inboxes[incarnation], []
                 if events:
-                    step(life, events)
+                    step(incarnation, events)
 
-    for life in lives:
-        step(life, [])
+    for incarnation in incarnations:
+        step(incarnation, [])
     while cores[leader].leader_state is None:
         now += Timing().election_timeout_ms
         step(leader, [api.TimerFired()])
-        quiet()
+        run_until_quiet()
     counts.clear()
     body, began = bytes(size), time.process_time()
     while counts["done"] < commands:
         now += 1.0
         command = pb.Command(client=1, number=1, machine="m", body=body)
         step(leader, [api.Propose(token, command) for token in range(batch)])
-        quiet()
+        run_until_quiet()
     took = time.process_time() - began
     return counts["done"] / took, counts["steps"] / took
 
 
 def main() -> int:
-    """Play seeds and tell what came of it."""
+    """Play seeds and print the result."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=1000)
     parser.add_argument("--first", type=int, default=0)
-    parser.add_argument("--keep-on", action="store_true", help="go on behind a seed that fails")
-    parser.add_argument("--speed", type=int, default=0, help="commands to have done, in place of seeds")
+    parser.add_argument("--keep-on", action="store_true", help="continue after a seed that fails")
+    parser.add_argument(
+        "--speed", type=int, default=0, help="measure the speed with this many commands instead"
+    )
     args = parser.parse_args()
     if args.speed:
         for members in (3, 5):
             for batch in (1, 10, 100):
-                done, steps = speed(members, batch, args.speed)
+                done, steps = measure_speed(members, batch, args.speed)
                 print(f"{members} members, {batch} at once: {done:.0f} commands/s, {steps:.0f} steps/s")
         return 0
     began, counts, failed = time.perf_counter(), Counter(), []
--- a/tests/support/raft_defects.py
+++ b/tests/support/raft_defects.py
@@ -1,9 +1,9 @@
-"""Defects planted in the council's core, and how soon the tests find each.
+"""Defects planted in the Raft core, and how soon the tests find each.
 
-Run as a program it makes the table of docs/results/council.md: `python tests/support/raft_defects.py`.
+As a program it prints the table of docs/results/council.md: `python tests/support/raft_defects.py`.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for running as a program
 
 # isort: split
 
@@ -28,18 +28,18 @@
 from fennelwind.raft.pending_writes import PendingWrites
 from fennelwind.raft.snapshot_chunks import SnapshotReceiver
 
-PART = 0.2  # of a day, for what is found soon
+PLAY_PART = 0.2  # part of a play that finds most defects
 
 
 class Defect(NamedTuple):
-    """What is planted, and where the suite finds it: from a day on, or from a start of the search."""
+    """A planted defect, and where the suite finds it: in plays from a seed on, or in a search."""
 
     changes: list[AbstractContextManager]
-    near: tuple[int, float] | tuple[str, int]  # seed and part of the day; start and states
+    found_by: tuple[int, float] | tuple[str, int]  # seed and part of the play; start and number of states
 
 
 DEFECTS = {
-    # A follower tells the leader of entries that are only in its memory.
+    # A follower acknowledges entries that are only in memory.
     "acknowledge before sync": Defect(
         [
             Line(
@@ -65,7 +65,7 @@
         ],
         ("rivals", 1000),
     ),
-    # Messages leave before the term and vote that they rest on are on the disk.
+    # Messages are sent before the term and vote that they depend on are durable.
     "vote before it is written": Defect(
         [
             Line(
@@ -74,9 +74,9 @@
                 "if True:",
             )
         ],
-        (1, PART),
+        (1, PLAY_PART),
     ),
-    # A leader answers reads without asking whether it still leads.
+    # A leader answers reads without confirming its leadership.
     "read from a deposed leader": Defect(
         [
             Line(
@@ -87,12 +87,12 @@
         ],
         ("contested", 100),
     ),
-    # A new leader answers reads before it knows what earlier leaders agreed on.
+    # A new leader answers reads before it knows what earlier leaders committed.
     "read before an own entry": Defect(
         [Line(Leader._serve_reads, "if member.log.term(member.commit_index) != self.term:", "if False:")],
-        (42, PART),
+        (42, PLAY_PART),
     ),
-    # Entries that differ from the leader's are left where they are.
+    # Entries that conflict with the leader's are not truncated.
     "tail kept after a conflict": Defect(
         [
             Line(
@@ -101,7 +101,7 @@
                 "entry.index > log.last_index",
             )
         ],
-        (19, PART),
+        (19, PLAY_PART),
     ),
     "commit by counting old terms": Defect(
         [Line(Leader.quorum_commit_index, " and member.log.term(index) == self.term", "")],
@@ -110,7 +110,7 @@
     "two changes at once": Defect(
         [patch.object(Leader, "can_change_membership", lambda self: True)], (56, 1.0)
     ),
-    # Who catches up counts for what is agreed, and for votes.
+    # Learners count towards majorities for commits and for votes.
     "learners count": Defect(
         [
             Line(Leader.voters, "configuration.voters", "configuration.incarnations"),
@@ -119,17 +119,17 @@
         (71, 1.0),
     ),
     "snapshot without its term": Defect(
-        [Line(snapshots.make_snapshot_head, "term=term", "term=0")], (1, PART)
+        [Line(snapshots.make_snapshot_head, "term=term", "term=0")], (1, PLAY_PART)
     ),
-    # It says who counts now, not who counted as of its last entry.
+    # The snapshot has the latest configuration, not the one as of its last entry.
     "snapshot with later members": Defect(
-        [patch.object(Log, "configuration_at", lambda self, index: self.configuration)], (1, PART)
+        [patch.object(Log, "configuration_at", lambda self, index: self.configuration)], (1, PLAY_PART)
     ),
     "vote for a shorter log": Defect(
-        [patch.object(election, "is_log_up_to_date", lambda vote, term, index: True)], (1, PART)
+        [patch.object(election, "is_log_up_to_date", lambda vote, term, index: True)], (1, PLAY_PART)
     ),
-    "half is enough": Defect([Line(Campaign.is_won, "> len(voters)", ">= len(voters)")], (1, PART)),
-    # It takes the leader's word for its own entries without having compared them.
+    "half is enough": Defect([Line(Campaign.is_won, "> len(voters)", ">= len(voters)")], (1, PLAY_PART)),
+    # A follower commits up to the leader's commit index without having compared its entries.
     "follower commits what it has": Defect(
         [
             Line(
@@ -151,7 +151,7 @@
         ],
         ("led", 1000),
     ),
-    # A member whose disk takes no writes goes on as if it had one.
+    # A member whose write failed continues as if the write had succeeded.
     "mute member votes": Defect(
         [
             patch.object(
@@ -171,9 +171,9 @@
                 "self.term, self.voted_for, self.leader = durable.hard_state.term, None, None",
             )
         ],
-        (7, PART),
+        (7, PLAY_PART),
     ),
-    # What was on the disk before a tail was cut counts for what came in its place.
+    # Durable entries before a truncation count as their replacements.
     "cut entries still count": Defect(
         [
             Line(
@@ -184,12 +184,12 @@
                 "last_index",
             )
         ],
-        (19, PART),
+        (19, PLAY_PART),
     ),
     "clock of the new leader": Defect(
-        [patch.object(Leader, "clock_ms", lambda self, now: int(now))], (1, PART)
+        [patch.object(Leader, "clock_ms", lambda self, now: int(now))], (1, PLAY_PART)
     ),
-    # Pieces of a later snapshot are put behind those of an earlier one.
+    # Chunks of a later snapshot are appended to those of an earlier one.
     "pieces of two snapshots": Defect(
         [
             Line(
@@ -202,30 +202,31 @@
         ],
         (86, 1.0),
     ),
-    # A member whose folder was lost comes back under its old life, and votes.
+    # A member whose folder was lost returns under its old incarnation, and votes.
     "returns empty as who it was": Defect(
         [
             Line(
                 Cluster.wipe,
-                'Incarnation(name, b"%s%d" % (name.encode(), old.life_count + 2))',
+                'Incarnation(name, b"%s%d" % (name.encode(), old.incarnation_count + 2))',
                 "old.me",
                 "node.core = None",
-                "node.image.hard, node.image.entries = pb.HardState(term=1), list(self.checks.agreed[:1])",
+                "node.image.hard_state, node.image.entries = "
+                "pb.HardState(term=1), list(self.checks.committed[:1])",
             )
         ],
-        (21, PART),
+        (21, PLAY_PART),
     ),
 }
 
 
 def by_seeds(name: str, first: int, seeds: int, part: float = 1.0) -> tuple[int, str] | None:
-    """Return how many seeds it took until a day was broken, and by what; None: none was."""
+    """Return how many seeds it took until a play failed, and how; None if none did."""
     with planted(DEFECTS[name].changes):
         return broken(partial(raft_cluster.play, seed, part=part) for seed in range(first, first + seeds))
 
 
 def by_search(name: str, states: int, *starts: str) -> tuple[str, str] | None:
-    """Return after how many states from which start the search found it, and what; None: it did not."""
+    """Return after how many states from which start the search found it, and what; None if it did not."""
     with planted(DEFECTS[name].changes):
         for start in starts or raft_search.STARTS:
             search, bounds = raft_search.Search(), raft_search.STARTS[start]
@@ -246,10 +247,10 @@
     args = parser.parse_args()
     missed = 0
     for name in args.names or DEFECTS:
-        days = by_seeds(name, 0, args.seeds) or ("-", "")
+        plays = by_seeds(name, 0, args.seeds) or ("-", "")
         search = by_search(name, args.states) or ("-", "")
-        missed += days[0] == search[0]
-        row(name, days[0], search[0], days[1].removeprefix("Broken: ") or search[1])
+        missed += plays[0] == search[0]
+        row(name, plays[0], search[0], plays[1].removeprefix("InvariantViolation: ") or search[1])
     return 1 if missed else 0
 
 
--- a/tests/support/raft_search.py
+++ b/tests/support/raft_search.py
@@ -1,12 +1,12 @@
-"""Exhaustive search of a council of three: every order of what can happen, to a depth or a number of states.
+"""Exhaustive search of a Raft group of three: every order of events, to a depth or a number of states.
 
-Cores are values here: what happens to one is worked out once for each state of it, and remembered. A message
-that is lost is one that is never delivered; one that is doubled is delivered and stays. Time is each member's
-own: it jumps to where its core would act, or forgets its leader.
+Cores are treated as values: the effect of an event on a member's state is computed once and cached. A lost
+message is one that is never delivered; a duplicated one is delivered and stays in flight. Each member has its
+own time, which jumps to its core's next timer or to the point where it no longer considers its leader alive.
 `python tests/support/raft_search.py --states 1000000`.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for running as a program
 
 # isort: split
 
@@ -28,7 +28,7 @@
 from fennelwind.raft.messages import DurableState, Incarnation, Timing
 
 NAMES = ("a", "b", "c")
-LIVES = tuple(Incarnation(name, name.encode()) for name in NAMES)
+INCARNATIONS = tuple(Incarnation(name, name.encode()) for name in NAMES)
 TIMING = Timing(
     heartbeat_ms=100,
     election_timeout_ms=200,
@@ -51,7 +51,7 @@
     "sent_ms",
     "removal_notice_until_ms",
 )
-LONG_AGO = -1000.0  # ms; all times before are alike
+LONG_AGO = -1000.0  # ms; earlier times are equivalent
 HIDDEN = (
     "counters",
     "random",
@@ -74,188 +74,202 @@
     "max_message_bytes",
     "max_reads",
     "round_starts",
-)  # no rule rests on them
+)  # attributes that no decision depends on
 
 
 ATOMS = (int, float, str, bytes, bool, type(None), Incarnation)
 SHARED = (Message, Configuration, Timing, Counter, Random, api.Send, api.RoleChanged)
 
 
-class Broken(AssertionError):
-    """Something happened that may never happen."""
+class InvariantViolation(AssertionError):
+    """An invariant of Raft was violated."""
 
 
-class Found(Broken):
-    """A path to it."""
+class ViolationFound(InvariantViolation):
+    """A violation with the path that leads to it."""
 
     def __init__(self, what: str, path: list[str], states: int) -> None:
         self.what, self.path, self.states = what, path, states
-        super().__init__(f"{what}; {states} states, behind {len(path)} steps: {'; '.join(path)}")
+        super().__init__(f"{what}; {states} states, after {len(path)} steps: {'; '.join(path)}")
 
 
-class Middle(Random):
-    """Chance that always says the same: time is the search's to choose."""
+class FixedRandom(Random):
+    """A random generator with a constant result, as the search chooses all times."""
 
     def random(self) -> float:
         """Return one half."""
         return 0.5
 
 
-def copy(value: Any, core: RaftMember | None = None) -> Any:
-    """Return a copy of a core; messages, entries and events are never changed and are shared."""
+def copy_value(value: Any, core: RaftMember | None = None) -> Any:
+    """Return a depth_reached copy of a core; messages, entries and events are immutable and shared."""
     kind = type(value)
     if kind in ATOMS or isinstance(value, SHARED):
         return value
     if kind in (list, deque, set, tuple, bytearray):
-        return kind([copy(each, core) for each in value])
+        return kind([copy_value(each, core) for each in value])
     if kind is dict:
-        return {key: copy(each, core) for key, each in value.items()}
+        return {key: copy_value(each, core) for key, each in value.items()}
     if isinstance(value, RaftMember) and core is not None:
         return core
     made = kind.__new__(kind)
     core = made if isinstance(value, RaftMember) else core
     for name in value.__dict__ if hasattr(value, "__dict__") else value.__slots__:
-        setattr(made, name, copy(getattr(value, name), core))
+        setattr(made, name, copy_value(getattr(value, name), core))
     return made
 
 
-def key(value: Any) -> Any:
-    """Return what tells one state of a core from another."""
+def state_key(value: Any) -> Any:
+    """Return a key that is equal for equivalent states of a core."""
     kind = type(value)
     if kind in ATOMS:
         return value
     if isinstance(value, (list, deque, tuple)):
-        return tuple([key(each) for each in value])
+        return tuple([state_key(each) for each in value])
     if kind in (set, bytearray):
         return tuple(sorted(value))
     if kind is dict:
-        return tuple([(name, key(each)) for name, each in sorted(value.items())])
+        return tuple([(name, state_key(each)) for name, each in sorted(value.items())])
     if isinstance(value, Message):
         return value.SerializeToString(deterministic=True)
     names = value.__dict__ if hasattr(value, "__dict__") else value.__slots__
-    return tuple([key(getattr(value, name)) for name in names if name not in HIDDEN])
+    return tuple([state_key(getattr(value, name)) for name in names if name not in HIDDEN])
 
 
-def shift(value: Any, by: float) -> None:
-    """Count a core's times from its present."""
+def shift_times(value: Any, by: float) -> None:
+    """Make an object's times relative to its core's current time."""
     for name in TIMES:
         at = getattr(value, name, None)
         if at is not None:
             setattr(value, name, max(at - by, LONG_AGO))
 
 
-class Cell(NamedTuple):
-    """One member: its core, what is surely on its disk, what is being written."""
+class MemberState(NamedTuple):
+    """One member: its core, what is durable, and its pending writes."""
 
     core: RaftMember
-    hard: pb.HardState
+    hard_state: pb.HardState
     entries: tuple[pb.Entry, ...]
     pending: tuple[api.Write, ...]
     failed: bool = False
 
     def holds(self, index: int, term: int) -> bool:
-        """Whether an entry is on the disk."""
+        """Whether an entry is durable."""
         return len(self.entries) >= index and self.entries[index - 1].term == term
 
-    def after(self, write: api.Write) -> "Cell":
-        """Return the disk with a write that is sure."""
+    def after(self, write: api.Write) -> "MemberState":
+        """Return this state with a write made durable."""
         entries = self.entries if write.truncate_after is None else self.entries[: write.truncate_after]
-        return self._replace(entries=entries + write.entries, hard=write.hard_state or self.hard)
+        return self._replace(entries=entries + write.entries, hard_state=write.hard_state or self.hard_state)
 
 
 class State(NamedTuple):
-    """All members, what is on its way, what was seen, and what may still happen."""
+    """The members, messages in flight, the history for the checks, and the budget of events."""
 
-    cells: tuple[int, int, int]
-    net: tuple[int, ...]
-    seen: tuple[tuple[int, int], ...]  # leaders by term
-    votes: tuple[tuple[int, int, int], ...]  # voter, term, for whom
-    agreed: tuple[bytes, ...]
-    told: int  # the highest index that was answered
-    asked: int  # what had been answered when the read was asked for; -1: none is out
-    left: tuple[int, ...]  # of time-outs, crashes, proposals, reads, doublings, failed writes
+    members: tuple[int, int, int]
+    in_flight: tuple[int, ...]  # messages
+    leaders: tuple[tuple[int, int], ...]  # leaders by term
+    votes: tuple[tuple[int, int, int], ...]  # voter, term, candidate
+    committed: tuple[bytes, ...]
+    answered_index: int  # the highest index answered
+    read_floor: int  # answered_index when the pending read was requested; -1: none pending
+    budget: tuple[int, ...]  # timeouts, crashes, proposals, reads, duplications, failed writes
 
 
 @dataclass
 class Bounds:
-    """How often each may happen on one path."""
+    """How often each kind of event may happen on one path."""
 
     timeouts: int = 2
     crashes: int = 1
     proposals: int = 1
     reads: int = 1
-    doubles: int = 1
+    duplicates: int = 1
     failures: int = 0
 
-    def left(self) -> tuple[int, ...]:
-        """Return them as a state has them."""
-        return (self.timeouts, self.crashes, self.proposals, self.reads, self.doubles, self.failures)
+    def budget(self) -> tuple[int, ...]:
+        """Return the initial budget of a state."""
+        return (self.timeouts, self.crashes, self.proposals, self.reads, self.duplicates, self.failures)
 
 
-TIMEOUT, CRASH, PROPOSE, READ, DOUBLE, FAIL = range(6)
+TIMEOUT, CRASH, PROPOSE, READ, DUPLICATE, FAIL = range(6)
 
 
 class Search:
-    """The states that can be reached, and what is known of each member's own."""
+    """A search with its tables of member states, messages and cached transitions."""
 
     def __init__(self, core: type[RaftMember] = RaftMember) -> None:
         self.kind = core
-        self.cells: list[Cell] = []
-        self.cell_ids: dict[Any, int] = {}
-        self.messages: list[tuple[int, int, pb.Message]] = []  # from, to, what
+        self.member_states: list[MemberState] = []
+        self.member_state_ids: dict[Any, int] = {}
+        self.messages: list[tuple[int, int, pb.Message]] = []  # sender, recipient, message
         self.message_ids: dict[tuple[int, int, bytes], int] = {}
-        self.known: dict[Any, tuple[int, tuple[int, ...], tuple]] = {}
+        self.transition_cache: dict[Any, tuple[int, tuple[int, ...], tuple]] = {}
 
     # Members
 
-    def cell(self, cell: Cell) -> int:
-        """Return the number of a member's state."""
-        shift_core(cell.core)
-        this = (key(cell.core), key(cell.hard), key(cell.entries), key(cell.pending), cell.failed)
-        number = self.cell_ids.setdefault(this, len(self.cells))
-        if number == len(self.cells):
-            self.cells.append(cell)
+    def member_id(self, member: MemberState) -> int:
+        """Return the id of a member's state."""
+        shift_core_times(member.core)
+        identity = (
+            state_key(member.core),
+            state_key(member.hard_state),
+            state_key(member.entries),
+            state_key(member.pending),
+            member.failed,
+        )
+        number = self.member_state_ids.setdefault(identity, len(self.member_states))
+        if number == len(self.member_states):
+            self.member_states.append(member)
         return number
 
-    def begun(self, me: int, hard: pb.HardState, entries: tuple) -> tuple[Cell, list[api.Action]]:
-        """Return a member that has just opened its folder."""
-        core = self.kind(TIMING, DurableState(LIVES[me], hard, entries=list(entries)), 0)
-        core.random = Middle()
-        return Cell(core, hard, entries, ()), core.step(0.0, ())
-
-    def happen(self, me: int, number: int, what: str, detail: Any = None) -> tuple[int, tuple, tuple]:
-        """Return what a member becomes, what it sends, and what it lets be seen."""
-        this = (me, number, what, detail)
-        known = self.known.get(this)
-        if known is None:
-            known = self.known[this] = self._happen(me, self.cells[number], what, detail)
-        return known
-
-    def _happen(self, me: int, cell: Cell, what: str, detail: Any) -> tuple[int, tuple[int, ...], tuple]:
+    def restarted(
+        self, me: int, hard_state: pb.HardState, entries: tuple
+    ) -> tuple[MemberState, list[api.Action]]:
+        """Return a member that has just opened its folder, and its first actions."""
+        core = self.kind(TIMING, DurableState(INCARNATIONS[me], hard_state, entries=list(entries)), 0)
+        core.random = FixedRandom()
+        return MemberState(core, hard_state, entries, ()), core.step(0.0, ())
+
+    def transition(self, me: int, number: int, what: str, detail: Any = None) -> tuple[int, tuple, tuple]:
+        """Return a member's next state, the messages it sends, and the effects to check; cached."""
+        identity = (me, number, what, detail)
+        cached = self.transition_cache.get(identity)
+        if cached is None:
+            cached = self.transition_cache[identity] = self._compute_transition(
+                me, self.member_states[number], what, detail
+            )
+        return cached
+
+    def _compute_transition(
+        self, me: int, member: MemberState, what: str, detail: Any
+    ) -> tuple[int, tuple[int, ...], tuple]:
         if what == "crash":
-            for write in cell.pending[:detail]:
-                cell = cell.after(write)
-            cell, actions = self.begun(me, cell.hard, cell.entries)
-            return self._carry_out(me, cell, actions)
-        core, at, events = copy(cell.core), 0.0, []
-        cell = cell._replace(core=core)
+            for write in member.pending[:detail]:
+                member = member.after(write)
+            member, actions = self.restarted(me, member.hard_state, member.entries)
+            return self._carry_out(me, member, actions)
+        core, at, events = copy_value(member.core), 0.0, []
+        member = member._replace(core=core)
         match what:
             case "deliver":
                 sender, _, message = self.messages[detail]
-                events = [api.MessageReceived(LIVES[sender], message)]
+                events = [api.MessageReceived(INCARNATIONS[sender], message)]
             case "written":
-                events = [api.WriteCompleted(cell.pending[0].number)]
-                cell = cell.after(cell.pending[0])._replace(pending=cell.pending[1:])
+                events = [api.WriteCompleted(member.pending[0].number)]
+                member = member.after(member.pending[0])._replace(pending=member.pending[1:])
             case "fail":
-                events = [api.WriteFailed(cell.pending[0].number, True)]
-                for write in cell.pending[:detail]:
-                    cell = cell.after(write)
-                cell = cell._replace(pending=(), failed=True)
+                events = [api.WriteFailed(member.pending[0].number, True)]
+                for write in member.pending[:detail]:
+                    member = member.after(write)
+                member = member._replace(pending=(), failed=True)
             case "mend":
                 events = [
-                    api.StorageRecovered(DurableState(LIVES[me], cell.hard, entries=list(cell.entries)))
+                    api.StorageRecovered(
+                        DurableState(INCARNATIONS[me], member.hard_state, entries=list(member.entries))
+                    )
                 ]
-                cell = cell._replace(failed=False)
+                member = member._replace(failed=False)
             case "timeout":
                 at = (
                     core.leader_state.next_heartbeat_ms
@@ -271,30 +285,32 @@
                 events = [api.Propose(detail, pb.Command(client=1, number=detail))]
             case "read":
                 events = [api.ReadRequested(detail)]
-        return self._carry_out(me, cell, core.step(at, events))
+        return self._carry_out(me, member, core.step(at, events))
 
-    def _carry_out(self, me: int, cell: Cell, actions: list) -> tuple[int, tuple[int, ...], tuple]:
-        sent, effects, pending = [], [], list(cell.pending)
-        core = cell.core
+    def _carry_out(self, me: int, member: MemberState, actions: list) -> tuple[int, tuple[int, ...], tuple]:
+        sent, effects, pending = [], [], list(member.pending)
+        core = member.core
         if core.leader_state is not None:
-            effects.append(("leads", core.term, me, key(core.log.entries)))
+            effects.append(("leads", core.term, me, state_key(core.log.entries)))
         for action in actions:
             match action:
                 case api.Write():
                     pending.append(action)
                 case api.Send(to, message):
-                    if to in LIVES:
-                        sent.append(self._message(me, LIVES.index(to), message))
+                    if to in INCARNATIONS:
+                        sent.append(self._message(me, INCARNATIONS.index(to), message))
                     body = message.WhichOneof("body")
                     if body == "vote" and not message.vote.before:
                         effects.append(("votes", message.term, me, me))
                     vote = message.vote_answer
                     if body == "vote_answer" and vote.granted and not vote.before:
-                        effects.append(("votes", message.term, me, LIVES.index(to)))
+                        effects.append(("votes", message.term, me, INCARNATIONS.index(to)))
                     if body == "append_answer" and message.append_answer.took:
                         index = message.append_answer.index
-                        if index and not cell.holds(index, core.log.term(index)):
-                            effects.append(("broken", f"{NAMES[me]} says that {index} is on its disk"))
+                        if index and not member.holds(index, core.log.term(index)):
+                            effects.append(
+                                ("broken", f"{NAMES[me]} acknowledges {index} before it is durable")
+                            )
                 case api.Apply(entries):
                     effects += [
                         ("agreed", e.index, e.term, e.SerializeToString(deterministic=True)) for e in entries
@@ -303,261 +319,284 @@
                     effects.append(("answered", index))
                 case api.ReadOutcome(_, index, refusal):
                     effects.append(("read", -1 if refusal else index))
-        number = self.cell(cell._replace(pending=tuple(pending)))
+        number = self.member_id(member._replace(pending=tuple(pending)))
         return number, tuple(sent), tuple(effects)
 
     def _message(self, me: int, to: int, message: pb.Message) -> int:
-        this = (me, to, message.SerializeToString(deterministic=True))
-        number = self.message_ids.setdefault(this, len(self.messages))
+        identity = (me, to, message.SerializeToString(deterministic=True))
+        number = self.message_ids.setdefault(identity, len(self.messages))
         if number == len(self.messages):
             self.messages.append((me, to, message))
         return number
 
-    # All together
+    # The group
 
     def start(self, bounds: Bounds) -> State:
-        """Return three members that have a record and no leader."""
-        members = pb.Members(members=[pb.Member(name=n, life=n.encode(), votes=True) for n in NAMES])
-        entry = pb.Entry(term=1, index=1, members=members)
-        cells = tuple(self.cell(self.begun(me, pb.HardState(term=1), (entry,))[0]) for me in range(3))
-        return State(cells, (), (), (), (), 0, -1, bounds.left())
+        """Return three members with a log and no leader."""
+        configuration = pb.Members(members=[pb.Member(name=n, life=n.encode(), votes=True) for n in NAMES])
+        entry = pb.Entry(term=1, index=1, members=configuration)
+        members = tuple(
+            self.member_id(self.restarted(me, pb.HardState(term=1), (entry,))[0]) for me in range(3)
+        )
+        return State(members, (), (), (), (), 0, -1, bounds.budget())
 
-    def take(
+    def apply(
         self,
         state: State,
         me: int,
         what: str,
         detail: Any = None,
-        spend: int | None = None,
-        gone: int | None = None,
+        budget_index: int | None = None,
+        delivered_message: int | None = None,
     ) -> State:
-        """Let something happen to a member; raises Broken where it may not come to that."""
-        number, sent, effects = self.happen(me, state.cells[me], what, detail)
-        cells = state.cells[:me] + (number,) + state.cells[me + 1 :]
-        net = set(state.net)
-        if gone is not None:
-            net.discard(gone)
-        net.update(sent)
-        seen, votes, agreed = dict(state.seen), state.votes, state.agreed
-        told, asked, left = state.told, state.asked, state.left
+        """Apply an event to a member. Raises `InvariantViolation`."""
+        number, sent, effects = self.transition(me, state.members[me], what, detail)
+        members = state.members[:me] + (number,) + state.members[me + 1 :]
+        in_flight = set(state.in_flight)
+        if delivered_message is not None:
+            in_flight.discard(delivered_message)
+        in_flight.update(sent)
+        leaders, votes, committed = dict(state.leaders), state.votes, state.committed
+        answered_index, read_floor, budget = state.answered_index, state.read_floor, state.budget
         if what == "read":
-            asked = told
+            read_floor = answered_index
         if what == "crash":
-            asked = -1 if asked >= 0 and self.cells[state.cells[me]].core.leader_state else asked
-        if spend is not None:
-            left = left[:spend] + (left[spend] - 1,) + left[spend + 1 :]
+            read_floor = (
+                -1
+                if read_floor >= 0 and self.member_states[state.members[me]].core.leader_state
+                else read_floor
+            )
+        if budget_index is not None:
+            budget = budget[:budget_index] + (budget[budget_index] - 1,) + budget[budget_index + 1 :]
         for effect in effects:
             match effect:
                 case ("broken", text):
-                    raise Broken(text)
+                    raise InvariantViolation(text)
                 case ("leads", term, leader, held):
-                    if term not in seen and held[: len(agreed)] != agreed:
-                        raise Broken(f"the leader of term {term} lacks agreed entries")
-                    if seen.setdefault(term, leader) != leader:
-                        raise Broken(f"two leaders in term {term}")
+                    if term not in leaders and held[: len(committed)] != committed:
+                        raise InvariantViolation(f"the leader of term {term} lacks committed entries")
+                    if leaders.setdefault(term, leader) != leader:
+                        raise InvariantViolation(f"two leaders in term {term}")
                 case ("votes", term, voter, whom):
                     if any((a, b) == (voter, term) and c != whom for a, b, c in votes):
-                        raise Broken(f"{NAMES[voter]} voted twice in term {term}")
+                        raise InvariantViolation(f"{NAMES[voter]} voted twice in term {term}")
                     if (voter, term, whom) not in votes:
                         votes = tuple(sorted((*votes, (voter, term, whom))))
                 case ("agreed", index, term, data):
-                    if index <= len(agreed):
-                        if agreed[index - 1] != data:
-                            raise Broken(f"agreed entry {index} differs at {NAMES[me]}")
+                    if index <= len(committed):
+                        if committed[index - 1] != data:
+                            raise InvariantViolation(f"committed entry {index} differs at {NAMES[me]}")
                         continue
-                    if index != len(agreed) + 1:
-                        raise Broken(f"{NAMES[me]} leaves out an entry before {index}")
-                    if sum(self.cells[n].holds(index, term) for n in cells) < 2:
-                        raise Broken(f"entry {index} agreed on one disk")
-                    agreed = (*agreed, data)
+                    if index != len(committed) + 1:
+                        raise InvariantViolation(f"{NAMES[me]} skips an entry before {index}")
+                    if sum(self.member_states[n].holds(index, term) for n in members) < 2:
+                        raise InvariantViolation(f"entry {index} committed on one disk")
+                    committed = (*committed, data)
                 case ("answered", index):
-                    told = max(told, index)
+                    answered_index = max(answered_index, index)
                 case ("read", index):
-                    if 0 <= index < asked:
-                        raise Broken(f"a read sees {index}, though {asked} had been answered")
-                    told, asked = max(told, index), -1
-        return State(cells, tuple(sorted(net)), tuple(sorted(seen.items())), votes, agreed, told, asked, left)
-
-    def moves(self, state: State) -> Iterator[tuple[str, State]]:
-        """Return all that can happen next."""
-        left = state.left
-        for number in state.net:
+                    if 0 <= index < read_floor:
+                        raise InvariantViolation(
+                            f"a read sees {index}, though {read_floor} was answered before it"
+                        )
+                    answered_index, read_floor = max(answered_index, index), -1
+        return State(
+            members,
+            tuple(sorted(in_flight)),
+            tuple(sorted(leaders.items())),
+            votes,
+            committed,
+            answered_index,
+            read_floor,
+            budget,
+        )
+
+    def transitions(self, state: State) -> Iterator[tuple[str, State]]:
+        """Yield every possible next event with the state after it."""
+        budget = state.budget
+        for number in state.in_flight:
             sender, to, message = self.messages[number]
             name = f"{NAMES[sender]}>{NAMES[to]} {message.WhichOneof('body')}"
-            yield name, self.take(state, to, "deliver", number, gone=number)
-            if left[DOUBLE]:
-                yield name + " doubled", self.take(state, to, "deliver", number, DOUBLE)
-        for me, number in enumerate(state.cells):
-            cell = self.cells[number]
-            core, name = cell.core, NAMES[me]
-            if cell.pending:
-                yield f"{name} written", self.take(state, me, "written")
-            if left[TIMEOUT] and not core.storage_failed:
-                yield f"{name} time-out", self.take(state, me, "timeout", None, TIMEOUT)
+            yield name, self.apply(state, to, "deliver", number, delivered_message=number)
+            if budget[DUPLICATE]:
+                yield name + " doubled", self.apply(state, to, "deliver", number, DUPLICATE)
+        for me, number in enumerate(state.members):
+            member = self.member_states[number]
+            core, name = member.core, NAMES[me]
+            if member.pending:
+                yield f"{name} written", self.apply(state, me, "written")
+            if budget[TIMEOUT] and not core.storage_failed:
+                yield f"{name} time-out", self.apply(state, me, "timeout", None, TIMEOUT)
             if (
                 core.leader is not None
                 and core.leader_state is None
                 and core.last_leader_contact_ms > -TIMING.election_timeout_ms
             ):
-                yield f"{name} forgets its leader", self.take(state, me, "lapse")
-            if left[CRASH]:
-                for survives in {0, len(cell.pending)}:
+                yield f"{name} forgets its leader", self.apply(state, me, "lapse")
+            if budget[CRASH]:
+                for survives in {0, len(member.pending)}:
                     yield (
                         f"{name} crashes, {survives} written",
-                        self.take(state, me, "crash", survives, CRASH),
+                        self.apply(state, me, "crash", survives, CRASH),
                     )
-            if left[FAIL] and cell.pending:
-                for survives in {0, len(cell.pending)}:
+            if budget[FAIL] and member.pending:
+                for survives in {0, len(member.pending)}:
                     yield (
                         f"{name} fails to write, {survives} written",
-                        self.take(state, me, "fail", survives, FAIL),
+                        self.apply(state, me, "fail", survives, FAIL),
                     )
-            if cell.failed:
-                yield f"{name} can write", self.take(state, me, "mend")
-            if core.leader_state is not None and left[PROPOSE]:
-                yield f"{name} proposes", self.take(state, me, "propose", left[PROPOSE], PROPOSE)
-            if core.leader_state is not None and left[READ] and state.asked < 0:
-                yield f"{name} reads", self.take(state, me, "read", 100 + left[READ], READ)
+            if member.failed:
+                yield f"{name} can write", self.apply(state, me, "mend")
+            if core.leader_state is not None and budget[PROPOSE]:
+                yield f"{name} proposes", self.apply(state, me, "propose", budget[PROPOSE], PROPOSE)
+            if core.leader_state is not None and budget[READ] and state.read_floor < 0:
+                yield f"{name} reads", self.apply(state, me, "read", 100 + budget[READ], READ)
 
     # Starts
 
-    def quiet(self, state: State, among: str = "abc", until: int | None = None) -> State:
-        """Deliver and write all that there is among some members, or until one leads; drop the rest."""
+    def run_until_idle(self, state: State, among: str = "abc", until: int | None = None) -> State:
+        """Deliver and write everything among some members, or until one leads; drop the rest."""
         places = [NAMES.index(name) for name in among]
         for _ in range(1000):
-            writing = [me for me in places if self.cells[state.cells[me]].pending]
-            coming = [n for n in state.net if self.messages[n][0] in places and self.messages[n][1] in places]
-            if until is not None and self.cells[state.cells[until]].core.leader_state is not None:
-                return state._replace(net=tuple(coming))
+            writing = [me for me in places if self.member_states[state.members[me]].pending]
+            coming = [
+                n for n in state.in_flight if self.messages[n][0] in places and self.messages[n][1] in places
+            ]
+            if until is not None and self.member_states[state.members[until]].core.leader_state is not None:
+                return state._replace(in_flight=tuple(coming))
             if writing:
-                state = self.take(state, writing[0], "written")
+                state = self.apply(state, writing[0], "written")
             elif coming:
-                state = self.take(state, self.messages[coming[0]][1], "deliver", coming[0], gone=coming[0])
+                state = self.apply(
+                    state, self.messages[coming[0]][1], "deliver", coming[0], delivered_message=coming[0]
+                )
             else:
-                return state._replace(net=())
-        raise Broken("never quiet")
+                return state._replace(in_flight=())
+        raise InvariantViolation("the members never become idle")
 
     def led(self, bounds: Bounds) -> State:
-        """Return a council that a leads, all the same everywhere."""
-        state = self.quiet(self.take(self.start(bounds), 0, "timeout"))
-        return self.quiet(self.take(state, 0, "timeout"))
+        """Return a group led by a, with equal logs."""
+        state = self.run_until_idle(self.apply(self.start(bounds), 0, "timeout"))
+        return self.run_until_idle(self.apply(state, 0, "timeout"))
 
     def contested(self, bounds: Bounds) -> State:
-        """Return one where a leads still with an entry that nobody else has, and b leads a later term."""
-        state = self.take(self.led(bounds), 0, "propose", 77)
-        state = self.quiet(state, "a")
-        state = self.quiet(self.take(self.take(state, 2, "lapse"), 1, "timeout"), "bc")
-        return self.quiet(self.take(state, 1, "propose", 79), "bc")
+        """Return a group where a still leads, with an entry that only it has, and b leads a later term."""
+        state = self.apply(self.led(bounds), 0, "propose", 77)
+        state = self.run_until_idle(state, "a")
+        state = self.run_until_idle(self.apply(self.apply(state, 2, "lapse"), 1, "timeout"), "bc")
+        return self.run_until_idle(self.apply(state, 1, "propose", 79), "bc")
 
     def rivals(self, bounds: Bounds) -> State:
-        """Return one where a and b ask for votes in the same term."""
+        """Return a group where a and b request votes in the same term."""
         state = self.start(bounds)
         for me in (0, 1):
-            state = self.take(state, me, "timeout")
+            state = self.apply(state, me, "timeout")
         for me in (0, 1):
-            ask = next(n for n in state.net if self.messages[n][:2] == (me, 2))
-            state = self.take(state, 2, "deliver", ask, gone=ask)
-            answer = next(n for n in state.net if self.messages[n][:2] == (2, me))
-            state = self.take(self.take(state, me, "deliver", answer, gone=answer), me, "written")
+            ask = next(n for n in state.in_flight if self.messages[n][:2] == (me, 2))
+            state = self.apply(state, 2, "deliver", ask, delivered_message=ask)
+            answer = next(n for n in state.in_flight if self.messages[n][:2] == (2, me))
+            state = self.apply(
+                self.apply(state, me, "deliver", answer, delivered_message=answer), me, "written"
+            )
         return state._replace(
-            net=tuple(
+            in_flight=tuple(
                 n
-                for n in state.net
+                for n in state.in_flight
                 if self.messages[n][2].vote.last_index and not self.messages[n][2].vote.before
             )
         )
 
     def old_term(self, bounds: Bounds) -> State:
-        """Return one where a leads again with an entry of its earlier term; b has another of one between."""
-        state = self.quiet(self.take(self.led(bounds), 0, "propose", 77), "a")
-        state = self.quiet(self.take(state, 0, "crash", 0), "a")
-        state = self.quiet(self.take(self.take(state, 2, "lapse"), 1, "timeout"), "bc", 1)
-        state = self.quiet(self.take(self.quiet(state, "b"), 1, "crash", 0), "b")
-        state = self.quiet(self.take(state, 0, "timeout"), "ac")  # learns of b's term
-        state = self.quiet(self.take(state, 0, "timeout"), "ac", 0)
-        (probe,) = state.net
-        state = self.quiet(self.take(state, 1, "timeout"), "bc")  # and b of a's
-        state = self.take(state, 2, "deliver", probe)
-        return self.take(state, 0, "deliver", state.net[0], gone=state.net[0])
+        """Return a group where a leads again, with an entry of its earlier term; b has one of a term between."""
+        state = self.run_until_idle(self.apply(self.led(bounds), 0, "propose", 77), "a")
+        state = self.run_until_idle(self.apply(state, 0, "crash", 0), "a")
+        state = self.run_until_idle(self.apply(self.apply(state, 2, "lapse"), 1, "timeout"), "bc", 1)
+        state = self.run_until_idle(self.apply(self.run_until_idle(state, "b"), 1, "crash", 0), "b")
+        state = self.run_until_idle(self.apply(state, 0, "timeout"), "ac")  # learns of b's term
+        state = self.run_until_idle(self.apply(state, 0, "timeout"), "ac", 0)
+        (probe,) = state.in_flight
+        state = self.run_until_idle(self.apply(state, 1, "timeout"), "bc")  # b learns of a's term
+        state = self.apply(state, 2, "deliver", probe)
+        return self.apply(state, 0, "deliver", state.in_flight[0], delivered_message=state.in_flight[0])
 
     def tails(self, bounds: Bounds) -> State:
-        """Return one where a holds an old entry, b a later one, c neither: nobody leads any more."""
+        """Return a group without a leader where a holds an old entry, b a later one, c neither."""
         state = self.contested(bounds)
-        state = self.quiet(self.take(state, 1, "propose", 78), "b")
+        state = self.run_until_idle(self.apply(state, 1, "propose", 78), "b")
         for me in (0, 1):
-            state = self.take(state, me, "crash", 0)
-        return state._replace(net=())
+            state = self.apply(state, me, "crash", 0)
+        return state._replace(in_flight=())
 
 
-def shift_core(core: RaftMember) -> None:
-    """Count all of a core's times from its present."""
+def shift_core_times(core: RaftMember) -> None:
+    """Make all times of a core relative to its current time."""
     by = core.now_ms
     for part in (
         core,
         core.bootstrap,
         *((core.leader_state, *core.leader_state.peers.values()) if core.leader_state else ()),
     ):
-        shift(part, by)
+        shift_times(part, by)
     if core.leader_state is not None:
-        core.leader_state.started_ms = 0.0  # the record's clock stands still: no rule rests on it
+        core.leader_state.started_ms = 0.0  # the replicated clock stands still: no decision depends on it
 
 
 def run(search: Search, start: State, states: int, depth: int) -> dict[str, Any]:
-    """Search breadth first from a state; return how far it came. Raises Found."""
+    """Search breadth first from a state; return how far it got. Raises `ViolationFound`."""
     found = {hash(start)}
     level: list[tuple[State, Any]] = [(start, None)]
-    moves = deep = 0
+    moves = depth_reached = 0
     began = time.perf_counter()
-    whole = 0
-    while level and deep < depth and len(found) < states:
-        deep += 1
+    complete_depth = 0
+    while level and depth_reached < depth and len(found) < states:
+        depth_reached += 1
         following = []
         for state, path in level:
             try:
-                for name, after in search.moves(state):
+                for name, after in search.transitions(state):
                     moves += 1
                     code = hash(after)
                     if code not in found:
                         found.add(code)
                         following.append((after, (path, name)))
-            except Broken as exc:
+            except InvariantViolation as exc:
                 names = []
                 while path is not None:
                     path, name = path
                     names.append(name)
-                raise Found(str(exc), names[::-1], len(found)) from exc
+                raise ViolationFound(str(exc), names[::-1], len(found)) from exc
             if len(found) >= states:
                 break
         else:
-            whole = deep
+            complete_depth = depth_reached
         level = following
     return {
         "states": len(found),
         "moves": moves,
-        "depth": whole,
+        "depth": complete_depth,
         "seconds": time.perf_counter() - began,
-        "members' states": len(search.cells),
+        "members' states": len(search.member_states),
         "all": not level,
     }
 
 
-FEW = Bounds(timeouts=2, crashes=1, proposals=0, reads=0, doubles=0)
+FEW_EVENTS = Bounds(timeouts=2, crashes=1, proposals=0, reads=0, duplicates=0)
 STARTS = {
     "start": Bounds(),
     "led": Bounds(),
     "contested": Bounds(),
     "tails": Bounds(),
-    "rivals": FEW,
-    "old_term": Bounds(timeouts=1, crashes=0, proposals=0, reads=0, doubles=0),
+    "rivals": FEW_EVENTS,
+    "old_term": Bounds(timeouts=1, crashes=0, proposals=0, reads=0, duplicates=0),
 }
 
 
 def main() -> int:
     """Search from each start."""
     parser = argparse.ArgumentParser(description=__doc__)
-    parser.add_argument("--states", type=int, default=1_000_000, help="in all, shared by the starts")
+    parser.add_argument("--states", type=int, default=1_000_000, help="in total, shared by the starts")
     parser.add_argument("--depth", type=int, default=100)
-    parser.add_argument("--failures", type=int, default=0, help="writes that may fail on one path")
+    parser.add_argument("--failures", type=int, default=0, help="failed writes per path")
     args = parser.parse_args()
     for name, bounds in STARTS.items():
         search = Search()
