--- a/tests/support/raft_search.py
+++ b/tests/support/raft_search.py
@@ -507,7 +507,7 @@
         )
 
     def old_term(self, bounds: Bounds) -> State:
-        """Return a group where a leads again, with an entry of its earlier term; b has one of a term between."""
+        """Return a group where a leads again with an entry of its old term; b has one of a term between."""
         state = self.run_until_idle(self.apply(self.led(bounds), 0, "propose", 77), "a")
         state = self.run_until_idle(self.apply(state, 0, "crash", 0), "a")
         state = self.run_until_idle(self.apply(self.apply(state, 2, "lapse"), 1, "timeout"), "bc", 1)
