--- a/tests/support/fuzz_store.py
+++ b/tests/support/fuzz_store.py
@@ -1,13 +1,13 @@
-"""Plays the record on disk against the model for a time: `python tests/support/fuzz_store.py SECONDS [SEED]`.
+"""Fuzzes the durable store against its model: `python tests/support/fuzz_store.py SECONDS [SEED]`.
 
 Each seed is a random play of writes and faults, and a folder in which a file is changed at random. Prints the
-seeds that fail, each with its error; ends with 1 if there were any.
+failing seeds with their errors; exits with 1 if there are any.
 
 `python tests/support/fuzz_store.py twice [SEED]` cuts the power at each call of a play and again at each call
-of the opening that follows, with each kind of loss.
+of the reopening that follows, with each kind of loss.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for running as a program
 
 # isort: split
 
@@ -15,21 +15,21 @@
 import time
 from collections import Counter
 
-from store_model import LOSSES, Play, changed_folder, random_play
+from store_model import LOSSES, StorePlay, open_randomly_changed, random_play
 
-BAD_MOST = 20  # failures after which it ends
-WRITES = 8  # of the play whose power is cut twice
-LATER_MOST = 26  # calls after the first cut at which the second comes; an opening makes some 20
+MAX_FAILURES = 20  # the run ends after so many failures
+WRITES = 8  # writes of the play with two power cuts
+MAX_CALLS_BETWEEN_CUTS = 26  # an opening makes some 20 calls
 
 
 def main(seconds, seed):
     until, first, cuts, failures, bad = time.monotonic() + seconds, seed, 0, 0, 0
     held = Counter()
-    while time.monotonic() < until and bad < BAD_MOST:
+    while time.monotonic() < until and bad < MAX_FAILURES:
         try:
             play = random_play(seed)
-            cuts, failures = cuts + play.cuts, failures + play.failures
-            held[changed_folder(seed)] += 1
+            cuts, failures = cuts + play.power_cuts, failures + play.failures
+            held[open_randomly_changed(seed)] += 1
         except Exception as exc:
             bad += 1
             print(f"seed {seed}: {type(exc).__name__}: {str(exc)[:300]}")
@@ -40,22 +40,22 @@
 
 
 def twice(seed):
-    """Cut the power at each call and again at each of those that follow it."""
-    whole = Play(seed)
-    whole.go(WRITES)
+    """Cut the power at each call, and again at each of the following calls."""
+    whole = StorePlay(seed)
+    whole.run_writes(WRITES)
     plays = bad = 0
     for loss in LOSSES:
         for first in range(whole.calls):
-            for later in range(1, LATER_MOST):
+            for later in range(1, MAX_CALLS_BETWEEN_CUTS):
                 cuts = {first: "late", first + later: "late"}
                 try:
-                    play = Play(seed, lambda n, what, name, cuts=cuts: cuts.get(n), loss=loss)
-                    play.go(WRITES)
+                    play = StorePlay(seed, lambda n, what, name, cuts=cuts: cuts.get(n), loss=loss)
+                    play.run_writes(WRITES)
                     plays += 1
                 except Exception as exc:
                     bad += 1
                     print(f"{loss} at {first} and {first + later}: {type(exc).__name__}: {str(exc)[:300]}")
-                if bad >= BAD_MOST:
+                if bad >= MAX_FAILURES:
                     return 1
     print(f"{plays} plays of seed {seed}, {whole.calls} calls: {bad} bad")
     return 1 if bad else 0
--- a/tests/support/store_defects.py
+++ b/tests/support/store_defects.py
@@ -1,9 +1,9 @@
-"""Defects planted in the record on disk, each of which the plays or the damage must find.
+"""Defects planted in the durable store, each of which the plays or the damaged folders must find.
 
-Prints, for each, what finds it and after how many plays: `python tests/support/store_defects.py`.
+Prints, for each, the failure and after how many plays it was found: `python tests/support/store_defects.py`.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for running as a program
 
 # isort: split
 
@@ -18,11 +18,11 @@
 from fennelwind.raft_storage import record_format
 from fennelwind.raft_storage.store import LOG, NEW, Store
 
-PLAYS_MOST = 3000  # that a defect may take to be found
+MAX_PLAYS = 3000  # plays in which a defect has to be found
 
 
-class Through:
-    """A disk that hands all calls on."""
+class ForwardingDisk:
+    """A disk that forwards all calls."""
 
     def __init__(self, disk):
         self._disk = disk
@@ -31,37 +31,37 @@
         return getattr(self._disk, name)
 
 
-class Late(Through):
-    """Tells the errors of appends with the next call on the file, as the real disk may."""
+class DeferredErrorDisk(ForwardingDisk):
+    """A disk that reports errors of appends with the next call on the file, as a real disk may."""
 
     def __init__(self, disk):
         super().__init__(disk)
-        self._late = {}
+        self._deferred = {}
 
-    def _tell(self, name):
-        if name in self._late:
-            raise self._late.pop(name)
+    def _raise_deferred(self, name):
+        if name in self._deferred:
+            raise self._deferred.pop(name)
 
     def append(self, name, data):
-        self._tell(name)
+        self._raise_deferred(name)
         try:
             self._disk.append(name, data)
         except DiskError as exc:
-            self._late[name] = exc
+            self._deferred[name] = exc
 
     def remove(self, name):
-        self._late.pop(name, None)
+        self._deferred.pop(name, None)
         self._disk.remove(name)
 
     def __getattr__(self, call):
         made = getattr(self._disk, call)
         if call not in ("sync", "size", "read", "rename", "truncate"):
             return made
-        return lambda name, *more: (self._tell(name), made(name, *more))[1]
+        return lambda name, *more: (self._raise_deferred(name), made(name, *more))[1]
 
 
-def on(disk_kind):
-    """Return a store that works on a disk of this kind."""
+def store_on(disk_kind):
+    """Return a store class that wraps its disk in this class."""
 
     class Wrapped(Store):
         @classmethod
@@ -72,7 +72,7 @@
 
 
 def sync_again(sync):
-    """Have a sync that failed tried again."""
+    """Retry a failed sync."""
 
     def again(self, name):
         try:
@@ -84,7 +84,7 @@
 
 
 def same_file(write):
-    """Go on in the file whose sync failed."""
+    """Continue in the file whose sync failed."""
 
     def written(self, *writes):
         before = self.group, self.segment_size
@@ -100,7 +100,7 @@
 
 
 def failed_counts(reopen):
-    """Take what a failed write left as if it were acknowledged."""
+    """Treat the remains of a failed write as acknowledged."""
 
     def reopened(self, *more):
         if not (self.is_disk_full and not more[0]):
@@ -118,7 +118,7 @@
 
 
 def sweep_first(write):
-    """Remove old segments before the new snapshot counts."""
+    """Remove old segments before the new snapshot is valid."""
 
     def written(self, group, writes):
         if any(one.snapshot_head is not None for one in writes):
@@ -139,7 +139,7 @@
 NO_CHECKSUMS = [patch.object(record_format, "crc32c", lambda data: 0)]
 ALL_TORN = [
     patch.object(record_format, "is_torn", lambda data, at, number: True)
-]  # damage at the end is a torn tail
+]  # any damage at the end counts as a torn write
 DEFECTS = {
     "a write is acknowledged without a sync": [
         Line(Store._write, "self.disk.sync(_log_name(self.segment))", "pass")
@@ -159,7 +159,7 @@
     "the log goes on in a file whose sync failed": [same_file(Store.write)],
     "what a failed write left counts": [failed_counts(Store.reopen)],
     "what reads well at opening is trusted": [
-        Line(  # the last group is not written again
+        Line(  # the last group is not rewritten
             Store._read_log,
             "return segments, rewritten",
             "segments[-1].groups.extend(rewritten)\n    return segments, []",
@@ -206,10 +206,10 @@
 }
 
 
-def found_after(changes, most=PLAYS_MOST, store=Store):
-    """Return how many plays it took until one failed, and how; None: none did."""
+def found_after(changes, max_plays=MAX_PLAYS, store_type=Store):
+    """Return how many plays it took until one failed, and how; None if none did."""
     with planted(changes):
-        return broken(partial(random_play, seed, store) for seed in range(most))
+        return broken(partial(random_play, seed, store_type) for seed in range(max_plays))
 
 
 if __name__ == "__main__":
