--- a/fennelwind/raft/bootstrap.py
+++ b/fennelwind/raft/bootstrap.py
@@ -6,7 +6,7 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Incarnation
 
-EMPTY_REPORT_TIMEOUTS = 4  # election timeouts for which a report of an empty log is valid; renewed every one
+EMPTY_REPORT_TIMEOUTS = 4  # election timeouts until a report of an empty log expires; requested every timeout
 
 
 class Bootstrap:
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -392,7 +392,7 @@
         while True:
             if peer.mode != SNAPSHOT and member.log.term(peer.next_index - 1) is None:
                 if member.snapshots.index < peer.next_index - 1:
-                    return  # impossible: entries that aren't held are in the snapshot
+                    return  # impossible: a snapshot covers all entries that aren't in the log
                 peer.start_snapshot(member.snapshots.head, member.snapshots.data)
             if peer.mode == SNAPSHOT:
                 self._send_snapshot_chunk(incarnation, peer, is_heartbeat)
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -188,7 +188,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Apply committed entries, in order; after a `Restore`, entries behind the snapshot follow."""
+    """Apply committed entries, in order, each of them once; after a `Restore`, those after the snapshot."""
 
     entries: tuple[pb.Entry, ...]
 
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -68,7 +68,9 @@
 class StoreLimits:
     """Size limits of the files and of free space, in bytes."""
 
-    segment_bytes: int = 8 << 20  # a larger segment is followed by a new one; small, to free space soon
+    segment_bytes: int = (
+        8 << 20
+    )  # then a new segment begins; small, so that obsolete entries are removed soon
     max_group_bytes: int = 160 << 20  # of one write; Raft rejects proposals at 128 MB of log
     max_snapshot_bytes: int = MAX_SNAPSHOT_BYTES  # Raft neither takes nor sends a larger one
     reserve_bytes: int = 16 << 20  # disk space kept for a snapshot on a full disk
@@ -243,7 +245,7 @@
                 f"group {marked} was acknowledged, the log ends with {reached}", group=marked, reached=reached
             )
         self.segments = {s.head.segment: s.head.last_index for s in segments}
-        number = last.head.segment + bool(last.groups)  # one without groups is replaced
+        number = last.head.segment + bool(last.groups)  # a segment without groups is replaced
         replay, snapshot, head = self._replay(segments, rewritten, generations, number, durable_group + 1)
         head.whole = len(rewritten)
         body = b"".join(
@@ -443,7 +445,9 @@
         """Return a file's bytes. Raises `error` if it is larger than any file written here can be."""
         size = self.disk.size(name)
         if size > max_bytes:
-            raise error(f"{name} has {size} bytes, more than were ever written", file=name, size=size)
+            raise error(
+                f"{name} has {size} bytes, more than a file written here can have", file=name, size=size
+            )
         chunks: list[bytes] = []
         at = 0
         while chunk := self.disk.read(name, at, READ_MOST):
--- a/tests/raft/test_raft_member.py
+++ b/tests/raft/test_raft_member.py
@@ -35,18 +35,18 @@
 
 
 class MemberHarness:
-    """MemberHarness core; the test supplies its messages and completes its writes."""
+    """One core; the test supplies its messages and completes its writes."""
 
     def __init__(
         self,
         *entries: pb.Entry,
-        hard: pb.HardState | None = None,
+        hard_state: pb.HardState | None = None,
         me: Incarnation = A,
         timing: Timing = Timing(),  # noqa: B008 - it is frozen
     ) -> None:
         first = entry(1, members=members(A, B, C))
         self.core = RaftMember(
-            timing, DurableState(me, hard or pb.HardState(term=1), entries=[first, *entries]), 1
+            timing, DurableState(me, hard_state or pb.HardState(term=1), entries=[first, *entries]), 1
         )
         self.now = 1000.0
         self.actions: list[api.Action] = []
@@ -180,7 +180,7 @@
 
 
 def test_rejected_append_returns_index_to_probe():
-    member = MemberHarness(entry(2, 1), entry(3, 3), entry(4, 3), hard=pb.HardState(term=3))
+    member = MemberHarness(entry(2, 1), entry(3, 3), entry(4, 3), hard_state=pb.HardState(term=3))
     member.receive(B, 4, append=pb.Append(before_index=9, before_term=4))
     member.complete_writes()
     assert member.sent("append_answer")[0].append_answer.index == 4
--- a/tests/support/raft_cluster.py
+++ b/tests/support/raft_cluster.py
@@ -540,7 +540,7 @@
     # Inspection
 
     def leaders(self) -> list[Node]:
-        """Return all members that believe to lead."""
+        """Return all members that consider themselves leader."""
         return [n for n in self.nodes.values() if n.core is not None and n.core.leader_state is not None]
 
     def leader(self) -> Node | None:
--- a/tests/support/raft_search.py
+++ b/tests/support/raft_search.py
@@ -102,7 +102,7 @@
 
 
 def copy_value(value: Any, core: RaftMember | None = None) -> Any:
-    """Return a depth_reached copy of a core; messages, entries and events are immutable and shared."""
+    """Return a deep copy of a core; messages, entries and events are immutable and shared."""
     kind = type(value)
     if kind in ATOMS or isinstance(value, SHARED):
         return value
--- a/tests/support/store_model.py
+++ b/tests/support/store_model.py
@@ -292,7 +292,7 @@
 
 
 def random_play(seed, store_type=Store, steps=40):
-    """StorePlay writes, faults, power cuts, kills, a filling disk and reopenings, drawn by the seed."""
+    """Play writes, faults, power cuts, kills, a filling disk and reopenings, drawn by the seed."""
     random = Random(f"random play {seed}")
     at, fault = random.randint(0, 30), random.choice(FAULTS)  # the folder's creation may fail as well
     play = StorePlay(seed, lambda number, what, name: fault if number == at else None, store_type=store_type)
