--- a/fennelwind/dispatch/sessions.py
+++ b/fennelwind/dispatch/sessions.py
@@ -16,7 +16,7 @@
 SQLSTATE_NOT_SUPPORTED = "0A000"
 SQLSTATE_VALUE_TOO_LONG = "22001"
 SQLSTATE_LIMIT_EXCEEDED = "54000"
-# Keys in the configuration with which Hive's drivers open a session: of the database, and prefix of settings.
+# Keys by which Hive's drivers name the database and the settings (a prefix) when they open a session.
 DATABASE_KEY = "use:database"
 SETTING_PREFIX = "set:"
 VARIABLE_PREFIXES = ("hiveconf:", "hivevar:")
@@ -52,25 +52,25 @@
 class SessionState:
     """Configuration and database of a session."""
 
-    opened_with: dict[str, str] = field(default_factory=dict)
+    initial_settings: dict[str, str] = field(default_factory=dict)
     settings: dict[str, str] = field(default_factory=dict)
     database: str = ""  # "": the engine's default database
 
     def __post_init__(self) -> None:
         """Extract settings and database from the keys `set:NAME` and `use:database` of Hive's drivers."""
-        for key, value in list(self.opened_with.items()):
+        for key, value in list(self.initial_settings.items()):
             if key == DATABASE_KEY:
                 self.database = value
-                del self.opened_with[key]
+                del self.initial_settings[key]
             elif key.startswith(SETTING_PREFIX):
                 name = key.removeprefix(SETTING_PREFIX)
                 for prefix in VARIABLE_PREFIXES:
                     name = name.removeprefix(prefix)
-                self.opened_with[name] = self.opened_with.pop(key)
+                self.initial_settings[name] = self.initial_settings.pop(key)
 
     def configuration(self, overlay: dict[str, str] | None) -> dict[str, str]:
         """Return a statement's configuration: the session's, overridden by the statement's overlay."""
-        return {**self.opened_with, **self.settings, **(overlay or {})}
+        return {**self.initial_settings, **self.settings, **(overlay or {})}
 
     def apply(self, statement: str) -> bool:
         """Record a statement that only changes the session; return whether it was one.
--- a/fennelwind/dispatch/shared_executions.py
+++ b/fennelwind/dispatch/shared_executions.py
@@ -46,9 +46,8 @@
     def add(self, entry: Entry) -> bool:
         """Accept an entry with a request id; return False if its query has to run unshared."""
         submission = entry.submission
-        assert isinstance(
-            submission.statement, str
-        )  # protocols that pass statements on as bytes have no request ids
+        # Protocols that pass statements on as bytes have no request ids.
+        assert isinstance(submission.statement, str)
         fingerprint = request_fingerprint(
             submission.user,
             submission.tenant,
@@ -79,9 +78,8 @@
         request = self.waiting_for.pop(entry)
         if not self.coalescer.leave(request, entry):
             return None
-        self.coalescer.forget(
-            request.executing
-        )  # a later repeat must not join a query that is being cancelled
+        # A later repeat must not join a query that is being cancelled.
+        self.coalescer.forget(request.executing)
         return request.executing
 
     def _execute(self, fingerprint: bytes, entry: Entry) -> bool:
--- a/fennelwind/limits/admission.py
+++ b/fennelwind/limits/admission.py
@@ -13,7 +13,7 @@
 from fennelwind.limits.token_bucket import TokenBucket
 
 FAIR_SHARE_THRESHOLD = 0.8  # share of the total in use from which even shares are enforced
-BURST_S = 2.0  # s of a user's byte rate accepted at once; generated statements are large but single
+BURST_S = 2.0  # s of a user's byte rate accepted at once, as a single generated statement is large
 MAX_DELAY_MS = 5000.0  # longest pause of reading; between pauses the connection is checked
 BUCKET_EXPIRY_MS = 60_000.0  # ms without bytes after which a user's bucket, full again, is dropped
 
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -5,9 +5,9 @@
 caller's clock. New and idle connections are kept in the order in which they entered that state, so that no
 search is needed.
 
-When a slot is needed, the first to be closed is a connection without a complete first message for
-`MUTE_TIMEOUT_MS`; then the one that has been idle longest, as its client resends a request that crosses the
-close; last a new one, as its client loses a first request that crosses the close. Busy connections are never
+When a slot is needed, connections are closed in this order: those without a complete first message for
+`MUTE_TIMEOUT_MS`; then idle ones, longest idle first, as their clients resend a request that is in flight
+during the close; last new ones, as their clients lose a first request in flight. Busy connections are never
 closed, nor are those that the caller spares.
 
 No I/O: the frontend reports the events of its connections, asks which to close, and closes them.
--- a/fennelwind/limits/login_throttle.py
+++ b/fennelwind/limits/login_throttle.py
@@ -11,11 +11,11 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MIN_DELAY_MS, MAX_DELAY_MS = 250.0, 8000.0  # after a wrong password, doubled with each in a row
+MIN_DELAY_MS, MAX_DELAY_MS = 250.0, 8000.0  # of an answer after a wrong password, doubled with each in a row
 FREE_FAILURES_PER_ADDRESS = 2  # in a row and without delay: a whole office may share an address
-FAILURE_EXPIRY_MS = 300_000.0  # without a wrong password; then the count restarts at 0
-SUCCESS_EXPIRY_MS = 300_000.0  # for which a verified password need not be checked again
-MAX_ENTRIES = 20_000  # of failures, and of passwords; the least recently updated ones are dropped
+FAILURE_EXPIRY_MS = 300_000.0  # time without a wrong password after which the count restarts
+SUCCESS_EXPIRY_MS = 300_000.0  # time for which a verified password need not be checked again
+MAX_ENTRIES = 20_000  # of failures and of passwords each; the least recently updated are dropped
 
 
 @dataclass(slots=True, frozen=True)
@@ -36,8 +36,8 @@
 
     def delay_ms(self, user: str, address: str, now: float) -> float:
         """Return for how many ms to delay the answer to a login."""
-        by_user = self._failures_in_a_row(("user", user), now)
-        by_address = self._failures_in_a_row(("address", address), now) - FREE_FAILURES_PER_ADDRESS
+        by_user = self._consecutive_failures(("user", user), now)
+        by_address = self._consecutive_failures(("address", address), now) - FREE_FAILURES_PER_ADDRESS
         count = max(by_user, by_address)
         return min(MIN_DELAY_MS * 2 ** (count - 1), MAX_DELAY_MS) if count > 0 else 0.0
 
@@ -45,7 +45,7 @@
         """Count a wrong password."""
         self.failures += 1
         for key in (("user", user), ("address", address)):
-            self._failures[key] = _Failures(self._failures_in_a_row(key, now) + 1, now)
+            self._failures[key] = _Failures(self._consecutive_failures(key, now) + 1, now)
             self._failures.move_to_end(key)
         while len(self._failures) > MAX_ENTRIES:
             self._failures.popitem(last=False)
@@ -67,6 +67,6 @@
         """Forget all verified passwords, as after a change of the users."""
         self._verified_until_ms.clear()
 
-    def _failures_in_a_row(self, key: tuple[str, str], now: float) -> int:
+    def _consecutive_failures(self, key: tuple[str, str], now: float) -> int:
         failures = self._failures.get(key, _Failures())
         return failures.count if now - failures.last_ms < FAILURE_EXPIRY_MS else 0
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -1,8 +1,8 @@
 """Request coalescing: a repeat of a request that is still open joins it instead of running again.
 
 A client that timed out or lost its connection retries. If it sends the same request id (`fennelwind.request`)
-and statement as the same user, the retry joins the open request: one query is executed, and each
-client gets its answer within its own deadline. So a retry storm adds no load to the engines.
+and statement as the same user, the retry joins the open request: one query is executed, and each client gets
+its answer within its own deadline. So a retry storm adds no load to the engines.
 
 - A joined entry ends with the query, or earlier when its own deadline passes.
 - If the first client disconnects, the query continues as long as another entry waits for it.
@@ -10,7 +10,7 @@
   later deadline wait for a new query, if the class allows it (`should_run_again`).
 - An ended request is forgotten: a later repeat is a new query, subject to the class's idempotency.
 - Requests of non-idempotent classes join too, as a join executes nothing. A repeat after the end is not
-  recognised; its client had been answered that the query failed with an unknown outcome.
+  recognised; its client has been told that the query failed and that its outcome is unknown.
 
 No I/O. The dispatcher's `SharedExecutions` is the only caller.
 """
@@ -23,7 +23,7 @@
 MAX_REQUESTS = 50_000  # tracked open requests; further ones run unshared and are counted
 MAX_WAITERS = 100  # entries that wait for one query; further ones are rejected
 FINGERPRINT_BYTES = 16
-LENGTH_BYTES = 8  # of the length before each part of a fingerprint, which keeps the parts apart
+LENGTH_BYTES = 8  # size of the length prefix that separates the parts of a fingerprint
 
 EntryT = TypeVar("EntryT", bound=Hashable)
 
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -579,7 +579,7 @@
             unreachable = fleet.program.engine_client.attempt(
                 "127.0.0.1:9", AttemptRequest(1, 0, Submission(0, "x", 9e9), 9e9, 0.0, 1)
             )
-            assert unreachable.status == "moot"  # a lack of own descriptors is no fault of the engine
+            assert unreachable.status == "moot"  # a lack of local descriptors is not the engine's fault
         finally:
             for other in clients:
                 other.close()
@@ -893,13 +893,11 @@
             execute(c, "build", work=40_000, asynchronous=True, timeout=1 + i, **overlay)
             for i, c in enumerate(clients)
         ]
-        started_ms = fleet.loop.now()
+        start_ms = fleet.loop.now()
         for i, (client, handle) in enumerate(zip(clients, handles, strict=True)):
             while (seen := status(client, handle)).operationState in (hs2.PENDING, hs2.RUNNING):
                 pass
-            assert seen.sqlState == "HYT00" and 1000 * i + 900 < fleet.loop.now() - started_ms <= 1000 * (
-                1 + i
-            )
+            assert seen.sqlState == "HYT00" and 1000 * i + 900 < fleet.loop.now() - start_ms <= 1000 * (1 + i)
         fleet.loop.sleep(500)
         assert not any(e._running for e in fleet.engines)
         assert not ledger(fleet).entries and not len(fleet.program.driver.shared.coalescer)
