--- a/tests/policy/test_slow_start_fleet.py
+++ b/tests/policy/test_slow_start_fleet.py
@@ -1,40 +1,48 @@
-"""Slow start under the sum of all gateways: a small sample of `cold_model.py`, and planted defects."""
+"""Slow start under the sum of all gateways: a few cases of `cold_model.py`, and planted defects."""
 
 from dataclasses import replace
 
 import pytest
-from cold_model import Case, interval, sample
+from cold_model import Case, run_case, wilson_interval
 
 from fennelwind.policy.gateway import Gateway
 
-# An engine that starts under far more than it may take, from gateways that see the same traffic: the budget
-# is used as far as it goes, and N of 73 leaves little to chance.
+# An engine that starts under far more load than its budget, from gateways with equal traffic: the budget is
+# used up, and at N = 73 random variation is small.
 FULL = Case(
-    gateways=200,
-    engines=1,
-    trouble="all",
-    work=(150.0, 150.0),
-    spread=(0.1, 0.1),
-    skew=0.0,
+    gateway_count=200,
+    engine_count=1,
+    scenario="all",
+    class_work_ms=(150.0, 150.0),
+    work_variation=(0.1, 0.1),
+    traffic_skew=0.0,
     load=3.0,
-    length_ms=5000.0,
+    duration_ms=5000.0,
 )
-MIXED = Case(gateways=30, engines=6, trouble="zone", kill=0.7, late=1 / 3, errors=0.1, length_ms=7000.0)
-FEW = Case(gateways=2, engines=6, trouble="zone", length_ms=6000.0)
-# The upper end of the interval (95%) that docs/results/cold.md has for the share of lives that fall where
-# nothing tells the work of a request: a single large one may then be more than all that is allowed.
-UNTOLD = 0.083
+MIXED = Case(
+    gateway_count=30,
+    engine_count=6,
+    scenario="zone",
+    kill_share=0.7,
+    late_share=1 / 3,
+    reset_share=0.1,
+    duration_ms=7000.0,
+)
+FEW = Case(gateway_count=2, engine_count=6, scenario="zone", duration_ms=6000.0)
+# Upper end of the 95% interval in docs/results/cold.md for the share of incarnations that crash without work
+# estimates: a single large request may then exceed the whole budget.
+MAX_CRASH_SHARE_WITHOUT_ESTIMATES = 0.083
 
 
 class Undivided(Gateway):
-    """Takes the budget of all gateways for its own."""
+    """Uses the budget of all gateways alone."""
 
     def __init__(self, settings, seed):
         super().__init__(replace(settings, gateway_count=1), seed)
 
 
 class RoundedUp(Gateway):
-    """Rounds a part up to one query at each gateway."""
+    """Always rounds this gateway's share up to one query."""
 
     def __init__(self, settings, seed):
         super().__init__(settings, seed)
@@ -49,37 +57,37 @@
 
 
 @pytest.mark.parametrize("case", [FULL, MIXED, FEW], ids=["full", "mixed", "few"])
-def test_engines_in_slow_start_do_not_fall_by_gateways_that_know_of_it(case):
-    result = sample(case, range(1, 4))
-    assert result.lives >= 3
-    assert result.broken == 0
-    assert max(result.told) < 1.0  # what came from those alone stays under a fall as well
+def test_engines_in_slow_start_are_not_crashed_by_informed_gateways(case):
+    result = run_case(case, range(1, 4))
+    assert result.incarnations >= 3
+    assert result.violations == 0
+    assert max(result.informed) < 1.0  # the work of informed gateways alone stays below the threshold
 
 
-def test_without_estimates_no_more_engines_fall_than_measured():
-    result = sample(replace(FEW, estimates="none"), range(1, 21))
-    assert result.lives == 60
-    assert result.broken <= UNTOLD * result.lives
-    assert result.by_class == 0  # with the mean work of its class for each request, none would fall
+def test_share_of_crashes_without_estimates_stays_within_the_known_limit():
+    result = run_case(replace(FEW, estimates="none"), range(1, 21))
+    assert result.incarnations == 60
+    assert result.violations <= MAX_CRASH_SHARE_WITHOUT_ESTIMATES * result.incarnations
+    assert result.by_class == 0  # if each request had the mean work of its class, none would crash
 
 
 @pytest.mark.parametrize("defect", [Undivided, RoundedUp])
-def test_the_sample_finds_a_planted_defect(defect):
-    result = sample(FULL, range(1, 2), defect)
-    assert result.lives == 1
-    assert result.broken == 1
+def test_planted_defect_is_found(defect):
+    result = run_case(FULL, range(1, 2), defect)
+    assert result.incarnations == 1
+    assert result.violations == 1
 
 
-def test_interval_of_a_share_holds_the_share():
-    assert interval(0, 0) == (0.0, 1.0)
-    low, high = interval(0, 100)
+def test_wilson_interval_contains_the_share():
+    assert wilson_interval(0, 0) == (0.0, 1.0)
+    low, high = wilson_interval(0, 100)
     assert low == 0.0 and 0.03 < high < 0.04
-    low, high = interval(10, 100)
+    low, high = wilson_interval(10, 100)
     assert 0.05 < low < 0.1 < high < 0.18
 
 
-def test_calls_in_a_slow_start_keep_to_the_limit_whatever_their_work():
-    few = Case(gateways=4, engines=6, trouble="all", length_ms=6000.0)
-    result = sample(few, range(1, 7))
-    assert result.lives >= 30
+def test_calls_in_a_slow_start_are_limited_whatever_their_work():
+    few = Case(gateway_count=4, engine_count=6, scenario="all", duration_ms=6000.0)
+    result = run_case(few, range(1, 7))
+    assert result.incarnations >= 30
     assert max(result.by_calls) <= 1.0
--- a/tests/support/cold_model.py
+++ b/tests/support/cold_model.py
@@ -1,16 +1,16 @@
-"""Cold engines under the sum of all gateways: a model without sockets, of the module's own decisions.
+"""Slow start under the sum of all gateways: a simulation of the policy's decisions, without sockets.
 
-Many gateways, each with its own seed and its own news, take traffic of two classes in front of engines of
-which some have just started. Each request that reaches a cold engine is counted in the window that the
-settings name: an engine falls when it gets more than N + 2 root N + 2 requests of mean work there, N being
-what the settings allow it then, and the rule is broken where over two thirds of that came from gateways that
-had been told of the start.
+Many gateways, each with its own seed and its own delay of engine list updates, serve requests of two classes
+on engines of which some have just started. Each request that reaches an engine in slow start is counted in
+the window of the settings. An engine crashes when it gets more than N + 2 root N + 2 requests of mean work
+there, N being what the settings allow at that time. The rule is violated if more than two thirds of that work
+came from gateways that had been informed of the start.
 
-    python tests/support/cold_model.py share [--plays 8] [--only NAME] [--first SEED]   how often it falls
-    python tests/support/cold_model.py worth [--plays 8] [--only NAME] [--first SEED]   worth lost by caution
+    python tests/support/cold_model.py share [--plays 8] [--only NAME] [--first SEED]   crash share
+    python tests/support/cold_model.py worth [--plays 8] [--only NAME] [--first SEED]   weight by rule
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for a run by hand
 
 # isort: split
 
@@ -30,530 +30,665 @@
 
 @dataclass(frozen=True)
 class Case:
-    """What is played: the fleet, what happens to it, and what the gateways know."""
+    """What is simulated: the fleet, its faults, and what the gateways know."""
 
-    gateways: int = 30
-    engines: int = 12
+    gateway_count: int = 30
+    engine_count: int = 12
     cores: int = 8
     load: float = 0.9  # offered work over the warm capacity of all engines
-    trouble: str = "join"  # join: four in ten replaced; zone: half are lost and return cold; all: every one
-    estimates: str = "rough"  # rough, half (told half of the work) or none
-    work: tuple[float, float] = (126.0, 3300.0)  # mean work of the classes, ms
-    shares: tuple[float, float] = (14.0, 2.5)
-    spread: tuple[float, float] = (1.2, 1.4)  # variation of a request's work
-    aims: tuple[float, float] = (750.0, 2000.0)
-    skew: float = 1.0  # standard deviation of the logarithm of a gateway's traffic; 1: some see several means
-    late: float = 0.0  # share of attempts that leave late, as their connection comes up
-    late_ms: float = 1500.0  # at most so late
-    kill: float = 0.0  # share of the gateways that are killed at once when engines have just started
-    roll: bool = False  # all of them one after another, a tenth at a time
-    errors: float = 0.0  # share of attempts at warm engines that are reset
-    parallel: bool = True
-    fall_multiple: float = 2.0
-    fall_ms: float = 2000.0
-    cold_share: float = 0.34
-    cold_ms: float = 15000.0
-    length_ms: float = 9000.0
-    rule: str = "module"  # module, none, or fleet: whole sums known to all, at once and exactly
+    scenario: str = "join"  # join: 40% replaced; zone: half are lost and restart cold; all: every engine is
+    estimates: str = "rough"  # rough, half (half of the work is estimated) or none
+    class_work_ms: tuple[float, float] = (126.0, 3300.0)  # mean work of the classes
+    class_rates: tuple[float, float] = (14.0, 2.5)  # relative request rates of the classes
+    work_variation: tuple[float, float] = (1.2, 1.4)  # coefficient of variation of a request's work
+    objectives_ms: tuple[float, float] = (750.0, 2000.0)
+    traffic_skew: float = (
+        1.0  # standard deviation of log(gateway's traffic); at 1 some get several times the mean
+    )
+    late_share: float = 0.0  # share of attempts that are delayed by connecting
+    max_delay_ms: float = 1500.0  # of those
+    kill_share: float = 0.0  # share of the gateways that are killed together when engines have just started
+    has_rolling_restart: bool = False  # of all gateways, a tenth at a time
+    reset_share: float = 0.0  # share of attempts at warm engines that are reset
+    allows_concurrent_attempts: bool = True
+    overload_multiple: float = 2.0
+    overload_window_ms: float = 2000.0
+    cold_capacity_share: float = 0.34
+    slow_start_ms: float = 15000.0
+    duration_ms: float = 9000.0
+    rule: str = "module"  # module: the policy's rule; none; fleet: exact sums of all gateways, known at once
 
     @property
-    def mean(self) -> float:
+    def mean_work_ms(self) -> float:
         """Return the mean work of a request."""
-        return sum(w * s for w, s in zip(self.work, self.shares, strict=True)) / sum(self.shares)
+        return sum(w * s for w, s in zip(self.class_work_ms, self.class_rates, strict=True)) / sum(
+            self.class_rates
+        )
 
-    def warmth(self, up: float) -> float:
-        """Return the share of the capacity that the settings promise so long after a start."""
-        return min(1.0, self.cold_share + (1.0 - self.cold_share) * max(0.0, up) / self.cold_ms)
+    def warm_up_fraction(self, up_ms: float) -> float:
+        """Return the share of its capacity that the settings guarantee at this time after a start."""
+        return min(
+            1.0,
+            self.cold_capacity_share
+            + (1.0 - self.cold_capacity_share) * max(0.0, up_ms) / self.slow_start_ms,
+        )
 
-    def allowed(self, up: float) -> float:
-        """Return N."""
-        return self.fall_multiple * self.warmth(up) * self.cores * self.fall_ms / self.mean
+    def allowed_requests(self, up_ms: float) -> float:
+        """Return N, the requests of mean work that the settings allow in a window."""
+        return (
+            self.overload_multiple
+            * self.warm_up_fraction(up_ms)
+            * self.cores
+            * self.overload_window_ms
+            / self.mean_work_ms
+        )
 
-    def falls_at(self, up: float) -> float:
-        """Return the requests of mean work beyond which an engine falls."""
-        n = self.allowed(up)
-        return n + 2.0 * math.sqrt(n) + 2.0
+    def crash_threshold(self, up_ms: float) -> float:
+        """Return the requests of mean work in a window above which an engine crashes."""
+        allowed = self.allowed_requests(up_ms)
+        return allowed + 2.0 * math.sqrt(allowed) + 2.0
 
 
 @dataclass
 class Result:
-    """What came of a play, or of several."""
-
-    lives: int = 0
-    falls: int = 0
-    broken: int = 0
-    by_class: int = 0  # lives that would have fallen if each request weighed as its class's mean
-    most: list[float] = field(default_factory=list)  # of each life: the busiest window over what is allowed
-    nearest: list[float] = field(default_factory=list)  # the same over what it falls at
-    told: list[float] = field(default_factory=list)  # the same of what came from gateways told of the start
-    by_calls: list[float] = field(default_factory=list)  # calls of those, whatever their work, over the bound
-    worth: float = 0.0
-    offered: float = 0.0
+    """The result of one run, or the sum of several."""
+
+    incarnations: int = 0
+    crashes: int = 0
+    violations: int = 0
+    by_class: int = 0  # incarnations that would have crashed if each request counted as its class's mean
+    most: list[float] = field(default_factory=list)  # by incarnation: peak work in a window / allowed work
+    nearest: list[float] = field(default_factory=list)  # the same / crash threshold
+    informed: list[float] = field(default_factory=list)  # the same, only from gateways informed of the start
+    by_calls: list[float] = field(default_factory=list)  # peak calls of informed gateways / their bound
+    weight: float = 0.0
+    offered_weight: float = 0.0
 
     def add(self, other: "Result") -> None:
-        """Add what came of another play."""
-        self.lives, self.falls, self.broken = (
-            self.lives + other.lives,
-            self.falls + other.falls,
-            self.broken + other.broken,
+        """Add the result of another run."""
+        self.incarnations, self.crashes, self.violations = (
+            self.incarnations + other.incarnations,
+            self.crashes + other.crashes,
+            self.violations + other.violations,
         )
         self.by_class += other.by_class
         self.most += other.most
         self.nearest += other.nearest
-        self.told += other.told
+        self.informed += other.informed
         self.by_calls += other.by_calls
-        self.worth, self.offered = self.worth + other.worth, self.offered + other.offered
-
-
-class Life:
-    """One life of an engine, and what reached it."""
+        self.weight, self.offered_weight = (
+            self.weight + other.weight,
+            self.offered_weight + other.offered_weight,
+        )
 
-    def __init__(self, launched: float) -> None:
-        self.launched, self.up = launched, True
-        self.window: deque[tuple[float, float, float, bool]] = deque()  # time, work, class's work, was told
-        self.most = self.nearest = self.nearest_by_class = self.nearest_told = 0.0
-        self.nearest_by_calls = 0.0  # calls from gateways told of the start, each one as one, over the bound
-        self.broken = self.fell = False
-        self.threads = 0
-        self.promised: deque[tuple[float, float]] = deque()  # what all gateways decided to send, for `fleet`
 
-    def reached(self, case: Case, now: float, work: float, usual: float, told: bool) -> bool:
-        """Count a request; tell whether the engine falls by it."""
-        if not self.launched or now - self.launched >= case.cold_ms:
+class Incarnation:
+    """One incarnation of an engine, and the requests that reached it."""
+
+    def __init__(self, started_ms: float) -> None:
+        self.started_ms, self.is_up = started_ms, True
+        # (time, work, mean work of the class, whether the gateway was informed of the start)
+        self.window: deque[tuple[float, float, float, bool]] = deque()
+        self.most = self.nearest = self.nearest_by_class = self.nearest_informed = 0.0
+        self.nearest_by_calls = 0.0  # calls from informed gateways / their bound, whatever their work
+        self.is_violation = self.has_crashed = False
+        self.running_threads = 0
+        self.decided: deque[tuple[float, float]] = deque()  # (time, work) of all decisions, for rule `fleet`
+
+    def record_request(
+        self, case: Case, now: float, work: float, class_work: float, is_informed: bool
+    ) -> bool:
+        """Count a request; return whether it crashes the engine."""
+        if not self.started_ms or now - self.started_ms >= case.slow_start_ms:
             return False
         window = self.window
-        window.append((now, work, usual, told))
-        while window[0][0] < now - case.fall_ms:
+        window.append((now, work, class_work, is_informed))
+        while window[0][0] < now - case.overload_window_ms:
             window.popleft()
-        total = sum(w for _, w, _, _ in window) / case.mean
-        up = now - self.launched
-        self.most = max(self.most, total / case.allowed(up))
-        self.nearest = max(self.nearest, total / case.falls_at(up))
+        total = sum(w for _, w, _, _ in window) / case.mean_work_ms
+        up_ms = now - self.started_ms
+        self.most = max(self.most, total / case.allowed_requests(up_ms))
+        self.nearest = max(self.nearest, total / case.crash_threshold(up_ms))
         self.nearest_by_class = max(
-            self.nearest_by_class, sum(u for _, _, u, _ in window) / case.mean / case.falls_at(up)
+            self.nearest_by_class,
+            sum(u for _, _, u, _ in window) / case.mean_work_ms / case.crash_threshold(up_ms),
+        )
+        informed_total = sum(w for _, w, _, informed in window if informed) / case.mean_work_ms
+        self.nearest_informed = max(self.nearest_informed, informed_total / case.crash_threshold(up_ms))
+        calls, allowed = sum(informed for _, _, _, informed in window), case.allowed_requests(up_ms)
+        bound = (
+            allowed + 3.0 * math.sqrt(allowed) + 3.0
+            if allowed < 30.0
+            else allowed + 2.0 * math.sqrt(allowed) + 2.0
         )
-        sure = sum(w for _, w, _, told in window if told) / case.mean
-        self.nearest_told = max(self.nearest_told, sure / case.falls_at(up))
-        calls, n = sum(told for _, _, _, told in window), case.allowed(up)
-        bound = n + 3.0 * math.sqrt(n) + 3.0 if n < 30.0 else n + 2.0 * math.sqrt(n) + 2.0
         self.nearest_by_calls = max(self.nearest_by_calls, calls / bound)
-        if total <= case.falls_at(up) or self.fell:
+        if total <= case.crash_threshold(up_ms) or self.has_crashed:
             return False
-        self.fell = True
-        self.broken = sure > 2.0 / 3.0 * total
+        self.has_crashed = True
+        self.is_violation = informed_total > 2.0 / 3.0 * total
         return True
 
 
-class Node:
-    """A gateway's process: it is killed and starts anew with nothing remembered."""
+class GatewayProcess:
+    """A gateway's process: when it is killed, it starts again without any state."""
 
-    def __init__(self, me: int, traffic: float) -> None:
-        self.me, self.traffic, self.starts = me, traffic, 0
+    def __init__(self, index: int, traffic: float) -> None:
+        self.index, self.traffic, self.starts = index, traffic, 0
         self.gateway: Gateway | None = None
-        self.believed: dict[str, policy.EngineEndpoint] = {}
+        self.known: dict[str, policy.EngineEndpoint] = {}
 
 
 @dataclass
 class Request:
-    """A client's request, in the hands of one gateway."""
+    """A client's request at one gateway."""
 
-    cls: int
+    class_index: int
     work: float
-    aim_at: float
+    objective_at: float
     deadline: float
-    done: bool = False
+    is_done: bool = False
     attempts: int = 0
-    out: dict[int, tuple[str, Life]] = field(default_factory=dict)
+    running: dict[int, tuple[str, Incarnation]] = field(default_factory=dict)
 
 
-class World:
-    """One play."""
+class Simulation:
+    """One run of a case."""
 
-    def __init__(self, case: Case, seed: int, make: type[Gateway] = Gateway) -> None:
-        self.case, self.random, self.make, self.seed = case, Random(f"cold {seed}"), make, seed
+    def __init__(self, case: Case, seed: int, gateway_type: type[Gateway] = Gateway) -> None:
+        self.case, self.random, self.gateway_type, self.seed = (
+            case,
+            Random(f"cold {seed}"),
+            gateway_type,
+            seed,
+        )
         self.now, self.count = 0.0, 0
-        self.heap: list = []
-        self.lives: dict[str, Life] = {f"e{i:02}": Life(0.0) for i in range(case.engines)}
-        self.past: list[Life] = []
+        self.events: list = []
+        self.engines: dict[str, Incarnation] = {
+            f"e{i:02}": Incarnation(0.0) for i in range(case.engine_count)
+        }
+        self.previous_incarnations: list[Incarnation] = []
         self.requests: dict[tuple[int, int, int], Request] = {}
         self.result = Result()
         self.classes = tuple(
             policy.QueryClass(
                 name,
-                aim,
-                give_up,
-                worth,
-                latency_objective_slowdown=stretch,
-                late_weight_share=late,
+                objective_ms,
+                timeout_ms,
+                weight,
+                latency_objective_slowdown=slowdown,
+                late_weight_share=late_share,
                 threads=threads,
             )
-            for name, aim, give_up, worth, stretch, late, threads in (
-                ("lookup", case.aims[0], 4000.0, 1.0, 1.5, 0.0, THREADS[0]),
-                ("build", case.aims[1], 15000.0, 10.0, 2.5, 0.4, THREADS[1]),
+            for name, objective_ms, timeout_ms, weight, slowdown, late_share, threads in (
+                ("lookup", case.objectives_ms[0], 4000.0, 1.0, 1.5, 0.0, THREADS[0]),
+                ("build", case.objectives_ms[1], 15000.0, 10.0, 2.5, 0.4, THREADS[1]),
             )
         )
-        self.nodes = [Node(me, math.exp(self.random.gauss(0.0, case.skew))) for me in range(case.gateways)]
+        self.processes = [
+            GatewayProcess(index, math.exp(self.random.gauss(0.0, case.traffic_skew)))
+            for index in range(case.gateway_count)
+        ]
 
-    def at(self, time: float, what: str, *told: object) -> None:
-        """Plan something."""
+    def schedule(self, time: float, event: str, *arguments: object) -> None:
+        """Schedule a call of the method named `event`."""
         self.count += 1
-        heappush(self.heap, (time, self.count, what, told))
-
-    def play(self) -> Result:
-        """Play it all; return what came of it."""
-        for node in self.nodes:
-            self.start(node)
-        self.at(0.0, "ask")
-        self.plan()
-        while self.heap:
-            self.now, _, what, told = heappop(self.heap)
-            if self.now > self.case.length_ms + 6000.0:
+        heappush(self.events, (time, self.count, event, arguments))
+
+    def run(self) -> Result:
+        """Run all events; return the result."""
+        for process in self.processes:
+            self.start_gateway(process)
+        self.schedule(0.0, "send_request")
+        self.schedule_faults()
+        while self.events:
+            self.now, _, event, arguments = heappop(self.events)
+            if self.now > self.case.duration_ms + 6000.0:
                 break
-            getattr(self, what)(*told)
-        for life in self.past + list(self.lives.values()):
-            if life.launched:
-                self.result.lives += 1
-                self.result.falls += life.fell
-                self.result.broken += life.broken
-                self.result.by_class += life.nearest_by_class > 1.0
-                self.result.by_calls.append(life.nearest_by_calls)
-                self.result.most.append(life.most)
-                self.result.nearest.append(life.nearest)
-                self.result.told.append(life.nearest_told)
+            getattr(self, event)(*arguments)
+        for incarnation in self.previous_incarnations + list(self.engines.values()):
+            if incarnation.started_ms:
+                self.result.incarnations += 1
+                self.result.crashes += incarnation.has_crashed
+                self.result.violations += incarnation.is_violation
+                self.result.by_class += incarnation.nearest_by_class > 1.0
+                self.result.by_calls.append(incarnation.nearest_by_calls)
+                self.result.most.append(incarnation.most)
+                self.result.nearest.append(incarnation.nearest)
+                self.result.informed.append(incarnation.nearest_informed)
         return self.result
 
-    def plan(self) -> None:
-        """Plan the troubles."""
-        case, names = self.case, list(self.lives)
-        if case.trouble == "join":
+    def schedule_faults(self) -> None:
+        """Schedule the faults of the case."""
+        case, names = self.case, list(self.engines)
+        if case.scenario == "join":
             for name in names[: max(1, round(0.4 * len(names)))]:
-                self.at(1500.0 + self.random.random() * 2000.0, "replaced", name)
+                self.schedule(1500.0 + self.random.random() * 2000.0, "replace_engine", name)
         else:
-            lost = names[::2] if case.trouble == "zone" else names
+            lost = names[::2] if case.scenario == "zone" else names
             for name in lost:
-                self.at(1000.0, "lost", name)
-                self.at(3000.0 + self.random.random() * 300.0, "replaced", name)
-        killed = self.random.sample(self.nodes, round(case.kill * len(self.nodes)))
-        for node in killed:
-            self.at(5000.0, "killed", node)
-        if case.roll:
-            tenth = max(1, math.ceil(len(self.nodes) / 10))
-            for i, node in enumerate(self.random.sample(self.nodes, len(self.nodes))):
-                self.at(2500.0 + 500.0 * (i // tenth), "killed", node)
-
-    # What happens.
-
-    def start(self, node: Node) -> None:
-        """Start a gateway that remembers nothing; it is told of all engines."""
+                self.schedule(1000.0, "lose_engine", name)
+                self.schedule(3000.0 + self.random.random() * 300.0, "replace_engine", name)
+        killed = self.random.sample(self.processes, round(case.kill_share * len(self.processes)))
+        for process in killed:
+            self.schedule(5000.0, "kill_gateway", process)
+        if case.has_rolling_restart:
+            tenth = max(1, math.ceil(len(self.processes) / 10))
+            for i, process in enumerate(self.random.sample(self.processes, len(self.processes))):
+                self.schedule(2500.0 + 500.0 * (i // tenth), "kill_gateway", process)
+
+    # Events.
+
+    def start_gateway(self, process: GatewayProcess) -> None:
+        """Start a gateway without state; it gets a full list of the engines."""
         case = self.case
-        kept = dict(
-            overload_multiple=case.fall_multiple if case.rule == "module" else 0.0,
-            overload_window_ms=case.fall_ms,
-            cold_capacity_share=case.cold_share,
-            slow_start_ms=case.cold_ms,
+        slow_start_settings = dict(
+            overload_multiple=case.overload_multiple if case.rule == "module" else 0.0,
+            overload_window_ms=case.overload_window_ms,
+            cold_capacity_share=case.cold_capacity_share,
+            slow_start_ms=case.slow_start_ms,
         )
         settings = policy.Settings(
             self.classes,
             (case.cores,),
-            gateway_count=case.gateways,
-            gateway_index=node.me,
+            gateway_count=case.gateway_count,
+            gateway_index=process.index,
             can_cancel=True,
-            allows_concurrent_attempts=case.parallel,
+            allows_concurrent_attempts=case.allows_concurrent_attempts,
             max_attempts=3,
             allows_retry_after=True,
             max_retry_after_ms=2000.0,
             resolution_ms=5.0,
-            **kept,
+            **slow_start_settings,
+        )
+        process.starts += 1
+        process.gateway = self.gateway_type(
+            settings, 1000 * self.seed + process.index + 1000000 * process.starts
         )
-        node.starts += 1
-        node.gateway = self.make(settings, 1000 * self.seed + node.me + 1000000 * node.starts)
         if case.rule == "fleet":
-            node.gateway.constraints.permits = self.whole(node.gateway)
-        entries = tuple(
-            policy.EngineEndpoint(name, "ready" if life.up else "gone", started_ms=life.launched)
-            for name, life in self.lives.items()
+            process.gateway.constraints.permits = self.fleet_wide_constraint(process.gateway)
+        endpoints = tuple(
+            policy.EngineEndpoint(
+                name, "ready" if incarnation.is_up else "gone", started_ms=incarnation.started_ms
+            )
+            for name, incarnation in self.engines.items()
         )
-        node.believed = {entry.engine: entry for entry in entries}
-        self.step(node, policy.EngineListUpdate("full", entries))
-
-    def whole(self, gateway: Gateway):
-        """Return a rule that knows what the whole fleet sends, to the request and without delay."""
-        own, case = gateway.constraints.permits, self.case
-
-        def permitted(query, engine, now_ms) -> bool:
-            life = self.lives[engine.endpoint.engine]
-            up = self.now - life.launched
-            if life.launched and up < case.cold_ms:
-                while life.promised and life.promised[0][0] < self.now - case.fall_ms - 100.0:
-                    life.promised.popleft()
-                sent = sum(work for _, work in life.promised)
+        process.known = {endpoint.engine: endpoint for endpoint in endpoints}
+        self.step(process, policy.EngineListUpdate("full", endpoints))
+
+    def fleet_wide_constraint(self, gateway: Gateway):
+        """Return a constraint that knows at once, and exactly, what all gateways send."""
+        own_constraint, case = gateway.constraints.permits, self.case
+
+        def permits(query, engine, now_ms) -> bool:
+            incarnation = self.engines[engine.endpoint.engine]
+            up_ms = self.now - incarnation.started_ms
+            if incarnation.started_ms and up_ms < case.slow_start_ms:
+                while (
+                    incarnation.decided
+                    and incarnation.decided[0][0] < self.now - case.overload_window_ms - 100.0
+                ):
+                    incarnation.decided.popleft()
+                sent = sum(work for _, work in incarnation.decided)
                 request = self.requests[
                     gateway.settings.gateway_index,
-                    self.nodes[gateway.settings.gateway_index].starts,
+                    self.processes[gateway.settings.gateway_index].starts,
                     query.request.query,
                 ]
-                if sent + request.work > case.allowed(up) * case.mean:
+                if sent + request.work > case.allowed_requests(up_ms) * case.mean_work_ms:
                     return False
-            return own(query, engine, now_ms)
+            return own_constraint(query, engine, now_ms)
 
-        return permitted
+        return permits
 
-    def step(self, node: Node, *events: policy.Event) -> None:
-        """Give a gateway events; do what it decides."""
-        gateway, mark = node.gateway, node.starts
+    def step(self, process: GatewayProcess, *events: policy.Event) -> None:
+        """Pass events to a gateway; carry out its actions."""
+        gateway, start = process.gateway, process.starts
         if gateway is None:
             return
         for action in gateway.step(self.now, list(events)):
             match action:
                 case policy.StartTimer(delay, token):
-                    self.at(self.now + delay, "timer", node, mark, token)
+                    self.schedule(self.now + delay, "fire_timer", process, start, token)
                 case policy.StartAttempt(query, engine):
-                    self.sent(node, query, engine)
+                    self.start_attempt(process, query, engine)
                 case policy.RejectQuery(query) | policy.FailQuery(query):
-                    self.requests[node.me, mark, query].done = True
+                    self.requests[process.index, start, query].is_done = True
                 case policy.CancelAttempt(query, number):
-                    self.at(self.now + 1.0, "ended", node, mark, query, number, "cancelled", self.now, False)
+                    self.schedule(
+                        self.now + 1.0,
+                        "end_attempt",
+                        process,
+                        start,
+                        query,
+                        number,
+                        "cancelled",
+                        self.now,
+                        False,
+                    )
 
-    def timer(self, node: Node, mark: int, token: int) -> None:
-        """A gateway's timer is due."""
-        if node.starts == mark:
-            self.step(node, policy.TimerFired(token))
+    def fire_timer(self, process: GatewayProcess, start: int, token: int) -> None:
+        """Fire a gateway's timer."""
+        if process.starts == start:
+            self.step(process, policy.TimerFired(token))
 
-    def ask(self) -> None:
-        """A client asks some gateway that lives; the next one is planned."""
+    def send_request(self) -> None:
+        """Send a request to one of the running gateways, and schedule the next one."""
         case = self.case
-        rate = case.load * case.engines * case.cores / case.mean
-        if self.now < case.length_ms:
-            self.at(self.now + self.random.expovariate(rate), "ask")
-        cls = int(self.random.random() * sum(case.shares) >= case.shares[0])
-        sigma = math.sqrt(math.log(1.0 + case.spread[cls] ** 2))
-        work = case.work[cls] * math.exp(self.random.gauss(-sigma * sigma / 2.0, sigma))
-        rough = math.exp(self.random.gauss(0.0, 0.3))
-        told = {"rough": work * rough, "half": work * rough / 2.0, "none": None}[case.estimates]
-        alive = [node for node in self.nodes if node.gateway is not None]
-        if not alive:
+        rate = case.load * case.engine_count * case.cores / case.mean_work_ms
+        if self.now < case.duration_ms:
+            self.schedule(self.now + self.random.expovariate(rate), "send_request")
+        class_index = int(self.random.random() * sum(case.class_rates) >= case.class_rates[0])
+        sigma = math.sqrt(math.log(1.0 + case.work_variation[class_index] ** 2))
+        work = case.class_work_ms[class_index] * math.exp(self.random.gauss(-sigma * sigma / 2.0, sigma))
+        error = math.exp(self.random.gauss(0.0, 0.3))
+        estimate = {"rough": work * error, "half": work * error / 2.0, "none": None}[case.estimates]
+        running = [process for process in self.processes if process.gateway is not None]
+        if not running:
             return
-        node = self.random.choices(alive, [node.traffic for node in alive])[0]
-        made = self.classes[cls]
+        process = self.random.choices(running, [process.traffic for process in running])[0]
+        query_class = self.classes[class_index]
         request = Request(
-            cls,
+            class_index,
             work,
-            self.now + made.latency_objective_ms + made.latency_objective_slowdown * work / made.threads,
-            self.now + made.client_timeout_ms,
+            self.now
+            + query_class.latency_objective_ms
+            + query_class.latency_objective_slowdown * work / query_class.threads,
+            self.now + query_class.client_timeout_ms,
         )
-        self.result.offered += made.priority_weight
+        self.result.offered_weight += query_class.priority_weight
         self.count += 1
-        self.requests[node.me, node.starts, self.count] = request
-        self.step(node, policy.QueryArrived(self.count, cls, request.deadline, estimated_work_ms=told))
+        self.requests[process.index, process.starts, self.count] = request
+        self.step(
+            process,
+            policy.QueryArrived(self.count, class_index, request.deadline, estimated_work_ms=estimate),
+        )
 
-    def sent(self, node: Node, query: int, engine: str) -> None:
-        """An attempt is decided; it reaches the engine when its connection is up."""
-        case, request = self.case, self.requests[node.me, node.starts, query]
+    def start_attempt(self, process: GatewayProcess, query: int, engine: str) -> None:
+        """Start an attempt; it reaches the engine when its connection is open."""
+        case, request = self.case, self.requests[process.index, process.starts, query]
         number, request.attempts = request.attempts, request.attempts + 1
         delay = 1.0 + self.random.random()
-        if self.random.random() < case.late:
-            delay += self.random.random() * case.late_ms
-        life = self.lives[engine]
-        life.promised.append((self.now + delay, request.work))
-        self.at(self.now + delay, "reached", node, node.starts, query, number, engine, self.now)
-
-    def reached(self, node: Node, mark: int, query: int, number: int, engine: str, began: float) -> None:
-        """An attempt reaches its engine, and its answer is planned."""
-        case, request, life = self.case, self.requests[node.me, mark, query], self.lives[engine]
-        if node.starts != mark or request.done:
+        if self.random.random() < case.late_share:
+            delay += self.random.random() * case.max_delay_ms
+        incarnation = self.engines[engine]
+        incarnation.decided.append((self.now + delay, request.work))
+        self.schedule(
+            self.now + delay, "reach_engine", process, process.starts, query, number, engine, self.now
+        )
+
+    def reach_engine(
+        self, process: GatewayProcess, start: int, query: int, number: int, engine: str, started_ms: float
+    ) -> None:
+        """Let an attempt reach its engine, and schedule its end."""
+        case, request, incarnation = (
+            self.case,
+            self.requests[process.index, start, query],
+            self.engines[engine],
+        )
+        if process.starts != start or request.is_done:
             return
-        if not life.up:
-            self.at(self.now + 1.0, "ended", node, mark, query, number, "connect_failed", began, False)
+        if not incarnation.is_up:
+            self.schedule(
+                self.now + 1.0,
+                "end_attempt",
+                process,
+                start,
+                query,
+                number,
+                "connect_failed",
+                started_ms,
+                False,
+            )
             return
-        told = node.believed[engine].started_ms == life.launched
-        if life.reached(case, self.now, request.work, case.work[request.cls], told):
-            self.lost(engine)
+        is_informed = process.known[engine].started_ms == incarnation.started_ms
+        if incarnation.record_request(
+            case, self.now, request.work, case.class_work_ms[request.class_index], is_informed
+        ):
+            self.lose_engine(engine)
             return
-        threads = THREADS[request.cls]
-        life.threads += threads
-        request.out[number] = engine, life
-        if not life.launched and self.random.random() < case.errors:
-            self.at(self.now + 20.0, "ended", node, mark, query, number, "reset", began, False)
+        threads = THREADS[request.class_index]
+        incarnation.running_threads += threads
+        request.running[number] = engine, incarnation
+        if not incarnation.started_ms and self.random.random() < case.reset_share:
+            self.schedule(
+                self.now + 20.0, "end_attempt", process, start, query, number, "reset", started_ms, False
+            )
             return
-        warmth = case.warmth(self.now - life.launched) if life.launched else 1.0
-        slow = max(1.0, life.threads / case.cores) / warmth
-        took = request.work / threads * slow * math.exp(self.random.gauss(0.0, 0.1)) + 1.0
-        self.at(self.now + took, "ended", node, mark, query, number, "ok", began, True)
+        capacity_share = (
+            case.warm_up_fraction(self.now - incarnation.started_ms) if incarnation.started_ms else 1.0
+        )
+        slowdown = max(1.0, incarnation.running_threads / case.cores) / capacity_share
+        took_ms = request.work / threads * slowdown * math.exp(self.random.gauss(0.0, 0.1)) + 1.0
+        self.schedule(
+            self.now + took_ms, "end_attempt", process, start, query, number, "ok", started_ms, True
+        )
 
-    def ended(
-        self, node: Node, mark: int, query: int, number: int, status: str, began: float, finished: bool
+    def end_attempt(
+        self,
+        process: GatewayProcess,
+        start: int,
+        query: int,
+        number: int,
+        status: str,
+        started_ms: float,
+        is_final: bool,
     ) -> None:
-        """An attempt ends, in whatever way came first."""
-        request = self.requests[node.me, mark, query]
-        where = request.out.pop(number, None)
-        if where is not None:
-            where[1].threads -= THREADS[request.cls]
-            if not where[1].up:
-                status, finished = "reset", False
+        """End an attempt with the first of its scheduled outcomes."""
+        request = self.requests[process.index, start, query]
+        placement = request.running.pop(number, None)
+        if placement is not None:
+            placement[1].running_threads -= THREADS[request.class_index]
+            if not placement[1].is_up:
+                status, is_final = "reset", False
         elif status == "ok":
-            return  # it was called off meanwhile
-        if node.starts != mark:
+            return  # it was cancelled meanwhile
+        if process.starts != start:
             return
-        if status == "ok" and not request.done:
-            request.done = True
-            cls = self.classes[request.cls]
-            late = cls.late_weight_share if self.now <= request.deadline else 0.0
-            self.result.worth += cls.priority_weight * (1.0 if self.now <= request.aim_at else late)
-        gateway = node.gateway
+        if status == "ok" and not request.is_done:
+            request.is_done = True
+            query_class = self.classes[request.class_index]
+            late_share = query_class.late_weight_share if self.now <= request.deadline else 0.0
+            self.result.weight += query_class.priority_weight * (
+                1.0 if self.now <= request.objective_at else late_share
+            )
+        gateway = process.gateway
         if gateway is None or query not in gateway.queries or number >= len(gateway.queries[query].attempts):
             return
         engine = gateway.queries[query].attempts[number].engine.endpoint.engine
-        self.step(node, policy.AttemptEnded(query, number, engine, status, self.now - began, finished))
-
-    def lost(self, engine: str) -> None:
-        """An engine ends at once; all that is out there is reset, and the gateways hear of it by and by."""
-        life = self.lives[engine]
-        life.up = False
-        for (me, mark, query), request in self.requests.items():
-            for number, (where, held) in list(request.out.items()):
-                if where == engine and held is life:
-                    self.at(
-                        self.now + 1.0, "ended", self.nodes[me], mark, query, number, "reset", self.now, False
+        self.step(
+            process, policy.AttemptEnded(query, number, engine, status, self.now - started_ms, is_final)
+        )
+
+    def lose_engine(self, engine: str) -> None:
+        """End an engine; its attempts are reset, and the gateways are informed later."""
+        incarnation = self.engines[engine]
+        incarnation.is_up = False
+        for (index, start, query), request in self.requests.items():
+            for number, (target, target_incarnation) in list(request.running.items()):
+                if target == engine and target_incarnation is incarnation:
+                    self.schedule(
+                        self.now + 1.0,
+                        "end_attempt",
+                        self.processes[index],
+                        start,
+                        query,
+                        number,
+                        "reset",
+                        self.now,
+                        False,
                     )
-        self.tell(policy.EngineEndpoint(engine, "gone"))
-
-    def replaced(self, engine: str) -> None:
-        """An engine starts anew under its name."""
-        if self.lives[engine].up:
-            life = self.lives[engine]
-            life.up = False
-        self.past.append(self.lives[engine])
-        self.lives[engine] = Life(self.now)
-        self.tell(policy.EngineEndpoint(engine, started_ms=self.now))
-
-    def tell(self, entry: policy.EngineEndpoint) -> None:
-        """Tell all gateways, each in its own time."""
-        for node in self.nodes:
-            self.at(self.now + 100.0 + self.random.random() * 2200.0, "heard", node, entry)
-
-    def heard(self, node: Node, entry: policy.EngineEndpoint) -> None:
-        """A gateway hears of an engine; news of a life that is past is not told after that of the next."""
-        known = node.believed.get(entry.engine)
-        if known is not None and known.started_ms > entry.started_ms and entry.state != "gone":
+        self.announce(policy.EngineEndpoint(engine, "gone"))
+
+    def replace_engine(self, engine: str) -> None:
+        """Start a new incarnation of an engine under its name."""
+        if self.engines[engine].is_up:
+            incarnation = self.engines[engine]
+            incarnation.is_up = False
+        self.previous_incarnations.append(self.engines[engine])
+        self.engines[engine] = Incarnation(self.now)
+        self.announce(policy.EngineEndpoint(engine, started_ms=self.now))
+
+    def announce(self, endpoint: policy.EngineEndpoint) -> None:
+        """Send an engine's state to all gateways, each with its own delay."""
+        for process in self.processes:
+            self.schedule(
+                self.now + 100.0 + self.random.random() * 2200.0, "receive_update", process, endpoint
+            )
+
+    def receive_update(self, process: GatewayProcess, endpoint: policy.EngineEndpoint) -> None:
+        """Pass an engine's state to a gateway, unless it is older than what the gateway knows."""
+        known = process.known.get(endpoint.engine)
+        if known is not None and known.started_ms > endpoint.started_ms and endpoint.state != "gone":
             return
-        life = self.lives[entry.engine]
-        if entry.state == "gone" and life.up:
+        incarnation = self.engines[endpoint.engine]
+        if endpoint.state == "gone" and incarnation.is_up:
             return
-        node.believed[entry.engine] = entry
-        self.step(node, policy.EngineListUpdate("delta", (entry,)))
+        process.known[endpoint.engine] = endpoint
+        self.step(process, policy.EngineListUpdate("delta", (endpoint,)))
 
-    def killed(self, node: Node) -> None:
-        """A gateway is killed; its clients go, and another starts in its place."""
-        for (me, mark, _), request in self.requests.items():
-            if me == node.me and mark == node.starts:
-                request.done = True
-        node.gateway = None
-        self.at(self.now + 300.0 + self.random.random() * 700.0, "start", node)
+    def kill_gateway(self, process: GatewayProcess) -> None:
+        """Kill a gateway; its clients disconnect, and it is started again."""
+        for (index, start, _), request in self.requests.items():
+            if index == process.index and start == process.starts:
+                request.is_done = True
+        process.gateway = None
+        self.schedule(self.now + 300.0 + self.random.random() * 700.0, "start_gateway", process)
 
 
-def interval(hits: int, of: int) -> tuple[float, float]:
+def wilson_interval(hits: int, trials: int) -> tuple[float, float]:
     """Return Wilson's 95% interval of a share."""
     z = 1.96
-    if not of:
+    if not trials:
         return 0.0, 1.0
-    p = hits / of
-    middle = (p + z * z / 2 / of) / (1 + z * z / of)
-    half = z * math.sqrt(p * (1 - p) / of + z * z / 4 / of / of) / (1 + z * z / of)
+    p = hits / trials
+    middle = (p + z * z / 2 / trials) / (1 + z * z / trials)
+    half = z * math.sqrt(p * (1 - p) / trials + z * z / 4 / trials / trials) / (1 + z * z / trials)
     return max(0.0, middle - half), min(1.0, middle + half)
 
 
-def fleet(gateways: int, **changes: object) -> Case:
-    """Return a case with engines in proportion, four in ten of the gateways."""
-    return Case(gateways=gateways, engines=min(40, max(6, round(0.4 * gateways))), **changes)
+def proportional_case(gateway_count: int, **changes: object) -> Case:
+    """Return a case with four engines for ten gateways, from 6 to 40 engines."""
+    return Case(
+        gateway_count=gateway_count,
+        engine_count=min(40, max(6, round(0.4 * gateway_count))),
+        **changes,
+    )
 
 
-CASES: dict[str, Case] = {f"{n} gateways": fleet(n) for n in (1, 2, 4, 8, 20, 30, 100, 200)}
+CASES: dict[str, Case] = {f"{n} gateways": proportional_case(n) for n in (1, 2, 4, 8, 20, 30, 100, 200)}
 for n in (2, 20, 30, 200):
-    full = fleet(n, trouble="all", load=2.0, work=(40.0, 160.0), aims=(400.0, 800.0))  # work for all budgets
+    full = proportional_case(  # enough work to use all budgets
+        n, scenario="all", load=2.0, class_work_ms=(40.0, 160.0), objectives_ms=(400.0, 800.0)
+    )
     CASES |= {
         f"{n}, budgets full": full,
         f"{n}, budgets full, estimates half": replace(full, estimates="half"),
         f"{n}, budgets full, no estimates": replace(full, estimates="none"),
-        f"{n}, budgets full, no estimates, aims short": replace(full, estimates="none", aims=(50.0, 100.0)),
-        f"{n}, budgets full, late connections": replace(full, late=1 / 3),
-        f"{n}, budgets full, seven in ten killed": replace(full, kill=0.7),
-        f"{n}, budgets full, large mixed in": replace(full, work=(30.0, 180.0), shares=(6.0, 1.0)),
-        f"{n}, budgets full, one size": replace(full, work=(150.0, 150.0), spread=(0.1, 0.1)),
+        f"{n}, budgets full, no estimates, aims short": replace(
+            full, estimates="none", objectives_ms=(50.0, 100.0)
+        ),
+        f"{n}, budgets full, late connections": replace(full, late_share=1 / 3),
+        f"{n}, budgets full, seven in ten killed": replace(full, kill_share=0.7),
+        f"{n}, budgets full, large mixed in": replace(
+            full, class_work_ms=(30.0, 180.0), class_rates=(6.0, 1.0)
+        ),
+        f"{n}, budgets full, one size": replace(
+            full, class_work_ms=(150.0, 150.0), work_variation=(0.1, 0.1)
+        ),
         f"{n}, budgets full, one size, even traffic": replace(
-            full, work=(150.0, 150.0), spread=(0.1, 0.1), skew=0.0
+            full, class_work_ms=(150.0, 150.0), work_variation=(0.1, 0.1), traffic_skew=0.0
         ),
         f"{n}, budgets full, one size, even traffic, all at once": replace(
-            full, work=(150.0, 150.0), spread=(0.1, 0.1), skew=0.0, kill=0.7, late=1 / 3, estimates="half"
+            full,
+            class_work_ms=(150.0, 150.0),
+            work_variation=(0.1, 0.1),
+            traffic_skew=0.0,
+            kill_share=0.7,
+            late_share=1 / 3,
+            estimates="half",
+        ),
+        f"{n}, budgets full, all at once": replace(
+            full, kill_share=0.7, late_share=1 / 3, reset_share=0.2, estimates="half"
         ),
-        f"{n}, budgets full, all at once": replace(full, kill=0.7, late=1 / 3, errors=0.2, estimates="half"),
-        f"{n}, skewed more": fleet(n, skew=1.6),
-        f"{n}, no estimates": fleet(n, estimates="none"),
-        f"{n}, estimates half": fleet(n, estimates="half"),
-        f"{n}, zone back cold": fleet(n, trouble="zone"),
-        f"{n}, all back cold": fleet(n, trouble="all", load=1.3),
-        f"{n}, seven in ten killed": fleet(n, trouble="zone", kill=0.7),
-        f"{n}, a tenth at a time": fleet(n, trouble="zone", roll=True),
-        f"{n}, late connections": fleet(n, trouble="zone", late=1 / 3),
-        f"{n}, resets at others": fleet(n, trouble="zone", errors=0.2),
-        f"{n}, small work": fleet(n, trouble="zone", work=(40.0, 160.0), aims=(400.0, 800.0)),
-        f"{n}, work far apart": fleet(n, trouble="zone", work=(30.0, 6000.0), shares=(40.0, 1.0)),
-        f"{n}, one size": fleet(n, trouble="zone", work=(200.0, 200.0), spread=(0.1, 0.1)),
-        f"{n}, large engines": fleet(n, trouble="zone", cores=32),
-        f"{n}, all at once": fleet(
-            n, trouble="all", kill=0.7, late=1 / 3, errors=0.2, estimates="half", load=1.3
+        f"{n}, skewed more": proportional_case(n, traffic_skew=1.6),
+        f"{n}, no estimates": proportional_case(n, estimates="none"),
+        f"{n}, estimates half": proportional_case(n, estimates="half"),
+        f"{n}, zone back cold": proportional_case(n, scenario="zone"),
+        f"{n}, all back cold": proportional_case(n, scenario="all", load=1.3),
+        f"{n}, seven in ten killed": proportional_case(n, scenario="zone", kill_share=0.7),
+        f"{n}, a tenth at a time": proportional_case(n, scenario="zone", has_rolling_restart=True),
+        f"{n}, late connections": proportional_case(n, scenario="zone", late_share=1 / 3),
+        f"{n}, resets at others": proportional_case(n, scenario="zone", reset_share=0.2),
+        f"{n}, small work": proportional_case(
+            n, scenario="zone", class_work_ms=(40.0, 160.0), objectives_ms=(400.0, 800.0)
         ),
-        f"{n}, all at once, none told": fleet(
-            n, trouble="all", kill=0.7, late=1 / 3, errors=0.2, estimates="none", load=1.3
+        f"{n}, work far apart": proportional_case(
+            n, scenario="zone", class_work_ms=(30.0, 6000.0), class_rates=(40.0, 1.0)
+        ),
+        f"{n}, one size": proportional_case(
+            n, scenario="zone", class_work_ms=(200.0, 200.0), work_variation=(0.1, 0.1)
+        ),
+        f"{n}, large engines": proportional_case(n, scenario="zone", cores=32),
+        f"{n}, all at once": proportional_case(
+            n, scenario="all", kill_share=0.7, late_share=1 / 3, reset_share=0.2, estimates="half", load=1.3
+        ),
+        f"{n}, all at once, none told": proportional_case(
+            n, scenario="all", kill_share=0.7, late_share=1 / 3, reset_share=0.2, estimates="none", load=1.3
         ),
     }
 
 
-def sample(case: Case, seeds: range, make: type[Gateway] = Gateway) -> Result:
-    """Play a case on several seeds."""
+def run_case(case: Case, seeds: range, gateway_type: type[Gateway] = Gateway) -> Result:
+    """Run a case with each seed; return the sum of the results."""
     result = Result()
     for seed in seeds:
-        result.add(World(case, seed, make).play())
+        result.add(Simulation(case, seed, gateway_type).run())
     return result
 
 
-def shares(names: list[str], seeds: range) -> None:
-    """Print how often a cold engine falls."""
-    print("| case | N | lives | fall | broken (95%) | by class | told's part of a fall: median, most |")
+def print_crash_shares(names: list[str], seeds: range) -> None:
+    """Print the share of incarnations that crash in slow start, for each case."""
+    print("| case | N | starts | crashes | violations (95%) | by class | informed / threshold: median, max |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for name in names:
         case = CASES[name]
-        r = sample(case, seeds)
-        low, high = interval(r.broken, r.lives)
-        told = sorted(r.told)
+        result = run_case(case, seeds)
+        low, high = wilson_interval(result.violations, result.incarnations)
+        informed = sorted(result.informed)
         print(
-            f"| {name} | {case.allowed(0.0):.0f} | {r.lives} | {r.falls} | {r.broken} ({low:.4f} to "
-            f"{high:.4f}) | {r.by_class} | {told[len(told) // 2]:.2f}, {told[-1]:.2f} |",
+            f"| {name} | {case.allowed_requests(0.0):.0f} | {result.incarnations} | {result.crashes} | "
+            f"{result.violations} ({low:.4f} to "
+            f"{high:.4f}) | {result.by_class} | {informed[len(informed) // 2]:.2f}, {informed[-1]:.2f} |",
             flush=True,
         )
 
 
-def worth(names: list[str], seeds: range) -> None:
-    """Print the worth served with each rule on the same seeds."""
-    print("| case | as landed | fell | no rule | fell | whole sums known | fell |")
+def print_weights(names: list[str], seeds: range) -> None:
+    """Print the share of the offered weight that is served with each rule, on the same seeds."""
+    print("| case | policy | crashed | no rule | crashed | fleet sums known | crashed |")
     print("| --- | --- | --- | --- | --- | --- | --- |")
     for name in names:
         cells = []
         for rule in ("module", "none", "fleet"):
-            r = sample(replace(CASES[name], rule=rule), seeds)
-            cells.append(f"{r.worth / r.offered:.3f} | {r.falls} of {r.lives}")
+            result = run_case(replace(CASES[name], rule=rule), seeds)
+            cells.append(
+                f"{result.weight / result.offered_weight:.3f} | {result.crashes} of {result.incarnations}"
+            )
         print(f"| {name} | {' | '.join(cells)} |", flush=True)
 
 
-def main(words: list[str]) -> None:
-    """Run the script."""
+def main(arguments: list[str]) -> None:
+    """Run the script with these command-line arguments."""
     parser = argparse.ArgumentParser()
     parser.add_argument("what", choices=("share", "worth"))
     parser.add_argument("--plays", type=int, default=8)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--only", default="")
-    told = parser.parse_args(words)
-    names = [name for name in CASES if told.only in name]
-    {"share": shares, "worth": worth}[told.what](names, range(told.first, told.first + told.plays))
+    options = parser.parse_args(arguments)
+    names = [name for name in CASES if options.only in name]
+    {"share": print_crash_shares, "worth": print_weights}[options.what](
+        names, range(options.first, options.first + options.plays)
+    )
 
 
 if __name__ == "__main__":
