--- a/tests/node/test_endpoint_watch_races.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -19,7 +19,7 @@
 
 import pytest
 from nodes import CHANNEL, RecordingObserver, config_text, instance, nodes_event, start_node
-from test_node_run import ROOT, WAIT_S, Program, ask, command, listening
+from test_node_run import ROOT, WAIT_S, Program, command, listening, pack_request
 
 from fennelwind import policy
 from fennelwind.loop import Address, RealLoop, SimLoop, StreamReset
@@ -1074,7 +1074,7 @@
             assert program.process.poll() is None
             time.sleep(0.01)
         assert script.asked == [1, 1, 1, 1, 1, 1, 2, 2]
-        answer = program.call(ask(2, d="300"))  # s-1, which would answer, drains; s-2 is not there
+        answer = program.call(pack_request(2, d="300"))  # s-1, which would answer, drains; s-2 is not there
         assert answer is None or answer[2] is not None
         program.process.send_signal(signal.SIGTERM)
         program.process.send_signal(signal.SIGHUP)
--- a/tests/node/test_node_parsers.py
+++ b/tests/node/test_node_parsers.py
@@ -1,4 +1,4 @@
-"""The platform's parsers: split at every byte, bent input, bounds."""
+"""Parsers of the platform's protocols: input split at every byte, corrupted input, bounds."""
 
 import msgpack
 import pytest
@@ -18,7 +18,7 @@
 
 
 @pytest.mark.parametrize("raw", ANSWERS)
-def test_an_answer_is_the_same_however_it_is_split(raw):
+def test_response_does_not_depend_on_how_it_is_split(raw):
     whole = http1.ResponseReader().feed(raw)
     assert whole is not None and whole.body in (b"", b"a\tb\tc\n")
     for cut in range(1, len(raw)):
@@ -29,7 +29,7 @@
     assert [reader.feed(raw[at : at + 1]) for at in range(len(raw))][-1] == whole
 
 
-def test_what_follows_an_answer_makes_its_connection_useless():
+def test_bytes_after_a_response_make_its_connection_not_reusable():
     assert http1.ResponseReader().feed(ANSWERS[0]).is_reusable
     assert not http1.ResponseReader().feed(ANSWERS[0] + b"H").is_reusable
     assert not http1.ResponseReader().feed(ANSWERS[1]).is_reusable
@@ -67,35 +67,35 @@
         b"HTTP/1.1 200 OK\r\n" + b"A: " + b"x" * 9000,
     ],
 )
-def test_what_is_no_answer_is_told_at_once(raw):
+def test_malformed_response_is_rejected_at_once(raw):
     with pytest.raises(http1.MalformedResponseError):
         http1.ResponseReader().feed(raw)
 
 
 @given(st.binary(max_size=300), st.integers(0, 200), st.sampled_from(ANSWERS))
-def test_bent_answers_are_answers_or_malformed(noise, at, raw):
+def test_corrupted_responses_are_parsed_or_rejected(noise, at, raw):
     reader = http1.ResponseReader()
     try:
-        got = reader.feed(raw[:at] + noise + raw[at:])
+        response = reader.feed(raw[:at] + noise + raw[at:])
     except http1.MalformedResponseError:
         return
-    assert got is None or 200 <= got.status < 600
+    assert response is None or 200 <= response.status < 600
 
 
-def test_events_are_the_same_however_they_are_split():
+def test_events_do_not_depend_on_how_they_are_split():
     raw = (
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         b'b\r\n: here\n\nid:\r\n21\r\n 7\ndata: {"a":\ndata: 1}\r\n\r\nid: 8\n\r\n'
         b"7\r\ndata:x\n\r\n1\r\n\n\r\n0\r\n\r\n"
     )
-    wanted = [http1.ServerEvent(None), http1.ServerEvent(7, '{"a":\n1}'), http1.ServerEvent(8, "x")]
+    expected = [http1.ServerEvent(None), http1.ServerEvent(7, '{"a":\n1}'), http1.ServerEvent(8, "x")]
     reader = http1.EventReader()
-    assert reader.feed(raw) == wanted and reader.has_ended
+    assert reader.feed(raw) == expected and reader.has_ended
     for cut in range(1, len(raw)):
         reader = http1.EventReader()
-        assert reader.feed(raw[:cut]) + reader.feed(raw[cut:]) == wanted
-    plain = http1.EventReader()
-    assert plain.feed(b"HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b") == [
+        assert reader.feed(raw[:cut]) + reader.feed(raw[cut:]) == expected
+    unchunked_reader = http1.EventReader()
+    assert unchunked_reader.feed(b"HTTP/1.1 200 OK\r\n\r\nid: 1\ndata: a\n\nid: 2\ndata: b") == [
         http1.ServerEvent(1, "a")
     ]
 
@@ -109,7 +109,7 @@
         b"x" * 9000,
     ],
 )
-def test_a_channel_that_is_none_is_told(raw):
+def test_malformed_event_stream_is_rejected(raw):
     with pytest.raises(http1.MalformedResponseError):
         http1.EventReader().feed(raw)
 
@@ -117,18 +117,18 @@
 REQUEST = msgpack.packb([0, 7, "lookup", [{"i": "9b1f03aa5c7e2d41", "d": "1500"}, b"select 1"]])
 
 
-def test_a_message_is_the_same_however_it_is_split():
-    wanted = msgrpc.Request(7, "lookup", [{"i": "9b1f03aa5c7e2d41", "d": "1500"}, b"select 1"])
+def test_message_does_not_depend_on_how_it_is_split():
+    expected = msgrpc.Request(7, "lookup", [{"i": "9b1f03aa5c7e2d41", "d": "1500"}, b"select 1"])
     for cut in range(1, len(REQUEST)):
         reader = msgrpc.MessageReader()
         assert reader.feed(REQUEST[:cut]) == [] and reader.partial_bytes() == cut
-        assert reader.feed(REQUEST[cut:] + REQUEST) == [wanted, wanted] and reader.partial_bytes() == 0
+        assert reader.feed(REQUEST[cut:] + REQUEST) == [expected, expected] and reader.partial_bytes() == 0
     notice = msgpack.packb([2, "forget", [7]])
     assert msgrpc.MessageReader().feed(notice) == [msgrpc.Notification("forget", [7])]
 
 
 @given(st.binary(max_size=200), st.integers(0, 60))
-def test_bent_messages_are_messages_or_malformed(noise, at):
+def test_corrupted_messages_are_parsed_or_rejected(noise, at):
     reader = msgrpc.MessageReader()
     try:
         for message in reader.feed(REQUEST[:at] + noise + REQUEST[at:]):
@@ -137,7 +137,7 @@
         pass
 
 
-def test_lengths_are_refused_before_memory_is_taken():
+def test_excessive_lengths_are_rejected_before_memory_is_allocated():
     for head in (b"\xdd\x00\x00\x00\x41", b"\xdf\x00\x00\x00\x41", b"\xdd\xff\xff\xff\xff"):
         with pytest.raises(msgrpc.MalformedMessageError):
             msgrpc.MessageReader().feed(b"\x94\x00\x01\xa1a\x92" + head)
@@ -153,7 +153,7 @@
             msgrpc.MessageReader().feed(msgpack.packb([0, 1, "a", [value]]))
     reader = msgrpc.MessageReader()
     reader.feed(b"\x94\x00\x01\xa1a\xdc\x00\x40")
-    with pytest.raises(msgrpc.MalformedMessageError):  # many parts, each within its bound
+    with pytest.raises(msgrpc.MalformedMessageError):  # many parts, each within its own bound
         for _ in range(4):
             reader.feed(b"\xc5\xff\xff" + b"x" * 65535)
 
@@ -180,16 +180,16 @@
 
 
 @pytest.mark.parametrize("statement", GROUPS)
-def test_the_group_of_tables(statement):
+def test_table_group_of_a_statement(statement):
     assert table_group(statement) == GROUPS[statement]
 
 
 @given(st.text(max_size=300) | st.text("'\"/*-_.a1 \n", max_size=300))
-def test_no_statement_raises(statement):
+def test_table_group_raises_for_no_statement(statement):
     assert table_group(statement) is None or table_group(statement) >= 0
 
 
-def test_the_time_for_a_statement_grows_with_its_length():
+def test_table_group_takes_linear_time():
     for piece in ("'", '"', "/*", "--", "a_1", "a.", "''", "/* '", "_1_1"):
         assert table_group(piece * 30_000) is None or piece == "a_1"
 
@@ -198,12 +198,12 @@
     "text",
     ["", "[]", "{}", "null", '{"settings": 5, "limits": {}}', "{" * 100_000, '{"name": "n", "settings": {}}'],
 )
-def test_a_file_that_cannot_be_used_is_told(text):
+def test_invalid_config_is_rejected(text):
     with pytest.raises(ConfigError):
         read_config(text)
 
 
-def test_nested_settings_are_laid_flat_as_the_wire_does():
+def test_nested_settings_are_flattened_as_on_the_wire():
     assert flatten({"A": {"B": [1, 2], "C": True, "N": None}, "D": [{"E": "x y"}]}) == {
         "A.B": "1,2",
         "A.C": "true",
--- a/tests/node/test_node_run.py
+++ b/tests/node/test_node_run.py
@@ -1,4 +1,4 @@
-"""The command of `run` on real loopback sockets: answers, bad input, SIGHUP, SIGTERM."""
+"""The `run` command on real loopback sockets: answers, bad input, SIGHUP, SIGTERM."""
 
 import os
 import re
@@ -14,7 +14,7 @@
 from nodes import ROWS, config_text, first_page, instance, query_id
 
 ROOT = Path(__file__).parent.parent.parent
-WAIT_S = 30.0  # s; a wait that is over much sooner, but for a machine that stands still
+WAIT_S = 30.0  # upper bound of waits that are much shorter unless the machine stalls
 
 
 def listening():
@@ -24,7 +24,7 @@
 
 
 def serve_executor(sock):
-    def one(peer):
+    def serve_connection(peer):
         data = b""
         with peer:
             while True:
@@ -45,7 +45,7 @@
             peer, _ = sock.accept()
         except OSError:
             return
-        threading.Thread(target=one, args=(peer,), daemon=True).start()
+        threading.Thread(target=serve_connection, args=(peer,), daemon=True).start()
 
 
 def serve_channel(sock, asked):
@@ -60,7 +60,7 @@
 
 
 def command():
-    """Return what `run` says, with this environment's interpreter in its place."""
+    """Return the command line of `run` in the deploy file, with this environment's interpreter."""
     text = (ROOT / "deploy" / "balancer.toml").read_text("utf-8")
     line = re.search(r'^run = "exec \.venv/bin/python (.+)"$', text, re.M)
     return [sys.executable, *line[1].split()]
@@ -69,7 +69,7 @@
 class Program:
     def __init__(self, folder):
         self.path = folder / "config.json"
-        self.executor, self.where = listening()
+        self.executor, self.executor_address = listening()
         self.channel, channel = listening()
         self.asked = []
         free, self.listen = listening()
@@ -87,25 +87,25 @@
         self.expect("listening")
 
     def write(self, channel):
-        told = config_text([instance("s-1", 1) | {"hostPort": self.where}])
+        text = config_text([instance("s-1", 1) | {"hostPort": self.executor_address}])
         self.path.write_text(
             re.sub(
                 r'"listen": "[^"]+"',
                 f'"listen": "{self.listen}"',
-                re.sub(r'"channel": "[^"]+"', f'"channel": "{channel}"', told),
+                re.sub(r'"channel": "[^"]+"', f'"channel": "{channel}"', text),
             ),
             encoding="utf-8",
         )
 
     def expect(self, words):
-        """Read lines of the log until one holds the words."""
+        """Read log lines until one contains `words`; return it."""
         while line := self.process.stderr.readline():
             if words in line:
                 return line
-        raise AssertionError(f"{words!r} never came")
+        raise AssertionError(f"{words!r} is not in the log")
 
     def call(self, message):
-        """Send bytes on a new connection; return what comes back, as messages, until one or the end came."""
+        """Send bytes on a new connection; return the first answer, or None if the connection ends first."""
         host, port = self.listen.rsplit(":", 1)
         with socket.create_connection((host, int(port)), WAIT_S) as sock:
             sock.settimeout(WAIT_S)
@@ -135,17 +135,17 @@
     running.channel.close()
 
 
-def ask(number, **fields):
-    told = {"i": query_id(number), "d": "1900", "t": "acme"} | fields
-    return msgpack.packb([0, 1, "lookup", [told, b"select 1 from sales_3.orders"]])
+def pack_request(number, **fields):
+    sent = {"i": query_id(number), "d": "1900", "t": "acme"} | fields
+    return msgpack.packb([0, 1, "lookup", [sent, b"select 1 from sales_3.orders"]])
 
 
-def test_the_program_answers_refuses_moves_its_channel_and_ends(program):
+def test_program_answers_rejects_moves_its_channel_and_shuts_down(program):
     assert program.call(msgpack.packb([0, 1, "isWell", [{}]])) == [1, 1, None, [True, {}]]
-    assert program.call(ask(1)) == [1, 1, None, [ROWS, {}]]
-    assert program.call(ask(2, d="-1"))[2][0] == "Unusable"
+    assert program.call(pack_request(1)) == [1, 1, None, [ROWS, {}]]
+    assert program.call(pack_request(2, d="-1"))[2][0] == "Unusable"
     assert program.call(b"\xc1" * 100) is None
-    assert program.call(ask(3)) == [1, 1, None, [ROWS, {}]]
+    assert program.call(pack_request(3)) == [1, 1, None, [ROWS, {}]]
 
     program.path.write_text("{ no JSON", encoding="utf-8")
     program.process.send_signal(signal.SIGHUP)
@@ -156,15 +156,15 @@
     program.write(address)
     program.process.send_signal(signal.SIGHUP)
     program.expect(f"command channel at {address}")
-    assert program.call(ask(4)) == [1, 1, None, [ROWS, {}]]
+    assert program.call(pack_request(4)) == [1, 1, None, [ROWS, {}]]
 
     program.process.send_signal(signal.SIGTERM)
-    for _ in range(1000):  # the signal may arrive after the first of these calls
-        well = program.call(msgpack.packb([0, 1, "isWell", [{}]]))
-        if well == [1, 1, None, [False, {}]]:
+    for _ in range(1000):  # the signal may be handled only after some of these calls
+        health = program.call(msgpack.packb([0, 1, "isWell", [{}]]))
+        if health == [1, 1, None, [False, {}]]:
             break
-    assert well == [1, 1, None, [False, {}]]
-    assert program.call(ask(5)) == [1, 1, None, [ROWS, {}]]
+    assert health == [1, 1, None, [False, {}]]
+    assert program.call(pack_request(5)) == [1, 1, None, [ROWS, {}]]
     line = program.expect("closed")
     assert program.process.wait(WAIT_S) == 0
     assert "books agree: True" in line and "step errors 0" in line
@@ -172,7 +172,7 @@
     moved.close()
 
 
-def test_a_file_that_cannot_be_used_ends_the_start_with_a_reason(tmp_path):
+def test_invalid_config_file_fails_startup_with_a_reason(tmp_path):
     path = tmp_path / "config.json"
     path.write_text("[]", encoding="utf-8")
     done = subprocess.run(
@@ -186,7 +186,7 @@
     assert done.returncode == 2 and "RELAY_CONFIG" in done.stderr
 
 
-def test_run_imports_no_more_than_it_needs():
+def test_run_does_not_import_unneeded_modules():
     code = (
         "import sys, fennelwind.node.lifecycle; "
         "print([m for m in ('structlog', 'ssl', 'google.protobuf', 'click', 'h11', 'logging', 'asyncio',"
@@ -196,8 +196,8 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_a_log_that_nobody_reads_does_not_stop_the_program():
-    there, here = os.pipe()
+def test_program_does_not_block_on_a_log_that_is_not_read():
+    read_end, write_end = os.pipe()
     code = (
         "import sys; from fennelwind.node.log import Log; log = Log(lambda: 0.0)\n"
         "for k in range(3000): log.write(str(k), 'x' * 100)\n"
@@ -207,11 +207,11 @@
         [sys.executable, "-c", code],
         cwd=ROOT,
         stdout=subprocess.PIPE,
-        stderr=here,
+        stderr=write_end,
         text=True,
         timeout=WAIT_S,
         check=True,
     )
-    os.close(here)
-    os.close(there)
+    os.close(write_end)
+    os.close(read_end)
     assert done.stdout == "went on\n"
--- a/tests/node/test_sampled_races.py
+++ b/tests/node/test_sampled_races.py
@@ -1,4 +1,4 @@
-"""Days of races between all parts, sampled on the virtual loop, and defects that they have to find."""
+"""Sampled runs with races between all parts on the virtual loop, and planted defects that they must find."""
 
 from contextlib import nullcontext
 from unittest.mock import patch
@@ -16,69 +16,69 @@
 )
 from fennelwind.policy import EngineState
 
-SEEDS = range(40)  # days in CI; `python tests/support/crossings_play.py 0 1000` plays more
-DAYS_MOST = 40  # in which a planted defect has to be found
-RARE = {"window": 280, "two out": 240}  # first of the days for defects that need two rare things at once
+SEEDS = range(40)  # runs in CI; `python tests/support/crossings_play.py 0 1000` does more
+MAX_RUNS = 40  # within which a planted defect has to be found
+FIRST_SEED = {"window": 280, "two out": 240}  # for defects that need two rare events at once
 
 
-def test_days_of_races_break_no_rule():
-    found = [f"seed {seed}: {fault}" for seed in SEEDS for fault in play(seed)]
-    assert not found, "\n".join(found)
+def test_sampled_races_break_no_rule():
+    violations = [f"seed {seed}: {fault}" for seed in SEEDS for fault in play(seed)]
+    assert not violations, "\n".join(violations)
 
 
-def test_the_same_seed_is_the_same_day():
-    def seen():
-        day = Play(5)
-        faults, record = day.run(), day.record
-        asked = [(one.name, one.sent, one.answers) for one in record.asked.values()]
-        posted = [(one.first, one.address) for posted in record.posted.values() for one in posted]
-        return faults, day.events, asked, posted
+def test_same_seed_gives_the_same_run():
+    def outcome():
+        run = Play(5)
+        faults, record = run.run(), run.record
+        requests = [(one.name, one.sent, one.answers) for one in record.asked.values()]
+        attempts = [(one.first, one.address) for posted in record.posted.values() for one in posted]
+        return faults, run.events, requests, attempts
 
-    assert seen() == seen()
+    assert outcome() == outcome()
 
 
-class Lax(Play):
-    """A day on which the controller is told of laxer settings than it is judged by."""
+class LooserSettings(Play):
+    """A run whose controller gets looser settings than those that its behaviour is checked against."""
 
-    ceilings, classes_told = {}, {}
+    ceilings, class_changes = {}, {}
 
     def stated(self):
         return self.settings | {
             "Ceilings": self.settings["Ceilings"] | self.ceilings,
-            "Grades": [cls | self.classes_told for cls in self.settings["Grades"]],
+            "Grades": [cls | self.class_changes for cls in self.settings["Grades"]],
         }
 
 
-def lax(ceilings=None, **classes):
-    return type("Lax", (Lax,), {"ceilings": ceilings or {}, "classes_told": classes})
+def looser(ceilings=None, **classes):
+    return type("LooserSettings", (LooserSettings,), {"ceilings": ceilings or {}, "class_changes": classes})
 
 
-def late_answer(self, number, entry, answer=client_connection.ClientConnection.answer):
+def answer_late(self, number, entry, answer=client_connection.ClientConnection.answer):
     self.frontend.loop.after(120.0, lambda: answer(self, number, entry))
 
 
-def second_answer(self, number, entry, answer=client_connection.ClientConnection.answer):
+def answer_twice(self, number, entry, answer=client_connection.ClientConnection.answer):
     answer(self, number, entry)
     answer(self, number, entry)
 
 
-def woken_at_once(self, executor, query_id, waiter=None):
+def wake_at_once(self, executor, query_id, waiter=None):
     if waiter is not None:
         waiter.wake(True)
 
 
-def unrested(self, executor, connection, response, check_in=executor_pool.ExecutorPool.check_in):
+def check_in_not_idle(self, executor, connection, response, check_in=executor_pool.ExecutorPool.check_in):
     check_in(self, executor, connection, response)
     connection.idle_since_ms = 0.0
 
 
 DEFECTS = {
-    "more attempts than are allowed": ("attempts", lax({"MaxAttempts": 6}), nullcontext()),
-    "two attempts out where there may be one": ("two out", lax({"ParallelTries": True}), nullcontext()),
-    "an unsafe query is sent again after doubt": ("twice", lax(Effect="repeatable"), nullcontext()),
-    "a refusal of what may have run": ("refusal", lax(Effect="repeatable"), nullcontext()),
-    "a keyed query leaves its group": ("group", lax(Group="all"), nullcontext()),
-    "a keyed query is sent again after its window": ("window", lax(MemorySpanMs=4000.0), nullcontext()),
+    "more attempts than are allowed": ("attempts", looser({"MaxAttempts": 6}), nullcontext()),
+    "two attempts out where there may be one": ("two out", looser({"ParallelTries": True}), nullcontext()),
+    "an unsafe query is sent again after doubt": ("twice", looser(Effect="repeatable"), nullcontext()),
+    "a refusal of what may have run": ("refusal", looser(Effect="repeatable"), nullcontext()),
+    "a keyed query leaves its group": ("group", looser(Group="all"), nullcontext()),
+    "a keyed query is sent again after its window": ("window", looser(MemorySpanMs=4000.0), nullcontext()),
     "a drain is not heard": (
         "drain",
         Play,
@@ -87,12 +87,12 @@
     "what is called off is not ended": (
         "two out",
         Play,
-        patch.object(cancellation_queue.CancellationQueue, "add", woken_at_once),
+        patch.object(cancellation_queue.CancellationQueue, "add", wake_at_once),
     ),
     "connections do not rest": (
         "foreign rows",
         Play,
-        patch.object(executor_pool.ExecutorPool, "check_in", unrested),
+        patch.object(executor_pool.ExecutorPool, "check_in", check_in_not_idle),
     ),
     "more connections than there is room for": (
         "connections",
@@ -102,12 +102,12 @@
     "a second final answer": (
         "second answer",
         Play,
-        patch.object(client_connection.ClientConnection, "answer", second_answer),
+        patch.object(client_connection.ClientConnection, "answer", answer_twice),
     ),
     "answers go late": (
         "late",
         Play,
-        patch.object(client_connection.ClientConnection, "answer", late_answer),
+        patch.object(client_connection.ClientConnection, "answer", answer_late),
     ),
     "a client's forget is not heard": (
         "client gone",
@@ -141,9 +141,9 @@
 
 
 @pytest.mark.parametrize("defect", DEFECTS)
-def test_a_planted_defect_is_found(defect):
-    rule, day, change = DEFECTS[defect]
-    first = RARE.get(rule, 0)
-    days = range(first, first + DAYS_MOST)
+def test_planted_defect_is_found(defect):
+    rule, play_class, change = DEFECTS[defect]
+    first = FIRST_SEED.get(rule, 0)
+    seeds = range(first, first + MAX_RUNS)
     with change:
-        assert any(fault.rule == rule for seed in days for fault in day(seed).run())
+        assert any(fault.rule == rule for seed in seeds for fault in play_class(seed).run())
--- a/tests/node/test_terms_answers.py
+++ b/tests/node/test_terms_answers.py
@@ -1,4 +1,4 @@
-"""What was read gets its answer before any close of the controller's, on real processes."""
+"""Answers on real processes: each request read is answered before the controller closes a connection."""
 
 import signal
 import socket
@@ -6,23 +6,23 @@
 
 import msgpack
 from nodes import ROWS, SETTINGS, page, query_id
-from processes import Controller, ThreadedClient, ThreadedExecutor, until
+from processes import Controller, ThreadedClient, ThreadedExecutor, wait_until
 
 GARBAGE = b"\xc1" * 100
 BIG_ROW = b"a\tb\t%s\n" % (b"c" * 5990)
 
 
-def answered(client):
-    """Wait for the end of a client's connection; tell whether each of its requests had one answer before."""
-    until(lambda: client.ended_at is not None)
+def all_answered_before_close(client):
+    """Wait until a client's connection ends; return whether each of its requests had exactly one answer."""
+    wait_until(lambda: client.ended_at is not None)
     return [len(request.answers) for request in client.requests.values()] == [1] * len(client.requests)
 
 
-def test_what_was_read_is_answered_before_what_can_not_be_read_ends_the_connection(tmp_path):
+def test_requests_before_malformed_bytes_are_answered_before_the_close(tmp_path):
     executor = ThreadedExecutor(work_s=0.4)
     controller = Controller(tmp_path, [executor])
     try:
-        for number, held_s in enumerate((0.0, 0.1)):  # in the same bytes, and behind an open request
+        for number, delay_s in enumerate((0.0, 0.1)):  # in the same write, and after a request is open
             for kind in ("garbage", "number", "params"):
                 client = ThreadedClient(controller)
                 raw = client.pack(query_id(10 * number + len(kind)))
@@ -31,18 +31,18 @@
                     "number": msgpack.packb([0, 1, "lookup", [{}, b""]]),
                     "params": msgpack.packb([0, 2, "lookup", {}]),
                 }[kind]
-                if held_s:
+                if delay_s:
                     client.sock.sendall(raw)
-                    time.sleep(held_s)
+                    time.sleep(delay_s)
                     raw = b""
                 client.sock.sendall(raw + bad)
-                assert answered(client), f"{kind}, {held_s} s later"
+                assert all_answered_before_close(client), f"{kind}, {delay_s} s later"
     finally:
         controller.end()
 
 
 class BigAnswers(ThreadedExecutor):
-    """An executor whose results are as large as they may be."""
+    """An executor that returns results of the maximum size."""
 
     def _answer(self, verb, path, fields):
         if verb == "GET" and path[-1] != "0":
@@ -51,24 +51,24 @@
         return answer.replace(b"X-Batches: 1", b"X-Batches: 8")
 
 
-def test_a_client_that_reads_late_gets_its_answers_while_it_waits_for_them(tmp_path):
+def test_client_that_reads_late_still_gets_its_answers_in_time(tmp_path):
     executor = BigAnswers()
     controller = Controller(tmp_path, [executor])
     try:
         client = ThreadedClient(controller, reads=False, receive_bytes=4096)
-        began = time.monotonic()
+        started_at = time.monotonic()
         for number in range(0, 160, 16):
             for each in range(number, number + 16):
                 client.send_request(query_id(each), "scene-build", 5800)
             time.sleep(0.1)
-        time.sleep(began + 4.6 - time.monotonic())
+        time.sleep(started_at + 4.6 - time.monotonic())
         client.read()
-        until(lambda: all(request.answers for request in client.requests.values()), 3.0)
+        wait_until(lambda: all(request.answers for request in client.requests.values()), 3.0)
     finally:
         controller.end()
 
 
-def test_what_bad_clients_leave_half_sent_ends_no_usual_clients_request(tmp_path):
+def test_partial_messages_of_bad_clients_do_not_end_other_clients_requests(tmp_path):
     executor = ThreadedExecutor(work_s=0.5)
     controller = Controller(tmp_path, [executor], sockets=512)
     bad = []
@@ -82,10 +82,10 @@
             sock.sendall(b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x00\x00\xff\xff" + b"x" * 64_000)
             bad.append(sock)
         time.sleep(0.2)
-        client.sock.sendall(raw[:45_000])  # now more is half sent than the program keeps
+        client.sock.sendall(raw[:45_000])  # partial messages now exceed the bound on buffered bytes
         time.sleep(0.2)
         client.sock.sendall(raw[45_000:])
-        until(lambda: client.requests[2].answers or client.ended_at)
+        wait_until(lambda: client.requests[2].answers or client.ended_at)
         assert request.answers and request.answers[0][2] == [ROWS, {}]
         assert client.requests[2].answers and client.requests[2].answers[0][2] == [ROWS, {}]
     finally:
@@ -94,7 +94,7 @@
             sock.close()
 
 
-def test_no_time_to_come_back_is_told_where_the_settings_allow_none(tmp_path):
+def test_rejections_carry_no_retry_time_when_the_settings_disallow_it(tmp_path):
     executor = ThreadedExecutor(serves=False)
     ceilings = SETTINGS["Ceilings"] | {"RetryAfter": False}
     controller = Controller(tmp_path, [executor], Ceilings=ceilings)
@@ -105,7 +105,7 @@
         controller.signal(signal.SIGTERM)
         time.sleep(1.2)
         requests.append(client.send_request(query_id(99)))
-        until(lambda: all(request.answers for request in requests))
+        wait_until(lambda: all(request.answers for request in requests))
         refused = [request.answers[0][1] for request in requests if request.answers[0][1][0] == "Shed"]
         assert len(refused) >= 10 and all(error == ["Shed", {}] for error in refused)
     finally:
@@ -113,24 +113,24 @@
 
 
 def bad_clients():
-    """Return what bad clients send, by kind, and whether they close behind it."""
-    ask = [0, 1, "lookup", [{"i": query_id(1), "d": "900", "t": "acme"}, b"select 1"]]
+    """Return the bytes that each kind of bad client sends."""
+    message = [0, 1, "lookup", [{"i": query_id(1), "d": "900", "t": "acme"}, b"select 1"]]
 
-    def bent(**fields):
-        return msgpack.packb([0, 1, "lookup", [ask[3][0] | fields, b"select 1"]])
+    def request_with(**fields):
+        return msgpack.packb([0, 1, "lookup", [message[3][0] | fields, b"select 1"]])
 
     return {
         "noise": GARBAGE,
         "silence": b"",
-        "half a request": msgpack.packb(ask)[:20],
+        "half a request": msgpack.packb(message)[:20],
         "a length that never comes": b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x00\x00\xff\xff",
         "a huge length": b"\x94\x00\x01\xa6lookup\x92\x80\xc6\xff\xff\xff\xff",
-        "no such class": msgpack.packb([0, 1, "nonesuch", ask[3]]),
-        "no such tenant": bent(t="nobody"),
-        "a negative time": bent(d="-5"),
-        "no number": bent(h="many"),
-        "out of range": bent(mb="9" * 40),
-        "no id": bent(i=""),
+        "no such class": msgpack.packb([0, 1, "nonesuch", message[3]]),
+        "no such tenant": request_with(t="nobody"),
+        "a negative time": request_with(d="-5"),
+        "no number": request_with(h="many"),
+        "out of range": request_with(mb="9" * 40),
+        "no id": request_with(i=""),
         "another shape": msgpack.packb([0, 1, "lookup", [1, 2, 3]]),
         "an array without end": b"\xdd\xff\xff\xff\xff",
         "nesting": b"\x91" * 5000,
@@ -138,26 +138,26 @@
     }
 
 
-def test_each_bad_client_is_turned_away_in_time_and_nobody_served(tmp_path):
+def test_bad_clients_are_rejected_in_time_and_none_is_served(tmp_path):
     executor = ThreadedExecutor()
     controller = Controller(tmp_path, [executor])
     try:
         host, port = controller.listen.rsplit(":", 1)
-        began, bad = time.monotonic(), {}
+        started_at, bad = time.monotonic(), {}
         for kind, raw in bad_clients().items():
             bad[kind] = socket.create_connection((host, int(port)))
             bad[kind].sendall(raw)
         client = ThreadedClient(controller)
         request = client.send_request(query_id(77))
         for kind, sock in bad.items():
-            sock.settimeout(max(0.01, began + 3.0 - time.monotonic()))
+            sock.settimeout(max(0.01, started_at + 3.0 - time.monotonic()))
             try:
                 data = sock.recv(65536)
             except ConnectionResetError:
                 data = b""
             assert not data or msgpack.unpackb(data, raw=False)[2] is not None, kind
             sock.close()
-        until(lambda: request.answers)
+        wait_until(lambda: request.answers)
         assert request.answers[0][2] == [ROWS, {}] and executor.queries() == [query_id(77)]
     finally:
         controller.end()
--- a/tests/node/test_terms_attempts.py
+++ b/tests/node/test_terms_attempts.py
@@ -1,4 +1,4 @@
-"""When an attempt may begin, and with what deadline, on real processes that stall and peers that are slow."""
+"""Start time and deadline of attempts, on real processes that stall and with slow peers."""
 
 import signal
 import time
@@ -10,28 +10,28 @@
     Controller,
     ThreadedClient,
     ThreadedExecutor,
-    stop,
-    until,
+    stop_process,
+    wait_until,
 )
 
 STALL_S = 0.6
 
 
-def told_too_much_s(request, post):
-    """Return by how much an executor was told a longer deadline than the client has left, in seconds."""
-    left = request.sent_at + request.wait_s - post.whole_at
-    return int(post.headers["X-Wait-Ms"]) / 1000.0 - left
+def deadline_excess_s(request, post):
+    """Return by how many seconds the deadline sent to an executor exceeds the client's time left."""
+    remaining_s = request.sent_at + request.wait_s - post.received_at
+    return int(post.headers["X-Wait-Ms"]) / 1000.0 - remaining_s
 
 
 @pytest.mark.parametrize("where", ["open", "new", "pieces"])
-def test_a_request_that_waited_unread_is_not_given_that_time_again(tmp_path, where):
+def test_time_a_request_waited_unread_counts_against_its_deadline(tmp_path, where):
     executor = ThreadedExecutor()
     controller = Controller(tmp_path, [executor])
     try:
         client = ThreadedClient(controller)
         client.send_request(query_id(1))
-        until(lambda: client.requests[1].answers)
-        stop(controller)
+        wait_until(lambda: client.requests[1].answers)
+        stop_process(controller)
         time.sleep(0.15)
         if where == "new":
             client = ThreadedClient(controller)
@@ -46,14 +46,14 @@
         time.sleep(STALL_S)
         controller.signal(signal.SIGCONT)
         request = client.requests[client.number]
-        until(lambda: request.answers)
+        wait_until(lambda: request.answers)
         assert executor.queries()[-1] == query_id(2)
-        assert told_too_much_s(request, executor.posts[-1]) <= DEADLINE_SLACK_S
+        assert deadline_excess_s(request, executor.posts[-1]) <= DEADLINE_SLACK_S
     finally:
         controller.end()
 
 
-LEAVES = ("forget", "close", "reset")
+WAYS_TO_LEAVE = ("forget", "close", "reset")
 
 
 def leave(client, how):
@@ -65,14 +65,14 @@
         client.close(how == "reset")
 
 
-def test_nothing_begins_for_who_left_while_the_process_stood_still(tmp_path):
+def test_no_attempt_starts_for_a_client_that_left_while_the_process_was_stopped(tmp_path):
     executor = ThreadedExecutor()
     controller = Controller(tmp_path, [executor])
     try:
-        for how in LEAVES:
+        for how in WAYS_TO_LEAVE:
             client = ThreadedClient(controller)
             time.sleep(0.1)
-            stop(controller)
+            stop_process(controller)
             for number in range(1, 31):
                 client.send_request(query_id(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
             leave(client, how)
@@ -84,18 +84,18 @@
         controller.end()
 
 
-@pytest.mark.parametrize("many", [1, 10])
-def test_nothing_begins_for_who_left_in_a_stall_while_the_connection_came_up(tmp_path, many):
+@pytest.mark.parametrize("request_count", [1, 10])
+def test_no_attempt_starts_for_a_client_that_left_in_a_stall_during_connect(tmp_path, request_count):
     ceilings = SETTINGS["Ceilings"] | {"DialTimeoutMs": 4000.0}
-    for how in LEAVES:
+    for how in WAYS_TO_LEAVE:
         executor = ThreadedExecutor(accepts=False)
         controller = Controller(tmp_path, [executor], Ceilings=ceilings)
         try:
             client = ThreadedClient(controller)
-            for number in range(many):
+            for number in range(request_count):
                 client.send_request(query_id(number), "scene-build", 5000, b"select '" + b"x" * 30_000 + b"'")
             time.sleep(0.4)
-            stop(controller)
+            stop_process(controller)
             leave(client, how)
             executor.accept()
             time.sleep(1.5)
--- a/tests/node/test_terms_discovery.py
+++ b/tests/node/test_terms_discovery.py
@@ -1,18 +1,18 @@
-"""A command channel that is slow or crowded, under the running program."""
+"""A command channel that answers slowly or only some requests, while the program runs."""
 
 import time
 
 from nodes import instance, query_id
-from processes import Controller, SlowChannel, ThreadedClient, ThreadedExecutor, until
+from processes import Controller, SlowChannel, ThreadedClient, ThreadedExecutor, wait_until
 
-COUNTS_AS_TOLD_S = 4.0  # protocol: behind the moment in which the channel went silent, or SIGHUP
-GRACE_S = 2.0  # of the settings
+ASSUMED_KNOWN_AFTER_S = 4.0  # protocol: after the channel went silent, or after SIGHUP
+GRACE_S = 2.0  # drain grace of the settings
 
 
-def drained_in_time(folder, slow_s):
-    """Have an executor drain while the channel lets questions wait; tell whether the drain was kept."""
+def is_drain_respected(folder, delay_s):
+    """Drain an executor while the channel delays its answers; return whether the drain was respected."""
     folder.mkdir()
-    channel, executor = SlowChannel(slow_s), ThreadedExecutor()
+    channel, executor = SlowChannel(delay_s), ThreadedExecutor()
     controller = Controller(folder, [executor])
     try:
         controller.write(channel=channel.address)
@@ -21,19 +21,19 @@
         channel.tell(2, instance("s-1", 1, "terminating") | {"hostPort": executor.address})
         client = ThreadedClient(controller)
         client.send_request(query_id(1))
-        until(lambda: client.requests[1].answers)
-        time.sleep(began + COUNTS_AS_TOLD_S + GRACE_S + 0.05 - time.monotonic())
-        late = ThreadedClient(controller).send_request(query_id(2), wait_ms=500)
-        until(lambda: late.answers)
+        wait_until(lambda: client.requests[1].answers)
+        time.sleep(began + ASSUMED_KNOWN_AFTER_S + GRACE_S + 0.05 - time.monotonic())
+        late_request = ThreadedClient(controller).send_request(query_id(2), wait_ms=500)
+        wait_until(lambda: late_request.answers)
         return executor.queries() == [query_id(1)]
     finally:
         controller.end()
         channel.sock.close()
 
 
-def test_a_drain_is_heard_of_through_a_channel_that_is_slow_to_answer(tmp_path):
-    assert drained_in_time(tmp_path / "slow", lambda number: 2.5)
+def test_drain_is_received_over_a_slow_channel(tmp_path):
+    assert is_drain_respected(tmp_path / "slow", lambda number: 2.5)
 
 
-def test_a_drain_is_heard_of_through_a_channel_that_answers_a_few(tmp_path):
-    assert drained_in_time(tmp_path / "crowded", lambda number: None if number % 3 else 1.9)
+def test_drain_is_received_over_a_channel_that_answers_few_requests(tmp_path):
+    assert is_drain_respected(tmp_path / "crowded", lambda number: None if number % 3 else 1.9)
--- a/tests/support/faulty.py
+++ b/tests/support/faulty.py
@@ -1,8 +1,8 @@
-"""System calls that fail as a file says, in a program of its own; `install` goes ahead of the program.
+"""Fault injection for system calls of a separate process; call `install` before the program starts.
 
-The file holds the name of an error by that of a call: while it does, the call fails so. "sizes" lets `send`
-and `recv` handle one byte at a time, "wall" steps the wall clock by so many seconds. `recv` fails on
-connections that the program made itself. Without an entry a call is the system's own.
+A JSON file maps the name of a call to the name of the error with which it fails while the entry is there.
+"sizes" makes `send` and `recv` handle one byte at a time; "wall" steps the wall clock by that many seconds.
+`recv` fails only on connections that the program opened itself. A call without an entry is not changed.
 """
 
 import builtins
@@ -15,31 +15,31 @@
 import time
 from pathlib import Path
 
-PLAIN, PLAIN_OPEN, PLAIN_PIPE, PLAIN_CLOCK = socket.socket, builtins.open, os.pipe, time.time
+REAL_SOCKET, REAL_OPEN, REAL_PIPE, REAL_CLOCK = socket.socket, builtins.open, os.pipe, time.time
 
 
 def install(path: str) -> None:
-    """Put the failing calls in the place of the system's."""
+    """Replace the system calls by ones that fail as the file at `path` says."""
     file = Path(path)
 
-    def trouble(call: str) -> str:
+    def configured_fault(call: str) -> str:
         try:
-            with PLAIN_OPEN(file, encoding="utf-8") as held:
-                return json.load(held).get(call, "")
+            with REAL_OPEN(file, encoding="utf-8") as stream:
+                return json.load(stream).get(call, "")
         except (OSError, ValueError):
             return ""
 
     def fail(call: str) -> None:
-        name = trouble(call)
+        name = configured_fault(call)
         if name:
             number = getattr(errno, name)
             raise OSError(number, os.strerror(number))
 
-    class FaultySocket(PLAIN):
-        def __init__(self, *args, **more) -> None:
-            if "fileno" not in more:
+    class FaultySocket(REAL_SOCKET):
+        def __init__(self, *args, **kwargs) -> None:
+            if "fileno" not in kwargs:
                 fail("socket")
-            super().__init__(*args, **more)
+            super().__init__(*args, **kwargs)
 
         def accept(self):
             fail("accept")
@@ -47,8 +47,8 @@
             return FaultySocket(self.family, self.type, self.proto, fileno=fd), address
 
         def connect_ex(self, address):
-            self.outward = True
-            name = trouble("connect")
+            self.is_outgoing = True
+            name = configured_fault("connect")
             return getattr(errno, name) if name else super().connect_ex(address)
 
         def setsockopt(self, *args):
@@ -57,58 +57,61 @@
 
         def send(self, data, *flags):
             fail("send")
-            return super().send(data[:1] if trouble("sizes") else data, *flags)
+            return super().send(data[:1] if configured_fault("sizes") else data, *flags)
 
         def recv(self, size, *flags):
-            if getattr(self, "outward", False) and not flags:
+            if getattr(self, "is_outgoing", False) and not flags:
                 fail("recv")
-            return super().recv(1 if trouble("sizes") and not flags else size, *flags)
+            return super().recv(1 if configured_fault("sizes") and not flags else size, *flags)
 
-    def faulty_open(name, *args, **more):
+    def faulty_open(name, *args, **kwargs):
         if str(name) == os.environ["RELAY_CONFIG"]:
             fail("open")
-        return PLAIN_OPEN(name, *args, **more)
+        return REAL_OPEN(name, *args, **kwargs)
 
     def faulty_pipe():
         fail("pipe")
-        return PLAIN_PIPE()
+        return REAL_PIPE()
 
-    def stepped() -> float:
-        return PLAIN_CLOCK() + float(trouble("wall") or 0.0)
+    def stepped_time() -> float:
+        return REAL_CLOCK() + float(configured_fault("wall") or 0.0)
 
-    time.time = stepped
+    time.time = stepped_time
     socket.socket, builtins.open, os.pipe = FaultySocket, faulty_open, faulty_pipe
 
 
 def install_disk(path: str) -> None:
-    """Let writes and syncs of files fail as the file says; "half" writes a half and kills the process."""
+    """Make file writes and syncs fail as the file at `path` says.
+
+    "half" writes half of the data and kills the process.
+    """
     from fennelwind.loop import realdisk
 
-    file, plain_write, plain_sync, plain_names = Path(path), os.write, realdisk._sync, os.fsync
+    file, real_write, real_sync, real_fsync = Path(path), os.write, realdisk._sync, os.fsync
 
     def fail(call: str) -> str:
         try:
-            held = json.loads(file.read_text(encoding="utf-8")).get(call, "")
+            fault = json.loads(file.read_text(encoding="utf-8")).get(call, "")
         except (OSError, ValueError):
             return ""
-        if held and held != "half":
-            raise OSError(getattr(errno, held), os.strerror(getattr(errno, held)))
-        return held
+        if fault and fault != "half":
+            raise OSError(getattr(errno, fault), os.strerror(getattr(errno, fault)))
+        return fault
 
     def write(fd: int, data) -> int:
         if not stat.S_ISREG(os.fstat(fd).st_mode):
-            return plain_write(fd, data)
+            return real_write(fd, data)
         if fail("write") == "half":
-            plain_write(fd, data[: max(1, len(data) // 2)])
+            real_write(fd, data[: max(1, len(data) // 2)])
             os.kill(os.getpid(), signal.SIGKILL)
-        return plain_write(fd, data)
+        return real_write(fd, data)
 
     def sync(fd: int) -> None:
         fail("sync")
-        plain_sync(fd)
+        real_sync(fd)
 
-    def sync_names(fd: int) -> None:
+    def fsync(fd: int) -> None:
         fail("sync")
-        plain_names(fd)
+        real_fsync(fd)
 
-    os.write, realdisk._sync, os.fsync = write, sync, sync_names
+    os.write, realdisk._sync, os.fsync = write, sync, fsync
--- a/tests/support/nodes.py
+++ b/tests/support/nodes.py
@@ -1,4 +1,4 @@
-"""A controller of the platform with scripted executors, command channel and clients, on the virtual loop."""
+"""Test harness: a controller with scripted executors, command channel and clients, on the virtual loop."""
 
 import json
 
@@ -10,7 +10,7 @@
 
 
 def serve_echo(spawn, listener):
-    """Say back what comes on each connection, for as long as the listener is open; `spawn` starts a task."""
+    """Echo what each connection sends until the listener is closed; `spawn` starts a task."""
 
     def serve(stream):
         try:
@@ -107,13 +107,13 @@
 
 
 class RecordingObserver:
-    """An observer that keeps what it is told."""
+    """An observer that records log lines, failed tasks and attempt statuses."""
 
     def __init__(self):
         self.lines, self.task_failures, self.attempt_statuses = [], [], []
 
-    def write(self, sort, text, most=0):
-        self.lines.append((sort, text))
+    def write(self, kind, text, most=0):
+        self.lines.append((kind, text))
 
     def logged(self, text):
         self.lines.append(("note", text))
@@ -129,9 +129,10 @@
 
 
 class Executor:
-    """An executor whose answers a script may spoil: `script(verb, path, number)` gives what is written.
+    """An executor whose answers a script may replace: `script(verb, path, number)` decides what is written.
 
-    It returns None for a good answer, bytes to write in its place, or "cut", "silent".
+    It returns None for the correct answer, bytes to write instead, "cut" to reset the connection, or
+    "silent" to write nothing.
     """
 
     def __init__(self, loop, number, port=9090, work_ms=20.0, pages=1, script=None):
@@ -175,18 +176,18 @@
                     data += stream.read()
                 body, data = data[:length], data[length:]
                 self.calls.append((verb, path))
-                good = self._answer(verb, path, fields, body)
-                told = self.script(verb, path, len(self.calls)) if self.script else None
-                if told == "cut":
+                correct = self._answer(verb, path, fields, body)
+                scripted = self.script(verb, path, len(self.calls)) if self.script else None
+                if scripted == "cut":
                     stream.abort()
                     return
-                if told == "silent":
+                if scripted == "silent":
                     continue
-                if good is None:  # a query is under way: 250 ms at most, as the protocol says
+                if correct is None:  # the query is running: the protocol has an answer within 250 ms
                     name = path.split("/")[2] if verb == "GET" else fields["X-Req"]
                     self.loop.sleep(max(0.0, min(250.0, self.started[name] + self.work_ms - self.loop.now())))
-                    good = self._news(name)
-                stream.write(good if told is None else told)
+                    correct = self._status(name)
+                stream.write(correct if scripted is None else scripted)
         except (StreamReset, DeadlineExceeded):
             pass
         finally:
@@ -214,7 +215,7 @@
         number = int(path.split("/")[3])
         return page(number) if number else None
 
-    def _news(self, name):
+    def _status(self, name):
         if name not in self.started:
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         if self.loop.now() < self.started[name] + self.work_ms:
@@ -236,7 +237,7 @@
 
 
 class Client:
-    """One connection of a client."""
+    """A client connection."""
 
     def __init__(self, loop, address=LISTEN):
         self.loop, self.stream = loop, loop.connect(address)
@@ -255,9 +256,9 @@
         if number is None:
             self.number += 1
             number = self.number
-        told = {"i": name, "d": str(timeout_ms), "t": "acme", "h": "10.0", "mb": "16"} | fields
-        told = {key: value for key, value in told.items() if value is not None}
-        self.stream.write(msgpack.packb([0, number, method, [told, statement]]))
+        sent = {"i": name, "d": str(timeout_ms), "t": "acme", "h": "10.0", "mb": "16"} | fields
+        sent = {key: value for key, value in sent.items() if value is not None}
+        self.stream.write(msgpack.packb([0, number, method, [sent, statement]]))
         return number
 
     def wait_for_answer(self, number, within_ms=5000.0):
@@ -267,9 +268,9 @@
                 if not data:
                     raise StreamReset("the controller closed the connection")
                 self.unpacker.feed(data)
-                for kind, at, error, result in self.unpacker:
-                    assert kind == 1 and at not in self.answers
-                    self.answers[at] = (error, result)
+                for kind, answered, error, result in self.unpacker:
+                    assert kind == 1 and answered not in self.answers
+                    self.answers[answered] = (error, result)
         return self.answers[number]
 
     def wait_until_closed(self, within_ms=5000.0):
@@ -282,15 +283,15 @@
                     return True
 
 
-def start_node(loop, instances, **told):
-    """Start a controller; return it."""
+def start_node(loop, instances, **config):
+    """Start a controller with these executors and configuration; return it."""
     log = RecordingObserver()
     loop.on_error = lambda task, exc: log.failed(task.name, exc)
-    node = Node(loop, read_config(config_text(instances, **told)), log)
+    node = Node(loop, read_config(config_text(instances, **config)), log)
     node.start()
     return node
 
 
 def query_id(number):
-    """Return a client's id."""
+    """Return the query id for a number."""
     return f"{number:016x}"
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -1,10 +1,10 @@
-"""Real processes over loopback: the command of `run` beside plain sockets of executors and clients.
+"""Test harness with real processes on loopback: the `run` command, executors and clients on plain sockets.
 
 Times are seconds of the system's monotonic clock, which all processes of a machine share. Bounds that a test
-compares with are written here and in the tests from the pages, never taken from the program's constants.
+compares with come from the protocol's documentation, never from the program's constants.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - lets the file be run by hand
 
 # isort: split
 
@@ -27,36 +27,36 @@
 from nodes import SETTINGS, config_text, first_page, instance, nodes_event
 from test_node_run import ROOT, WAIT_S, command, listening, serve_channel
 
-LONGEST_COUNTED_MS, KILL_MS = 3000.0, 700.0  # protocol: SIGKILL, counted from SIGTERM
-LEFT_S = 0.1  # standing: an attempt that begins later, after its client left, is lost
-DEADLINE_SLACK_S = 0.15  # terms: of the deadline that an executor is told
-LAST_DATA_RECEIVED = 52  # of tcp_info: the offset of the ms since data came last
-UNASKED_S = 2.0  # protocol: a query that is not asked for so long has gone
-UNTIL_STEP_S = 0.005
+MAX_COUNTED_TIMEOUT_MS, KILL_MARGIN_MS = 3000.0, 700.0  # protocol: from SIGTERM to SIGKILL
+MAX_START_AFTER_LEAVING_S = 0.1  # permanent check: from a client's leaving to the start of an attempt
+DEADLINE_SLACK_S = 0.15  # requirement: tolerance of the deadline sent to an executor
+LAST_DATA_RECEIVED_OFFSET = 52  # in tcp_info: the field with the ms since the last data arrived
+UNPOLLED_EXPIRY_S = 2.0  # protocol: an executor drops a query that is not polled for this long
+POLL_INTERVAL_S = 0.005
 
 
 @dataclass
 class Post:
-    """An attempt as it came to an executor."""
+    """An attempt as received by an executor."""
 
     query: str
-    whole_at: float
+    received_at: float
     headers: dict[str, str]
     executor: "ThreadedExecutor"
-    asked_at: float  # when it was last asked for
-    ended_at: float | None = None  # when its end was written, or it was given up
-    never_ran: bool = False  # and so its executor said
+    last_polled_at: float  # when the controller last polled its status
+    ended_at: float | None = None  # when its final answer was written or it was deleted
+    did_not_run: bool = False  # the executor answered that it never ran
 
     def out_until(self) -> float:
-        """Return until when the attempt is out, as the protocol has it."""
-        return self.asked_at + UNASKED_S if self.ended_at is None else self.ended_at
+        """Return until when the attempt counts as running, by the protocol."""
+        return self.last_polled_at + UNPOLLED_EXPIRY_S if self.ended_at is None else self.ended_at
 
 
 class ThreadedExecutor:
     """An executor on plain sockets.
 
-    `serves` False: it accepts and answers nothing; `accepts` False: its queue of connections is full until
-    `accept` is called, and what is dialled then comes up when the kernel tries again, a second later.
+    With `serves` False it accepts connections and answers nothing. With `accepts` False its backlog is full
+    until `accept` is called; connects made before then succeed at the kernel's next retry, a second later.
     """
 
     def __init__(self, work_s: float = 0.0, serves: bool = True, accepts: bool = True) -> None:
@@ -64,22 +64,22 @@
         self.sock, self.address = listening()
         self.sock.settimeout(None)
         self.posts: list[Post] = []
-        self.ends: dict[str, float] = {}
-        self.latest: dict[str, Post] = {}  # attempt by query
+        self.ends_at: dict[str, float] = {}
+        self.latest: dict[str, Post] = {}  # latest attempt by query id
         self.deleted: list[str] = []
-        self.held: list[socket.socket] = []
+        self.backlog_fillers: list[socket.socket] = []
         if accepts:
             self.accept()
         else:
             self.sock.listen(0)
-            self.held = [socket.socket() for _ in range(4)]
-            for sock in self.held:
+            self.backlog_fillers = [socket.socket() for _ in range(4)]
+            for sock in self.backlog_fillers:
                 sock.setblocking(False)
                 sock.connect_ex(self.sock.getsockname())
 
     def accept(self) -> None:
-        """Take connections from now on."""
-        for sock in self.held:
+        """Start accepting connections."""
+        for sock in self.backlog_fillers:
             sock.close()
         threading.Thread(target=self._accept, daemon=True).start()
 
@@ -100,16 +100,16 @@
         with peer, suppress(OSError):
             while True:
                 while b"\r\n\r\n" not in data:
-                    data += self._more(peer)
+                    data += self._receive(peer)
                 head, data = data.split(b"\r\n\r\n", 1)
                 first, *lines = head.decode().split("\r\n")
                 fields = dict(line.split(": ", 1) for line in lines)
                 length = int(fields.get("Content-Length", "0"))
                 while len(data) < length:
-                    data += self._more(peer)
+                    data += self._receive(peer)
                 data = data[length:]
                 verb, path, _ = first.split(" ")
-                fields["arrived"] = str(came_at(peer))
+                fields["arrived"] = str(last_data_received_at(peer))
                 answer = self._answer(verb, path, fields)
                 self._note_end(verb, fields["X-Req"] if verb == "POST" else path.split("/")[2], answer)
                 if self.serves:
@@ -121,10 +121,10 @@
             return
         if self.serves or verb == "DELETE":
             post.ended_at = time.monotonic()
-        post.never_ran = b"X-Not-Run: 1" in answer
+        post.did_not_run = b"X-Not-Run: 1" in answer
 
     @staticmethod
-    def _more(peer: socket.socket) -> bytes:
+    def _receive(peer: socket.socket) -> bytes:
         more = peer.recv(65536)
         if not more:
             raise OSError("ended")
@@ -136,16 +136,16 @@
             query = fields["X-Req"]
             self.latest[query] = Post(query, float(fields["arrived"]), fields, self, now)
             self.posts.append(self.latest[query])
-            self.ends[query] = now + self.work_s
+            self.ends_at[query] = now + self.work_s
         else:
             query = path.split("/")[2]
         if verb == "GET" and query in self.latest:
-            self.latest[query].asked_at = now
+            self.latest[query].last_polled_at = now
         if verb == "DELETE":
             self.deleted.append(query)
-            self.ends.pop(query, None)
+            self.ends_at.pop(query, None)
             return b"HTTP/1.1 204 Done\r\n\r\n"
-        ends = self.ends.get(query)
+        ends = self.ends_at.get(query)
         if ends is None:
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
         time.sleep(max(0.0, min(0.25, ends - now)))
@@ -155,60 +155,62 @@
 
 
 class SlowChannel:
-    """A channel that lets each question wait; `slow_s(k)` for the k-th, None: for ever."""
+    """A command channel that delays its answer to request k by `delay_s(k)` seconds; None: for ever."""
 
-    def __init__(self, slow_s):
-        self.slow_s, self.events, self.asked = slow_s, [], 0
+    def __init__(self, delay_s):
+        self.delay_s, self.events, self.request_count = delay_s, [], 0
         self.sock, self.address = listening()
         self.sock.settimeout(None)
         threading.Thread(target=self._accept, daemon=True).start()
 
     def tell(self, cursor, *instances):
-        """Add an event."""
+        """Publish an event."""
         self.events.append((cursor, json.dumps(nodes_event(cursor, instances)).encode()))
 
     def _accept(self):
         with suppress(OSError):
             while True:
                 peer, _ = self.sock.accept()
-                threading.Thread(target=self._serve, args=(peer, self.asked), daemon=True).start()
-                self.asked += 1
+                threading.Thread(target=self._serve, args=(peer, self.request_count), daemon=True).start()
+                self.request_count += 1
 
     def _serve(self, peer, number):
         with suppress(OSError):
             last = int(re.search(rb"Last-Event-ID: (\d+)", peer.recv(4096))[1])
-            slow = self.slow_s(number)
-            time.sleep(1000.0 if slow is None else slow)
+            delay = self.delay_s(number)
+            time.sleep(1000.0 if delay is None else delay)
             peer.sendall(b"HTTP/1.1 200 OK\r\n\r\n")
-            commented = 0.0
+            last_comment_at = 0.0
             while True:
                 for cursor, data in [event for event in self.events if event[0] > last]:
                     peer.sendall(b"id: %d\ndata: %s\n\n" % (cursor, data))
                     last = cursor
-                if time.monotonic() > commented + 1.0:
-                    commented = time.monotonic()
+                if time.monotonic() > last_comment_at + 1.0:
+                    last_comment_at = time.monotonic()
                     peer.sendall(b":\n\n")
                 time.sleep(0.02)
 
 
 class Controller:
-    """The command of `run` as a process; `before` is Python run in it ahead of the program."""
+    """The `run` command as a process; `before` is Python code that runs in it before the program."""
 
     def __init__(
-        self, folder, executors, *, before: str = "", instances=None, channel: str = "", **told: Any
+        self, folder, executors, *, before: str = "", instances=None, channel: str = "", **config: Any
     ) -> None:
         self.path = folder / "config.json"
-        self.channel, own = listening()
-        self.asked: list[tuple[bytes, socket.socket]] = []
+        self.channel, own_address = listening()
+        self.channel_requests: list[tuple[bytes, socket.socket]] = []
         free, self.listen = listening()
         free.close()
         instances = instances or [
             instance(f"s-{k}", k) | {"hostPort": each.address} for k, each in enumerate(executors, 1)
         ]
-        self.told = json.loads(config_text(instances, **told))
-        self.told |= {"listen": self.listen, "channel": channel or own}
+        self.config = json.loads(config_text(instances, **config))
+        self.config |= {"listen": self.listen, "channel": channel or own_address}
         self.write()
-        threading.Thread(target=serve_channel, args=(self.channel, self.asked), daemon=True).start()
+        threading.Thread(
+            target=serve_channel, args=(self.channel, self.channel_requests), daemon=True
+        ).start()
         line = command()
         if before:
             module = line[line.index("-m") + 1]
@@ -229,34 +231,34 @@
         self.expect("listening")
 
     def write(self, **changes: Any) -> None:
-        """Replace the configuration file, as a whole."""
+        """Replace the configuration file atomically."""
         fresh = self.path.with_suffix(".new")
-        fresh.write_text(json.dumps(self.told | changes), encoding="utf-8")
+        fresh.write_text(json.dumps(self.config | changes), encoding="utf-8")
         os.replace(fresh, self.path)
 
     def _read(self) -> None:
-        with suppress(ValueError):  # closed at the end
+        with suppress(ValueError):  # the pipe is closed by `end`
             for line in self.process.stderr:
                 self.lines.append(line)
 
     def expect(self, words: str) -> str:
-        """Wait until a line of the log holds the words; return it."""
-        until(lambda: any(words in line for line in self.lines) or self.process.poll() is not None)
-        until(lambda: any(words in line for line in self.lines), 1.0)
+        """Wait for a log line that contains `words`; return it."""
+        wait_until(lambda: any(words in line for line in self.lines) or self.process.poll() is not None)
+        wait_until(lambda: any(words in line for line in self.lines), 1.0)
         return next(line for line in self.lines if words in line)
 
     def signal(self, number: int) -> float:
-        """Send a signal; return when."""
+        """Send a signal; return the time."""
         self.process.send_signal(number)
         return time.monotonic()
 
     @staticmethod
-    def killed_after_s(longest_ms: float) -> float:
-        """Return how soon after SIGTERM SIGKILL may come, where classes wait so long at most."""
-        return (min(longest_ms, LONGEST_COUNTED_MS) + KILL_MS) / 1000.0
+    def killed_after_s(longest_timeout_ms: float) -> float:
+        """Return the shortest time from SIGTERM to SIGKILL, by the longest client timeout of any class."""
+        return (min(longest_timeout_ms, MAX_COUNTED_TIMEOUT_MS) + KILL_MARGIN_MS) / 1000.0
 
     def end(self) -> None:
-        """End the process, whatever state it is in."""
+        """Kill the process, also if it is stopped."""
         with suppress(ProcessLookupError):
             self.process.send_signal(signal.SIGCONT)
             self.process.kill()
@@ -273,11 +275,11 @@
     sent_at: float
     wait_s: float
     cls: str
-    answers: list[tuple[float, Any, Any]] = field(default_factory=list)  # when, error and result
+    answers: list[tuple[float, Any, Any]] = field(default_factory=list)  # time, error and result
 
 
 class ThreadedClient:
-    """A client's connection on a plain socket; a thread reads what comes."""
+    """A client connection on a plain socket; a thread reads the answers."""
 
     def __init__(self, controller: Controller, reads: bool = True, receive_bytes: int = 0) -> None:
         host, port = controller.listen.rsplit(":", 1)
@@ -295,7 +297,7 @@
             self.read()
 
     def read(self) -> None:
-        """Read what comes from now on."""
+        """Start reading answers."""
         self.reads = True
         threading.Thread(target=self._read, daemon=True).start()
 
@@ -322,20 +324,20 @@
         statement: bytes = b"select 1",
         work_ms: float = 10.0,
     ) -> bytes:
-        """Return the bytes of a request that counts as sent now."""
+        """Return the bytes of a request and record it as sent now."""
         self.number += 1
-        told = {"i": query, "d": f"{wait_ms:.0f}", "t": "acme", "h": f"{work_ms:.1f}", "mb": "16"}
-        raw = msgpack.packb([0, self.number, cls, [told, statement]])
+        fields = {"i": query, "d": f"{wait_ms:.0f}", "t": "acme", "h": f"{work_ms:.1f}", "mb": "16"}
+        raw = msgpack.packb([0, self.number, cls, [fields, statement]])
         self.requests[self.number] = Request(query, time.monotonic(), wait_ms / 1000.0, cls)
         return raw
 
-    def send_request(self, query: str, *args: Any, **more: Any) -> Request:
-        """Send a request. Raises `OSError` where the connection has ended, as the kernel knows."""
+    def send_request(self, query: str, *args: Any, **kwargs: Any) -> Request:
+        """Send a request. Raises `OSError` if the kernel already knows that the connection has ended."""
         poll = select.poll()
         poll.register(self.sock, select.POLLRDHUP)
         if poll.poll(0):
             raise ConnectionResetError("the controller has closed the connection")
-        raw = self.pack(query, *args, **more)
+        raw = self.pack(query, *args, **kwargs)
         request = self.requests[self.number]
         request.sent_at = time.monotonic()
         self.sock.sendall(raw)
@@ -346,43 +348,44 @@
         self.sock.sendall(msgpack.packb([2, "forget", [number]]))
 
     def close(self, reset: bool = False) -> None:
-        """Close the connection, by a reset if asked for."""
+        """Close the connection, with a TCP reset if `reset`."""
         with suppress(OSError):
             self.sock.shutdown(socket.SHUT_RD if reset else socket.SHUT_RDWR)
         if self.reads:
-            until(lambda: self.ended_at is not None)  # else the kernel would keep it for who reads
+            # otherwise the reading thread would keep the socket open
+            wait_until(lambda: self.ended_at is not None)
         if reset:
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         self.sock.close()
 
 
-def came_at(sock: socket.socket) -> float:
-    """Return when the last bytes came, by the kernel's account: a thread may have its turn much later."""
+def last_data_received_at(sock: socket.socket) -> float:
+    """Return when the last bytes arrived according to the kernel; this thread may run much later."""
     now = time.monotonic()
-    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED + 4)
-    return now - struct.unpack_from("I", info, LAST_DATA_RECEIVED)[0] / 1000.0
+    info = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, LAST_DATA_RECEIVED_OFFSET + 4)
+    return now - struct.unpack_from("I", info, LAST_DATA_RECEIVED_OFFSET)[0] / 1000.0
 
 
-def until(holds, within_s: float = WAIT_S) -> None:
-    """Wait for a state."""
+def wait_until(holds, within_s: float = WAIT_S) -> None:
+    """Wait until `holds()` is true."""
     end = time.monotonic() + within_s
     while not holds():
-        assert time.monotonic() < end, "it never came to be so"
-        time.sleep(UNTIL_STEP_S)
+        assert time.monotonic() < end, "the awaited state was not reached in time"
+        time.sleep(POLL_INTERVAL_S)
 
 
-def classes(**changes: Any) -> list[dict[str, Any]]:
-    """Return the settings' classes with some fields changed in all of them."""
-    return [grade | changes for grade in SETTINGS["Grades"]]
+def classes_with(**changes: Any) -> list[dict[str, Any]]:
+    """Return the classes of the settings with some fields replaced in each."""
+    return [query_class | changes for query_class in SETTINGS["Grades"]]
 
 
-def child_of(controller: Controller) -> str:
-    """Return the state letter of the process, as /proc tells it."""
+def process_state(controller: Controller) -> str:
+    """Return the state letter of the process from /proc."""
     with open(f"/proc/{controller.process.pid}/stat", encoding="ascii") as file:
         return re.match(r"\d+ \(.*\) (\w)", file.read())[1]
 
 
-def stop(controller: Controller) -> None:
-    """Let the process stand still until SIGCONT."""
+def stop_process(controller: Controller) -> None:
+    """Stop the process until SIGCONT and wait until it has stopped."""
     controller.signal(signal.SIGSTOP)
-    until(lambda: child_of(controller) == "T")
+    wait_until(lambda: process_state(controller) == "T")
