--- a/tests/node/test_endpoint_watch_races.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -1,7 +1,7 @@
-"""The list of executors when something comes between: silence, moves, gaps, spoilt events, bad files.
+"""Races of the endpoint watch: silence, moves of the channel, event gaps, corrupt events, invalid files.
 
 Each race is forced by the order of events, on the virtual loop or on loopback sockets; the last test
-samples them by seeds against the feed's own truth. `docs/design/crossings-list.md` lists them.
+samples them by seeds and compares with the feed's own list. `docs/design/crossings-list.md` lists them.
 """
 
 import copy
@@ -31,9 +31,9 @@
 from fennelwind.node.http1 import ServerEvent
 from fennelwind.node.watch_connection import CONNECT_MS, SILENCE_MS
 
-ELSEWHERE, THIRD = Address("127.0.0.7", 9092), Address("127.0.0.6", 9092)
+SECOND_CHANNEL, THIRD_CHANNEL = Address("127.0.0.7", 9092), Address("127.0.0.6", 9092)
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n"
-TOLD_MS = 4000.0  # ms after which what a silent or moved channel would have told counts as told
+ASSUMED_KNOWN_AFTER_MS = 4000.0  # protocol: when events withheld by a silent or moved channel count as known
 
 
 def run(main, seed=0, **how):
@@ -45,12 +45,12 @@
     return raw_event(cursor, nodes_event(cursor, instances, reset))
 
 
-def raw_event(number, told):
-    return b"id: %d\ndata: %s\n\n" % (number, told if isinstance(told, bytes) else json.dumps(told).encode())
+def raw_event(number, body):
+    return b"id: %d\ndata: %s\n\n" % (number, body if isinstance(body, bytes) else json.dumps(body).encode())
 
 
-class Running(Program):
-    """A program that is ended whatever comes."""
+class RunningProgram(Program):
+    """A program whose process `end` always kills."""
 
     def end(self):
         if self.process.poll() is None:
@@ -62,10 +62,10 @@
 
 
 class Feed:
-    """A command channel; `script(stream, number, last)` writes a connection, head included."""
+    """A command channel; `script(stream, number, last)` writes a connection, including the response head."""
 
     def __init__(self, loop, script, address=CHANNEL):
-        self.loop, self.script, self.asked, self.at = loop, script, [], []
+        self.loop, self.script, self.last_event_ids, self.requested_at = loop, script, [], []
         self.listener = loop.listen(address)
         loop.spawn(self._accept, name="feed")
 
@@ -75,38 +75,38 @@
                 stream = self.listener.accept()
             except StreamReset:
                 return
-            self.loop.spawn(self._tell, stream, name="feed: connection")
+            self.loop.spawn(self._serve, stream, name="feed: connection")
 
-    def _tell(self, stream):
+    def _serve(self, stream):
         try:
             head = stream.read().decode()
             if not head:
                 return
-            self.asked.append(int(head.split("Last-Event-ID: ")[1].split("\r\n")[0]))
-            self.at.append(self.loop.now())
-            self.script(stream, len(self.asked), self.asked[-1])
+            self.last_event_ids.append(int(head.split("Last-Event-ID: ")[1].split("\r\n")[0]))
+            self.requested_at.append(self.loop.now())
+            self.script(stream, len(self.last_event_ids), self.last_event_ids[-1])
         except StreamReset:
             pass
 
 
-def comments(loop, stream, times=10**6):
+def send_comments(loop, stream, times=10**6):
     for _ in range(times):
         loop.sleep(1000.0)
         stream.write(b": here\n\n")
 
 
-def steady(loop, events=(), first=2):
-    """A script that tells the events from `first` on, as asked, and goes on with comments."""
+def serve_steadily(loop, events=(), first=2):
+    """Return a script that sends the requested events, numbered from `first`, and then comments."""
 
     def script(stream, number, last):
         stream.write(HEAD + b"".join(events[max(0, last + 1 - first) :]))
-        comments(loop, stream)
+        send_comments(loop, stream)
 
     return script
 
 
 def states(node):
-    """What the module believes, by name."""
+    """Return the policy's engine states by name, without engines that are gone."""
     return {
         name: engine.endpoint.state
         for name, engine in node.driver.gateway.engines.items()
@@ -114,119 +114,127 @@
     }
 
 
-def holders(node):
-    """What the pool believes: executor, address, draining; all of them must be their addresses' holders."""
+def pool_entries(node):
+    """Return address and draining flag of the pool's executors; each must be the one at its address."""
     pool = node.executor_pool
     assert pool.by_address == {executor.address: executor for executor in pool.executors.values()}
     assert not any(executor.is_removed for executor in pool.executors.values())
     return {name: (str(executor.address), executor.is_draining) for name, executor in pool.executors.items()}
 
 
-def at(number, draining=False):
+def address_at(number, draining=False):
     return f"127.0.1.{number}:9090", draining
 
 
-# Moves.
+# Moves of the channel.
 
 
-@pytest.mark.parametrize("moves", [[ELSEWHERE], [THIRD, ELSEWHERE], [THIRD, CHANNEL, ELSEWHERE]])
-def test_a_connection_that_comes_up_after_a_move_is_not_followed(moves):
+@pytest.mark.parametrize(
+    "moves", [[SECOND_CHANNEL], [THIRD_CHANNEL, SECOND_CHANNEL], [THIRD_CHANNEL, CHANNEL, SECOND_CHANNEL]]
+)
+def test_connection_established_after_a_move_is_not_used(moves):
     def main(loop):
         old = Feed(loop, lambda stream, *_: loop.sleep(1500.0))
-        new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
+        new = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]), SECOND_CHANNEL)
         node = start_node(loop, [instance("s-1", 1)])
-        loop.sleep(20.0)  # a connect takes 100 ms here: it is under way
-        assert [watch.stream for watch in node.endpoint_watch._connections] == [None] and not old.asked
+        loop.sleep(20.0)  # a connect takes 100 ms here: it is in progress
+        assert [watch.stream for watch in node.endpoint_watch._connections] == [
+            None
+        ] and not old.last_event_ids
         for address in moves:
             node.endpoint_watch.move(address)
         loop.sleep(800.0)
-        assert old.asked == [] and new.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
+        assert (
+            old.last_event_ids == []
+            and new.last_event_ids == [1]
+            and set(node.executor_pool.executors) == {"s-1", "s-2"}
+        )
 
     run(main, latency_ms=50.0, jitter=0.0)
 
 
-def test_a_move_there_and_back_during_a_connect_keeps_the_connection():
+def test_move_and_move_back_during_connect_keeps_the_connection():
     def main(loop):
-        old = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]))
+        old = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]))
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
-        node.endpoint_watch.move(ELSEWHERE)
+        node.endpoint_watch.move(SECOND_CHANNEL)
         node.endpoint_watch.move(CHANNEL)
         loop.sleep(400.0)
-        assert old.asked == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
+        assert old.last_event_ids == [1] and set(node.executor_pool.executors) == {"s-1", "s-2"}
 
     run(main, latency_ms=50.0, jitter=0.0)
 
 
-def test_a_connect_that_is_never_answered_delays_a_move_by_its_time_alone():
+def test_unanswered_connect_delays_a_move_by_its_timeout_at_most():
     def main(loop):
         loop.unreachable.add(CHANNEL)
-        new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
+        new = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]), SECOND_CHANNEL)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1.0)
-        node.endpoint_watch.move(ELSEWHERE)
+        node.endpoint_watch.move(SECOND_CHANNEL)
         loop.sleep(CONNECT_MS + 20.0)
-        assert new.asked == [1] and node.endpoint_watch.cursor == 2
+        assert new.last_event_ids == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_a_move_to_an_address_that_refuses_at_first_is_tried_in_quick_steps():
+def test_move_to_a_refusing_address_restarts_with_short_backoff():
     def main(loop):
         node = start_node(loop, [instance("s-1", 1)])
-        loop.sleep(5000.0)  # nobody listens: the pauses are at their longest
+        loop.sleep(5000.0)  # nobody listens: the backoff has reached its maximum
         assert node.endpoint_watch._waiter is not None
-        node.endpoint_watch.move(ELSEWHERE)
+        node.endpoint_watch.move(SECOND_CHANNEL)
         loop.sleep(60.0)
-        new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
+        new = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]), SECOND_CHANNEL)
         loop.sleep(120.0)
-        assert new.asked == [1] and node.endpoint_watch.cursor == 2
+        assert new.last_event_ids == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_a_move_as_the_pause_ends_is_followed_at_once():
+def test_move_at_the_end_of_a_backoff_is_followed_at_once():
     def main(loop):
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(5000.0)
-        new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
+        new = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]), SECOND_CHANNEL)
         pause = node.endpoint_watch._waiter
-        pause.wake()  # as its timer does; the task has not run since
-        node.endpoint_watch.move(ELSEWHERE)
+        pause.wake()  # as its timer does; the task has not run yet
+        node.endpoint_watch.move(SECOND_CHANNEL)
         loop.sleep(20.0)
-        assert new.asked == [1] and node.endpoint_watch.cursor == 2
+        assert new.last_event_ids == [1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_a_second_file_while_the_first_move_is_under_way():
+def test_second_reload_during_the_first_move():
     def main(loop):
-        first = Feed(loop, lambda stream, *_: loop.sleep(1500.0), THIRD)
-        new = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]), ELSEWHERE)
-        Feed(loop, steady(loop))
+        first = Feed(loop, lambda stream, *_: loop.sleep(1500.0), THIRD_CHANNEL)
+        new = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]), SECOND_CHANNEL)
+        Feed(loop, serve_steadily(loop))
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1200.0)
-        node.reload(config_text([instance("s-1", 1)], channel=THIRD))
-        loop.sleep(20.0)  # connecting there
-        node.reload(config_text([instance("s-1", 1)], channel=ELSEWHERE))
+        node.reload(config_text([instance("s-1", 1)], channel=THIRD_CHANNEL))
+        loop.sleep(20.0)  # the connect to the first address is in progress
+        node.reload(config_text([instance("s-1", 1)], channel=SECOND_CHANNEL))
         loop.sleep(800.0)
-        assert first.asked == [] and new.asked == [1] and node.endpoint_watch.cursor == 2
+        assert first.last_event_ids == [] and new.last_event_ids == [1] and node.endpoint_watch.cursor == 2
 
     run(main, latency_ms=50.0, jitter=0.0)
 
 
-def test_a_move_between_connect_and_request_on_sockets():
+def test_move_between_connect_and_request_on_sockets():
     loop = RealLoop()
 
     def main():
         first, second = (loop.listen(Address("127.0.0.1", 0)) for _ in range(2))
-        asked = {first: [], second: []}
+        requests = {first: [], second: []}
 
         def serve(listener):
             while True:
                 stream = listener.accept()
-                asked[listener].append(stream.read())
-                if asked[listener][-1]:
+                requests[listener].append(stream.read())
+                if requests[listener][-1]:
                     stream.write(HEAD + event(1, [instance("s-2", 2)], reset=True))
 
         for listener in (first, second):
@@ -236,7 +244,7 @@
         def moved(address):
             loop.connect = connect
             stream = connect(address)
-            channel.move(second.address)  # it is up, and the task has not been back since
+            channel.move(second.address)  # the connection is established, but the task has not resumed
             return stream
 
         loop.connect = moved
@@ -254,7 +262,7 @@
         with loop.deadline(WAIT_S * 1000.0):
             while not lists:
                 loop.sleep(1.0)
-        assert asked[first] in ([], [b""]) and b"Last-Event-ID: 0\r\n" in asked[second][0]
+        assert requests[first] in ([], [b""]) and b"Last-Event-ID: 0\r\n" in requests[second][0]
         assert set(pool.executors) == {"s-2"}
 
     loop.run(main)
@@ -263,7 +271,7 @@
 # Silence.
 
 
-def dribble(loop, stream, *pieces):
+def write_slowly(loop, stream, *pieces):
     while True:
         for piece in pieces:
             loop.sleep(500.0)
@@ -276,27 +284,29 @@
     "after the head": lambda loop, stream: stream.write(HEAD),
     "after a comment": lambda loop, stream: stream.write(HEAD + b": here\n\n"),
     "within an event": lambda loop, stream: stream.write(HEAD + event(2, [instance("s-2", 2)])[:-9]),
-    "bytes of the head": lambda loop, stream: dribble(loop, stream, *(HEAD[n : n + 1] for n in range(30))),
-    "bytes of a line": lambda loop, stream: [stream.write(HEAD), dribble(loop, stream, b"d")],
-    "lines of an event": lambda loop, stream: [stream.write(HEAD), dribble(loop, stream, b"data: {\n")],
-    "empty lines": lambda loop, stream: [stream.write(HEAD), dribble(loop, stream, b"\n")],
+    "bytes of the head": lambda loop, stream: write_slowly(
+        loop, stream, *(HEAD[n : n + 1] for n in range(30))
+    ),
+    "bytes of a line": lambda loop, stream: [stream.write(HEAD), write_slowly(loop, stream, b"d")],
+    "lines of an event": lambda loop, stream: [stream.write(HEAD), write_slowly(loop, stream, b"data: {\n")],
+    "empty lines": lambda loop, stream: [stream.write(HEAD), write_slowly(loop, stream, b"\n")],
 }
 
 
 @pytest.mark.parametrize("way", SILENT)
-def test_two_silent_connections_are_got_over_before_what_they_hide_counts_as_told(way):
+def test_two_silent_connections_are_replaced_before_their_events_count_as_known(way):
     def main(loop):
-        fell = []
+        silent_since = []
 
         def script(stream, number, last):
             if number == 1:
                 stream.write(HEAD)
-                comments(loop, stream, 2)
-                fell.append(loop.now())
+                send_comments(loop, stream, 2)
+                silent_since.append(loop.now())
             elif number == 2:
                 SILENT[way](loop, stream)
             else:
-                steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
+                serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
                 return
             loop.sleep(1e6)
 
@@ -306,21 +316,21 @@
         began = loop.now()
         while node.endpoint_watch.cursor < 2:
             loop.sleep(10.0)
-            assert loop.now() < began + TOLD_MS
-        assert feed.asked == [1, 1, 1] and node.endpoint_watch.counts["silences"] == 2
-        assert loop.now() - fell[0] < 2 * SILENCE_MS + 100.0
+            assert loop.now() < began + ASSUMED_KNOWN_AFTER_MS
+        assert feed.last_event_ids == [1, 1, 1] and node.endpoint_watch.counts["silences"] == 2
+        assert loop.now() - silent_since[0] < 2 * SILENCE_MS + 100.0
 
     run(main)
 
 
 @pytest.mark.parametrize("way", SILENT)
-def test_silence_from_the_start_and_a_connect_without_an_answer_behind_it(way):
+def test_silent_first_connection_followed_by_unanswered_connects(way):
     def main(loop):
         def script(stream, number, last):
             if number == 1:
                 SILENT[way](loop, stream)
                 loop.sleep(1e6)
-            steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
+            serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
@@ -328,47 +338,47 @@
         loop.unreachable.add(CHANNEL)
         loop.sleep(900.0)  # the next connects go unanswered
         loop.unreachable.clear()
-        loop.sleep(TOLD_MS - SILENCE_MS - 850.0)
+        loop.sleep(ASSUMED_KNOWN_AFTER_MS - SILENCE_MS - 850.0)
         assert node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_silence_at_once_after_a_new_file():
+def test_silent_connection_right_after_a_reload():
     def main(loop):
         def script(stream, number, last):
             if number > 1:
-                steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
+                serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
             loop.sleep(1e6)
 
-        Feed(loop, steady(loop))
-        new = Feed(loop, script, ELSEWHERE)
+        Feed(loop, serve_steadily(loop))
+        new = Feed(loop, script, SECOND_CHANNEL)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1500.0)
-        node.reload(config_text([instance("s-1", 1)], channel=ELSEWHERE))
+        node.reload(config_text([instance("s-1", 1)], channel=SECOND_CHANNEL))
         loop.sleep(SILENCE_MS + 50.0)
-        assert new.asked == [1, 1] and node.endpoint_watch.cursor == 2
+        assert new.last_event_ids == [1, 1] and node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_a_long_list_that_comes_slowly_in_pieces_is_no_silence():
+def test_long_list_received_slowly_does_not_count_as_silence():
     def main(loop):
         many = [instance(f"s-{k}", k % 250, port=9000 + k) for k in range(100)]
 
         def script(stream, number, last):
             stream.write(HEAD)
-            told = event(2, many, reset=True)
-            for begin in range(0, len(told), 700):
-                stream.write(told[begin : begin + 700])
+            raw = event(2, many, reset=True)
+            for begin in range(0, len(raw), 700):
+                stream.write(raw[begin : begin + 700])
                 loop.sleep(300.0)
-            comments(loop, stream)
+            send_comments(loop, stream)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-0", 0)])
         loop.sleep(20000.0)
         assert (
-            len(feed.asked) == 1
+            len(feed.last_event_ids) == 1
             and node.endpoint_watch.cursor == 2
             and len(node.executor_pool.executors) == 100
         )
@@ -376,17 +386,17 @@
     run(main)
 
 
-def test_comments_alone_are_no_silence():
+def test_comments_alone_do_not_count_as_silence():
     def main(loop):
-        feed = Feed(loop, steady(loop))
+        feed = Feed(loop, serve_steadily(loop))
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(30_000.0)
-        assert feed.asked == [1] and not node.endpoint_watch.counts["silences"]
+        assert feed.last_event_ids == [1] and not node.endpoint_watch.counts["silences"]
 
     run(main)
 
 
-# Answers that are no stream of events, or end.
+# Answers that are not an event stream, or that end.
 
 
 @pytest.mark.parametrize(
@@ -405,20 +415,20 @@
         b"\x00" * 100,
     ],
 )
-def test_an_answer_that_ends_or_is_none_is_asked_for_again_with_pauses(answer):
+def test_invalid_or_ended_response_is_requested_again_with_backoff(answer):
     def main(loop):
         def script(stream, number, last):
             if number < 4:
                 stream.write(answer)
                 loop.sleep(1e6)  # the connection stays open
-            steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
+            serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(600.0)
-        assert feed.asked == [1] * 4 and set(node.executor_pool.executors) == {"s-1", "s-2"}
+        assert feed.last_event_ids == [1] * 4 and set(node.executor_pool.executors) == {"s-1", "s-2"}
         assert (
-            feed.at[3] - feed.at[0] > 3 * endpoint_watch.MIN_BACKOFF_MS
+            feed.requested_at[3] - feed.requested_at[0] > 3 * endpoint_watch.MIN_BACKOFF_MS
             and not node.endpoint_watch.counts["gaps"]
         )
 
@@ -436,7 +446,7 @@
         HEAD,
     ],
 )
-def test_a_channel_that_ends_each_time_is_not_asked_without_end(answer):
+def test_channel_that_always_closes_is_not_reconnected_in_a_tight_loop(answer):
     def main(loop):
         def script(stream, number, last):
             stream.write(answer)
@@ -445,13 +455,13 @@
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(10_000.0)
-        assert len(feed.asked) < 40
+        assert len(feed.last_event_ids) < 40
         assert not node.log.task_failures and "channel" in {task.name for task in loop.tasks}
 
     run(main)
 
 
-def test_whole_events_before_what_can_not_be_read_are_taken():
+def test_complete_events_before_malformed_bytes_are_applied():
     def main(loop):
         good = event(2, [instance("s-1", 1, "terminating")])
         chunked = HEAD[:-2] + b"Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\nzz\r\n" % (len(good), good)
@@ -465,7 +475,7 @@
             feed = Feed(loop, script)
             node = start_node(loop, [instance("s-1", 1)])
             loop.sleep(500.0)
-            assert feed.asked[:2] == [1, 2] and states(node) == {"s-1": "draining"}
+            assert feed.last_event_ids[:2] == [1, 2] and states(node) == {"s-1": "draining"}
             assert any("Malformed" in text for _, text in node.log.lines)
             feed.listener.close()
             node.frontend.listener.close()
@@ -473,9 +483,9 @@
     run(main)
 
 
-def test_a_channel_that_floods_stops_nobody():
+def test_flooding_channel_does_not_block_other_tasks():
     class Flood:
-        """A connection with always more to read than one read takes, as a socket without a wait."""
+        """A connection that always has more to read than one read returns, like a never-blocking socket."""
 
         reads = 0
 
@@ -504,28 +514,28 @@
     run(main)
 
 
-def test_an_error_that_nobody_thought_of_ends_one_connection_alone():
+def test_unexpected_error_ends_only_its_connection():
     def main(loop):
-        feed = Feed(loop, steady(loop, [event(2, [instance("s-2", 2)])]))
+        feed = Feed(loop, serve_steadily(loop, [event(2, [instance("s-2", 2)])]))
         node = start_node(loop, [instance("s-1", 1)])
-        place = node.executor_pool.add
+        real_add = node.executor_pool.add
 
-        def broken(*told):
-            node.executor_pool.add = place
-            raise RuntimeError("not thought of")
+        def broken(*args):
+            node.executor_pool.add = real_add
+            raise RuntimeError("unexpected")
 
         node.executor_pool.add = broken
         loop.sleep(200.0)
-        assert feed.asked == [1, 1] and set(states(node)) == {"s-1", "s-2"}
+        assert feed.last_event_ids == [1, 1] and set(states(node)) == {"s-1", "s-2"}
         assert any("RuntimeError" in text for _, text in node.log.lines)
 
     run(main)
 
 
-# Events that can't be read, or only in part.
+# Events that are malformed as a whole or in part.
 
 NAN, INFINITY = float("nan"), float("inf")
-SPOILT_LINES = {
+BAD_ENTRIES = {
     "no object": 5,
     "no name": {"lifecycle": "in_service"},
     "a name of no letters": {"instanceId": ""},
@@ -550,7 +560,7 @@
     "no port": {"hostPort": "127.0.1.9"},
     "a huge port": {"hostPort": "127.0.1.9:99999"},
 }
-SPOILT_EVENTS = {
+BAD_EVENTS = {
     "no JSON": b"{",
     "nothing": b"null",
     "a list": b"[]",
@@ -567,52 +577,56 @@
 }
 
 
-def spoilt_line(kind):
-    told = SPOILT_LINES[kind]
-    return instance("s-9", 9) | told if isinstance(told, dict) and kind != "no name" else told
+def bad_entry(kind):
+    entry = BAD_ENTRIES[kind]
+    return instance("s-9", 9) | entry if isinstance(entry, dict) and kind != "no name" else entry
 
 
-def spoilt_event(kind, number=2):
-    told = (
-        SPOILT_EVENTS[kind]
-        if kind in SPOILT_EVENTS
-        else nodes_event(number, [spoilt_line(kind), instance("s-1", 1, "terminating")])
+def bad_event(kind, number=2):
+    body = (
+        BAD_EVENTS[kind]
+        if kind in BAD_EVENTS
+        else nodes_event(number, [bad_entry(kind), instance("s-1", 1, "terminating")])
     )
-    return raw_event(number, told)
+    return raw_event(number, body)
 
 
 @pytest.mark.parametrize("numbered", [True, False])
-@pytest.mark.parametrize("kind", [*SPOILT_EVENTS, *SPOILT_LINES])
-def test_an_event_that_can_not_be_read_is_asked_for_again(kind, numbered):
+@pytest.mark.parametrize("kind", [*BAD_EVENTS, *BAD_ENTRIES])
+def test_malformed_event_is_requested_again(kind, numbered):
     def main(loop):
         def script(stream, number, last):
             if number == 1:
-                raw = spoilt_event(kind)
+                raw = bad_event(kind)
                 stream.write(HEAD + (raw if numbered else raw.partition(b"\n")[2]))
-                comments(loop, stream)
-            steady(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
+                send_comments(loop, stream)
+            serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(500.0)
-        drained = kind in SPOILT_LINES
-        assert feed.asked == [1, 1] and node.endpoint_watch.cursor == 2
+        drained = kind in BAD_ENTRIES
+        assert feed.last_event_ids == [1, 1] and node.endpoint_watch.cursor == 2
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "ready"}
-        assert holders(node) == {"s-1": at(1, drained), "s-2": at(2), "s-3": at(3)}
+        assert pool_entries(node) == {
+            "s-1": address_at(1, drained),
+            "s-2": address_at(2),
+            "s-3": address_at(3),
+        }
         assert not node.log.task_failures and not node.driver.step_errors
 
     run(main)
 
 
-@pytest.mark.parametrize("kind", [*SPOILT_EVENTS, *SPOILT_LINES])
-def test_an_event_that_can_never_be_read_makes_nobody_deaf(kind):
+@pytest.mark.parametrize("kind", [*BAD_EVENTS, *BAD_ENTRIES])
+def test_permanently_malformed_event_does_not_block_later_events(kind):
     def main(loop):
         feed = Feed(
             loop,
-            steady(
+            serve_steadily(
                 loop,
                 [
-                    spoilt_event(kind),
+                    bad_event(kind),
                     event(3, [instance("s-2", 2)]),
                     event(4, [instance("s-3", 3, "terminating")]),
                 ],
@@ -620,28 +634,28 @@
         )
         node = start_node(loop, [instance("s-1", 1), instance("s-3", 3)])
         loop.sleep(1000.0)
-        drained = kind in SPOILT_LINES
-        assert feed.asked == [1] * (MAX_RETRIES + 1) and node.endpoint_watch.cursor == 4
+        drained = kind in BAD_ENTRIES
+        assert feed.last_event_ids == [1] * (MAX_RETRIES + 1) and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining" if drained else "ready", "s-2": "ready", "s-3": "draining"}
         loop.sleep(10_000.0)
-        assert len(feed.asked) == MAX_RETRIES + 1 and not node.log.task_failures
+        assert len(feed.last_event_ids) == MAX_RETRIES + 1 and not node.log.task_failures
 
     run(main)
 
 
-def test_events_that_can_never_be_read_one_behind_the_other_are_not_each_asked_for_again():
+def test_consecutive_malformed_events_share_one_series_of_retries():
     def main(loop):
         bad = nodes_event(2, [instance("s-9", 9) | {"weight": "4"}, instance("s-2", 2)])
-        feed = Feed(loop, steady(loop, [raw_event(n, bad | {"cursor": n}) for n in range(2, 200)]))
+        feed = Feed(loop, serve_steadily(loop, [raw_event(n, bad | {"cursor": n}) for n in range(2, 200)]))
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 199
+        assert len(feed.last_event_ids) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 199
         assert set(states(node)) == {"s-1", "s-2"}
 
     run(main)
 
 
-def test_no_depth_of_an_event_is_an_error_of_the_readers():
+def test_nesting_of_any_depth_raises_no_error_in_the_parsers():
     read = 0
     for depth in range(50, 1000, 10):
         deep = "[" * depth + "]" * depth
@@ -653,28 +667,32 @@
     assert read
 
 
-def test_a_gap_behind_events_that_can_never_be_read_is_still_asked_for():
+def test_gap_after_a_permanently_malformed_event_is_still_requested():
     def main(loop):
-        told = [spoilt_event("weight nan"), event(3, [instance("s-3", 3)]), event(4, [instance("s-4", 4)])]
+        events = [bad_event("weight nan"), event(3, [instance("s-3", 3)]), event(4, [instance("s-4", 4)])]
 
         def script(stream, number, last):
-            stream.write(HEAD + (told[0] + told[2] if last == 1 else b"".join(told[last - 1 :])))
-            comments(loop, stream)
+            stream.write(HEAD + (events[0] + events[2] if last == 1 else b"".join(events[last - 1 :])))
+            send_comments(loop, stream)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert feed.asked == [1] * (MAX_RETRIES + 1) + [2] and set(states(node)) == {"s-1", "s-3", "s-4"}
+        assert feed.last_event_ids == [1] * (MAX_RETRIES + 1) + [2] and set(states(node)) == {
+            "s-1",
+            "s-3",
+            "s-4",
+        }
 
     run(main)
 
 
 @pytest.mark.parametrize("field", [{"zone": "mars"}, {"machineType": "huge"}, {"lifecycle": "asleep"}])
-def test_a_line_with_an_unknown_word_is_left_out_and_the_rest_taken_at_once(field):
+def test_entry_with_an_unknown_name_is_skipped_and_the_others_applied_at_once(field):
     def main(loop):
         feed = Feed(
             loop,
-            steady(
+            serve_steadily(
                 loop,
                 [
                     event(
@@ -685,7 +703,7 @@
         )
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
-        assert states(node) == {"s-1": "draining", "s-2": "ready"} and feed.asked == [1]
+        assert states(node) == {"s-1": "draining", "s-2": "ready"} and feed.last_event_ids == [1]
         assert any(next(iter(field)) in text for _, text in node.log.lines)
 
     run(main)
@@ -693,11 +711,11 @@
 
 @pytest.mark.parametrize("field", [{"zone": "mars"}, {"hostPort": 5}, {"weight": NAN}, {"startedAtMs": "x"}])
 @pytest.mark.parametrize("reset", [False, True])
-def test_a_drain_or_an_end_holds_though_the_rest_of_its_line_can_not_be_read(field, reset):
+def test_drain_or_end_applies_although_its_entry_is_otherwise_malformed(field, reset):
     def main(loop):
         Feed(
             loop,
-            steady(
+            serve_steadily(
                 loop,
                 [
                     event(
@@ -714,16 +732,19 @@
         )
         node = start_node(loop, [instance(f"s-{n}", n) for n in (1, 2, 3, 4)])
         loop.sleep(500.0)
-        wanted = {"s-1": "draining", "s-3": "ready"} | ({} if reset else {"s-4": "ready"})
-        assert states(node) == wanted and set(holders(node)) == set(wanted)
-        assert holders(node)["s-1"] == at(1, True) and node.endpoint_watch.cursor == 2
+        expected = {"s-1": "draining", "s-3": "ready"} | ({} if reset else {"s-4": "ready"})
+        assert states(node) == expected and set(pool_entries(node)) == set(expected)
+        assert pool_entries(node)["s-1"] == address_at(1, True) and node.endpoint_watch.cursor == 2
 
     run(main)
 
 
-def test_a_whole_list_with_a_line_that_names_nobody_takes_nobody_away():
+def test_full_list_with_an_unnamed_entry_removes_no_executor():
     def main(loop):
-        Feed(loop, steady(loop, [event(2, [instance("s-1", 1, "terminating"), {"instanceId": 5}], True)]))
+        Feed(
+            loop,
+            serve_steadily(loop, [event(2, [instance("s-1", 1, "terminating"), {"instanceId": 5}], True)]),
+        )
         node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(1000.0)
         assert node.endpoint_watch.cursor == 2 and states(node) == {"s-1": "draining", "s-2": "ready"}
@@ -734,7 +755,7 @@
 # Numbers.
 
 
-def test_a_drain_beyond_a_gap_holds_at_once_and_no_earlier_number_undoes_it():
+def test_drain_after_a_gap_applies_at_once_and_no_earlier_event_reverts_it():
     def main(loop):
         two, three = (
             event(2, [instance("s-1", 1), instance("s-2", 2)]),
@@ -744,40 +765,40 @@
         def script(stream, number, last):
             stream.write(HEAD + (three if number == 1 else two if number == 2 else two + three))
             if number == 2:
-                loop.sleep(1000.0)  # the break comes between the two
+                loop.sleep(1000.0)  # the connection breaks between the two events
                 stream.abort()
                 loop.sleep(500.0)
-            comments(loop, stream)
+            send_comments(loop, stream)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         lists, post = [], node.driver.post
-        node.endpoint_watch.endpoints.post = lambda told: (lists.append(told), post(told))
-        while not feed.asked:
+        node.endpoint_watch.endpoints.post = lambda update: (lists.append(update), post(update))
+        while not feed.last_event_ids:
             loop.sleep(1.0)
         loop.sleep(5.0)
         assert states(node) == {"s-1": "draining"} and node.endpoint_watch.cursor == 1
         loop.sleep(500.0)
         assert states(node) == {"s-1": "draining", "s-2": "draining"} and node.endpoint_watch.cursor == 2
         loop.sleep(2000.0)
-        assert node.endpoint_watch.cursor == 3 and feed.asked == [1, 1, 2]
-        assert {entry.state for told in lists for entry in told.engines} == {"draining"}
+        assert node.endpoint_watch.cursor == 3 and feed.last_event_ids == [1, 1, 2]
+        assert {entry.state for update in lists for entry in update.engines} == {"draining"}
         assert not node.endpoint_watch.endpoints.drained_ahead
 
     run(main)
 
 
-def test_an_executor_drained_ahead_is_ready_again_once_it_is_told():
+def test_executor_drained_ahead_of_a_gap_becomes_ready_by_a_later_event():
     def main(loop):
-        told = [
+        events = [
             event(2, [instance("s-2", 2)]),
             event(3, [instance("s-1", 1, "terminating")]),
             event(4, [instance("s-1", 1)]),
         ]
 
         def script(stream, number, last):
-            stream.write(HEAD + b"".join(told[1:2] if number == 1 else told[last - 1 :]))
-            comments(loop, stream)
+            stream.write(HEAD + b"".join(events[1:2] if number == 1 else events[last - 1 :]))
+            send_comments(loop, stream)
 
         Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
@@ -786,21 +807,21 @@
             states(node) == {"s-1": "ready", "s-2": "ready"}
             and not node.endpoint_watch.endpoints.drained_ahead
         )
-        assert holders(node) == {"s-1": at(1), "s-2": at(2)}
+        assert pool_entries(node) == {"s-1": address_at(1), "s-2": address_at(2)}
 
     run(main)
 
 
-def test_a_gap_that_stays_is_passed_over_after_some_tries():
+def test_permanent_gap_is_skipped_after_the_maximum_of_retries():
     def main(loop):
         def script(stream, number, last):
             stream.write(HEAD + event(4, [instance("s-1", 1, "terminating"), instance("s-4", 4)]))
-            comments(loop, stream)
+            send_comments(loop, stream)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(1000.0)
-        assert len(feed.asked) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 4
+        assert len(feed.last_event_ids) == MAX_RETRIES + 1 and node.endpoint_watch.cursor == 4
         assert states(node) == {"s-1": "draining", "s-4": "ready"}
 
     run(main)
@@ -808,34 +829,36 @@
 
 @pytest.mark.parametrize("reset", [False, True])
 @pytest.mark.parametrize(
-    "spoilt", [b"id: 999999999999999999\n", b"id: 500\n", b"id: 3\n", b"id: 0\n", b"id: x\n", b"", b"both"]
+    "bad_number_line",
+    [b"id: 999999999999999999\n", b"id: 500\n", b"id: 3\n", b"id: 0\n", b"id: x\n", b"", b"both"],
 )
-def test_a_spoilt_number_moves_nothing_on(spoilt, reset):
+def test_corrupt_event_number_does_not_advance_the_cursor(bad_number_line, reset):
     def main(loop):
         whole = event(2, [instance("s-1", 1, "terminating")], reset)
-        bad = spoilt + whole.partition(b"\n")[2]
-        if spoilt == b"both":
+        bad = bad_number_line + whole.partition(b"\n")[2]
+        if bad_number_line == b"both":
             bad = event(10**9, [instance("s-1", 1, "terminating")], reset)
 
         def script(stream, number, last):
             stream.write(HEAD + (bad if number == 1 else b"") + whole + event(3, [instance("s-2", 2)]))
-            comments(loop, stream)
+            send_comments(loop, stream)
 
         feed = Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(200.0)
-        harmless = spoilt in (b"id: x\n", b"", b"id: 0\n")  # told by the data alone, or a repeat
-        assert node.endpoint_watch.cursor == 3 and feed.asked == ([1] if harmless else [1, 1])
+        # the number in the data suffices, or it is a repeat
+        harmless = bad_number_line in (b"id: x\n", b"", b"id: 0\n")
+        assert node.endpoint_watch.cursor == 3 and feed.last_event_ids == ([1] if harmless else [1, 1])
         assert states(node) == {"s-1": "draining", "s-2": "ready"}
 
     run(main)
 
 
-def test_numbers_that_begin_anew_are_repeats_and_a_whole_list_may_skip_some():
+def test_restarted_numbers_are_repeats_and_a_full_list_may_skip_numbers():
     def main(loop):
         feed = Feed(
             loop,
-            steady(
+            serve_steadily(
                 loop,
                 [
                     event(2, [instance("s-1", 1, "terminating")]),
@@ -849,12 +872,12 @@
         node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         loop.sleep(200.0)
         assert (
-            feed.asked == [1]
+            feed.last_event_ids == [1]
             and node.endpoint_watch.counts["repeats"] == 2
             and node.endpoint_watch.cursor == 6
         )
         assert states(node) == {"s-1": "draining", "s-5": "draining"}
-        assert holders(node) == {"s-1": at(1, True), "s-5": at(5, True)}
+        assert pool_entries(node) == {"s-1": address_at(1, True), "s-5": address_at(5, True)}
 
     run(main)
 
@@ -873,74 +896,93 @@
 
 
 @pytest.mark.parametrize("kind", CHANGES)
-def test_an_address_given_on_is_the_new_ones(kind):
+def test_reused_address_belongs_to_the_new_executor(kind):
     def main(loop):
         *events, last = CHANGES[kind]
         reset = last == "reset"
         events = events if reset else [*events, last]
-        Feed(loop, steady(loop, [event(n, told, reset) for n, told in enumerate(events, 2)]))
+        Feed(
+            loop, serve_steadily(loop, [event(n, instances, reset) for n, instances in enumerate(events, 2)])
+        )
         node = start_node(loop, [instance("s-old", 1)])
         loop.sleep(200.0)
-        assert holders(node) == {"s-new": at(1)} and states(node) == {"s-new": "ready"}
+        assert pool_entries(node) == {"s-new": address_at(1)} and states(node) == {"s-new": "ready"}
 
     run(main)
 
 
-def test_two_executors_change_their_addresses_and_one_comes_back():
+def test_executors_swap_addresses_and_one_returns():
     def main(loop):
-        told = [
-            [instance("s-1", 2), instance("s-2", 1)],  # they change, under their ids
-            [instance("s-3", 2)],  # a new one where s-1 is, whose end is not told yet
-            [instance("s-1", 2), instance("s-3", 2, "terminated")],  # and it is there again
+        changes = [
+            [instance("s-1", 2), instance("s-2", 1)],  # they swap addresses and keep their ids
+            [instance("s-3", 2)],  # a new one at the address of s-1, whose end is not reported yet
+            [instance("s-1", 2), instance("s-3", 2, "terminated")],  # s-1 is back at its address
             [instance("s-2", 1, "terminated")],
             [instance("s-2", 1)],
-            [instance("s-1", 2, "terminated"), instance("s-1", 2, started=5_000)],  # anew, under its id
+            [
+                instance("s-1", 2, "terminated"),
+                instance("s-1", 2, started=5_000),
+            ],  # restarted under the same id
             [instance("s-2", 4)],
         ]
-        gate = []
+        released_events = []
 
         def script(stream, number, last):
             stream.write(HEAD)
-            for n, one in enumerate(told, 2):
-                while n - 1 > len(gate):
+            for n, instances in enumerate(changes, 2):
+                while n - 1 > len(released_events):
                     loop.sleep(5.0)
-                stream.write(event(n, one))
-            comments(loop, stream)
+                stream.write(event(n, instances))
+            send_comments(loop, stream)
 
         Feed(loop, script)
         node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         before = {}
 
-        def then(count):
+        def release_event(count):
             before.update(node.executor_pool.executors)
-            gate.append(count)
+            released_events.append(count)
             loop.sleep(20.0)
-            assert node.endpoint_watch.cursor == len(gate) + 1
+            assert node.endpoint_watch.cursor == len(released_events) + 1
             return states(node)
 
-        assert set(then(1)) == {"s-1", "s-2"} and holders(node) == {"s-1": at(2), "s-2": at(1)}
+        assert set(release_event(1)) == {"s-1", "s-2"} and pool_entries(node) == {
+            "s-1": address_at(2),
+            "s-2": address_at(1),
+        }
         assert before["s-1"].is_removed and before["s-2"].is_removed
-        assert set(then(2)) == {"s-1", "s-2", "s-3"}
-        assert set(then(3)) == {"s-1", "s-2"} and holders(node) == {"s-1": at(2), "s-2": at(1)}
-        assert set(then(4)) == {"s-1"} and before["s-2"].is_removed
-        assert set(then(5)) == {"s-1", "s-2"} and holders(node) == {"s-1": at(2), "s-2": at(1)}
-        assert set(then(6)) == {"s-1", "s-2"} and before["s-1"].is_removed
-        assert set(then(7)) == {"s-1", "s-2"} and holders(node) == {"s-1": at(2), "s-2": at(4)}
+        assert set(release_event(2)) == {"s-1", "s-2", "s-3"}
+        assert set(release_event(3)) == {"s-1", "s-2"} and pool_entries(node) == {
+            "s-1": address_at(2),
+            "s-2": address_at(1),
+        }
+        assert set(release_event(4)) == {"s-1"} and before["s-2"].is_removed
+        assert set(release_event(5)) == {"s-1", "s-2"} and pool_entries(node) == {
+            "s-1": address_at(2),
+            "s-2": address_at(1),
+        }
+        assert set(release_event(6)) == {"s-1", "s-2"} and before["s-1"].is_removed
+        assert set(release_event(7)) == {"s-1", "s-2"} and pool_entries(node) == {
+            "s-1": address_at(2),
+            "s-2": address_at(4),
+        }
 
     run(main)
 
 
-# What a file knows.
+# Events known from a configuration file.
 
 
 def known_text(cursor, events, channel=CHANNEL):
-    told = json.loads(config_text([], channel=channel))
-    return json.dumps(told | {"known": {"cursor": cursor, "cmds": events}})
+    config = json.loads(config_text([], channel=channel))
+    return json.dumps(config | {"known": {"cursor": cursor, "cmds": events}})
 
 
-def test_an_older_file_takes_nothing_back_and_a_newer_one_is_news():
+def test_older_config_reverts_nothing_and_a_newer_one_is_applied():
     def main(loop):
-        feed = Feed(loop, steady(loop, [event(2, [instance("s-1", 1, "terminating"), instance("s-2", 2)])]))
+        feed = Feed(
+            loop, serve_steadily(loop, [event(2, [instance("s-1", 1, "terminating"), instance("s-2", 2)])])
+        )
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
         node.reload(config_text([instance("s-1", 1)]))
@@ -955,52 +997,51 @@
         ]
         node.reload(known_text(4, newer))
         loop.sleep(20.0)
-        wanted = {"s-1": "draining", "s-2": "draining", "s-3": "ready"}
-        assert states(node) == wanted and node.endpoint_watch.cursor == 4 and feed.asked == [1]
+        expected = {"s-1": "draining", "s-2": "draining", "s-3": "ready"}
+        assert states(node) == expected and node.endpoint_watch.cursor == 4 and feed.last_event_ids == [1]
         for cursor, events in ((1, older), (9, older), (9, []), (4, newer)):
             node.reload(known_text(cursor, events))
             loop.sleep(20.0)
-            assert (
-                states(node) == wanted and node.endpoint_watch.cursor == 4
-            )  # what is missing, the channel tells
+            # the channel delivers missing events
+            assert states(node) == expected and node.endpoint_watch.cursor == 4
 
     run(main)
 
 
-def test_a_newer_file_that_leaves_some_out_is_left_to_the_channel_but_for_its_drains():
+def test_newer_config_with_missing_events_applies_only_its_drains():
     def main(loop):
-        Feed(loop, steady(loop))
+        Feed(loop, serve_steadily(loop))
         new = Feed(
             loop,
-            steady(
+            serve_steadily(
                 loop,
                 [
                     event(2, [instance("s-1", 1), instance("s-2", 2)]),
                     event(3, [instance("s-1", 1, "terminating")]),
                 ],
             ),
-            ELSEWHERE,
+            SECOND_CHANNEL,
         )
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
-        node.reload(known_text(3, [nodes_event(3, [instance("s-1", 1, "terminating")])], ELSEWHERE))
+        node.reload(known_text(3, [nodes_event(3, [instance("s-1", 1, "terminating")])], SECOND_CHANNEL))
         loop.soon(lambda: None)
         loop.sleep(0.1)
         assert states(node) == {"s-1": "draining"} and node.endpoint_watch.cursor == 1
         loop.sleep(50.0)
-        assert states(node) == {"s-1": "draining", "s-2": "ready"} and new.asked == [1]
+        assert states(node) == {"s-1": "draining", "s-2": "ready"} and new.last_event_ids == [1]
 
     run(main)
 
 
-def test_a_start_asks_for_what_comes_behind_the_last_event_known():
+def test_startup_requests_events_after_the_last_known_one():
     def main(loop):
-        feed = Feed(loop, steady(loop, [event(n, []) for n in range(2, 9)]))
+        feed = Feed(loop, serve_steadily(loop, [event(n, []) for n in range(2, 9)]))
         events = [
             nodes_event(3, [instance("s-1", 1)], True),
             nodes_event(4, [instance("s-1", 1, "terminating")]),
         ]
-        for cursor, told, asked in ((2, events, 4), (4, events, 4), (9, [], 0)):
+        for cursor, known, expected in ((2, events, 4), (4, events, 4), (9, [], 0)):
             log = RecordingObserver()
             loop.on_error = lambda task, exc, log=log: log.failed(task.name, exc)
             pool = ExecutorPool(loop, idle_timeout_ms=15e3, connect_timeout_ms=250.0, max_connections=10)
@@ -1013,11 +1054,11 @@
                 post=lambda _: None,
                 log_message=log.logged,
             )
-            channel.apply_known(cursor, tuple(told))
-            assert channel.cursor == asked
+            channel.apply_known(cursor, tuple(known))
+            assert channel.cursor == expected
             channel.start()
             loop.sleep(20.0)
-            assert feed.asked.pop() == asked and not log.task_failures
+            assert feed.last_event_ids.pop() == expected and not log.task_failures
 
     run(main)
 
@@ -1025,35 +1066,35 @@
 # On loopback sockets.
 
 
-class Script:
-    """A command channel on sockets, one connection after the other; each waits to be asked."""
+class ScriptedChannel:
+    """A command channel on sockets that serves one connection at a time; each waits for its request."""
 
     def __init__(self, *connections):
         self.sock, self.address = listening()
-        self.asked, self.connections, self.open = [], connections, []
+        self.last_event_ids, self.connections, self.open = [], connections, []
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self):
-        for told, then in self.connections:
+        for answer, then in self.connections:
             try:
                 peer, _ = self.sock.accept()
             except OSError:
                 return
             peer.settimeout(WAIT_S)
-            self.asked.append(int(re.search(rb"Last-Event-ID: (\d+)", peer.recv(4096))[1]))
-            peer.sendall(told)
+            self.last_event_ids.append(int(re.search(rb"Last-Event-ID: (\d+)", peer.recv(4096))[1]))
+            peer.sendall(answer)
             if then == "reset":
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-            if then == "open":  # until the controller gives it up, which may ask elsewhere first
+            if then == "open":  # until the controller closes it, possibly after connecting elsewhere
                 self.open.append(peer)
             else:
                 peer.close()
 
 
-def test_a_program_gets_its_list_whole_through_a_channel_that_fails_in_every_way(tmp_path):
+def test_program_receives_the_complete_list_over_a_faulty_channel(tmp_path):
     drain = event(2, [instance("s-1", 1, "terminating"), instance("s-2", 2)])
-    program = Running(tmp_path)
-    script = Script(
+    program = RunningProgram(tmp_path)
+    script = ScriptedChannel(
         (HEAD + drain[:-9], "reset"),
         (HEAD + raw_event(2, {"cursor": 2, "nodes": {"instances": 5}}), "open"),
         (b"HTTP/1.1 503 No\r\n\r\n", "close"),
@@ -1064,17 +1105,18 @@
         (HEAD + event(3, []) + event(4, [instance("s-1", 1, "terminated")]), "open"),
     )
     try:
-        told = json.loads(program.path.read_text("utf-8"))
-        program.path.write_text(json.dumps(told | {"channel": script.address}), "utf-8")
+        config = json.loads(program.path.read_text("utf-8"))
+        program.path.write_text(json.dumps(config | {"channel": script.address}), "utf-8")
         program.process.send_signal(signal.SIGHUP)
         program.expect(f"command channel at {script.address}")
-        program.expect("gap")  # the fifth brings number 3
-        program.expect("gap")  # the seventh brings number 4
-        while len(script.asked) < 8:
+        program.expect("gap")  # the fifth connection sends event 3
+        program.expect("gap")  # the seventh connection sends event 4
+        while len(script.last_event_ids) < 8:
             assert program.process.poll() is None
             time.sleep(0.01)
-        assert script.asked == [1, 1, 1, 1, 1, 1, 2, 2]
-        answer = program.call(pack_request(2, d="300"))  # s-1, which would answer, drains; s-2 is not there
+        assert script.last_event_ids == [1, 1, 1, 1, 1, 1, 2, 2]
+        # s-1, which would answer, is draining; s-2 does not exist
+        answer = program.call(pack_request(2, d="300"))
         assert answer is None or answer[2] is not None
         program.process.send_signal(signal.SIGTERM)
         program.process.send_signal(signal.SIGHUP)
@@ -1084,7 +1126,7 @@
         script.sock.close()
 
 
-# Files.
+# Configuration files.
 
 BASE = json.loads(config_text([instance("s-1", 1)]))
 MISSING = object()
@@ -1174,27 +1216,27 @@
 ]
 
 
-def with_field(told, path, value):
-    told = copy.deepcopy(told)
+def with_field(config, path, value):
+    config = copy.deepcopy(config)
     *parts, last = [int(part) if part.isdecimal() else part for part in re.findall(r"[^.\[\]]+", path)]
-    holder = told
+    parent = config
     for part in parts:
-        holder = holder[part]
+        parent = parent[part]
     if value is MISSING:
-        del holder[last]
+        del parent[last]
     else:
-        holder[last] = value
-    return told
+        parent[last] = value
+    return config
 
 
 @pytest.mark.parametrize(("path", "value"), BAD_FIELDS)
-def test_a_bad_field_of_a_file_is_named_as_it_is_in_the_file(path, value):
-    with pytest.raises(ConfigError) as told:
+def test_invalid_config_field_is_named_by_its_path(path, value):
+    with pytest.raises(ConfigError) as raised:
         read_config(json.dumps(with_field(BASE, path, value)))
-    assert re.match(re.escape(path) + r"(?![\w.\[])", str(told.value)), str(told.value)
+    assert re.match(re.escape(path) + r"(?![\w.\[])", str(raised.value)), str(raised.value)
 
 
-def test_a_file_bent_anywhere_is_read_or_refused():
+def test_config_corrupted_anywhere_is_parsed_or_rejected():
     paths = []
 
     def walk(value, path):
@@ -1238,33 +1280,33 @@
 @pytest.mark.parametrize(
     "text", ["", "{", json.dumps(BASE)[:-200], "[" * 200_000, '{"name": NaN}', "\ufeff{}", "null"]
 )
-def test_a_file_that_is_half_there_is_refused(text):
+def test_truncated_config_is_rejected(text):
     with pytest.raises(ConfigError):
         read_config(text)
 
 
 @pytest.mark.parametrize(("path", "value"), [one for one in BAD_FIELDS if one[0].startswith("known")])
-def test_a_bad_file_changes_nothing_and_tells_it_in_one_line(path, value):
+def test_invalid_config_changes_nothing_and_is_logged_in_one_line(path, value):
     def main(loop):
-        Feed(loop, steady(loop))
+        Feed(loop, serve_steadily(loop))
         node = start_node(loop, [instance("s-1", 1)])
         loop.sleep(20.0)
-        told = json.loads(
+        config = json.loads(
             known_text(
                 3,
                 [
                     nodes_event(2, [instance("s-2", 2)]),
                     nodes_event(3, [instance("s-1", 1, "terminating")], True),
                 ],
-                ELSEWHERE,
+                SECOND_CHANNEL,
             )
         )
         node.log.lines.clear()
-        node.reload(json.dumps(with_field(told, path.replace("[0].nodes", "[1].nodes"), value)))
+        node.reload(json.dumps(with_field(config, path.replace("[0].nodes", "[1].nodes"), value)))
         loop.sleep(20.0)
         assert states(node) == {"s-1": "ready"} and node.endpoint_watch.cursor == 1
         assert node.endpoint_watch.address == CHANNEL
-        assert [sort for sort, _ in node.log.lines] == ["reload"]
+        assert [kind for kind, _ in node.log.lines] == ["reload"]
         assert "as before: known" in node.log.lines[0][1]
 
     run(main)
@@ -1286,7 +1328,9 @@
         ),
     ],
 )
-def test_a_start_with_a_bad_file_is_one_line_that_names_the_field_and_exit_2(content, named, tmp_path):
+def test_startup_with_an_invalid_config_names_the_field_in_one_line_and_exits_with_2(
+    content, named, tmp_path
+):
     path = tmp_path / "config.json"
     path.write_bytes(content)
     done = subprocess.run(
@@ -1301,8 +1345,8 @@
     assert done.stderr.count("\n") == 1
 
 
-def test_a_running_program_outlives_every_bad_file(tmp_path):
-    program = Running(tmp_path)
+def test_running_program_survives_every_invalid_config(tmp_path):
+    program = RunningProgram(tmp_path)
     try:
         good = json.loads(program.path.read_text("utf-8"))
         moved, address = listening()
@@ -1338,7 +1382,7 @@
         program.end()
 
 
-def test_an_error_that_nobody_thought_of_in_a_reload_ends_no_program(tmp_path):
+def test_unexpected_error_in_a_reload_does_not_end_the_program(tmp_path):
     path = tmp_path / "config.json"
     sock, listen = listening()
     sock.close()
@@ -1361,7 +1405,7 @@
                 if words in line:
                     break
             else:
-                raise AssertionError(f"{words!r} never came")
+                raise AssertionError(f"{words!r} is not in the log")
             running.send_signal(number)
         assert running.wait(WAIT_S) == 0
     finally:
@@ -1370,55 +1414,58 @@
         running.stderr.close()
 
 
-# All of it at random.
+# Random sequences of all of these.
 
 
 class Platform:
-    """A platform whose list changes at random, and its channel, which fails at random; it knows the truth."""
+    """A platform with random changes of its list and random channel faults; `truth` is the correct list."""
 
     def __init__(self, loop, rng):
         self.loop, self.rng, self.quiet = loop, rng, False
         self.truth = {f"s-{n}": instance(f"s-{n}", n) for n in range(4)}
         self.events = [nodes_event(1, list(self.truth.values()), True)]
-        self.made, self.again = 4, set()  # executors so far; those that drained and were told ready again
+        # executors so far; those reported as ready again after a drain
+        self.executor_count, self.ready_again = (4, set())
         self.drained, self.faults, self.feeds = set(), {}, []
         self.open(CHANNEL)
 
     def open(self, address):
-        """Be at this address alone; old connections tell nothing and end after 1.5 s."""
+        """Serve at this address only; old connections send nothing more and end after 1.5 s."""
         for feed in self.feeds:
             feed.listener.close()
         turn = len(self.feeds)
-        self.feeds.append(Feed(self.loop, lambda *told: self._script(turn, *told), address))
+        self.feeds.append(Feed(self.loop, lambda *args: self._script(turn, *args), address))
 
     def change(self):
-        rng, told = self.rng, {}
+        rng, changes = self.rng, {}
         for _ in range(rng.randint(1, 3)):
             name = rng.choice(sorted(self.truth)) if self.truth else None
             draw = rng.random()
             if draw < 0.35 or name is None:
-                self.made += 1
-                told[f"s-{self.made}"] = instance(f"s-{self.made}", rng.choice([self.made, self.made + 100]))
+                self.executor_count += 1
+                changes[f"s-{self.executor_count}"] = instance(
+                    f"s-{self.executor_count}", rng.choice([self.executor_count, self.executor_count + 100])
+                )
             elif draw < 0.6:
-                told[name] = self.truth[name] | {"lifecycle": "terminating"}
+                changes[name] = self.truth[name] | {"lifecycle": "terminating"}
             elif draw < 0.7:
-                told[name] = self.truth[name] | {"lifecycle": "in_service"}
+                changes[name] = self.truth[name] | {"lifecycle": "in_service"}
             elif draw < 0.8:
-                self.made += 1
-                told[name] = self.truth[name] | {"hostPort": f"127.0.1.{self.made}:9090"}
+                self.executor_count += 1
+                changes[name] = self.truth[name] | {"hostPort": f"127.0.1.{self.executor_count}:9090"}
             else:
-                told[name] = self.truth[name] | {"lifecycle": "terminated"}
-                if rng.random() < 0.5:  # its address goes on to a new one
-                    self.made += 1
-                    told[f"s-{self.made}"] = instance(f"s-{self.made}", 1) | {
+                changes[name] = self.truth[name] | {"lifecycle": "terminated"}
+                if rng.random() < 0.5:  # a new executor takes over its address
+                    self.executor_count += 1
+                    changes[f"s-{self.executor_count}"] = instance(f"s-{self.executor_count}", 1) | {
                         "hostPort": self.truth[name]["hostPort"]
                     }
-        lines = list(told.values())
+        lines = list(changes.values())
         rng.shuffle(lines)
         for line in lines:
             name = line["instanceId"]
             if line["lifecycle"] == "in_service" and name in self.drained:
-                self.again.add(name)
+                self.ready_again.add(name)
             if line["lifecycle"] == "terminating":
                 self.drained.add(name)
             if line["lifecycle"] == "terminated":
@@ -1489,24 +1536,24 @@
 
 
 @pytest.mark.parametrize("seed", range(30))
-def test_what_is_believed_is_the_list_told_last(seed):
+def test_endpoints_match_the_platforms_last_list(seed):
     def main(loop):
         rng = random.Random(seed)
         platform = Platform(loop, rng)
         node = start_node(loop, list(platform.truth.values()))
         seen, wrong, post = {}, [], node.driver.post
 
-        def watch(told):
-            if isinstance(told, policy.EngineListUpdate):
-                for entry in told.engines:
+        def check_states(update):
+            if isinstance(update, policy.EngineListUpdate):
+                for entry in update.engines:
                     back = entry.state == "ready" and seen.get(entry.engine) in ("draining", "gone")
-                    if back and entry.engine not in platform.again:
+                    if back and entry.engine not in platform.ready_again:
                         wrong.append((loop.now(), entry.engine, seen[entry.engine]))
                     seen[entry.engine] = entry.state
-            post(told)
+            post(update)
 
-        node.endpoint_watch.endpoints.post = watch
-        addresses = [CHANNEL, ELSEWHERE, THIRD]
+        node.endpoint_watch.endpoints.post = check_states
+        addresses = [CHANNEL, SECOND_CHANNEL, THIRD_CHANNEL]
         for _ in range(120):
             loop.sleep(rng.expovariate(1 / 150.0))
             if rng.random() < 0.04:
@@ -1514,13 +1561,13 @@
                 platform.open(address)
                 known = platform.events[: rng.randint(1, len(platform.events))]
                 node.reload(known_text(len(known), known, address))
-                if rng.random() < 0.3:  # and once more, while it is under way
+                if rng.random() < 0.3:  # once more while the first reload is in progress
                     loop.sleep(rng.uniform(0.0, 3.0))
                     node.reload(known_text(1, platform.events[:1], address))
             else:
                 platform.change()
         platform.quiet = True
-        loop.sleep(TOLD_MS + 50.0)
+        loop.sleep(ASSUMED_KNOWN_AFTER_MS + 50.0)
         truth = platform.truth
         assert node.endpoint_watch.cursor == len(platform.events) and not wrong
         assert states(node) == {
--- a/tests/node/test_frontend_races.py
+++ b/tests/node/test_frontend_races.py
@@ -16,7 +16,6 @@
 
 import msgpack
 import pytest
-from fennelwind.loop.real import READ
 from nodes import (
     ROWS,
     Client,
@@ -33,6 +32,7 @@
 
 from fennelwind.limits import connection_slots
 from fennelwind.loop import Address, RealLoop, StreamReset
+from fennelwind.loop.real import READ
 from fennelwind.node import client_connection, frontend, lifecycle, shutdown
 from fennelwind.node.config import read_config
 from fennelwind.node.lifecycle import Node
