--- a/tests/node/test_sampled_races.py
+++ b/tests/node/test_sampled_races.py
@@ -4,7 +4,7 @@
 from unittest.mock import patch
 
 import pytest
-from crossings_play import Play, play
+from crossings_play import RaceSimulation, simulate
 
 from fennelwind.node import (
     attempt,
@@ -22,27 +22,29 @@
 
 
 def test_sampled_races_break_no_rule():
-    violations = [f"seed {seed}: {fault}" for seed in SEEDS for fault in play(seed)]
+    violations = [f"seed {seed}: {violation}" for seed in SEEDS for violation in simulate(seed)]
     assert not violations, "\n".join(violations)
 
 
 def test_same_seed_gives_the_same_run():
     def outcome():
-        run = Play(5)
-        faults, record = run.run(), run.record
-        requests = [(one.name, one.sent, one.answers) for one in record.asked.values()]
-        attempts = [(one.first, one.address) for posted in record.posted.values() for one in posted]
-        return faults, run.events, requests, attempts
+        run = RaceSimulation(5)
+        violations, record = run.run(), run.record
+        requests = [(one.name, one.sent, one.answers) for one in record.requests.values()]
+        attempts = [
+            (one.sent, one.address) for sent_attempts in record.attempts.values() for one in sent_attempts
+        ]
+        return violations, run.events, requests, attempts
 
     assert outcome() == outcome()
 
 
-class LooserSettings(Play):
+class LooserSettings(RaceSimulation):
     """A run whose controller gets looser settings than those that its behaviour is checked against."""
 
     ceilings, class_changes = {}, {}
 
-    def stated(self):
+    def controller_settings(self):
         return self.settings | {
             "Ceilings": self.settings["Ceilings"] | self.ceilings,
             "Grades": [cls | self.class_changes for cls in self.settings["Grades"]],
@@ -81,58 +83,62 @@
     "a keyed query is sent again after its window": ("window", looser(MemorySpanMs=4000.0), nullcontext()),
     "a drain is not heard": (
         "drain",
-        Play,
+        RaceSimulation,
         patch.dict(wire_names.ENDPOINT_STATES, terminating=EngineState.READY),
     ),
     "what is called off is not ended": (
         "two out",
-        Play,
+        RaceSimulation,
         patch.object(cancellation_queue.CancellationQueue, "add", wake_at_once),
     ),
     "connections do not rest": (
         "foreign rows",
-        Play,
+        RaceSimulation,
         patch.object(executor_pool.ExecutorPool, "check_in", check_in_not_idle),
     ),
     "more connections than there is room for": (
         "connections",
-        Play,
+        RaceSimulation,
         patch.object(lifecycle, "EXECUTORS_SHARE", 0.9),
     ),
     "a second final answer": (
         "second answer",
-        Play,
+        RaceSimulation,
         patch.object(client_connection.ClientConnection, "answer", answer_twice),
     ),
     "answers go late": (
         "late",
-        Play,
+        RaceSimulation,
         patch.object(client_connection.ClientConnection, "answer", answer_late),
     ),
     "a client's forget is not heard": (
         "client gone",
-        Play,
+        RaceSimulation,
         patch.object(client_connection.ClientConnection, "_handle_notification", lambda *_: None),
     ),
-    "the program ends at once": ("lost", Play, patch.object(lifecycle.Node, "shut_down", lambda _: None)),
+    "the program ends at once": (
+        "lost",
+        RaceSimulation,
+        patch.object(lifecycle.Node, "shut_down", lambda _: None),
+    ),
     "nobody asks whether the client is there before the first byte": (
         "client gone",
-        Play,
+        RaceSimulation,
         patch.object(attempt.Attempt, "_reason_not_to_send", lambda _: ""),
     ),
     "nobody asks whether the window has passed before the first byte": (
         "window",
-        Play,
+        RaceSimulation,
         patch.object(attempt.Attempt, "_reason_not_to_send", lambda _: ""),
     ),
     "an attempt counts as given up while its executor may run it": (
         "two out",
-        Play,
+        RaceSimulation,
         patch.object(attempt, "UNPOLLED_EXPIRY_MS", 0.0),
     ),
     "ids of open requests are kept": (
         "left over",
-        Play,
+        RaceSimulation,
         patch.object(
             client_connection.ClientConnection, "_forget_query", lambda self, _: self._update_idle()
         ),
@@ -146,4 +152,4 @@
     first = FIRST_SEED.get(rule, 0)
     seeds = range(first, first + MAX_RUNS)
     with change:
-        assert any(fault.rule == rule for seed in seeds for fault in play_class(seed).run())
+        assert any(violation.rule == rule for seed in seeds for violation in play_class(seed).run())
--- a/tests/support/crossings_oracle.py
+++ b/tests/support/crossings_oracle.py
@@ -1,7 +1,7 @@
-"""What was seen on the sockets of clients and executors, and what of it must not be. No code of the core's.
+"""Records what crossed the sockets of clients and executors and checks it against the rules.
 
-All times are those of the virtual loop, in ms. A request counts from its last byte, an attempt from the first
-byte of its POST. `judge` returns the faults, each with the rule that it breaks.
+Uses no code of the program. All times are those of the virtual loop, in ms. A request counts from its last
+byte, an attempt from the first byte of its POST. `check` returns the violations, each with the broken rule.
 """
 
 from collections import defaultdict
@@ -9,13 +9,13 @@
 from itertools import combinations
 from typing import Any, NamedTuple
 
-SLACK_MS = 50.0  # by which every time limit is extended, as the protocol states
-LEFT_MS = 100.0  # ms after a client's leaving in which an attempt may still begin
-UNASKED_MS = 2000.0  # ms after which an executor gives up what nobody asks for
+SLACK_MS = 50.0  # protocol: tolerance of every time limit
+MAX_START_AFTER_LEAVING_MS = 100.0  # an attempt may still start for so long after its client left
+UNPOLLED_EXPIRY_MS = 2000.0  # an executor drops an attempt that is not polled for so long
 
 
-class Fault(NamedTuple):
-    """A rule that was broken."""
+class Violation(NamedTuple):
+    """A broken rule."""
 
     rule: str
     at: float
@@ -26,55 +26,55 @@
 
 
 @dataclass(eq=False)
-class Asked:
-    """A request as its client knows it."""
+class ClientRequest:
+    """A request as its client sees it."""
 
     name: str
     cls: str
     number: int
-    sent: float  # its last byte
+    sent: float  # time of its last byte
     due: float
-    link: Any  # the client's connection
-    first: bool = False  # on its connection
-    left: float | None = None  # withdrawn, or its connection closed by the client
-    answers: list[tuple[float, str, bytes]] = field(default_factory=list)  # time, kind and result
+    connection: Any  # the client's
+    is_first: bool = False  # on its connection
+    left_at: float | None = None  # cancelled, or connection closed by the client
+    answers: list[tuple[float, str, bytes]] = field(default_factory=list)  # time, kind and rows
 
 
 @dataclass(eq=False)
-class Posted:
-    """An attempt as it left the controller."""
+class SentAttempt:
+    """An attempt as sent by the controller."""
 
     name: str
     address: Any
-    first: float
-    not_run: float | None = None  # when its executor wrote that it never ran
+    sent: float  # time of its first byte
+    not_run: float | None = None  # when its executor answered that it never ran
 
     def may_have_run(self, at: float) -> bool:
         return self.not_run is None or self.not_run > at
 
 
 @dataclass(eq=False)
-class Run:
-    """An attempt that arrived whole at an executor."""
+class ExecutorRun:
+    """An attempt that arrived completely at an executor."""
 
     name: str
     engine: str
     arrived: float
-    asked: float  # when it was last asked for
-    posted: Posted
+    last_polled: float
+    attempt: SentAttempt
     pages: list[bytes]
-    ends: float  # when its work ends
+    work_ends: float
     mode: str
-    told: float | None = None  # its end was written
-    given_up: float | None = None  # deleted, lapsed, or its executor died
+    answered: float | None = None  # when its final answer was written
+    dropped: float | None = None  # when it was deleted, it expired, or its executor died
 
-    def out_until(self) -> float:
-        ends = [at for at in (self.told, self.given_up) if at is not None]
-        return min(ends, default=self.asked + UNASKED_MS - SLACK_MS)
+    def running_until(self) -> float:
+        ends = [at for at in (self.answered, self.dropped) if at is not None]
+        return min(ends, default=self.last_polled + UNPOLLED_EXPIRY_MS - SLACK_MS)
 
 
-class Told(NamedTuple):
-    """What the controller has read of an executor."""
+class EndpointReport(NamedTuple):
+    """An event about an executor that the controller has read."""
 
     at: float
     instance: str
@@ -84,119 +84,152 @@
 
 @dataclass
 class Record:
-    """All that was seen, and the settings it is judged by."""
+    """All that was recorded, and the settings that it is checked against."""
 
     settings: dict[str, Any]
-    effects: dict[str, dict[str, Any]]  # classes as the settings have them, by name
-    asked: dict[str, Asked] = field(default_factory=dict)
-    posted: dict[str, list[Posted]] = field(default_factory=lambda: defaultdict(list))
-    runs: dict[str, list[Run]] = field(default_factory=lambda: defaultdict(list))
-    told: list[Told] = field(default_factory=list)
-    places: dict[Any, tuple[str, int]] = field(default_factory=dict)  # zone and cell by address
-    faults: list[Fault] = field(default_factory=list)
-    links_open: int = 0
-    links_most: int = 0
-    ended: float | None = None  # when the program had ended
-
-    def fault(self, rule: str, at: float, text: str) -> None:
-        self.faults.append(Fault(rule, at, text))
-
-    def judge(self) -> list[Fault]:
-        """Return all faults."""
-        for asked in self.asked.values():
-            self._answered(asked)
-            self._sent(asked)
-        for name, posted in self.posted.items():
-            if name not in self.asked:
-                self.fault("unasked", posted[0].first, f"{name} was sent on, and no client asked for it")
-            for one in posted:
-                self._drained(one)
-        return sorted(self.faults, key=lambda fault: fault.at)
-
-    def _answered(self, asked: Asked) -> None:
-        link, posted = asked.link, self.posted.get(asked.name, [])
-        if len(asked.answers) > 1:
-            self.fault("second answer", asked.answers[1][0], f"{asked.name} on {link.kind}")
-        if not asked.answers:
-            if asked.left is not None:
+    classes: dict[str, dict[str, Any]]  # classes of the settings, by name
+    requests: dict[str, ClientRequest] = field(default_factory=dict)
+    attempts: dict[str, list[SentAttempt]] = field(default_factory=lambda: defaultdict(list))
+    runs: dict[str, list[ExecutorRun]] = field(default_factory=lambda: defaultdict(list))
+    endpoint_reports: list[EndpointReport] = field(default_factory=list)
+    locations: dict[Any, tuple[str, int]] = field(default_factory=dict)  # zone and cell by address
+    violations: list[Violation] = field(default_factory=list)
+    open_connections: int = 0  # to executors
+    max_open_connections: int = 0
+    ended: float | None = None  # when the program ended
+
+    def add_violation(self, rule: str, at: float, text: str) -> None:
+        self.violations.append(Violation(rule, at, text))
+
+    def check(self) -> list[Violation]:
+        """Return all violations, in order of time."""
+        for request in self.requests.values():
+            self._check_answers(request)
+            self._check_attempts(request)
+        for name, attempts in self.attempts.items():
+            if name not in self.requests:
+                self.add_violation(
+                    "unasked", attempts[0].sent, f"{name} was forwarded, but no client sent it"
+                )
+            for attempt in attempts:
+                self._check_drain(attempt)
+        return sorted(self.violations, key=lambda violation: violation.at)
+
+    def _check_answers(self, request: ClientRequest) -> None:
+        connection, attempts = request.connection, self.attempts.get(request.name, [])
+        if len(request.answers) > 1:
+            self.add_violation("second answer", request.answers[1][0], f"{request.name} on {connection.kind}")
+        if not request.answers:
+            if request.left_at is not None:
                 return
-            crossed = link.closed is not None and asked.sent >= link.closed - SLACK_MS and not posted
-            # An answer that can't be passed on through no fault of the controller's own has failed, by the
-            # protocol: the client took none of what lay before it, until the last moment there was.
-            untaken = link.took_nothing and self.ended is not None and asked.due < link.closed
-            if not crossed and not untaken:
-                sent = ", ".join(f"{one.first:.1f}" for one in posted) or "never"
-                self.fault(
+            is_crossed = (
+                connection.closed_at is not None
+                and request.sent >= connection.closed_at - SLACK_MS
+                and not attempts
+            )
+            # By the protocol an answer counts as failed, and not as lost, if the controller could not deliver
+            # it through no fault of its own: the client read nothing of the data before it, until the end.
+            is_undeliverable = (
+                connection.is_pipe_full and self.ended is not None and request.due < connection.closed_at
+            )
+            if not is_crossed and not is_undeliverable:
+                sent = ", ".join(f"{attempt.sent:.1f}" for attempt in attempts) or "never"
+                self.add_violation(
                     "lost",
-                    asked.due,
+                    request.due,
                     (
-                        f"{asked.name} {asked.cls} of {asked.sent:.1f} on {link.kind}, "
-                        f"closed at {link.closed}, sent on at: {sent}"
+                        f"{request.name} {request.cls} of {request.sent:.1f} on {connection.kind}, "
+                        f"closed at {connection.closed_at}, forwarded at: {sent}"
                     ),
                 )
             return
-        at, kind, body = asked.answers[0]
-        if asked.left is None and not link.pauses and at > asked.due + SLACK_MS:
-            self.fault("late", at, f"{asked.name} {asked.cls} {kind}, due {asked.due:.1f}")
-        made = [b"".join(run.pages) for run in self.runs.get(asked.name, ()) if run.told is not None]
-        if kind == "served" and body not in made:
-            self.fault("foreign rows", at, f"{asked.name}: {body[:60]!r}")
-        effect = self.effects[asked.cls]
-        free = effect["Effect"] == "repeatable" or effect["Effect"] == "by_key" and effect["Group"] == "all"
-        if kind == "Shed" and not free and any(one.may_have_run(at) for one in posted if one.first <= at):
-            self.fault("refusal", at, f"{asked.name} {asked.cls} may have run")
-        for one in posted:
-            if one.first > at + SLACK_MS:
-                self.fault("after its answer", one.first, f"{asked.name} {kind} at {at:.1f}")
-
-    def _sent(self, asked: Asked) -> None:
-        posted, effect = self.posted.get(asked.name, []), self.effects[asked.cls]
-        sort, most = effect["Effect"], self.settings["Ceilings"]["MaxAttempts"]
-        if len(posted) > most:
-            self.fault("attempts", posted[most].first, f"{asked.name} was sent {len(posted)} times of {most}")
-        for number, one in enumerate(posted):
-            if asked.left is not None and one.first > asked.left + LEFT_MS:
-                after = one.first - asked.left
-                self.fault(
+        at, kind, body = request.answers[0]
+        if request.left_at is None and not connection.reads_slowly and at > request.due + SLACK_MS:
+            self.add_violation("late", at, f"{request.name} {request.cls} {kind}, due {request.due:.1f}")
+        results = [b"".join(run.pages) for run in self.runs.get(request.name, ()) if run.answered is not None]
+        if kind == "served" and body not in results:
+            self.add_violation("foreign rows", at, f"{request.name}: {body[:60]!r}")
+        query_class = self.classes[request.cls]
+        is_retry_safe = (
+            query_class["Effect"] == "repeatable"
+            or query_class["Effect"] == "by_key"
+            and query_class["Group"] == "all"
+        )
+        if (
+            kind == "Shed"
+            and not is_retry_safe
+            and any(attempt.may_have_run(at) for attempt in attempts if attempt.sent <= at)
+        ):
+            self.add_violation("refusal", at, f"{request.name} {request.cls} may have run")
+        for attempt in attempts:
+            if attempt.sent > at + SLACK_MS:
+                self.add_violation("after its answer", attempt.sent, f"{request.name} {kind} at {at:.1f}")
+
+    def _check_attempts(self, request: ClientRequest) -> None:
+        attempts, query_class = self.attempts.get(request.name, []), self.classes[request.cls]
+        effect_kind, max_attempts = query_class["Effect"], self.settings["Ceilings"]["MaxAttempts"]
+        if len(attempts) > max_attempts:
+            self.add_violation(
+                "attempts",
+                attempts[max_attempts].sent,
+                f"{request.name} was sent {len(attempts)} times of {max_attempts}",
+            )
+        for number, attempt in enumerate(attempts):
+            if request.left_at is not None and attempt.sent > request.left_at + MAX_START_AFTER_LEAVING_MS:
+                after = attempt.sent - request.left_at
+                self.add_violation(
                     "client gone",
-                    one.first,
-                    (f"{asked.name} attempt {number} {after:.0f} ms after its leaving, {asked.link.kind}"),
+                    attempt.sent,
+                    (
+                        f"{request.name} attempt {number} {after:.0f} ms after its client left, "
+                        f"{request.connection.kind}"
+                    ),
                 )
-            if one.first > asked.due + SLACK_MS and not asked.link.pauses:  # else it was read late
-                self.fault("past its time", one.first, f"{asked.name}, due {asked.due:.1f}")
-            before = [other for other in posted[:number] if other.may_have_run(one.first)]
-            if before and sort == "once":
-                self.fault("twice", one.first, f"{asked.name} may have run at {before[0].address}")
-            if before and sort == "by_key":
-                window = effect["MemorySpanMs"]
-                after = one.first - before[0].first
+            if (
+                attempt.sent > request.due + SLACK_MS and not request.connection.reads_slowly
+            ):  # otherwise it was read late
+                self.add_violation("past its time", attempt.sent, f"{request.name}, due {request.due:.1f}")
+            before = [other for other in attempts[:number] if other.may_have_run(attempt.sent)]
+            if before and effect_kind == "once":
+                self.add_violation(
+                    "twice", attempt.sent, f"{request.name} may have run at {before[0].address}"
+                )
+            if before and effect_kind == "by_key":
+                window = query_class["MemorySpanMs"]
+                after = attempt.sent - before[0].sent
                 if after > window + SLACK_MS:
-                    self.fault("window", one.first, f"{asked.name}: after {after:.0f} ms of {window:.0f}")
-                part = {"all": 0, "zone": 1, "cell": 2}[effect["Group"]]
-                place = self.places[one.address][:part]
-                if any(self.places[other.address][:part] != place for other in before):
-                    self.fault("group", one.first, f"{asked.name} left its {effect['Group']}")
-        if sort == "once" or not self.settings["Ceilings"]["ParallelTries"]:
-            runs = sorted(self.runs.get(asked.name, ()), key=lambda run: run.arrived)
+                    self.add_violation(
+                        "window", attempt.sent, f"{request.name}: after {after:.0f} ms of {window:.0f}"
+                    )
+                group_depth = {"all": 0, "zone": 1, "cell": 2}[query_class["Group"]]
+                group = self.locations[attempt.address][:group_depth]
+                if any(self.locations[other.address][:group_depth] != group for other in before):
+                    self.add_violation(
+                        "group", attempt.sent, f"{request.name} left its {query_class['Group']}"
+                    )
+        if effect_kind == "once" or not self.settings["Ceilings"]["ParallelTries"]:
+            runs = sorted(self.runs.get(request.name, ()), key=lambda run: run.arrived)
             for earlier, later in combinations(runs, 2):
-                if later.arrived < earlier.out_until():
-                    self.fault(
+                if later.arrived < earlier.running_until():
+                    self.add_violation(
                         "two out",
                         later.arrived,
                         (
-                            f"{asked.name} {asked.cls}: out at {earlier.engine} ({earlier.mode}) from "
-                            f"{earlier.arrived:.1f} to {earlier.out_until():.1f}, then at {later.engine}"
+                            f"{request.name} {request.cls}: ran at {earlier.engine} ({earlier.mode}) from "
+                            f"{earlier.arrived:.1f} to {earlier.running_until():.1f}, then at {later.engine}"
                         ),
                     )
 
-    def _drained(self, one: Posted) -> None:
-        """Judge by all that had been told of who is at the address."""
-        last: dict[str, Told] = {}
-        for told in self.told:
-            if told.at <= one.first and told.address == one.address:
-                if told.instance in last and last[told.instance].state != "in_service" != told.state:
-                    continue  # the first telling counts
-                last[told.instance] = told
+    def _check_drain(self, attempt: SentAttempt) -> None:
+        """Check an attempt against all events about executors at its address."""
+        last: dict[str, EndpointReport] = {}
+        for report in self.endpoint_reports:
+            if report.at <= attempt.sent and report.address == attempt.address:
+                if report.instance in last and last[report.instance].state != "in_service" != report.state:
+                    continue  # the first report of a drain or end counts
+                last[report.instance] = report
         grace = self.settings["Rules"]["DrainGraceMs"] + SLACK_MS
-        if all(told.state != "in_service" and one.first > told.at + grace for told in last.values()):
-            self.fault("drain", one.first, f"{one.name} to {one.address}: {list(last.values())}")
+        if all(report.state != "in_service" and attempt.sent > report.at + grace for report in last.values()):
+            self.add_violation(
+                "drain", attempt.sent, f"{attempt.name} to {attempt.address}: {list(last.values())}"
+            )
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -47,7 +47,7 @@
     ended_at: float | None = None  # when its final answer was written or it was deleted
     did_not_run: bool = False  # the executor answered that it never ran
 
-    def out_until(self) -> float:
+    def running_until(self) -> float:
         """Return until when the attempt counts as running, by the protocol."""
         return self.last_polled_at + UNPOLLED_EXPIRY_S if self.ended_at is None else self.ended_at
 
--- a/tests/support/shutdown_soak.py
+++ b/tests/support/shutdown_soak.py
@@ -259,8 +259,8 @@
         if len(posts) > self.ceilings["MaxAttempts"]:
             yield f"{label}: {len(posts)} attempts"
         for before, post in pairwise(posts):
-            if not self.ceilings["ParallelTries"] and post.received_at < before.out_until() - slack:
-                yield f"{label}: two attempts running, {before.out_until() - post.received_at:.3f} s"
+            if not self.ceilings["ParallelTries"] and post.received_at < before.running_until() - slack:
+                yield f"{label}: two attempts running, {before.running_until() - post.received_at:.3f} s"
         for post in posts:
             if post.received_at > self.drained.get(post.executor, float("inf")) + self.drain_grace_s + slack:
                 yield f"{label}: sent to a draining executor"
