--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -101,10 +101,10 @@
     def connect_client(self):
         return Client(self.loop, self.listen)
 
-    def until(self, what):
-        """Wait until `what()` is true."""
+    def until(self, holds):
+        """Wait until `holds()` is true."""
         with self.loop.deadline(60000.0):
-            while not what():
+            while not holds():
                 self.loop.sleep(1.0)
 
     def advance_clock(self, ms):
@@ -133,17 +133,17 @@
 
 
 @pytest.fixture(params=["virtual", "sockets"])
-def play(request):
-    def played(main):
+def run_on_loop(request):
+    def run_main(main):
         loop = SimLoop(7) if request.param == "virtual" else RealLoop()
         loop.run(main, loop)
 
-    return played
+    return run_main
 
 
 @pytest.mark.parametrize("cancel", [True, False])
 @pytest.mark.parametrize("leave", ["forget", "close", "reset"])
-def test_nothing_is_sent_for_a_client_that_left_during_connect(play, leave, cancel):
+def test_nothing_is_sent_for_a_client_that_left_during_connect(run_on_loop, leave, cancel):
     def main(loop):
         scenario = Scenario(loop, ceilings={"Cancel": cancel})
         client = scenario.connect_client()
@@ -155,7 +155,7 @@
         scenario.assert_idle()
         assert not scenario.ran and scenario.log.attempt_statuses == ["cancelled" if cancel else "moot"]
 
-    play(main)
+    run_on_loop(main)
 
 
 def leave_as(client, how, number):
@@ -185,7 +185,7 @@
     loop.run(main, loop)
 
 
-def test_keyed_query_is_not_sent_again_after_its_deduplication_window(play):
+def test_keyed_query_is_not_sent_again_after_its_deduplication_window(run_on_loop):
     def main(loop):
         def answer_error(verb, path, number):
             return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n" if verb == "POST" else None
@@ -193,14 +193,14 @@
         scenario = Scenario(loop, extra_classes=[KEYED], scripts=[answer_error, answer_error])
         scenario.allow_connections()
         client = scenario.connect_client()
-        held = Once(loop)
+        second_allowed = Once(loop)
         first = []
 
         def connect(address):
             if address in scenario.executor_numbers:
                 if first and first[0] != scenario.executor_numbers[address]:
                     scenario.connects.append("second")
-                    held.wait()
+                    second_allowed.wait()
                 first.append(scenario.executor_numbers[address])
             return scenario.real_connect(address)
 
@@ -209,7 +209,7 @@
         scenario.until(lambda: "second" in scenario.connects)
         assert scenario.ran == [query_id(1)]
         scenario.advance_clock(21000.0)
-        held.set()
+        second_allowed.set()
         error, _ = client.wait_for_answer(number, 60000.0)
         scenario.assert_idle()
         assert (
@@ -218,18 +218,18 @@
             and scenario.log.attempt_statuses[:2] == ["error", "moot"]
         )
 
-    play(main)
+    run_on_loop(main)
 
 
-def test_further_attempts_that_connect_at_once_respect_the_retry_budget(play):
+def test_further_attempts_that_connect_at_once_respect_the_retry_budget(run_on_loop):
     def main(loop):
-        holding = []
+        answered_error = []
 
         def answer_error_once(k):
             def script(verb, path, number):
                 if verb != "POST" or scenario.ran.count(scenario.executors[k].ran[-1]) > 1:
                     return None
-                holding.append(True)
+                answered_error.append(True)
                 return b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"
 
             return script
@@ -244,30 +244,30 @@
             scripts=[answer_error_once(k) for k in range(4)],
             Rules=rules,
         )
-        waiting, go = [], Once(loop)
+        waiting, connects_allowed = [], Once(loop)
 
         def connect(address):
-            if address in scenario.executor_numbers and holding:
+            if address in scenario.executor_numbers and answered_error:
                 waiting.append(address)
-                go.wait()
+                connects_allowed.wait()
             return scenario.real_connect(address)
 
         loop.connect = connect
         sent = []
         for k in range(2):
-            holding.clear()
+            answered_error.clear()
             client = scenario.connect_client()
             sent.append((client, client.send_request(query_id(k + 1), "sweep", 59000, h="2000.0")))
             scenario.until(lambda k=k: len(waiting) > k)
             # moves the decision on the first request's further attempt out of the budget's window
             scenario.advance_clock(6000.0)
-        go.set()
+        connects_allowed.set()
         errors = [client.wait_for_answer(number, 60000.0)[0] for client, number in sent]
         scenario.assert_idle()
         assert len(scenario.ran) == 3 and scenario.log.attempt_statuses.count("moot") >= 1
         assert sum(error is None for error in errors) == 1
 
-    play(main)
+    run_on_loop(main)
 
 
 @pytest.mark.parametrize("how", ["delete is not answered", "delete is refused", "cut off"])
@@ -303,7 +303,7 @@
     loop.run(main, loop)
 
 
-def test_hedged_attempt_is_not_sent_to_the_executor_of_the_first(play):
+def test_hedged_attempt_is_not_sent_to_the_executor_of_the_first(run_on_loop):
     def main(loop):
         scenario = Scenario(loop, executors=1, ceilings={"Cancel": False}, work_ms=30000.0)
         scenario.allow_connections()
@@ -314,10 +314,10 @@
         leave_as(client, "forget", number)
         scenario.assert_idle()
 
-    play(main)
+    run_on_loop(main)
 
 
-def test_further_attempt_starts_at_once_when_the_first_executor_has_stopped(play):
+def test_further_attempt_starts_at_once_when_the_first_executor_has_stopped(run_on_loop):
     def main(loop):
         def stop_executor(verb, path, number):
             post_times.append(loop.now())
@@ -338,10 +338,10 @@
         assert isinstance(scenario.loop, RealLoop) or loop.now() < post_times[0] + 500.0
         scenario.assert_idle()
 
-    play(main)
+    run_on_loop(main)
 
 
-def test_query_of_a_client_that_leaves_during_another_answer_is_not_attempted(play):
+def test_query_of_a_client_that_leaves_during_another_answer_is_not_attempted(run_on_loop):
     class BrokenStream:
         """A stream that reports a reset by its peer when the first answer is written."""
 
@@ -362,11 +362,11 @@
         connection = next(iter(scenario.node.frontend.slots))
         connection.stream = BrokenStream(connection.stream)
         # can't be served in time
-        long = {"i": query_id(1), "d": "1500", "t": "acme", "h": "1000000.0"}
-        usual = {"i": query_id(2), "d": "5000", "t": "acme", "h": "10.0"}
+        too_long = {"i": query_id(1), "d": "1500", "t": "acme", "h": "1000000.0"}
+        normal = {"i": query_id(2), "d": "5000", "t": "acme", "h": "10.0"}
         client.stream.write(
-            msgpack.packb([0, 1, "lookup", [long, b"select 1"]])
-            + msgpack.packb([0, 2, "scene-build", [usual, b"select 1"]])
+            msgpack.packb([0, 1, "lookup", [too_long, b"select 1"]])
+            + msgpack.packb([0, 2, "scene-build", [normal, b"select 1"]])
         )
         scenario.until(lambda: scenario.node.driver.ledger.counts[1]["left"])
         scenario.assert_idle()
@@ -374,10 +374,10 @@
         assert not scenario.node.driver.gateway.queries and not scenario.ran
         assert not any(engine.running_attempts for engine in scenario.node.driver.gateway.engines.values())
 
-    play(main)
+    run_on_loop(main)
 
 
-def test_engine_that_starts_draining_during_connect_gets_nothing(play):
+def test_engine_that_starts_draining_during_connect_gets_nothing(run_on_loop):
     def main(loop):
         scenario = Scenario(loop, executors=1)
         client = scenario.connect_client()
@@ -392,10 +392,10 @@
         scenario.assert_idle()
         assert error[0] == "Shed" and not scenario.ran and "moot" in scenario.log.attempt_statuses
 
-    play(main)
+    run_on_loop(main)
 
 
-def test_engine_replaced_at_its_address_during_connect_gets_nothing(play):
+def test_engine_replaced_at_its_address_during_connect_gets_nothing(run_on_loop):
     def main(loop):
         scenario = Scenario(loop, executors=1, extra_classes=[KEYED])
         client = scenario.connect_client()
@@ -412,7 +412,7 @@
         # sent to the new executor by a new decision, or not at all
         assert scenario.ran in ([], [query_id(1)])
 
-    play(main)
+    run_on_loop(main)
 
 
 @pytest.mark.parametrize("late_ms", [1.0, 20.0, 50.0])
--- a/tests/node/test_endpoint_watch_races.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -50,7 +50,7 @@
 
 
 class RunningProgram(Program):
-    """A program whose process `end` always kills."""
+    """A program with an `end` that kills it in any state."""
 
     def end(self):
         if self.process.poll() is None:
@@ -293,8 +293,8 @@
 }
 
 
-@pytest.mark.parametrize("way", SILENT)
-def test_two_silent_connections_are_replaced_before_their_events_count_as_known(way):
+@pytest.mark.parametrize("silence", SILENT)
+def test_two_silent_connections_are_replaced_before_their_events_count_as_known(silence):
     def main(loop):
         silent_since = []
 
@@ -304,7 +304,7 @@
                 send_comments(loop, stream, 2)
                 silent_since.append(loop.now())
             elif number == 2:
-                SILENT[way](loop, stream)
+                SILENT[silence](loop, stream)
             else:
                 serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
                 return
@@ -323,12 +323,12 @@
     run(main)
 
 
-@pytest.mark.parametrize("way", SILENT)
-def test_silent_first_connection_followed_by_unanswered_connects(way):
+@pytest.mark.parametrize("silence", SILENT)
+def test_silent_first_connection_followed_by_unanswered_connects(silence):
     def main(loop):
         def script(stream, number, last):
             if number == 1:
-                SILENT[way](loop, stream)
+                SILENT[silence](loop, stream)
                 loop.sleep(1e6)
             serve_steadily(loop, [event(2, [instance("s-2", 2)])])(stream, number, last)
 
@@ -834,13 +834,15 @@
 )
 def test_corrupt_event_number_does_not_advance_the_cursor(bad_number_line, reset):
     def main(loop):
-        whole = event(2, [instance("s-1", 1, "terminating")], reset)
-        bad = bad_number_line + whole.partition(b"\n")[2]
+        correct_event = event(2, [instance("s-1", 1, "terminating")], reset)
+        bad = bad_number_line + correct_event.partition(b"\n")[2]
         if bad_number_line == b"both":
             bad = event(10**9, [instance("s-1", 1, "terminating")], reset)
 
         def script(stream, number, last):
-            stream.write(HEAD + (bad if number == 1 else b"") + whole + event(3, [instance("s-2", 2)]))
+            stream.write(
+                HEAD + (bad if number == 1 else b"") + correct_event + event(3, [instance("s-2", 2)])
+            )
             send_comments(loop, stream)
 
         feed = Feed(loop, script)
@@ -1128,7 +1130,7 @@
 
 # Configuration files.
 
-BASE = json.loads(config_text([instance("s-1", 1)]))
+BASE_CONFIG = json.loads(config_text([instance("s-1", 1)]))
 MISSING = object()
 BAD_FIELDS = [
     ("name", MISSING),
@@ -1232,7 +1234,7 @@
 @pytest.mark.parametrize(("path", "value"), BAD_FIELDS)
 def test_invalid_config_field_is_named_by_its_path(path, value):
     with pytest.raises(ConfigError) as raised:
-        read_config(json.dumps(with_field(BASE, path, value)))
+        read_config(json.dumps(with_field(BASE_CONFIG, path, value)))
     assert re.match(re.escape(path) + r"(?![\w.\[])", str(raised.value)), str(raised.value)
 
 
@@ -1249,7 +1251,7 @@
         ):
             walk(inner, f"{path}.{key}" if path else str(key))
 
-    walk(BASE, "")
+    walk(BASE_CONFIG, "")
     refused = 0
     for path in paths:
         for value in (
@@ -1271,14 +1273,14 @@
             {"a": []},
         ):
             try:
-                read_config(json.dumps(with_field(BASE, path, value)))
+                read_config(json.dumps(with_field(BASE_CONFIG, path, value)))
             except ConfigError:
                 refused += 1
     assert refused > len(paths)
 
 
 @pytest.mark.parametrize(
-    "text", ["", "{", json.dumps(BASE)[:-200], "[" * 200_000, '{"name": NaN}', "\ufeff{}", "null"]
+    "text", ["", "{", json.dumps(BASE_CONFIG)[:-200], "[" * 200_000, '{"name": NaN}', "\ufeff{}", "null"]
 )
 def test_truncated_config_is_rejected(text):
     with pytest.raises(ConfigError):
@@ -1317,9 +1319,9 @@
     [
         (b"", "no JSON"),
         (b"\xff\xfe{}", "utf-8"),
-        (json.dumps(BASE).encode()[:500], "no JSON"),
+        (json.dumps(BASE_CONFIG).encode()[:500], "no JSON"),
         *(
-            (json.dumps(with_field(BASE, path, value)).encode(), path)
+            (json.dumps(with_field(BASE_CONFIG, path, value)).encode(), path)
             for path, value in (
                 ("settings.Grades[1].GiveUpMs", NAN),
                 ("known.cmds[0].nodes.instances", 5),
@@ -1386,7 +1388,7 @@
     path = tmp_path / "config.json"
     sock, listen = listening()
     sock.close()
-    path.write_text(json.dumps(BASE | {"listen": listen}), "utf-8")
+    path.write_text(json.dumps(BASE_CONFIG | {"listen": listen}), "utf-8")
     code = "import sys, fennelwind.node.lifecycle as l; l.Node.reload = lambda *_: 1 / 0; sys.exit(l.main())"
     running = subprocess.Popen(
         [sys.executable, "-c", code],
@@ -1421,7 +1423,7 @@
     """A platform with random changes of its list and random channel faults; `truth` is the correct list."""
 
     def __init__(self, loop, rng):
-        self.loop, self.rng, self.quiet = loop, rng, False
+        self.loop, self.rng, self.faults_off = loop, rng, False
         self.truth = {f"s-{n}": instance(f"s-{n}", n) for n in range(4)}
         self.events = [nodes_event(1, list(self.truth.values()), True)]
         # executors so far; those reported as ready again after a drain
@@ -1433,8 +1435,8 @@
         """Serve at this address only; old connections send nothing more and end after 1.5 s."""
         for feed in self.feeds:
             feed.listener.close()
-        turn = len(self.feeds)
-        self.feeds.append(Feed(self.loop, lambda *args: self._script(turn, *args), address))
+        feed_index = len(self.feeds)
+        self.feeds.append(Feed(self.loop, lambda *args: self._script(feed_index, *args), address))
 
     def change(self):
         rng, changes = self.rng, {}
@@ -1477,14 +1479,14 @@
             nodes_event(len(self.events) + 1, [*self.truth.values()] if reset else lines, reset)
         )
 
-    def _script(self, turn, stream, number, last):
+    def _script(self, feed_index, stream, number, last):
         rng, loop = self.rng, self.loop
         stream.write(HEAD)
-        at, heard = last, loop.now()
-        while turn == len(self.feeds) - 1:
+        at, last_sent_at = last, loop.now()
+        while feed_index == len(self.feeds) - 1:
             fault = (
                 ""
-                if self.quiet or self.faults.get(at, 0) > 1
+                if self.faults_off or self.faults.get(at, 0) > 1
                 else rng.choice(["cut", "silent", "repeat", "gap", "spoilt", "half"] + [""] * 25)
             )
             if at < len(self.events):
@@ -1526,10 +1528,10 @@
                         break
                 else:
                     stream.write(raw)
-                at, heard = at + 1, loop.now()
-            elif loop.now() >= heard + 1000.0:
+                at, last_sent_at = at + 1, loop.now()
+            elif loop.now() >= last_sent_at + 1000.0:
                 stream.write(b": here\n\n")
-                heard = loop.now()
+                last_sent_at = loop.now()
             loop.sleep(20.0)
         loop.sleep(1500.0)
         stream.close()
@@ -1541,14 +1543,14 @@
         rng = random.Random(seed)
         platform = Platform(loop, rng)
         node = start_node(loop, list(platform.truth.values()))
-        seen, wrong, post = {}, [], node.driver.post
+        seen, wrongly_ready, post = {}, [], node.driver.post
 
         def check_states(update):
             if isinstance(update, policy.EngineListUpdate):
                 for entry in update.engines:
                     back = entry.state == "ready" and seen.get(entry.engine) in ("draining", "gone")
                     if back and entry.engine not in platform.ready_again:
-                        wrong.append((loop.now(), entry.engine, seen[entry.engine]))
+                        wrongly_ready.append((loop.now(), entry.engine, seen[entry.engine]))
                     seen[entry.engine] = entry.state
             post(update)
 
@@ -1566,10 +1568,10 @@
                     node.reload(known_text(1, platform.events[:1], address))
             else:
                 platform.change()
-        platform.quiet = True
+        platform.faults_off = True
         loop.sleep(ASSUMED_KNOWN_AFTER_MS + 50.0)
         truth = platform.truth
-        assert node.endpoint_watch.cursor == len(platform.events) and not wrong
+        assert node.endpoint_watch.cursor == len(platform.events) and not wrongly_ready
         assert states(node) == {
             name: wire_names.ENDPOINT_STATES[one["lifecycle"]] for name, one in truth.items()
         }
--- a/tests/node/test_frontend_races.py
+++ b/tests/node/test_frontend_races.py
@@ -357,11 +357,11 @@
 
 
 def test_client_that_sends_without_pause_does_not_starve_others(monkeypatch):
-    order, sends = [], client_connection.ClientConnection.send
+    order, real_send = [], client_connection.ClientConnection.send
 
     def send(connection, raw, entry):
         order.append(connection.stream.peer.port)
-        sends(connection, raw, entry)
+        real_send(connection, raw, entry)
 
     monkeypatch.setattr(client_connection.ClientConnection, "send", send)
 
@@ -441,14 +441,14 @@
             client.send_request(query_id(k), "scene-build", 5000)
         ending = loop.spawn(node.shut_down)
         loop.sleep(900.0)
-        whole = request(2, 50)
-        slow.stream.write(whole[:30])
+        complete = request(2, 50)
+        slow.stream.write(complete[:30])
         until(loop, lambda: node.driver.is_closing and not node.driver.ledger.open_count)
         assert len(node.frontend.slots) == 2
         loop.sleep(1000.0)
         assert not ending.done
         assert all(client.wait_for_answer(k)[0] is None for k in range(1, 25)) and client.wait_until_closed()
-        slow.stream.write(whole[30:])
+        slow.stream.write(complete[30:])
         assert slow.wait_for_answer(2)[0][0] == "Shed" and slow.wait_until_closed()
         for each in (client, slow):
             each.stream.close()
@@ -855,7 +855,7 @@
     resource.prlimit(process.pid, resource.RLIMIT_NOFILE, (descriptor_limit, descriptor_limit))
     log = []
     opened = []
-    asked = []
+    channel_requests = []
 
     def expect(words):
         while line := process.stderr.readline():
@@ -891,26 +891,26 @@
             client(b"")
             if k % 16 == 0:
                 assert served(k) == [1, 1, None, [ROWS, {}]]
-        used = len(os.listdir(f"/proc/{process.pid}/fd"))
-        assert descriptor_limit / 2 < used < descriptor_limit
-        back = socket.create_server(("127.0.0.1", int(down_address.rsplit(":", 1)[1])))
-        back.settimeout(WAIT_S)
-        threading.Thread(target=serve_channel, args=(back, asked), daemon=True).start()
-        while not asked and process.poll() is None:
+        open_descriptors = len(os.listdir(f"/proc/{process.pid}/fd"))
+        assert descriptor_limit / 2 < open_descriptors < descriptor_limit
+        restored_channel = socket.create_server(("127.0.0.1", int(down_address.rsplit(":", 1)[1])))
+        restored_channel.settimeout(WAIT_S)
+        threading.Thread(target=serve_channel, args=(restored_channel, channel_requests), daemon=True).start()
+        while not channel_requests and process.poll() is None:
             assert served(1000 + len(opened)) == [1, 1, None, [ROWS, {}]]
         moved, new_address = listening()
-        moved_asked = []
-        threading.Thread(target=serve_channel, args=(moved, moved_asked), daemon=True).start()
+        moved_channel_requests = []
+        threading.Thread(target=serve_channel, args=(moved, moved_channel_requests), daemon=True).start()
         path.write_text(path.read_text("utf-8").replace(down_address, new_address), encoding="utf-8")
         process.send_signal(signal.SIGHUP)
-        while not moved_asked and process.poll() is None:
+        while not moved_channel_requests and process.poll() is None:
             assert served(5000 + len(opened)) == [1, 1, None, [ROWS, {}]]
         process.send_signal(signal.SIGTERM)
         expect("closed")
         moved.close()
         assert process.wait(WAIT_S) == 0 and "books agree: True; open 0" in log[-1]
-        assert "broke:" not in "".join(log) and asked
-        back.close()
+        assert "broke:" not in "".join(log) and channel_requests
+        restored_channel.close()
     finally:
         if process.poll() is None:
             process.kill()
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -443,13 +443,13 @@
     def main(loop):
         Executor(loop, 1, work_ms=4000.0)
         node = start_node(loop, [instance("s-1", 1)])
-        silent, half, busy = Client(loop), Client(loop), Client(loop)
-        half.stream.write(msgpack.packb([0, 1, "lookup", [VALID_FIELDS, b"s"]])[:20])
+        silent, partial, busy = Client(loop), Client(loop), Client(loop)
+        partial.stream.write(msgpack.packb([0, 1, "lookup", [VALID_FIELDS, b"s"]])[:20])
         number = busy.send_request(query_id(1), "scene-build", 5500)
         started_at = loop.now()
         assert (
             silent.wait_until_closed(3000.0)
-            and half.wait_until_closed(3000.0)
+            and partial.wait_until_closed(3000.0)
             and loop.now() - started_at < 2500.0
         )
         assert busy.wait_for_answer(number)[0] is None
@@ -536,15 +536,15 @@
 
 def test_channel_resumes_at_an_event_that_was_cut_off():
     def main(loop):
-        whole = event(2, [instance("s-2", 2)]) + event(3, [instance("s-3", 3)])
+        events = event(2, [instance("s-2", 2)]) + event(3, [instance("s-3", 3)])
 
         def script(stream, number, last):
             if number == 1:
-                stream.write(whole[:-30])
+                stream.write(events[:-30])
                 loop.sleep(5.0)
                 stream.abort()
                 return
-            stream.write(whole[whole.index(b"id: 3") :] if last == 2 else whole)
+            stream.write(events[events.index(b"id: 3") :] if last == 2 else events)
             while True:
                 loop.sleep(1000.0)
                 stream.write(b": here\n\n")
@@ -609,13 +609,13 @@
                 loop.sleep(1000.0)
                 stream.write(b": here\n\n")
 
-        elsewhere = Address("127.0.0.7", 9092)
+        second_address = Address("127.0.0.7", 9092)
 
-        def script_there(stream, number, last):
+        def script_at_second_address(stream, number, last):
             stream.write(event(2, [instance("s-2", 2)]))
             script(stream, number, last)
 
-        old, new = Feed(loop, script), Feed(loop, script_there, elsewhere)
+        old, new = Feed(loop, script), Feed(loop, script_at_second_address, second_address)
         node = start_node(loop, [instance("s-1", 1)])
         Executor(loop, 1, work_ms=200.0)
         loop.sleep(1500.0)
@@ -625,7 +625,7 @@
         node.reload("{ this is no JSON")
         node.reload("[]")
         assert node.endpoint_watch.address == CHANNEL
-        node.reload(config_text([instance("s-1", 1)], channel=elsewhere))
+        node.reload(config_text([instance("s-1", 1)], channel=second_address))
         loop.sleep(100.0)
         assert (
             new.last_event_ids == [1]
@@ -741,12 +741,12 @@
         executors = [Executor(loop, k, pages=2, work_ms=30.0 * (k + 1), script=script) for k in range(3)]
         node = start_node(loop, [instance(f"s-{k}", k) for k in range(3)])
         clients = [Client(loop) for _ in range(4)]
-        asked, served = [], 0
+        requests, served = [], 0
         for k in range(200):
             client = clients[k % 4]
-            asked.append((client, client.send_request(query_id(k), METHODS[k % 3], 1900)))
+            requests.append((client, client.send_request(query_id(k), METHODS[k % 3], 1900)))
             loop.sleep(draw.random() * 20.0)
-        for client, number in asked:
+        for client, number in requests:
             error, result = client.wait_for_answer(number, 4000.0)
             assert error is not None or result == [ROWS * 2, {}]
             served += error is None
@@ -814,9 +814,9 @@
     def main(loop):
         node = start_node(loop, [], sockets=1024)
         clients = [Client(loop) for _ in range(100)]
-        half = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x00\x01\x00\x00" + b"x" * 60_000
+        partial = b"\x94\x00\x01\xa6lookup\x92\x80\xc6\x00\x01\x00\x00" + b"x" * 60_000
         for client in clients:
-            client.stream.write(half)
+            client.stream.write(partial)
         loop.sleep(100.0)
         assert 0 < node.frontend.partial_bytes <= 4_100_000
         assert len(node.frontend.slots) < 100
@@ -877,7 +877,7 @@
 
 def test_unresponsive_executor_does_not_delay_other_executors_cancellations():
     def main(loop):
-        hung = Executor(loop, 1, work_ms=9000.0, script=lambda *_: "silent")
+        unresponsive = Executor(loop, 1, work_ms=9000.0, script=lambda *_: "silent")
         node = start_node(loop, [instance("s-1", 1), instance("s-2", 2)])
         responsive = Executor(loop, 2)
         for k in range(200):
@@ -885,7 +885,7 @@
         responsive.started[query_id(999)] = loop.now()
         node.executor_client.cancellations.add(node.executor_pool.executors["s-2"], query_id(999))
         loop.sleep(50.0)
-        assert responsive.deleted == [query_id(999)] and hung.open_connections <= 3
+        assert responsive.deleted == [query_id(999)] and unresponsive.open_connections <= 3
         loop.sleep(200 * 1300.0)
         assert (
             not node.executor_client.cancellations.pending and node.executor_pool.counts["not_deleted"] == 200
--- a/tests/node/test_node_parsers.py
+++ b/tests/node/test_node_parsers.py
@@ -19,14 +19,14 @@
 
 @pytest.mark.parametrize("raw", ANSWERS)
 def test_response_does_not_depend_on_how_it_is_split(raw):
-    whole = http1.ResponseReader().feed(raw)
-    assert whole is not None and whole.body in (b"", b"a\tb\tc\n")
+    complete = http1.ResponseReader().feed(raw)
+    assert complete is not None and complete.body in (b"", b"a\tb\tc\n")
     for cut in range(1, len(raw)):
         reader = http1.ResponseReader()
         assert reader.feed(raw[:cut]) is None
-        assert reader.feed(raw[cut:]) == whole
+        assert reader.feed(raw[cut:]) == complete
     reader = http1.ResponseReader()
-    assert [reader.feed(raw[at : at + 1]) for at in range(len(raw))][-1] == whole
+    assert [reader.feed(raw[at : at + 1]) for at in range(len(raw))][-1] == complete
 
 
 def test_bytes_after_a_response_make_its_connection_not_reusable():
--- a/tests/node/test_node_run.py
+++ b/tests/node/test_node_run.py
@@ -48,14 +48,14 @@
         threading.Thread(target=serve_connection, args=(peer,), daemon=True).start()
 
 
-def serve_channel(sock, asked):
+def serve_channel(sock, channel_requests):
     while True:
         try:
             peer, _ = sock.accept()
         except OSError:
             return
         head = peer.recv(4096)
-        asked.append((head, peer))
+        channel_requests.append((head, peer))
         peer.sendall(b"HTTP/1.1 200 OK\r\n\r\n: here\n\n")
 
 
@@ -71,12 +71,14 @@
         self.path = folder / "config.json"
         self.executor, self.executor_address = listening()
         self.channel, channel = listening()
-        self.asked = []
+        self.channel_requests = []
         free, self.listen = listening()
         free.close()
         self.write(channel)
         threading.Thread(target=serve_executor, args=(self.executor,), daemon=True).start()
-        threading.Thread(target=serve_channel, args=(self.channel, self.asked), daemon=True).start()
+        threading.Thread(
+            target=serve_channel, args=(self.channel, self.channel_requests), daemon=True
+        ).start()
         self.process = subprocess.Popen(
             command(),
             cwd=ROOT,
@@ -151,8 +153,8 @@
     program.process.send_signal(signal.SIGHUP)
     program.expect("settings are as before")
     moved, address = listening()
-    asked = []
-    threading.Thread(target=serve_channel, args=(moved, asked), daemon=True).start()
+    channel_requests = []
+    threading.Thread(target=serve_channel, args=(moved, channel_requests), daemon=True).start()
     program.write(address)
     program.process.send_signal(signal.SIGHUP)
     program.expect(f"command channel at {address}")
@@ -168,14 +170,14 @@
     line = program.expect("closed")
     assert program.process.wait(WAIT_S) == 0
     assert "books agree: True" in line and "step errors 0" in line
-    assert asked and b"Last-Event-ID: 1\r\n" in asked[0][0]
+    assert channel_requests and b"Last-Event-ID: 1\r\n" in channel_requests[0][0]
     moved.close()
 
 
 def test_invalid_config_file_fails_startup_with_a_reason(tmp_path):
     path = tmp_path / "config.json"
     path.write_text("[]", encoding="utf-8")
-    done = subprocess.run(
+    result = subprocess.run(
         command(),
         cwd=ROOT,
         env=os.environ | {"RELAY_CONFIG": str(path)},
@@ -183,7 +185,7 @@
         text=True,
         timeout=WAIT_S,
     )
-    assert done.returncode == 2 and "RELAY_CONFIG" in done.stderr
+    assert result.returncode == 2 and "RELAY_CONFIG" in result.stderr
 
 
 def test_run_does_not_import_unneeded_modules():
@@ -192,8 +194,10 @@
         "print([m for m in ('structlog', 'ssl', 'google.protobuf', 'click', 'h11', 'logging', 'asyncio',"
         " 'prometheus_client', 'concurrent.futures') if m in sys.modules])"
     )
-    done = subprocess.run([sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True)
-    assert done.stdout.strip() == "[]"
+    result = subprocess.run(
+        [sys.executable, "-c", code], cwd=ROOT, capture_output=True, text=True, check=True
+    )
+    assert result.stdout.strip() == "[]"
 
 
 def test_program_does_not_block_on_a_log_that_is_not_read():
@@ -203,7 +207,7 @@
         "for k in range(3000): log.write(str(k), 'x' * 100)\n"
         "print('went on')"
     )
-    done = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code],
         cwd=ROOT,
         stdout=subprocess.PIPE,
@@ -214,4 +218,4 @@
     )
     os.close(write_end)
     os.close(read_end)
-    assert done.stdout == "went on\n"
+    assert result.stdout == "went on\n"
--- a/tests/node/test_terms_attempts.py
+++ b/tests/node/test_terms_attempts.py
@@ -57,7 +57,7 @@
 
 
 def leave(client, how):
-    """Withdraw all requests of a client, or close its connection."""
+    """Cancel all requests of a client, or close its connection."""
     if how == "forget":
         for number in client.requests:
             client.forget(number)
--- a/tests/node/test_terms_clocks.py
+++ b/tests/node/test_terms_clocks.py
@@ -18,7 +18,7 @@
 def max_calls(started_s_ago):
     """Return the most calls that an executor may get in a window that begins `started_s_ago` after its start.
 
-    The bound is that of the permanent acceptance check: the expected number and a statistical margin.
+    The bound is that of the standing test: the expected number and a statistical margin.
     """
     warm = min(1.0, (started_s_ago + WINDOW_S) / (RULES["RampTimeMs"] / 1000.0))
     capacity = CORES * (RULES["ColdShare"] + (1.0 - RULES["ColdShare"]) * warm)
@@ -43,8 +43,8 @@
         thread.join()
 
 
-# Seconds by which the program's clock has stepped since it started, and by which the clock differs that
-# the executors' start times are reported with.
+# Seconds by which the program's clock steps after its start, and by which the clock is off with which the
+# platform reports start times of executors.
 STEPS = ((0.0, 0.0), (-HOUR_S, -HOUR_S), (HOUR_S, HOUR_S), (0.0, -20.0))
 
 
--- a/tests/node/test_terms_discovery.py
+++ b/tests/node/test_terms_discovery.py
@@ -16,13 +16,13 @@
     controller = Controller(folder, [executor])
     try:
         controller.write(channel=channel.address)
-        began = time.monotonic()
+        sighup_at = time.monotonic()
         controller.signal(1)
-        channel.tell(2, instance("s-1", 1, "terminating") | {"hostPort": executor.address})
+        channel.publish(2, instance("s-1", 1, "terminating") | {"hostPort": executor.address})
         client = ThreadedClient(controller)
         client.send_request(query_id(1))
         wait_until(lambda: client.requests[1].answers)
-        time.sleep(began + ASSUMED_KNOWN_AFTER_S + GRACE_S + 0.05 - time.monotonic())
+        time.sleep(sighup_at + ASSUMED_KNOWN_AFTER_S + GRACE_S + 0.05 - time.monotonic())
         late_request = ThreadedClient(controller).send_request(query_id(2), wait_ms=500)
         wait_until(lambda: late_request.answers)
         return executor.queries() == [query_id(1)]
--- a/tests/node/test_terms_shutdown.py
+++ b/tests/node/test_terms_shutdown.py
@@ -6,7 +6,7 @@
 import pytest
 from nodes import query_id
 from processes import Controller, ThreadedClient, ThreadedExecutor, classes_with, wait_until
-from shutdown_soak import play
+from shutdown_soak import run_soak
 
 
 def send_sigterm(controller, longest_ms):
@@ -40,4 +40,4 @@
 
 @pytest.mark.parametrize("seed", [3, 16, 21])
 def test_sampled_shutdowns_lose_no_request(seed):
-    assert not play(seed)
+    assert not run_soak(seed)
--- a/tests/support/crossings_oracle.py
+++ b/tests/support/crossings_oracle.py
@@ -185,9 +185,8 @@
                         f"{request.connection.kind}"
                     ),
                 )
-            if (
-                attempt.sent > request.due + SLACK_MS and not request.connection.reads_slowly
-            ):  # otherwise it was read late
+            # the controller may have read a slow reader's request late
+            if attempt.sent > request.due + SLACK_MS and not request.connection.reads_slowly:
                 self.add_violation("past its time", attempt.sent, f"{request.name}, due {request.due:.1f}")
             before = [other for other in attempts[:number] if other.may_have_run(attempt.sent)]
             if before and effect_kind == "once":
--- a/tests/support/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -171,7 +171,7 @@
         self.name, self.zone, self.cell = member["instance"], zone, cell
         self.address = Address(f"127.0.1.{member['number']}", 9090)
         self.runs, self.streams = {}, set()
-        self.alive, self.hung = True, False
+        self.is_alive, self.is_hung = True, False
         self.listen()
 
     def listen(self):
@@ -180,8 +180,8 @@
 
     def stop(self):
         """Stop the process: its runs end and its connections are reset."""
-        if self.alive:
-            self.alive = False
+        if self.is_alive:
+            self.is_alive = False
             self.listener.close()
             for stream in sorted(self.streams, key=lambda stream: stream.peer):
                 stream.abort()
@@ -192,24 +192,24 @@
         """Stop and restart after `ms` without the former runs; connections are refused meanwhile."""
         self.stop()
         self.loop.sleep(ms)
-        if self.simulation.engines.get(self.name) is self and not self.alive:
+        if self.simulation.engines.get(self.name) is self and not self.is_alive:
             self.runs.clear()
-            self.alive = True
+            self.is_alive = True
             self.listen()
 
     def cut(self, ms):
         """Be unreachable for `ms`: nothing arrives and no connection is established."""
         self.loop.unreachable.add(self.address)
-        self.hung = True
+        self.is_hung = True
         self.loop.sleep(ms)
-        self.hung = False
+        self.is_hung = False
         self.loop.unreachable.discard(self.address)
 
     def hang(self, ms):
         """Stall for `ms`; connections are established, and what arrives is read later."""
-        self.hung = True
+        self.is_hung = True
         self.loop.sleep(ms)
-        self.hung = False
+        self.is_hung = False
 
     def reset(self):
         """Reset all connections; runs continue."""
@@ -226,9 +226,9 @@
             self.loop.spawn(self._serve, stream, name=f"peer {self.name}: connection")
 
     def _wait_while_hung(self):
-        while self.hung and self.alive:
+        while self.is_hung and self.is_alive:
             self.loop.sleep(20.0)
-        if not self.alive:
+        if not self.is_alive:
             raise StreamReset("the executor has stopped")
 
     def _serve(self, stream):
@@ -418,7 +418,7 @@
     def __init__(self, simulation):
         self.simulation, self.loop, self.address = simulation, simulation.loop, CHANNEL
         self.events, self.streams, self.silent = [], [], set()
-        self.down = False
+        self.is_down = False
         self.listen()
 
     def listen(self):
@@ -518,12 +518,12 @@
         self.kind, self.reads_slowly, self.number = kind, kind == "glutton", 0
         self.closed_at = None  # when the controller closed it
         self.is_pipe_full = False  # at the half-close: the client had left the pipe full
-        self.gone = False
+        self.is_gone = False
         self.open = {}
         try:
             self.stream = self.loop.connect(LISTEN, self)
         except ConnectFailed:
-            self.stream, self.gone = None, True
+            self.stream, self.is_gone = None, True
             self.simulation.client_count -= 1
             return
         self.loop.spawn(self._read, name="peer: client reads")
@@ -543,7 +543,7 @@
             pass
         except Exception as exc:
             self.record.add_violation("unreadable", self.loop.now(), f"{type(exc).__name__}: {exc}")
-        self.gone = True
+        self.is_gone = True
         self.simulation.client_count -= 1
         self.stream.close()
 
@@ -563,11 +563,11 @@
         """Return the requests without an answer."""
         return [request for request in self.open.values() if not request.answers and request.left_at is None]
 
-    def send_request(self, pieces=1, most=None):
+    def send_request(self, pieces=1, max_timeout_ms=None):
         """Send a request; return it, or None if the connection has ended meanwhile."""
         random = self.random
         cls = random.choice(list(self.simulation.classes))
-        wait = random.uniform(250.0, most or self.simulation.classes[cls]["GiveUpMs"])
+        wait = random.uniform(250.0, max_timeout_ms or self.simulation.classes[cls]["GiveUpMs"])
         self.simulation.last_id += 1
         query = query_id(self.simulation.last_id)
         self.number += 1
@@ -599,14 +599,14 @@
 
     def wait(self, request=None):
         """Wait for the answer to a request, or to all, or until the connection ends."""
-        while not self.gone and (
+        while not self.is_gone and (
             not request.answers and request.left_at is None if request else self.waiting()
         ):
             self.loop.sleep(5.0)
 
     def leave(self, how, request=None):
         """Cancel a request, or close the connection in the way `how`."""
-        if self.gone:
+        if self.is_gone:
             return
         now = self.loop.now()
         for one in [request] if how == "forget" else self.waiting():
@@ -632,7 +632,7 @@
                 self.loop.sleep(self.random.uniform(0.0, 400.0))
                 self.leave("forget", request)
             self.wait(request)
-            if self.gone or self.simulation.is_shutting_down and self.random.random() < 0.7:
+            if self.is_gone or self.simulation.is_shutting_down and self.random.random() < 0.7:
                 break
             self.loop.sleep(self.random.uniform(0.0, 300.0))
         self.leave("close")
@@ -670,9 +670,9 @@
         request = self.send_request()
         if request is not None:
             self.wait(request)
-        while not self.gone and self.loop.now() < self.simulation.until + 1000.0:
+        while not self.is_gone and self.loop.now() < self.simulation.until + 1000.0:
             self.loop.sleep(self.random.uniform(100.0, 1500.0))
-            if not self.gone and self.random.random() < 0.6:
+            if not self.is_gone and self.random.random() < 0.6:
                 self.send_request(self.random.choice([1, 2]))
         self.wait()
         self.leave("close")
@@ -681,9 +681,9 @@
         with suppress(StreamReset):
             query = query_id(10**12 + self.simulation.client_count)
             fields = {"i": query, "d": "900", "t": "nobody"}
-            whole = msgpack.packb([0, 1, next(iter(self.simulation.classes)), [fields, b"x"]])
+            complete = msgpack.packb([0, 1, next(iter(self.simulation.classes)), [fields, b"x"]])
             endless = b"\x94\x00\x01\xc6\xff\xff\xff\xff"
-            self.stream.write(self.random.choice([b"\xc1\xff" * 40, whole[:20], whole * 3, endless]))
+            self.stream.write(self.random.choice([b"\xc1\xff" * 40, complete[:20], complete * 3, endless]))
             self.loop.sleep(self.random.uniform(0.0, 800.0))
         self.leave(self.random.choice(["close", "reset"]))
 
@@ -858,7 +858,7 @@
     def _start_client(self, kind):
         def connect_and_run():
             client = SimulatedClient(self, kind)
-            if not client.gone:
+            if not client.is_gone:
                 getattr(client, f"play_{kind}")()
 
         self.client_count += 1  # decremented when its connection has ended
@@ -898,7 +898,7 @@
         elif fault == "burst":
             for _ in range(min(8, self.sockets // 3 - self.client_count)):
                 self._start_client("leaver")
-        elif engine is None or not engine.alive:
+        elif engine is None or not engine.is_alive:
             return
         elif fault == "reset":
             engine.reset()
@@ -927,16 +927,20 @@
         self.engines.pop(engine.name, None)
         if random.random() < 0.5:
             loop.sleep(random.uniform(0.0, 300.0))
-        after = {"instance": f"{member['instance']}x", "number": member["number"]}
+        successor = {"instance": f"{member['instance']}x", "number": member["number"]}
         replaced = fault == "replace" or random.random() < 0.4
-        gone = self.instance(member, "terminated")
+        ended_entry = self.instance(member, "terminated")
         if replaced:
-            self.engines[after["instance"]] = SimulatedExecutor(self, after, engine.zone, engine.cell)
-            self.members[after["instance"]] = after
-            fresh = self.instance(after, startedAtMs=int(loop.wall() * 1000) if random.random() < 0.5 else 0)
-            self.channel.publish([gone, fresh] if random.random() < 0.5 else [fresh, gone])
+            self.engines[successor["instance"]] = SimulatedExecutor(self, successor, engine.zone, engine.cell)
+            self.members[successor["instance"]] = successor
+            started_entry = self.instance(
+                successor, startedAtMs=int(loop.wall() * 1000) if random.random() < 0.5 else 0
+            )
+            self.channel.publish(
+                [ended_entry, started_entry] if random.random() < 0.5 else [started_entry, ended_entry]
+            )
         else:
-            self.channel.publish([gone])
+            self.channel.publish([ended_entry])
 
 
 def simulate(seed) -> list[Violation]:
--- a/tests/support/nodes.py
+++ b/tests/support/nodes.py
@@ -112,7 +112,7 @@
     def __init__(self):
         self.lines, self.task_failures, self.attempt_statuses = [], [], []
 
-    def write(self, kind, text, most=0):
+    def write(self, kind, text, max_length=0):
         self.lines.append((kind, text))
 
     def logged(self, text):
--- a/tests/support/processes.py
+++ b/tests/support/processes.py
@@ -28,8 +28,8 @@
 from test_node_run import ROOT, WAIT_S, command, listening, serve_channel
 
 MAX_COUNTED_TIMEOUT_MS, KILL_MARGIN_MS = 3000.0, 700.0  # protocol: from SIGTERM to SIGKILL
-MAX_START_AFTER_LEAVING_S = 0.1  # permanent check: from a client's leaving to the start of an attempt
-DEADLINE_SLACK_S = 0.15  # requirement: tolerance of the deadline sent to an executor
+MAX_START_AFTER_LEAVING_S = 0.1  # standing test: from a client's leaving to the start of an attempt
+DEADLINE_SLACK_S = 0.15  # terms of service: tolerance of the deadline sent to an executor
 LAST_DATA_RECEIVED_OFFSET = 52  # in tcp_info: the field with the ms since the last data arrived
 UNPOLLED_EXPIRY_S = 2.0  # protocol: an executor drops a query that is not polled for this long
 POLL_INTERVAL_S = 0.005
@@ -111,11 +111,13 @@
                 verb, path, _ = first.split(" ")
                 fields["arrived"] = str(last_data_received_at(peer))
                 answer = self._answer(verb, path, fields)
-                self._note_end(verb, fields["X-Req"] if verb == "POST" else path.split("/")[2], answer)
+                self._note_attempt_end(
+                    verb, fields["X-Req"] if verb == "POST" else path.split("/")[2], answer
+                )
                 if self.serves:
                     peer.sendall(answer)
 
-    def _note_end(self, verb: str, query: str, answer: bytes) -> None:
+    def _note_attempt_end(self, verb: str, query: str, answer: bytes) -> None:
         post = self.latest.get(query)
         if post is None or verb == "PUT" or b" 202 " in answer or post.ended_at is not None:
             return
@@ -163,7 +165,7 @@
         self.sock.settimeout(None)
         threading.Thread(target=self._accept, daemon=True).start()
 
-    def tell(self, cursor, *instances):
+    def publish(self, cursor, *instances):
         """Publish an event."""
         self.events.append((cursor, json.dumps(nodes_event(cursor, instances)).encode()))
 
@@ -269,7 +271,7 @@
 
 @dataclass
 class Request:
-    """A request as its client knows it."""
+    """A request as its client sees it."""
 
     query: str
     sent_at: float
@@ -344,7 +346,7 @@
         return request
 
     def forget(self, number: int) -> None:
-        """Withdraw a request."""
+        """Cancel a request."""
         self.sock.sendall(msgpack.packb([2, "forget", [number]]))
 
     def close(self, reset: bool = False) -> None:
--- a/tests/support/shutdown_soak.py
+++ b/tests/support/shutdown_soak.py
@@ -32,7 +32,7 @@
 
 SLACK_S = 0.05  # protocol: tolerance of every time limit
 CROSSED_CLOSE_S = 0.05  # protocol: a request sent this shortly before a close may cross it and is resent
-MAX_LATENESS_S = 0.5  # permanent check: an answer later than this counts as lost
+MAX_LATENESS_S = 0.5  # standing test: an answer later than this counts as lost
 NEW_CONNECTIONS_UNTIL_S = 0.2  # protocol: new connections arrive at least this long after SIGTERM
 CLIENT_DESCRIPTOR_DIVISOR = 3  # protocol: clients hold a third of the descriptors at most
 
@@ -119,7 +119,7 @@
         )
         self.clients: list[ThreadedClient] = []
         self.left_at: dict[str, float] = {}  # when a request was cancelled, by its id
-        self.lock, self.count = threading.Lock(), 0
+        self.lock, self.last_id = threading.Lock(), 0
         self.ended, self.stall_meter = False, StallMeter()
         self.sigterm_at = self.killed_at = float("inf")
 
@@ -129,7 +129,9 @@
             if self.is_crowded:
                 idle = [ThreadedClient(self.controller) for _ in range(256 // CLIENT_DESCRIPTOR_DIVISOR - 12)]
             threads = [
-                threading.Thread(target=self._client, args=(Random(f"{self.random.random()}"),), daemon=True)
+                threading.Thread(
+                    target=self._run_client, args=(Random(f"{self.random.random()}"),), daemon=True
+                )
                 for _ in range(self.random.randint(4, 12))
             ]
             for thread in threads:
@@ -137,7 +139,7 @@
             drain_timer = threading.Timer(self.random.uniform(0.0, 1.5), self._drain)
             drain_timer.start()
             time.sleep(self.random.uniform(0.3, 1.2))
-            self._signals()
+            self._send_signals()
             drain_timer.join()
             self.ended = True
             for thread in threads:
@@ -159,10 +161,10 @@
         """Report an executor as ending, in one of the forms that the protocol has for it."""
         number = self.random.randrange(len(self.executors))
         state = self.random.choice(["terminating", "terminated"])
-        self.channel.tell(2, self.instances[number] | {"lifecycle": state})
+        self.channel.publish(2, self.instances[number] | {"lifecycle": state})
         self.drained[self.executors[number]] = time.monotonic()
 
-    def _signals(self) -> None:
+    def _send_signals(self) -> None:
         random, controller = self.random, self.controller
         for _ in range(random.choice([0, 0, 2, 5])):
             controller.signal(signal.SIGHUP)
@@ -178,7 +180,7 @@
         controller.process.kill()
         controller.process.wait()
 
-    def _client(self, random: Random) -> None:
+    def _run_client(self, random: Random) -> None:
         client = None
         while not self.ended:
             try:
@@ -187,17 +189,17 @@
                         return
                     client = ThreadedClient(self.controller)
                     self.clients.append(client)
-                self._ask(client, random)
+                self._send_requests(client, random)
             except OSError:
                 client = None
                 time.sleep(0.01)
 
-    def _ask(self, client: ThreadedClient, random: Random) -> None:
+    def _send_requests(self, client: ThreadedClient, random: Random) -> None:
         requests = []
         for _ in range(random.choice([1, 1, 1, 3, 8])):
             with self.lock:
-                self.count += 1
-                query = query_id(self.count)
+                self.last_id += 1
+                query = query_id(self.last_id)
             cls = random.choice(["lookup", "scene-build", "publish"])
             requests.append(client.send_request(query, cls, random.uniform(0.3, 1.0) * self.longest_ms))
         if random.random() < 0.1:
@@ -235,15 +237,15 @@
     def _check_retry_budget(self, posts):
         """Check the further attempts of each window against the requests received in it."""
         window_s, slack = self.retry_budget["LookBackMs"] / 1000.0, SLACK_S + self.timing_error_s
-        taken = [one.sent_at for client in self.clients for one in client.requests.values()]
-        further = sorted(
+        sent_times = [one.sent_at for client in self.clients for one in client.requests.values()]
+        further_times = sorted(
             post.received_at
             for each in posts.values()
             for post in sorted(each, key=lambda post: post.received_at)[1:]
         )
-        for at in further:
-            further_count = sum(at - window_s + slack <= other <= at for other in further)
-            request_count = sum(at - window_s - slack <= sent <= at + slack for sent in taken)
+        for at in further_times:
+            further_count = sum(at - window_s + slack <= other <= at for other in further_times)
+            request_count = sum(at - window_s - slack <= sent <= at + slack for sent in sent_times)
             if (
                 further_count
                 > self.retry_budget["ExtraFloor"] + self.retry_budget["FurtherRatio"] * request_count
@@ -255,7 +257,7 @@
         # Ordered as they were sent: the kernel's arrival times are only accurate to some ms.
         posts = sorted(posts, key=lambda post: -int(post.headers["X-Wait-Ms"]))
         slack = SLACK_S + self.timing_error_s
-        once, keyed = request.cls == "publish", request.cls == "scene-build"
+        is_once, is_keyed = request.cls == "publish", request.cls == "scene-build"
         if len(posts) > self.ceilings["MaxAttempts"]:
             yield f"{label}: {len(posts)} attempts"
         for before, post in pairwise(posts):
@@ -266,21 +268,21 @@
                 yield f"{label}: sent to a draining executor"
         unresolved = next((post for post in posts if not post.did_not_run), None)
         later = posts[posts.index(unresolved) + 1 :] if unresolved is not None else []
-        if once and later:
+        if is_once and later:
             yield f"{label}: sent again though it may have run"
-        for post in later if keyed else ():
+        for post in later if is_keyed else ():
             if post.received_at > unresolved.received_at + self.keyed["MemorySpanMs"] / 1000.0 + slack:
                 yield f"{label}: sent again after its deduplication window"
             group = self.keyed["Group"]
-            if group != "all" and self._place(post, group) != self._place(unresolved, group):
+            if group != "all" and self._location(post, group) != self._location(unresolved, group):
                 yield f"{label}: sent again in another {group}"
         refused = request.answers and request.answers[0][1] and request.answers[0][1][0] == "Shed"
-        if refused and unresolved is not None and (once or keyed and self.keyed["Group"] != "all"):
+        if refused and unresolved is not None and (is_once or is_keyed and self.keyed["Group"] != "all"):
             yield f"{label}: refused though it may have run"
 
-    def _place(self, post, group):
-        told = self.instances[self.executors.index(post.executor)]
-        return told["zone"], told["cell"] if group == "cell" else None
+    def _location(self, post, group):
+        placement = self.instances[self.executors.index(post.executor)]
+        return placement["zone"], placement["cell"] if group == "cell" else None
 
     def _check_request(self, client, number, request, posts):
         label = f"{request.query} sent {request.sent_at - self.sigterm_at:+.3f} s from SIGTERM"
@@ -291,9 +293,9 @@
             yield f"{label}: {len(request.answers)} answers"
         if not request.answers and left_at is None:
             ended = client.ended_at or self.killed_at
-            crossed = request.sent_at >= ended - CROSSED_CLOSE_S - self.timing_error_s and not posts
-            shut_unread = self.is_crowded and number == 1 and not posts
-            if not (crossed or shut_unread):
+            is_crossed = request.sent_at >= ended - CROSSED_CLOSE_S - self.timing_error_s and not posts
+            is_closed_unread = self.is_crowded and number == 1 and not posts
+            if not (is_crossed or is_closed_unread):
                 yield f"{label}: no answer; closed at {ended - self.sigterm_at:+.3f} s, {len(posts)} attempts"
         if (
             request.answers
@@ -307,12 +309,12 @@
                 and post.received_at > left_at + MAX_START_AFTER_LEAVING_S + self.timing_error_s
             ):
                 yield f"{label}: an attempt began {post.received_at - left_at:.3f} s after its client left"
-            told = int(post.headers["X-Wait-Ms"]) / 1000.0
-            if told > due - post.received_at + DEADLINE_SLACK_S + self.timing_error_s:
-                yield f"{label}: sent a deadline of {told:.3f} s with {due - post.received_at:.3f} s left"
+            deadline_s = int(post.headers["X-Wait-Ms"]) / 1000.0
+            if deadline_s > due - post.received_at + DEADLINE_SLACK_S + self.timing_error_s:
+                yield f"{label}: sent deadline {deadline_s:.3f} s with {due - post.received_at:.3f} s left"
 
 
-def play(seed: int) -> list[str]:
+def run_soak(seed: int) -> list[str]:
     """Run the shutdown of a seed; return the violations."""
     with tempfile.TemporaryDirectory() as folder:
         return Soak(seed, Path(folder)).run()
@@ -322,5 +324,5 @@
     first, last = int(sys.argv[1]), int(sys.argv[2])
     socket.setdefaulttimeout(30.0)
     with ProcessPoolExecutor(int(sys.argv[3]) if len(sys.argv) > 3 else 2) as pool:
-        for seed, violations in zip(range(first, last), pool.map(play, range(first, last)), strict=True):
+        for seed, violations in zip(range(first, last), pool.map(run_soak, range(first, last)), strict=True):
             print(seed, violations or "holds", flush=True)
