--- a/tests/node/test_attempt_races.py
+++ b/tests/node/test_attempt_races.py
@@ -175,7 +175,7 @@
         number = client.send_request(query_id(1), "scene-build", 5000)
         scenario.until(lambda: scenario.connects)
         leave_as(client, "forget", number)
-        # a turn of the loop that takes this long, and in which the connection is established
+        # one turn of the loop takes this long, and the connection is established in it
         scenario.advance_clock(150.0)
         scenario.allow_connections()
         scenario.assert_idle()
--- a/tests/node/test_endpoint_watch_races.py
+++ b/tests/node/test_endpoint_watch_races.py
@@ -921,10 +921,8 @@
             [instance("s-1", 2), instance("s-3", 2, "terminated")],  # s-1 is back at its address
             [instance("s-2", 1, "terminated")],
             [instance("s-2", 1)],
-            [
-                instance("s-1", 2, "terminated"),
-                instance("s-1", 2, started=5_000),
-            ],  # restarted under the same id
+            # restarted under the same id
+            [instance("s-1", 2, "terminated"), instance("s-1", 2, started=5_000)],
             [instance("s-2", 4)],
         ]
         released_events = []
--- a/tests/node/test_node.py
+++ b/tests/node/test_node.py
@@ -825,7 +825,7 @@
 
 
 def test_idle_connection_keeps_no_parser_and_eviction_needs_no_search():
-    """Guards against 50 KB of memory for an idle connection, and CPU for each that grew with their number."""
+    """Guards against 50 KB a connection, and against CPU per connection that grows with their number."""
 
     def main(loop):
         Executor(loop, 1)
--- a/tests/support/crossings_oracle.py
+++ b/tests/support/crossings_oracle.py
@@ -66,7 +66,7 @@
     work_ends: float
     mode: str
     answered: float | None = None  # when its final answer was written
-    dropped: float | None = None  # when it was deleted, it expired, or its executor died
+    dropped: float | None = None  # when it was deleted, it expired, or its executor stopped
 
     def running_until(self) -> float:
         ends = [at for at in (self.answered, self.dropped) if at is not None]
--- a/tests/support/crossings_play.py
+++ b/tests/support/crossings_play.py
@@ -623,7 +623,7 @@
         except StreamReset:
             pass
 
-    def play_steady(self):
+    def run_steady(self):
         for _ in range(self.random.randint(1, 5)):
             request = self.send_request(self.random.choice([1, 1, 2, 4]))
             if request is None:
@@ -637,7 +637,7 @@
             self.loop.sleep(self.random.uniform(0.0, 300.0))
         self.leave("close")
 
-    def play_pipeline(self):
+    def run_pipeline(self):
         requests = [self.send_request() for _ in range(self.random.randint(3, 16))]
         self.loop.sleep(self.random.uniform(0.0, 300.0))
         for request in requests:
@@ -647,13 +647,13 @@
         self.wait()
         self.leave("close")
 
-    def play_leaver(self):
+    def run_leaver(self):
         for _ in range(self.random.randint(1, 4)):
             self.send_request()
         self.loop.sleep(self.random.uniform(0.0, self.random.choice([0.0, 30.0, 900.0])))
         self.leave(self.random.choice(["close", "half", "reset"]))
 
-    def play_glutton(self):
+    def run_glutton(self):
         for _ in range(self.random.randint(14, 30)):
             request = self.send_request()
             self.loop.sleep(self.random.choice([0.0, 20.0]))
@@ -666,7 +666,7 @@
         self.wait()
         self.leave(self.random.choice(["close", "reset"]))
 
-    def play_rester(self):
+    def run_rester(self):
         request = self.send_request()
         if request is not None:
             self.wait(request)
@@ -677,7 +677,7 @@
         self.wait()
         self.leave("close")
 
-    def play_bad(self):
+    def run_bad(self):
         with suppress(StreamReset):
             query = query_id(10**12 + self.simulation.client_count)
             fields = {"i": query, "d": "900", "t": "nobody"}
@@ -859,7 +859,7 @@
         def connect_and_run():
             client = SimulatedClient(self, kind)
             if not client.is_gone:
-                getattr(client, f"play_{kind}")()
+                getattr(client, f"run_{kind}")()
 
         self.client_count += 1  # decremented when its connection has ended
         self.loop.spawn(connect_and_run, name="peer: client")
