--- a/fennelwind/policy/concurrency.py
+++ b/fennelwind/policy/concurrency.py
@@ -21,7 +21,7 @@
 UNCONGESTED_THREADS_PER_CORE = 1.1  # fleet mean, as reported; below it, even shares may be exceeded
 CONGESTION_SLOWDOWN = 2.5  # times the baseline, mean of attempts; without reports, more means congestion
 MAX_SHARE_FACTOR = 4.0  # times the even share; reports are seconds old, and demand can jump faster
-QUEUEING_SHARE_FACTOR = 3.0  # times the even share where engines queue for memory: a longer queue costs less
+QUEUEING_SHARE_FACTOR = 3.0  # times the even share where engines queue for memory: excess load costs less
 
 
 class ConcurrencyLimits:
@@ -38,7 +38,7 @@
         return INITIAL_THREADS_PER_CORE * cores / self.settings.gateway_count
 
     def limit(self, engine: Engine) -> float:
-        """Return the threads allowed: the limit under pressure, else the maximum, as pressure shows late."""
+        """Return the allowed threads: the limit under pressure, else the maximum, as pressure shows late."""
         if engine.current_slowdown > PRESSURE_SLOWDOWN or engine.failures:
             return engine.concurrency_limit
         return MAX_THREADS_PER_CORE * engine.cores / self.settings.gateway_count
@@ -95,7 +95,7 @@
 
         Each engine takes one query of a gateway whatever its limit, so all gateways together could
         oversubscribe the engines. One query may always run, else a gateway whose share is less would never
-        serve. In congestion only long queries are held back: short ones would be late, and use little.
+        serve. In congestion only long queries are held back: short ones use little, and would be late.
         """
         if query.is_short:
             running_threads = self.running_threads[1]
--- a/fennelwind/policy/engine_registry.py
+++ b/fennelwind/policy/engine_registry.py
@@ -16,7 +16,7 @@
 
 DELTA, FAILED, REMOVED = policy.ListForm.DELTA, policy.ListForm.FAILED, policy.EngineState.REMOVED
 SUBSCRIBE_RETRY_MS = 1000.0  # ms before a failed subscription is retried, so that discovery is not flooded
-UNKNOWN_KIND_CORES = 1  # for kinds missing in the settings; too low a figure can't oversubscribe
+UNKNOWN_KIND_CORES = 1  # assumed for kinds missing in the settings; too low a value can't oversubscribe
 
 
 class EngineRegistry:
--- a/fennelwind/policy/estimates.py
+++ b/fennelwind/policy/estimates.py
@@ -1,9 +1,9 @@
 """Statistics that a gateway learns from arrivals and answers.
 
 The gateway reports arrivals and ended attempts; the other rules read the estimates. For each query class:
-mean answer time, mean work, and the baseline slowdown, which is close to the best that the fleet achieves.
-The *slowdown* of an attempt is its time over its query's single-thread service time. Nothing here is shared
-between gateways, and a restarted gateway learns anew. Means lag behind a change by some 20 samples.
+mean answer time, mean work, and the baseline slowdown, close to the best that the fleet achieves for queries
+of that size. The *slowdown* of an attempt is its time over its query's single-thread service time. Nothing is
+shared between gateways; a restarted gateway starts from scratch. Means lag changes by some 20 samples.
 """
 
 from fennelwind import policy
--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -26,7 +26,7 @@
 
 OK = policy.AttemptStatus.OK
 
-FLEET_REVIEW_MS = 250.0  # ms between reviews of the fleet; a tick later than this is a stall
+FLEET_REVIEW_MS = 250.0  # ms between reviews of the fleet; a tick late by more than this is a stall
 
 
 class Gateway:
--- a/fennelwind/policy/model.py
+++ b/fennelwind/policy/model.py
@@ -76,7 +76,7 @@
     engine: "Engine"
     started_ms: float
     is_cancelled: bool = False
-    remaining_ms: float = float("inf")  # estimated at its last progress report
+    remaining_ms: float = float("inf")  # estimated from its pace at the last progress report
     progress_at_ms: float = float("-inf")  # time of its last progress report
     gateway_stall_ms: float = 0.0  # time during which the gateway itself did not run
 
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -23,7 +23,7 @@
 TIMEOUT_SLOWDOWN = 3.0  # times the expected time of an attempt; after that another engine is tried
 ADVISED_TIMEOUT_FACTOR = 2.0  # times that if load advice is given: an engine that reports is busy, not hung
 MAX_PROGRESS_AGE_INTERVALS = 2.5  # progress intervals; an older report is stale
-MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; the least for any query, as small estimates err most
+MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; minimum for its queries, as small estimates err most
 RESTART_WORK_SHARE = 0.15  # of arriving work; if timeouts restarted more, they would feed congestion
 MAX_RESTART_QUERIES = 6.0  # mean queries; bounds saved credit, so that a calm can't pay for congestion
 
--- a/fennelwind/policy/settings.py
+++ b/fennelwind/policy/settings.py
@@ -50,7 +50,7 @@
     """One tenant and its quota."""
 
     name: str
-    quota_per_s: float  # queries per second over all gateways
+    quota_per_s: float  # over all gateways
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,7 +68,7 @@
     max_grant_share: float = 1.0
     has_memory_grants: bool = False  # engines support memory grants
     queues_when_short_of_memory: bool = False  # engines short of memory queue queries; else they spill
-    swaps_when_short_of_memory: bool = False  # engines short of memory admit queries and slow down
+    swaps_when_short_of_memory: bool = False  # engines admit queries beyond their memory and slow down
     has_priorities: bool = False  # engines support priorities
     progress_interval_ms: float = 0.0  # time between progress reports; 0: none
     reports_cost: bool = False  # answers report measured work and memory
--- a/tests/policy/test_adapter.py
+++ b/tests/policy/test_adapter.py
@@ -117,8 +117,8 @@
     assert first.returncode == 0 and first.stderr == ""
     out = first.stdout.splitlines()
     assert out[0] == "SPEAKING\tWho=3" and out[-1] == "ACK"
-    start_line = next(line for line in out if line.startswith("ISSUE\tTxn=77\t"))
-    engine = start_line.split("Executor=")[1]
+    issue_line = next(line for line in out if line.startswith("ISSUE\tTxn=77\t"))
+    engine = issue_line.split("Executor=")[1]
     answer = (
         f"ANSWER\tTxn=77\tTookMs=18.5\tTry=0\tComplete=0\tDisposition=RESOURCE_EXHAUSTED"
         f"\tExecutor={engine}\tLoad=0.5,3"
--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -107,9 +107,9 @@
     """Functions use only the literals 0, 0.5, 1 and 2; other numbers are named constants."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.FunctionDef):
-            for part in ast.walk(node):
-                if isinstance(part, ast.Constant) and isinstance(part.value, int | float):
-                    assert part.value in (0, 1, 2, 0.5), f"{path.name}:{part.lineno}"
+            for child in ast.walk(node):
+                if isinstance(child, ast.Constant) and isinstance(child.value, int | float):
+                    assert child.value in (0, 1, 2, 0.5), f"{path.name}:{child.lineno}"
 
 
 def test_deploy_file_lists_every_decision_module():
