--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Shared fixtures of the tests: a driver that feeds a gateway events by hand, and hooks for pytest."""
+"""Shared test helpers: a driver that feeds events to a gateway by hand, and hooks for pytest."""
 
 import pytest
 import search_paths  # noqa: F401 - tests import from each other's folders
--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -13,7 +13,7 @@
 MAX_MODULE_LINES = 300
 # Modules without tuning constants (settings, records, the wire), with the numeric constants that they may
 # define.
-UNTUNED = {
+MODULES_WITHOUT_TUNING = {
     "policy/settings.py": set(),
     "policy/events.py": set(),
     "policy/actions.py": set(),
@@ -76,7 +76,7 @@
     )
 
 
-@pytest.mark.parametrize("name", UNTUNED)
+@pytest.mark.parametrize("name", MODULES_WITHOUT_TUNING)
 def test_tuning_constants_are_defined_only_beside_their_rules(name):
     numbers = {
         constant
@@ -86,7 +86,7 @@
             isinstance(part, ast.Constant) and isinstance(part.value, int | float) for part in ast.walk(node)
         )
     }
-    assert numbers <= UNTUNED[name]
+    assert numbers <= MODULES_WITHOUT_TUNING[name]
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
