--- a/tests/policy/test_tree.py
+++ b/tests/policy/test_tree.py
@@ -13,7 +13,7 @@
 MAX_MODULE_LINES = 300
 # Modules without tuning constants (settings, records, the wire), with the numeric constants that they may
 # define.
-UNTUNED = {
+MODULES_WITHOUT_TUNING = {
     "policy/settings.py": set(),
     "policy/events.py": set(),
     "policy/actions.py": set(),
@@ -76,7 +76,7 @@
     )
 
 
-@pytest.mark.parametrize("name", UNTUNED)
+@pytest.mark.parametrize("name", MODULES_WITHOUT_TUNING)
 def test_tuning_constants_are_defined_only_beside_their_rules(name):
     numbers = {
         constant
@@ -86,7 +86,7 @@
             isinstance(part, ast.Constant) and isinstance(part.value, int | float) for part in ast.walk(node)
         )
     }
-    assert numbers <= UNTUNED[name]
+    assert numbers <= MODULES_WITHOUT_TUNING[name]
 
 
 @pytest.mark.parametrize("path", MODULES, ids=lambda path: path.stem)
@@ -107,9 +107,9 @@
     """Functions use only the literals 0, 0.5, 1 and 2; other numbers are named constants."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.FunctionDef):
-            for part in ast.walk(node):
-                if isinstance(part, ast.Constant) and isinstance(part.value, int | float):
-                    assert part.value in (0, 1, 2, 0.5), f"{path.name}:{part.lineno}"
+            for child in ast.walk(node):
+                if isinstance(child, ast.Constant) and isinstance(child.value, int | float):
+                    assert child.value in (0, 1, 2, 0.5), f"{path.name}:{child.lineno}"
 
 
 def test_deploy_file_lists_every_decision_module():
