--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -1,16 +1,16 @@
-"""Fencing: the check ahead of each operation of a leased task, and the check at the resource it acts on.
-
-How long a holder may count on a lease. It is granted on the replicated log for T ms of the log's clock, at a
-moment that is not before the one at which its holder first requested it, t0 on the holder's own clock. Each
-clock runs at a pace between 1 - d and 1 + d of true time, d the stated drift. The log's clock measures T in
-no less than T / (1 + d) of true time; over changes of leader it only loses time. The holder's measures H in
-no more than H / (1 - d). So with H = T (1 - d) / (1 + d), less what both clocks round, the holder has stopped
-counting on it at t0 + H before it expires on the log.
-
-How long an operation may last. It begins only if all of its stated time, and a pause of the process as long
-as the stated one, fit into what is left, and continues only while that pause still does. A process that
-stands still for longer, between a check and its effect, is out of what a clock can prove: there the fencing
-token decides, and a resource that checks no token has no more protection than the stated pause.
+"""Fencing: a check before each operation of a leased task, and a check at the resource it acts on.
+
+How long a holder may rely on a lease. The replicated log grants it for T ms of the log's clock. The grant is
+never earlier than the moment t0, on the holder's own clock, at which the holder first sent its request. Each
+clock runs at a rate between 1 - d and 1 + d of true time, where d is the maximum drift. By the log's clock, T
+lasts at least T / (1 + d) of true time; a change of leader can only slow that clock down. By the holder's
+clock, H lasts at most H / (1 - d). So with H = T (1 - d) / (1 + d), less the rounding of both clocks, the
+holder stops relying on the lease at t0 + H, before it expires on the log.
+
+How long an operation may last. It begins only if its whole duration plus the maximum pause of the process
+fits into the remaining lease, and continues only while that pause still fits. If a process is paused for
+longer between a check and its effect, no clock can protect the resource. Then the fencing token decides; a
+resource that checks no token is protected only up to the maximum pause.
 """
 
 import math
@@ -23,21 +23,21 @@
     TooManyFencedTasksError,
 )
 
-MAX_CLOCK_DRIFT = 0.2  # part of true time by which a clock runs fast or slow at most; quartz keeps 0.0001
-CLOCK_ROUNDING_MS = 2.0  # ms that the log's clock in whole ms, at grant and at expiry, may be off
-MAX_PAUSE_MS = 250.0  # ms that a process stands still, or a call takes, between a check and its effect
-MAX_OPERATIONS = 64  # operations of one task at a time
-MAX_FENCED_TASKS = 10_000  # tasks whose fencing token a resource remembers
+MAX_CLOCK_DRIFT = 0.2  # fraction of true time by which a clock may run fast or slow; quartz keeps to 0.0001
+CLOCK_ROUNDING_MS = 2.0  # ms; the log's clock counts whole ms, so grant and expiry may each be off by one
+MAX_PAUSE_MS = 250.0  # ms that a process is paused, or a call takes, between a check and its effect
+MAX_OPERATIONS = 64  # concurrent operations of one task
+MAX_FENCED_TASKS = 10_000  # tasks whose fencing token a resource stores
 
 
 def usable_lease_ms(term_ms: float, max_drift: float = MAX_CLOCK_DRIFT) -> float:
-    """Return for how many ms of its own clock, from its request on, a holder may count on a lease."""
+    """Return for how many ms of its own clock, from sending its request on, a holder may rely on a lease."""
     return max(0.0, math.floor(term_ms * (1.0 - max_drift) / (1.0 + max_drift)) - CLOCK_ROUNDING_MS)
 
 
 @dataclass(slots=True, frozen=True)
 class FencedOperation:
-    """One operation of a task that has begun; its fencing token goes with every request it makes."""
+    """One operation of a task that has begun; every request it makes carries its fencing token."""
 
     number: int
     fencing_token: int
@@ -45,15 +45,15 @@
 
 
 class FencingGuard:
-    """Checks the operations of one task on one controller. Times in ms on that controller's clock."""
+    """Checks the operations of one task on one controller. Times are in ms on that controller's clock."""
 
     def __init__(self, task: str, max_pause_ms: float = MAX_PAUSE_MS) -> None:
         self.task = task
         self.max_pause_ms = max_pause_ms
         self.fencing_token = 0  # 0: the lease is not held
-        self.valid_until_ms = -math.inf  # the lease may be counted on until then
-        self.operation_budget_ms = 0.0  # ms that a fresh lease gives; 0: no operation may begin
-        self.operations: dict[int, FencedOperation] = {}  # that have begun and not ended, by number
+        self.valid_until_ms = -math.inf  # the holder may rely on the lease until then
+        self.operation_budget_ms = 0.0  # usable ms of a fresh lease; 0: no operation may begin
+        self.operations: dict[int, FencedOperation] = {}  # running operations by number
         self._last_number = 0
 
     # Called by the lease client.
@@ -67,7 +67,7 @@
         self.operation_budget_ms = operation_budget_ms
 
     def revoke(self) -> None:
-        """Let no operation begin or continue."""
+        """Stop all operations: none may begin or continue."""
         self.fencing_token = 0
         self.valid_until_ms = -math.inf
 
@@ -82,7 +82,7 @@
             del self.operations[operation.number]
 
     def stop_new_operations(self) -> None:
-        """Let no further operation begin; those that have begun may end in their time."""
+        """Let no further operation begin; running ones may continue until their deadline."""
         self.operation_budget_ms = 0.0
 
     # Called by the task.
@@ -91,15 +91,16 @@
         """Begin an operation of at most `operation_ms`.
 
         Raises:
-            LeaseNotHeldError: the lease is not held, too little of it is left, or too many operations run.
-            OperationTooLongError: not even a fresh lease would be long enough.
+            LeaseNotHeldError: the lease is not held, too little time of it is left, or too many operations
+                are running.
+            OperationTooLongError: even a fresh lease would be too short.
 
         """
         self.remove_expired(now_ms)
         self._check_time_left(now_ms, operation_ms)
         if len(self.operations) >= MAX_OPERATIONS:
             raise LeaseNotHeldError(
-                f"{len(self.operations)} operations of {self.task} are under way",
+                f"{len(self.operations)} operations of {self.task} are already running",
                 task=self.task,
                 left_ms=self.valid_until_ms - now_ms,
                 wanted_ms=operation_ms + self.max_pause_ms,
@@ -121,14 +122,14 @@
                 usable_ms=self.operation_budget_ms - self.max_pause_ms,
             )
         raise LeaseNotHeldError(
-            f"{self.task} is not held for another {wanted_ms:.0f} ms",
+            f"the lease of {self.task} is not held for another {wanted_ms:.0f} ms",
             task=self.task,
             left_ms=max(0.0, self.valid_until_ms - now_ms) if self.fencing_token else 0.0,
             wanted_ms=wanted_ms,
         )
 
     def may_continue(self, now_ms: float, operation: FencedOperation) -> bool:
-        """Tell whether the operation may take its next step; called ahead of each, and after each wait."""
+        """Return whether the operation may take its next step; call it before each and after each wait."""
         return (
             operation.number in self.operations
             and operation.fencing_token == self.fencing_token
@@ -137,33 +138,34 @@
         )
 
     def end(self, operation: FencedOperation) -> None:
-        """Note that the operation is over, and nothing of it can take effect any more.
+        """Remove an operation that is over and can no longer take effect.
 
-        One whose last call brought no answer is not ended here; its deadline ends it.
+        Don't call it for an operation whose last call got no answer: `remove_expired` removes that one after
+        its deadline.
         """
         self.operations.pop(operation.number, None)
 
 
 class FencedResource:
-    """The resource that operations act on: it remembers the highest fencing token of each task."""
+    """The resource that operations act on: it stores the highest fencing token of each task."""
 
     def __init__(self) -> None:
         self.highest_tokens: dict[str, int] = {}
         self.rejected_count = 0
 
     def check(self, task: str, fencing_token: int) -> None:
-        """Accept or reject the fencing token that an operation shows.
+        """Accept or reject the fencing token of an operation.
 
         Raises:
-            StaleFencingTokenError: a later holder of the task has been here.
-            TooManyFencedTasksError: the task is new, and no further one can be remembered.
+            StaleFencingTokenError: a later holder of the task has already used this resource.
+            TooManyFencedTasksError: the task is new, and `MAX_FENCED_TASKS` tasks are stored already.
 
         """
         highest = self.highest_tokens.get(task)
         if highest is None and len(self.highest_tokens) >= MAX_FENCED_TASKS:
             self.rejected_count += 1
             raise TooManyFencedTasksError(
-                f"fencing tokens of {MAX_FENCED_TASKS} tasks are known; {task} is another", task=task
+                f"fencing tokens of {MAX_FENCED_TASKS} tasks are stored already; {task} is new", task=task
             )
         if highest is not None and fencing_token < highest:
             self.rejected_count += 1
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -1,9 +1,9 @@
-"""The leases of one controller: which it wants, holds and requests; `step(now, events) -> actions`, no I/O.
+"""The leases that one controller wants, holds or has requested; `step(now, events) -> actions`, no I/O.
 
-`cluster.leased_tasks` calls it. Times are ms on the controller's own clock, which never goes back. All that
-is due is requested in one command, one command at a time. A lease counts from the moment at which its command
-was first sent, never from the answer; an answer that comes late still counts from its own command. Whatever
-is unsure is not held.
+`cluster.leased_tasks` calls it. Times are in ms on the controller's own monotonic clock. One command carries
+all requests that are due, and only one command is awaited at a time. A lease's term counts from the moment at
+which its command was first sent, never from the arrival of the answer; the answer to an older command counts
+from the sending of that command. In any doubt a lease counts as not held.
 """
 
 import math
@@ -39,39 +39,39 @@
 )
 from fennelwind.leases.state_machine import MAX_REQUESTS_PER_COMMAND, WAITER_TIMEOUT_MS, ControllerIncarnation
 
-RENEWAL_TERM_DIVISOR = 3.0  # a lease is renewed when this part of its term is over: two retries fit in
-BATCHING_TERM_DIVISOR = 12.0  # renewals that fall due within the term over this go along
-ANSWER_TIMEOUT_MS = 1000.0  # ms for which an answer is waited for; a change of leader takes some 600
-ANSWER_TERM_DIVISOR = 10.0  # and no longer than the shortest term over this
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 2000.0  # ms between attempts: first and at most, doubled each time
-MAX_BACKOFF_DOUBLINGS = 6  # beyond it the wait is at its maximum anyway
-KEEPALIVE_DIVISOR = 3.0  # who waits sends a command three times within the time after which it is forgotten
-MIN_REJECTED_BACKOFF_MS = 5000.0  # ms before a task whose lease was rejected is requested again
+RENEWAL_TERM_DIVISOR = 3.0  # a lease is renewed after a third of its term, which leaves time for two retries
+BATCHING_TERM_DIVISOR = 12.0  # renewals due within this fraction of the term join the same command
+ANSWER_TIMEOUT_MS = 1000.0  # ms to wait for an answer; a change of leader takes about 600
+ANSWER_TERM_DIVISOR = 10.0  # the answer timeout is at most the shortest term divided by this
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 2000.0  # ms between attempts, doubled after each failure
+MAX_BACKOFF_DOUBLINGS = 6  # with more doublings the backoff is at its maximum anyway
+KEEPALIVE_DIVISOR = 3.0  # a waiter sends three commands within the time after which it would be dropped
+MIN_REJECTED_BACKOFF_MS = 5000.0  # ms before a rejected lease request is sent again
 MAX_REJECTED_BACKOFF_MS = 60_000.0  # ms
-MAX_REJECTED_DOUBLINGS = 8  # beyond it the wait is at its maximum anyway
-MAX_UNANSWERED_COMMANDS = 8  # commands without an answer that are remembered
-MAX_COMMAND_BYTES = 96 * 1024  # bytes of one command; the replicated log takes 256 KiB
-MAX_SHUTDOWN_ATTEMPTS = 5  # commands before the controller ends without an answer; then its leases expire
+MAX_REJECTED_DOUBLINGS = 8  # with more doublings the backoff is at its maximum anyway
+MAX_UNANSWERED_COMMANDS = 8  # commands without an answer that are kept
+MAX_COMMAND_BYTES = 96 * 1024  # bytes of one command; the replicated log accepts 256 KiB
+MAX_SHUTDOWN_ATTEMPTS = 5  # commands, after which the controller ends unanswered and its leases expire
 
 
 class LeasePhase(StrEnum):
-    """How this controller stands to the lease of a task that it wants, or still has."""
+    """The state, on this controller, of the lease of a task that it wants or still holds."""
 
-    WANTED = "wanting"  # to be requested, or requested without an answer
-    QUEUED = "waiting"  # another holds it, and this controller waits for it
+    WANTED = "wanting"  # to be requested, or requested and not answered yet
+    QUEUED = "waiting"  # another controller holds it, and this one is in the queue
     HELD = "held"
-    RELEASING = "ending"  # no operation begins any more; given up when those under way have ended
+    RELEASING = "ending"  # no operation may begin; given up when the running ones have ended
 
 
 class ReleaseKind(StrEnum):
     """How a lease in phase `RELEASING` is given up."""
 
     NONE = ""
-    HAND_OVER = "hand"  # to the next who waits
-    REBALANCE = "spare"  # to one who waits and holds fewer, if that is still so
+    HAND_OVER = "hand"  # to the next waiter
+    REBALANCE = "spare"  # to a waiter with fewer leases, if there still is one
     FAILED = "fail"  # this controller can't run the task
-    FORGET = "forget"  # the task is over
-    LEAVE_QUEUE = "queue"  # it is not held; the controller waits no longer
+    FORGET = "forget"  # the task is finished
+    LEAVE_QUEUE = "queue"  # it is not held; the controller leaves the queue
 
 
 @dataclass(slots=True)
@@ -80,32 +80,32 @@
     purpose: str
     guard: FencingGuard
     phase: LeasePhase = LeasePhase.WANTED
-    epoch: int = 0  # counts up where an answer under way must no longer give the lease
-    request_at_ms: float = -math.inf  # when it is due to be requested, renewed, or given up
-    renew_at_ms: float = math.inf  # when it is due to be renewed, though it is releasing
+    epoch: int = 0  # incremented where an answer still in flight must no longer grant the lease
+    request_at_ms: float = -math.inf  # when the next request is due: acquire, renew or give up
+    renew_at_ms: float = math.inf  # when the next renewal is due, even while the lease is being released
     fencing_token: int = 0  # 0: not held
-    checkpoint: bytes | None = None  # to go along with the next request
+    checkpoint: bytes | None = None  # to send with the next request
     release: ReleaseKind = ReleaseKind.NONE
     is_wanted: bool = True
-    is_offered: bool = False  # while its place in the queue was being requested
+    is_offered: bool = False  # an offer arrived while the acquire request was unanswered
     rejections: int = 0
 
     @property
     def has_operations(self) -> bool:
-        """Whether operations under the lease are under way."""
+        """Whether operations are running under the lease."""
         return bool(self.fencing_token and self.guard.operations)
 
 
 @dataclass(slots=True)
 class _SentCommand:
     sent_at_ms: float
-    epochs: dict[str, int] = field(default_factory=dict)  # of the tasks that it names, in order
-    checkpoints: dict[str, bytes] = field(default_factory=dict)  # that go along
+    epochs: dict[str, int] = field(default_factory=dict)  # by task, in the order of its requests
+    checkpoints: dict[str, bytes] = field(default_factory=dict)  # sent with it, by task
     is_shutdown: bool = False
 
 
 class LeaseClient:
-    """The leases of one controller in one incarnation."""
+    """The lease client of one controller incarnation."""
 
     def __init__(
         self,
@@ -121,10 +121,10 @@
         self._leases: dict[str, _TaskLease] = {}
         self._sent: dict[int, _SentCommand] = {}
         self._last_request_id = 0
-        self._awaited: int | None = None  # the command whose answer is waited for
-        self._failed_attempts = 0  # commands in a row that brought no answer
-        self._backoff_until_ms = -math.inf  # the next command goes out no earlier
-        self._keepalive_at_ms = math.inf  # a command is due then, so that its places in queues are kept
+        self._awaited: int | None = None  # id of the command whose answer is awaited
+        self._failed_attempts = 0  # consecutive commands without an answer
+        self._backoff_until_ms = -math.inf  # no command is sent before
+        self._keepalive_at_ms = math.inf  # when a command is due, so that its places in queues are kept
         self._is_shutting_down = False
         self._is_shut_down = False
         self._shutdown_attempts = 0
@@ -133,11 +133,16 @@
     # Reading.
 
     def guard(self, task: str) -> FencingGuard:
-        """Return the guard of a task that is wanted."""
+        """Return the fencing guard of a task that this controller wants or still holds.
+
+        Raises:
+            KeyError: it does neither.
+
+        """
         return self._leases[task].guard
 
     def held_tasks(self, now_ms: float) -> list[str]:
-        """Return the tasks whose leases are surely held."""
+        """Return the tasks whose leases are certain to be held."""
         return sorted(
             name
             for name, lease in self._leases.items()
@@ -147,7 +152,7 @@
     # Stepping.
 
     def step(self, now_ms: float, events: list[Event]) -> list[Action]:
-        """Take what happened; return what is to be done."""
+        """Handle the events; return the actions to carry out, in order."""
         self._actions = []
         for event in events:
             self._handle(now_ms, event)
@@ -197,7 +202,7 @@
     def _begin_shutdown(self) -> None:
         self._is_shutting_down = True
         self._stop_awaiting()
-        self._backoff_until_ms = -math.inf  # nothing is waited for
+        self._backoff_until_ms = -math.inf  # shutdown does not wait for a backoff
         for name in sorted(self._leases):
             self._release(name)
 
@@ -219,7 +224,7 @@
             lease.phase = LeasePhase.WANTED
             lease.request_at_ms = -math.inf
         elif lease.phase == LeasePhase.WANTED:
-            lease.is_offered = True  # the answer under way may be older than the offer
+            lease.is_offered = True  # the answer in flight may be older than the offer
 
     def _release(self, name: str) -> None:
         lease = self._leases[name]
@@ -235,7 +240,7 @@
             lease.request_at_ms = -math.inf
 
     def _begin_release(self, name: str, lease: _TaskLease, kind: ReleaseKind) -> None:
-        """Let no operation begin; the lease is given up when those under way have ended."""
+        """Stop new operations; the lease is given up when the running ones have ended."""
         lease.phase = LeasePhase.RELEASING
         lease.release = kind
         lease.request_at_ms = -math.inf
@@ -300,14 +305,14 @@
         for name in answer.offers:
             self._request_offered(name)
         queued = [name for name, lease in self._leases.items() if lease.phase == LeasePhase.QUEUED]
-        if is_awaited and len(queued) != answer.waits:  # the server and we disagree: request anew
+        if is_awaited and len(queued) != answer.waits:  # the replicated queues differ: request again
             for name in queued:
                 self._request_offered(name)
 
     def _on_task_answer(
         self, now_ms: float, sent: _SentCommand, name: str, lease: _TaskLease, result: pb.Told
     ) -> None:
-        # Only an acquire request is answered so: queued, or rejected before any lease was granted.
+        # Only acquire requests get these answers: queued, or rejected without a lease.
         is_of_a_queue = (
             result.state == pb.Told.WAITING
             or result.state == pb.Told.FREE
@@ -357,10 +362,10 @@
         if result.fence < lease.fencing_token:
             return
         if lease.fencing_token and lease.fencing_token != result.fence:
-            self._lose(name, lease, LossReason.TAKEN_OVER)  # operations of the old token are over
+            self._lose(name, lease, LossReason.TAKEN_OVER)  # no operation of the old token may continue
             if name not in self._leases:
                 return
-        if now_ms >= valid_until_ms and not lease.fencing_token:  # the answer came too late to count on
+        if now_ms >= valid_until_ms and not lease.fencing_token:  # the answer came too late to rely on it
             lease.phase = LeasePhase.WANTED
             lease.request_at_ms = -math.inf
             return
@@ -375,7 +380,7 @@
         if is_releasing and (lease.release != ReleaseKind.REBALANCE or result.spare):
             lease.guard.grant(result.fence, valid_until_ms, 0.0)
             return
-        # A lease that was being rebalanced is kept where nobody with fewer leases waits any more.
+        # A lease that was being rebalanced is kept if no waiter with fewer leases is left.
         lease.guard.grant(result.fence, valid_until_ms, usable_ms)
         lease.phase = LeasePhase.HELD
         lease.release = ReleaseKind.NONE
@@ -397,7 +402,7 @@
     # Requests.
 
     def _jitter(self) -> float:
-        """Draw a factor between a half and one: two hundred controllers do not retry together."""
+        """Draw a factor between 0.5 and 1, so that two hundred controllers don't retry at the same time."""
         return 0.5 + self._random.random() / 2
 
     def _back_off(self, now_ms: float, retry_after_ms: float = 0.0) -> None:
@@ -446,7 +451,7 @@
             self._request(now_ms, due)
 
     def _due_tasks(self, now_ms: float) -> list[str]:
-        """Return the tasks to request now: those due and, if there is one, those that will be due soon."""
+        """Return the tasks to request now: all that are due and, if any is, renewals due soon."""
         leases = sorted(self._leases.items())
         if not any(self._due_at_ms(lease) <= now_ms for _, lease in leases):
             return []
@@ -471,14 +476,17 @@
                 break
             command.asks.append(request)
             if request.WhichOneof("what") not in ("renew", "gain"):
-                lease.epoch += 1  # an answer to an earlier request must not give the lease again
+                lease.epoch += 1  # an answer to an earlier request must not grant the lease again
             sent.epochs[name] = lease.epoch
             if lease.checkpoint is not None:
                 sent.checkpoints[name] = lease.checkpoint
         self._send(command, sent)
 
     def _stop_awaiting(self) -> None:
-        """Wait no longer. The command may still be applied, so what it gives up is never taken back."""
+        """Stop waiting for the answer.
+
+        The command may still be applied, so a lease that it gives up must not be kept after all.
+        """
         for name in self._sent[self._awaited].epochs if self._awaited is not None else ():
             lease = self._leases.get(name)
             if lease is not None and lease.release == ReleaseKind.REBALANCE and not lease.guard.operations:
@@ -543,7 +551,7 @@
         self._actions.append(SendCommand(self._awaited, body))
 
     def _next_due_ms(self, now_ms: float) -> float:
-        """Return when something is to be done if nothing happens."""
+        """Return when the client has to act next if no event arrives before."""
         expires_ms = min(
             (lease.guard.valid_until_ms for lease in self._leases.values() if lease.fencing_token),
             default=math.inf,
--- a/fennelwind/leases/lease_events.py
+++ b/fennelwind/leases/lease_events.py
@@ -1,7 +1,7 @@
-"""What the lease client is told (events) and what it wants done (actions). All times are in ms.
+"""The input events and output actions of the lease client. All times are in ms.
 
-The client itself, `lease_client.LeaseClient`, does no I/O: `cluster.leased_tasks` feeds it these events and
-carries out its actions.
+The client itself, `lease_client.LeaseClient`, does no I/O: `cluster.leased_tasks` passes these events to it
+and carries out its actions.
 """
 
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 
 from fennelwind.leases.errors import LeaseRejectedError
 
-DEFAULT_TERM_MS = 10_000  # ms; a task is taken over within some 10 s, and its holder renews every 3.3 s
+DEFAULT_TERM_MS = 10_000  # ms; a task is taken over within about 10 s, and its holder renews every 3.3 s
 
 
 # Events.
@@ -26,30 +26,30 @@
 
 @dataclass(slots=True, frozen=True)
 class ReleaseLease:
-    """It no longer does; a lease is handed over when its operations have ended."""
+    """The controller no longer wants to run the task; its lease is handed over when its operations end."""
 
     task: str
 
 
 @dataclass(slots=True, frozen=True)
 class LeasesOffered:
-    """A watch reports that the leases of these tasks are offered to the controller."""
+    """The replicated state offers the leases of these tasks to the controller."""
 
     tasks: tuple[str, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class CommandAnswered:
-    """The command's result has come; `body` is a `LeaseAnswer`, None: rejected, lost or unreadable."""
+    """The result of a command; `body` is a `LeaseAnswer`, or None: rejected, lost or unreadable."""
 
     request_id: int
     body: bytes | None
-    retry_after_ms: float = 0.0  # came with a rejection
+    retry_after_ms: float = 0.0  # from a rejection
 
 
 @dataclass(slots=True, frozen=True)
 class SaveCheckpoint:
-    """The task has got this far; the checkpoint goes along with the next renewal."""
+    """The task's progress so far; the next renewal stores this checkpoint."""
 
     task: str
     checkpoint: bytes
@@ -57,26 +57,26 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskFailed:
-    """The controller can't run the task: its disk is full, it is cut off from the engines."""
+    """The controller can't run the task: say its disk is full, or it can't reach the engines."""
 
     task: str
 
 
 @dataclass(slots=True, frozen=True)
 class TaskFinished:
-    """The task is over for all controllers: the replicated state forgets it."""
+    """The task is finished for all controllers: the replicated state removes it."""
 
     task: str
 
 
 @dataclass(slots=True, frozen=True)
 class Shutdown:
-    """The controller is going to end: all leases are handed over, at once or when operations have ended."""
+    """The controller shuts down: each lease is handed over as soon as it has no running operation."""
 
 
 @dataclass(slots=True, frozen=True)
 class Wakeup:
-    """The time that `SetTimer` named has come, an operation has ended, or nothing in particular."""
+    """The time of `SetTimer` has come, or an operation has ended. Always safe to send."""
 
 
 Event = (
@@ -96,7 +96,7 @@
 
 
 class LossReason(StrEnum):
-    """Why a lease is no longer held; the values stand in logs."""
+    """Why a lease is no longer held; the values appear in logs."""
 
     EXPIRED = "lapsed"
     TAKEN_OVER = "taken"
@@ -105,7 +105,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendCommand:
-    """Propose a `LeaseCommand`. It may be sent more than once, under one client's one sequence number."""
+    """Propose a `LeaseCommand`. A resend has to carry the same client and sequence number."""
 
     request_id: int
     body: bytes
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseAcquired:
-    """The task is this controller's to run, through its fencing guard."""
+    """The controller holds the lease and may run the task; each operation begins at the fencing guard."""
 
     task: str
     fencing_token: int
@@ -122,7 +122,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopTask:
-    """The task has to come to an end here: no operation begins any more, those under way should end soon."""
+    """The task has to stop on this controller: no operation may begin, running ones should end soon."""
 
     task: str
     fencing_token: int
@@ -130,7 +130,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseLost:
-    """The lease is not, or no longer surely, this controller's."""
+    """The controller has lost the lease, or can no longer be certain that it holds it."""
 
     task: str
     fencing_token: int
@@ -139,29 +139,31 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRejected:
-    """The request for a task's lease is rejected for its content; it is sent again much later."""
+    """The request for a task's lease was rejected because of its content; it is retried much later."""
 
     task: str
     refusal: str
 
     @property
     def error(self) -> LeaseRejectedError:
-        """Return what is logged for an operator."""
+        """The error to log for an operator."""
         return LeaseRejectedError(
-            f"the lease of {self.task} is rejected: {self.refusal}", task=self.task, refusal=self.refusal
+            f"the lease request for {self.task} was rejected: {self.refusal}",
+            task=self.task,
+            refusal=self.refusal,
         )
 
 
 @dataclass(slots=True, frozen=True)
 class ShutdownComplete:
-    """All is handed over, or was attempted often enough: the controller may end."""
+    """All leases are handed over, or the attempts are used up: the controller may exit."""
 
-    is_confirmed: bool  # an answer has come
+    is_confirmed: bool  # the replicated state has applied the hand-over
 
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """`Wakeup` is wanted at this time; the last one counts."""
+    """Send `Wakeup` at this time; each `SetTimer` replaces the one before."""
 
     at_ms: float
 
--- a/fennelwind/leases/model.py
+++ b/fennelwind/leases/model.py
@@ -1,11 +1,11 @@
-"""What the replicated lease state is made of: owners, waiters, exclusions and the lease of one task."""
+"""Data types of the replicated lease state: controller incarnations, waiters, exclusions, task leases."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
 
 
 class ControllerIncarnation(NamedTuple):
-    """A controller between one start and its end: a restart is another incarnation."""
+    """A controller from one start to its end; a restart is another incarnation."""
 
     name: str
     incarnation: bytes
@@ -13,7 +13,7 @@
 
 @dataclass(slots=True)
 class Waiter:
-    """What one who waits for a lease has requested."""
+    """The request of a controller that waits for a lease."""
 
     term_ms: int
     purpose: str
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Exclusion:
-    """A controller that failed at a task and is passed over for a while."""
+    """A controller that failed at a task, and until when it is not offered the task's lease."""
 
     failures: int
     until_ms: int
@@ -29,51 +29,51 @@
 
 @dataclass(slots=True)
 class TaskLease:
-    """The lease of one task, free, offered or held."""
+    """The lease of one task: free, offered or held."""
 
-    holder: ControllerIncarnation | None = None  # or the one whom it is offered to
+    holder: ControllerIncarnation | None = None  # the holder, or the controller to which it is offered
     fencing_token: int = 0  # 0: free or offered
     term_ms: int = 0
-    until_ms: int = 0  # the lease, or the offer, expires then
+    until_ms: int = 0  # when the lease or the offer expires
     purpose: str = ""
     checkpoint: bytes = b""
     revision: int = 0  # index of the entry that last changed it
     waiters: dict[ControllerIncarnation, Waiter] = field(default_factory=dict)  # in order of request
-    exclusions: dict[str, Exclusion] = field(default_factory=dict)  # by controller's name
+    exclusions: dict[str, Exclusion] = field(default_factory=dict)  # by controller name
 
     @property
     def holder_name(self) -> str:
-        """The name of the controller that holds it or is offered it; "": none."""
+        """The name of the controller that holds the lease or is offered it; "": none."""
         return self.holder.name if self.holder is not None else ""
 
     @property
     def is_forgettable(self) -> bool:
-        """Whether nothing is known of it that an absent entry would not say as well."""
+        """Whether the entry can be removed: it differs in nothing from a task that was never requested."""
         return self.holder is None and not (self.waiters or self.exclusions or self.checkpoint)
 
     def is_held_by(self, owner: ControllerIncarnation, fencing_token: int) -> bool:
-        """Tell whether the owner holds it under this very token; an offer is not held."""
+        """Return whether the owner holds the lease under this fencing token; an offer doesn't count."""
         return self.holder == owner and self.fencing_token != 0 and self.fencing_token == fencing_token
 
     def is_excluded(self, name: str, clock_ms: int) -> bool:
-        """Tell whether the controller is passed over at this time."""
+        """Return whether the controller is excluded at this time."""
         exclusion = self.exclusions.get(name)
         return exclusion is not None and exclusion.until_ms > clock_ms
 
     def excluded_for_ms(self, name: str, clock_ms: int) -> int:
-        """Return for how long the controller is still passed over."""
+        """Return for how many more ms the controller is excluded."""
         exclusion = self.exclusions.get(name)
         return max(0, exclusion.until_ms - clock_ms) if exclusion is not None else 0
 
 
 class LeaseView(NamedTuple):
-    """The lease of a task as any reader may see it."""
+    """A read-only view of a task's lease."""
 
-    holder: str  # "": nobody
-    fencing_token: int  # 0: nobody holds it; with a holder's name, it is offered
+    holder: str  # controller name; "": none
+    fencing_token: int  # 0: not held; with a holder's name, it is offered to that controller
     until_ms: int
     purpose: str
     checkpoint: bytes
     revision: int
     waiting: tuple[str, ...]
-    excluded_until_ms: dict[str, int]  # by controller's name
+    excluded_until_ms: dict[str, int]  # by controller name
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -1,8 +1,8 @@
-"""The replicated state of leases: who holds which task, until when on the log's clock, and who is next.
+"""The replicated state of leases: holder, expiry on the log's clock and queue of each task.
 
-A fencing token is the log index of the grant, so it rises over everything, whatever is forgotten. A lease
-that becomes free is offered to one who waits and to nobody else; the offer counts only when it is confirmed,
-so that its holder can count its time from before it sent its request.
+A fencing token is the log index of the grant, so it rises over all tasks, even after a task's state has been
+removed. A lease that becomes free is offered to a single waiter. The offer becomes a lease only when that
+waiter confirms it, so that the holder can count the term from the moment it sent its confirmation.
 """
 
 import heapq
@@ -15,40 +15,40 @@
 from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
-MAX_REQUESTS_PER_COMMAND = 512  # a controller wants some fifty tasks
-MAX_TASKS = 4096  # a thousand tables and the tasks of the controllers' own, four times over
+MAX_REQUESTS_PER_COMMAND = 512  # a controller wants about fifty tasks
+MAX_TASKS = 4096  # four times the tasks of a thousand tables and of the controllers themselves
 MAX_WAITERS_PER_TASK = 256  # there are two hundred controllers
-MAX_WAITERS = 32_768  # over all tasks; some 60 bytes each in a snapshot
-MAX_NAME_BYTES = 256  # of a task's or a controller's name
+MAX_WAITERS = 32_768  # over all tasks; about 60 bytes each in a snapshot
+MAX_NAME_BYTES = 256  # of a task or controller name
 MAX_INCARNATION_BYTES = 32
 MAX_PURPOSE_BYTES = 256
-MAX_CHECKPOINT_BYTES = 4096  # of one task: a place to continue from, not the work itself
+MAX_CHECKPOINT_BYTES = 4096  # of one task: a position to continue from, not the work itself
 MAX_TOTAL_CHECKPOINT_BYTES = 4 * 1024 * 1024  # of all tasks, so that a snapshot stays small
-MIN_TERM_MS = 300  # ms; a shorter one can't be renewed over an election
-MAX_TERM_MS = 600_000  # ms; a longer one leaves a task idle for too long
-OFFER_TERM_DIVISOR = 2  # an offer stands for the term over this: a dead one at the head costs half a term
+MIN_TERM_MS = 300  # ms; a shorter lease can't be renewed across an election
+MAX_TERM_MS = 600_000  # ms; a longer one leaves the task of a dead holder idle for too long
+OFFER_TERM_DIVISOR = 2  # an offer lasts half a term, so a dead first waiter costs half a term
 WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
 WAITER_QUIET_MS = (
     WAITER_TIMEOUT_MS // 2
-)  # ms without a command (one comes every 8 to 12 s): others are preferred
-MIN_EXCLUSION_MS = 2000  # ms for which one that failed is passed over at first
-MAX_EXCLUSION_MS = 120_000  # ms for which it is at most
-MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum cuts to 120 s
-MAX_EXCLUSIONS_PER_TASK = 64  # the one that ends first goes first
-MIN_SURPLUS_LEASES = 2  # more than a waiter's, to be rebalanced; with 1 it would go to and fro
+)  # ms without a command (one comes every 8 to 12 s) after which other waiters are preferred
+MIN_EXCLUSION_MS = 2000  # ms for which a controller is excluded after its first failure
+MAX_EXCLUSION_MS = 120_000  # ms for which it is excluded at most
+MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum limits to 120 s
+MAX_EXCLUSIONS_PER_TASK = 64  # of more, the one that ends first is removed
+MIN_SURPLUS_LEASES = 2  # more than a waiter's, to be rebalanced; with 1 a lease would move back and forth
 
 
 class _Deadline(StrEnum):
-    """What a deadline in the heap is of."""
+    """The kind of a deadline in the heap."""
 
     WAITER = "heard"
     TASK = "task"
 
 
 class LeaseStateMachine:
-    """The replicated state machine of leases; the Raft host applies its commands in log order."""
+    """The replicated state machine `leases`; the Raft host applies its commands in log order."""
 
-    name, kinds = "leases", ("fence",)  # `kinds`: facts that other state machines may read
+    name, kinds = "leases", ("fence",)  # `kinds`: the facts that other state machines may read
 
     def __init__(self) -> None:
         self._clear()
@@ -56,10 +56,10 @@
     def _clear(self) -> None:
         self.revision = 0  # index of the last change
         self._leases: dict[str, TaskLease] = {}
-        self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # of all who wait for anything
-        # What follows is derived from the above.
-        self._queued_count: Counter[ControllerIncarnation] = Counter()  # queues in which it waits
-        self._lease_count: Counter[str] = Counter()  # held by or offered to a controller, over incarnations
+        self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # last command of each waiting controller
+        # The fields below are derived from those above.
+        self._queued_count: Counter[ControllerIncarnation] = Counter()  # number of queues that it is in
+        self._lease_count: Counter[str] = Counter()  # held by or offered to a controller, by its name
         self._offers: dict[ControllerIncarnation, dict[str, None]] = {}
         self._checkpoint_bytes = 0  # of all tasks
         self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # may be early, never late
@@ -68,12 +68,12 @@
     # Reading.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a task's fencing token (kind `fence`, key: the task); 0: nobody holds it."""
+        """Return a task's fencing token (kind `fence`, key: the task); 0: its lease is not held."""
         lease = self._leases.get(key)
         return lease.fencing_token if lease is not None else 0
 
     def view(self, name: str) -> LeaseView | None:
-        """Return how the lease of a task stands; None: nothing is known of it."""
+        """Return the state of a task's lease; None: the task is unknown."""
         lease = self._leases.get(name)
         if lease is None:
             return None
@@ -93,13 +93,18 @@
         return sorted(self._leases)
 
     def offers(self, owner: ControllerIncarnation) -> tuple[str, ...]:
-        """Return the tasks that are offered to a controller: a watcher is notified when it changes."""
+        """Return the tasks that are offered to a controller; its watch reports each change of them."""
         return tuple(sorted(self._offers.get(owner, ())))
 
     # Commands.
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
-        """Apply a `LeaseCommand`; return a `LeaseAnswer`. Raises `UnreadableCommandError`."""
+        """Apply a `LeaseCommand`; return a `LeaseAnswer`.
+
+        Raises:
+            UnreadableCommandError: the bytes are no `LeaseCommand`.
+
+        """
         try:
             parsed = pb.LeaseCommand.FromString(command)
         except DecodeError as exc:
@@ -178,7 +183,7 @@
         lease = self._leases.get(name)
         if (
             lease is not None and lease.holder == sender
-        ):  # a new token: no late command of the old one ends it
+        ):  # grant a new token, so that a late command with the old one can't end the lease
             return self._grant(at, sender, name, lease, requested)
         if lease is None:
             if len(self._leases) >= MAX_TASKS:
@@ -200,7 +205,7 @@
     def _add_waiter(
         self, at: LogPosition, sender: ControllerIncarnation, name: str, lease: TaskLease, requested: Waiter
     ) -> bool:
-        """Queue the sender in place of its earlier incarnation; tell whether there was a place."""
+        """Queue the sender in place of its earlier incarnation; return whether the queue had room."""
         for waiter in [waiter for waiter in lease.waiters if waiter.name == sender.name]:
             self._remove_waiter(lease, waiter)
         if len(lease.waiters) >= MAX_WAITERS_PER_TASK or self._queued_count.total() >= MAX_WAITERS:
@@ -219,7 +224,7 @@
         if lease.holder is None:
             self._lease_count[sender.name] += 1
         self._clear_offer(sender, name)
-        held_until_ms = lease.until_ms if lease.fencing_token else 0  # an offer's end does not count
+        held_until_ms = lease.until_ms if lease.fencing_token else 0  # the expiry of an offer is ignored
         lease.fencing_token = at.index
         lease.holder = sender
         lease.term_ms = requested.term_ms
@@ -247,7 +252,7 @@
         )
 
     def _reject_holder(self, lease: TaskLease, refusal: pb.Refusal) -> pb.Told:
-        """Reject, and lengthen nothing: a term of 0 gives its holder no time."""
+        """Reject without extending the lease: a term of 0 tells the holder so."""
         return pb.Told(
             refusal=refusal, state=pb.Told.HELD, fence=lease.fencing_token, holder=lease.holder_name
         )
@@ -289,7 +294,7 @@
     # Time.
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when a lease, an offer, a wait or an exclusion ends next."""
+        """Return when the next lease, offer, wait or exclusion ends on the log's clock; None: none does."""
         while self._deadline_heap:
             at_ms, kind, name, incarnation = self._deadline_heap[0]
             key = (kind, name, incarnation)
@@ -304,7 +309,7 @@
         return None
 
     def expire_due(self, at: LogPosition) -> None:
-        """Let expire what is due."""
+        """Expire all leases, offers, waits and exclusions that are due."""
         while (due_ms := self.next_expiry_clock_ms()) is not None and due_ms <= at.clock_ms:
             _, kind, name, incarnation = self._deadline_heap[0]
             if kind == _Deadline.WAITER:
@@ -321,7 +326,7 @@
 
     def _expire(self, at: LogPosition, name: str, lease: TaskLease) -> None:
         if lease.holder is not None:
-            if lease.fencing_token:  # an offer may have been lost on its way, which is no failure
+            if lease.fencing_token:  # an offer may have been lost in transit, which is not a failure
                 self._exclude(at, lease, lease.holder.name)
             self._release(at, name, lease)
             return
@@ -336,7 +341,7 @@
         self._mark_changed(at, name, lease)
 
     def _next_deadline_ms(self, kind: str, name: str, incarnation: bytes) -> int | None:
-        """Return when something expires next for a task or a waiter, if no command comes."""
+        """Return when the state of a task or waiter next expires if no command comes; None: never."""
         if kind == _Deadline.WAITER:
             heard_ms = self._last_heard_ms.get(ControllerIncarnation(name, incarnation))
             return None if heard_ms is None else heard_ms + WAITER_TIMEOUT_MS
@@ -360,7 +365,7 @@
             self._deadlines[key] = at_ms
             heapq.heappush(self._deadline_heap, (at_ms, *key))
 
-    # What both commands and time bring about.
+    # Changes made by both commands and expiry.
 
     def _release(self, at: LogPosition, name: str, lease: TaskLease, successor: str = "") -> None:
         self._clear_holder(name, lease)
@@ -380,10 +385,10 @@
         lease.purpose = ""
 
     def _offer(self, at: LogPosition, name: str, lease: TaskLease, successor: str = "") -> None:
-        """Offer a free lease to the named successor, if there is one.
+        """Offer a free lease to the named successor or, without one, to a waiter that is not excluded.
 
-        Else to one who is not excluded: heard lately before others, then with fewest leases, then first in
-        the queue.
+        Among the latter, prefer a waiter that sent a command lately, then the one with the fewest leases,
+        then the first in the queue.
         """
         if successor:
             candidates = [waiter for waiter in lease.waiters if waiter.name == successor]
@@ -411,7 +416,7 @@
         return not lease.is_excluded(waiter.name, at.clock_ms)
 
     def _has_surplus(self, at: LogPosition, lease: TaskLease) -> bool:
-        """Tell whether one who waits and could run the task has clearly fewer leases than its holder."""
+        """Return whether an eligible waiter has `MIN_SURPLUS_LEASES` fewer leases than the holder."""
         held_count = self._lease_count[lease.holder_name]
         return held_count >= MIN_SURPLUS_LEASES and any(
             held_count - self._lease_count.get(waiter.name, 0) >= MIN_SURPLUS_LEASES
@@ -458,7 +463,7 @@
     # Snapshots.
 
     def snapshot(self) -> bytes:
-        """Return all state; equal states give equal bytes."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         state = pb.LeaseState(revision=self.revision)
         for name, lease in sorted(self._leases.items()):
             stored = state.tasks.add(
@@ -483,7 +488,7 @@
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
-        """Take a snapshot's state in place of its own."""
+        """Replace the state with that of a snapshot."""
         state = pb.LeaseState.FromString(data)
         self._clear()
         self.revision = state.revision
@@ -530,7 +535,7 @@
 
 
 def _command_refusal(command: pb.LeaseCommand) -> pb.Refusal:
-    """Return why a command is rejected as a whole; `NONE`: it is not."""
+    """Return why the whole command is rejected; `NONE`: it is accepted."""
     if len(command.asks) > MAX_REQUESTS_PER_COMMAND:
         return pb.TOO_MANY_ASKS
     has_name = 0 < len(command.by.name.encode()) <= MAX_NAME_BYTES
--- a/fennelwind/quiescence/__init__.py
+++ b/fennelwind/quiescence/__init__.py
@@ -1,1 +1,1 @@
-"""Quiescence: have all controllers stopped sending queries to a replica or table on an engine? No I/O."""
+"""Quiescence: check that no controller sends queries to a replica or table on an engine any more. No I/O."""
--- a/fennelwind/quiescence/acknowledgements.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -1,12 +1,13 @@
-"""The controllers' acknowledgements at the Raft leader, and what follows from them for a barrier request.
+"""The acknowledgements of controllers at the Raft leader, and the evaluation of barrier requests.
 
-A barrier request asks whether queries still reach a replica that drains, or an engine that is quiesced for a
-table. No I/O here; the Raft host owns one `Acknowledgements`.
+A barrier request checks whether queries may still run at a replica that drains, or at an engine that is
+quiesced for a table. No I/O here; the Raft host owns one `Acknowledgements`.
 
-An acknowledgement is soft state: it is in one member's memory alone, lost with it, and sent again. It says a
-thing that stays true: by this view the controller starts nothing more where the view says so, and only these
-queries of its own are in flight there. So an old one is never wrong, only less useful: it counts for requests
-as old as its view and for no other. Which acknowledgements are missing follows from the replicated registry.
+An acknowledgement is soft state: it is only in the memory of one member, lost with that member, and sent
+again. Its content stays true: having this view, the controller starts no further query where the view
+forbids it, and only the listed queries of its own are in flight there. So an old acknowledgement is never
+wrong; it just doesn't count for requests that are newer than its view. The replicated registry tells which
+acknowledgements are missing.
 """
 
 from collections.abc import Iterable
@@ -15,18 +16,18 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.quiescence.registered_controllers import ControllerRegistry, RegisteredController
 
-MAX_OPEN_PAIRS = 256  # in one acknowledgement; a controller with more open sends none until it has fewer
-MAX_BARRIER_REQUESTS = 1024  # in one question
-MAX_BLOCKER_NAMES = 8  # of those who are waited for, in an answer
+MAX_OPEN_PAIRS = 256  # in one acknowledgement; a controller with more pairs sends none until it has fewer
+MAX_BARRIER_REQUESTS = 1024  # in one message
+MAX_BLOCKER_NAMES = 8  # names of controllers waited for, per request in an answer
 
 
 @dataclass(slots=True, frozen=True)
 class _Acknowledgement:
-    sequence: int  # rises with each of one controller
-    replica_revision: int  # of the view of replicas that it routes by
-    table_index: int  # the log entry up to which it knows where tables are quiesced
-    open_replicas: frozenset[tuple[str, str]]  # that drain, with queries in flight: shard and engine
-    open_tables: frozenset[tuple[str, str]]  # that are quiesced, with queries in flight: table and engine
+    sequence: int  # rises with each acknowledgement of a controller
+    replica_revision: int  # revision of the replica locations that the controller routes by
+    table_index: int  # log index up to which it knows where tables are quiesced
+    open_replicas: frozenset[tuple[str, str]]  # shard and engine: draining, with queries still in flight
+    open_tables: frozenset[tuple[str, str]]  # table and engine: quiesced, with queries still in flight
 
 
 class Acknowledgements:
@@ -36,7 +37,10 @@
         self._latest: dict[int, _Acknowledgement] = {}  # by registration number
 
     def accept(self, message: pb.Word, registry: ControllerRegistry) -> bool:
-        """Keep an acknowledgement; tell whether it is of a registered sender, within bounds and newer."""
+        """Store an acknowledgement; return whether it was stored.
+
+        One from an unregistered sender, with too many pairs or not newer than the stored one is ignored.
+        """
         if message.number not in registry.controllers:
             return False
         if len(message.open_copies) + len(message.open_tables) > MAX_OPEN_PAIRS:
@@ -63,9 +67,10 @@
     def evaluate(
         self, requests: Iterable[pb.Wish], registry: ControllerRegistry, index: int, clock_ms: int
     ) -> pb.Heard:
-        """Return how each request stands by the registry as of entry `index` and the log's clock then.
+        """Return the state of each request, by the registry as of entry `index` and the log's clock then.
 
-        A registry of an entry ahead of the request may lack controllers who send by a view from before it.
+        A registry older than the request may lack controllers that still route by a view from before it, so
+        such a request can't be reported as cleared.
         """
         answer = pb.Heard(index=index)
         for request in requests:
@@ -77,7 +82,7 @@
         return answer
 
     def _state(self, request: pb.Wish, registry: ControllerRegistry) -> tuple[pb.Heard.State, set[str]]:
-        """Return the worst state over all controllers, and the names of those in it."""
+        """Return the worst state over all controllers, and the names of the controllers in that state."""
         names_by_state: dict[pb.Heard.State, set[str]] = {}
         for number, controller in registry.controllers.items():
             state = self._controller_state(request, number, controller)
--- a/fennelwind/quiescence/in_flight.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -1,9 +1,10 @@
-"""One controller's part in quiescence: its queries in flight by engine, and when it must acknowledge.
+"""The controller's side of quiescence: its queries in flight by engine, and when to acknowledge. No I/O.
 
-No I/O and no clock. Attempts at engines are counted by what their queries name: shards, and the tables ahead
-of their `/`. Barrier requests come with two views, of replicas that drain and of engines that are quiesced
-for tables; routing takes a view first, and is never given an older one. The acknowledgement is made of both
-at one moment, so that whatever began before the view counts as open in it, and nothing begins after it.
+No clock either: callers pass the time in ms. Attempts at engines are counted by the shards that their
+queries name, and by the tables of those shards (the part before `/`). Two views tell what has to be
+acknowledged: of replicas that drain, and of engines that are quiesced for tables. Routing gets each view
+first, and never an older one. One acknowledgement covers both views at the same moment, so that every attempt
+from before the view is reported as open, and none starts after it.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -13,50 +14,54 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.quiescence.acknowledgements import MAX_OPEN_PAIRS
 
-REPEAT_MS = 2000.0  # ms after which an unchanged acknowledgement is sent again: the leader may be another
-MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; small beside the minute that they save
+REPEAT_MS = 2000.0  # ms after which an unchanged acknowledgement is resent, as the leader may have changed
+MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; small compared with the minute that they save
 
 Pair = tuple[str, str]  # a shard or a table, and an engine
 
 
 def table_of(shard: str) -> str:
-    """Return the table of a shard's name, as the replicated state knows tables: in lower case."""
+    """Return the table of a shard's name, in lower case, as the replicated state stores tables."""
     return shard.partition("/")[0].lower()
 
 
 @dataclass(slots=True, frozen=True)
 class NextAcknowledgement:
-    """What is to be sent now, if anything is, and when to check again at the latest (ms)."""
+    """The acknowledgement to send now, None: none, and when to check again at the latest (ms)."""
 
     message: pb.Word | None
     check_at_ms: float
 
 
 class InFlightTracker:
-    """What is in flight, what is requested, and what was acknowledged."""
+    """Tracks attempts in flight, the views to acknowledge, and the last acknowledgement."""
 
     def __init__(self) -> None:
-        self.on_replica_locations: Callable[[Any], None] = lambda locations: None  # how routing takes a view
+        self.on_replica_locations: Callable[[Any], None] = lambda locations: None  # passes a view to routing
         self.on_excluded_engines: Callable[[Any], None] = lambda excluded: None
         self.registration_number = 0  # of the controller in the registry; 0: it is not registered
-        self.replica_revision = 0  # of the view of replicas
-        self.table_index = 0  # of the view of tables
+        self.replica_revision = 0  # revision of the view of replicas
+        self.table_index = 0  # log index of the view of tables
         self.draining_replicas: frozenset[Pair] = frozenset()
         self.quiesced_tables: frozenset[Pair] = frozenset()
-        self._is_replica_view_complete = True  # it names all that is requested
-        self._is_table_view_complete = True
+        self._is_replica_view_complete = True  # the view lists all replicas that drain
+        self._is_table_view_complete = True  # the view lists all tables that are quiesced
         self._pairs_of: dict[Hashable, tuple[Pair, ...]] = {}  # by attempt: what it may read
-        self._open_count: dict[Pair, int] = {}  # attempts by what they may read
-        self._abandoned_until_ms: dict[Hashable, float] = {}  # attempts that may run on at their engine
+        self._open_count: dict[Pair, int] = {}  # number of attempts that may read the pair
+        self._abandoned_until_ms: dict[Hashable, float] = {}  # attempts that may still run at their engine
         self._sequence = 0
-        self._last_content: tuple[object, ...] = ()  # of the last acknowledgement, but the views' ages
+        self._last_content: tuple[object, ...] = ()  # of the last acknowledgement, but for revisions
         self._repeat_at_ms = 0.0
         self._not_before_ms = 0.0
 
     # Attempts.
 
     def attempt_started(self, attempt: Hashable, shards: Iterable[str], engine: str) -> None:
-        """Note that an attempt is about to be sent, in the same loop turn as the check that it may be."""
+        """Count an attempt that is about to be sent.
+
+        To be called in the same turn of the event loop as the check that the attempt may be sent: otherwise a
+        view that forbids it could be acknowledged in between.
+        """
         pairs = tuple({(name, engine): None for shard in shards for name in (shard, table_of(shard))})
         if pairs:
             self._pairs_of[attempt] = pairs
@@ -64,7 +69,7 @@
                 self._open_count[pair] = self._open_count.get(pair, 0) + 1
 
     def attempt_ended(self, attempt: Hashable) -> None:
-        """Note that nothing of an attempt is left at its engine."""
+        """Stop counting an attempt: nothing of it runs at its engine any more."""
         pairs = self._pairs_of.pop(attempt, None)
         if pairs is None:
             return
@@ -76,16 +81,16 @@
                 del self._open_count[pair]
 
     def attempt_abandoned(self, attempt: Hashable, until_ms: float) -> None:
-        """Note that nobody waits for an attempt any more, but its engine may run it on until then."""
+        """Count an attempt until `until_ms`: its result isn't needed, but its engine may still run it."""
         if attempt in self._pairs_of:
             self._abandoned_until_ms[attempt] = until_ms
 
-    # Views. An older one, as a member that lags behind may send it, is passed over by routing as well.
+    # Views. An older one, as a Raft member that lags behind may send, is ignored; routing doesn't get it.
 
     def update_replicas(
         self, revision: int, locations: Any, draining: Iterable[Pair], is_complete: bool = True
     ) -> None:
-        """Take a view of replica locations and of the replicas that drain, all of them if `is_complete`."""
+        """Set the replica locations and the draining replicas; `is_complete`: all the latter are listed."""
         if revision >= self.replica_revision:
             self.on_replica_locations(locations)
             self.replica_revision = revision
@@ -95,7 +100,10 @@
     def update_tables(
         self, index: int, excluded: Any, quiesced: Iterable[Pair], is_complete: bool = True
     ) -> None:
-        """Take a view of the engines that get no query of some tables, and of those requested to be quiet."""
+        """Set the engines that get no query of some tables, and the quiesced pairs of table and engine.
+
+        `is_complete`: all quiesced pairs are listed.
+        """
         if index >= self.table_index:
             self.on_excluded_engines(excluded)
             self.table_index = index
@@ -105,7 +113,7 @@
     # Acknowledgements.
 
     def next_acknowledgement(self, now_ms: float) -> NextAcknowledgement:
-        """Return the acknowledgement that is due, if one is."""
+        """Return the acknowledgement that is due, if there is one, and when to check again."""
         self._end_abandoned(now_ms)
         has_requests = bool(self.draining_replicas or self.quiesced_tables)
         is_complete = self._is_replica_view_complete and self._is_table_view_complete
@@ -145,5 +153,5 @@
             self.attempt_ended(attempt)
 
     def acknowledgement_lost(self) -> None:
-        """Note that the last one did not reach the leader: it is due again, at its pace."""
+        """Schedule the last acknowledgement again: it did not reach the leader. `MIN_INTERVAL_MS` applies."""
         self._last_content = ()
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -1,13 +1,13 @@
-"""The replicated registry of the controllers that may send queries, so that none of them is overlooked.
+"""The replicated registry of all controllers that may send queries.
 
-A controller registers at its start and renews. One that falls silent stays registered for
-`SILENCE_TIMEOUT_MS` of the replicated log's clock, as it goes on serving queries without the Raft group;
-while it is there, nothing is quiesced without its acknowledgement. A restart registers under another number;
-the number before it stays until it times out.
+A controller registers when it starts and then renews its registration. One that falls silent stays registered
+for `SILENCE_TIMEOUT_MS` of the replicated log's clock, because it continues to serve queries without the Raft
+group; as long as it is registered, nothing counts as quiesced without its acknowledgement. After a restart a
+controller registers under a new number; the old number stays until it times out.
 
-The registry is complete only once it has been there for `SILENCE_TIMEOUT_MS` itself: until then controllers
-that run already may not have registered. Where it is full, the same time passes anew after each one that
-found no place.
+The registry is complete only `SILENCE_TIMEOUT_MS` after its first registration: until then, controllers that
+are already running may not have registered yet. When the registry is full, each rejected registration starts
+that time again.
 """
 
 from dataclasses import dataclass, replace
@@ -17,10 +17,10 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
-SILENCE_TIMEOUT_MS = 120_000  # ms; as long as a draining replica may be waited for in all (60 s twice)
+SILENCE_TIMEOUT_MS = 120_000  # ms; the longest total wait for a draining replica (60 s twice)
 MAX_REGISTRATIONS = 4096  # two hundred controllers, each restarted twenty times within the timeout
-MAX_NAME_LENGTH = 64  # letters of a controller's name, as in the settings
-MIN_LEVEL = 2  # the log's level from which on there is a registry, and quiesced replicas may be dropped early
+MAX_NAME_LENGTH = 64  # characters of a controller's name, as in the settings
+MIN_LEVEL = 2  # first level of the log with a registry and with early drops of quiesced replicas
 
 
 @dataclass(slots=True, frozen=True)
@@ -28,7 +28,7 @@
     """One incarnation of a controller."""
 
     name: str
-    can_withhold_queries: bool  # it stops sending where it is requested to
+    can_withhold_queries: bool  # it can stop sending queries to a replica or engine
     heard_ms: int  # the log's clock at its last command
 
 
@@ -36,15 +36,20 @@
     """The replicated state machine `roll`; the Raft host applies its commands in log order."""
 
     name, kinds, since = "roll", (), MIN_LEVEL
-    silence_timeout_ms = SILENCE_TIMEOUT_MS  # the same on all controllers, so no setting; tests shorten it
+    silence_timeout_ms = SILENCE_TIMEOUT_MS  # must be equal on all members, so no setting; tests shorten it
 
     def __init__(self) -> None:
-        self.controllers: dict[int, RegisteredController] = {}  # by number
-        self.complete_from_ms = 0  # 0: nobody has registered yet
-        self.revision = 0  # the entry that last changed who is registered
+        self.controllers: dict[int, RegisteredController] = {}  # by registration number
+        self.complete_from_ms = 0  # 0: no controller has registered yet
+        self.revision = 0  # index of the entry that last added, rejected or removed a controller
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
-        """Apply a `RollCommand`; return a `RollAnswer`. Raises `UnreadableCommandError`."""
+        """Apply a `RollCommand`; return a `RollAnswer`.
+
+        Raises:
+            UnreadableCommandError: the bytes are no `RollCommand`, or its kind is unknown.
+
+        """
         try:
             parsed = pb.RollCommand.FromString(command)
         except DecodeError as exc:
@@ -78,11 +83,11 @@
         return pb.RollAnswer(number=request.number)
 
     def is_complete(self, clock_ms: int) -> bool:
-        """Tell whether all controllers that may send queries have had the time to register."""
+        """Return whether all controllers that may send queries have had time to register."""
         return 0 < self.complete_from_ms <= clock_ms
 
     def expire_due(self, at: LogPosition) -> None:
-        """Remove the controllers that were silent for so long that no wait of today's is longer."""
+        """Remove the controllers silent for `silence_timeout_ms`: no drain waits longer than that."""
         silent = [
             number
             for number, controller in self.controllers.items()
@@ -93,18 +98,18 @@
             self.revision = at.index
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when the next controller is removed."""
+        """Return when, on the log's clock, the next controller is to be removed; None: none is registered."""
         return min(
             (controller.heard_ms + self.silence_timeout_ms for controller in self.controllers.values()),
             default=None,
         )
 
     def fact(self, kind: str, key: str) -> int:
-        """Return nothing: no other state machine reads this one."""
+        """Return 0: no other state machine reads facts of this one."""
         return 0
 
     def snapshot(self) -> bytes:
-        """Return its state; equal states give equal bytes."""
+        """Return the whole state as bytes; equal states give equal bytes."""
         state = pb.RollState(sure_ms=self.complete_from_ms, revision=self.revision)
         for number, controller in sorted(self.controllers.items()):
             state.lives.add(
@@ -116,7 +121,7 @@
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
-        """Take a snapshot's state in place of its own."""
+        """Replace the state with that of a snapshot."""
         state = pb.RollState.FromString(data)
         self.controllers = {
             stored.number: RegisteredController(stored.name, stored.routes, stored.heard_ms)
