--- a/tests/leases/test_engine_fencing.py
+++ b/tests/leases/test_engine_fencing.py
@@ -1,4 +1,4 @@
-"""Emulated engines reject statements with a stale fencing token."""
+"""Emulated engines reject statements that carry a stale fencing token."""
 
 import pytest
 from fleet import Fleet, execute, outcome, status
@@ -10,7 +10,7 @@
 
 @pytest.fixture
 def on_engine():
-    """Return what runs a test with an engine and a link to it."""
+    """Return a function that runs a test body with an engine and a connection to it."""
 
     def run(test):
         loop = SimLoop(1)
--- a/tests/leases/test_lease_defects.py
+++ b/tests/leases/test_lease_defects.py
@@ -1,4 +1,4 @@
-"""Defects planted in leases on purpose: each is found, by which proof and after how many seeds.
+"""Defects planted in leases: each has to be found; the table says by which check and after how many seeds.
 
 python tests/leases/test_lease_defects.py [--seeds 500] prints the table.
 """
@@ -17,8 +17,8 @@
 from fennelwind.leases.model import TaskLease
 from fennelwind.leases.state_machine import LeaseStateMachine
 
-MAX_SEEDS = 40  # played for one defect in the tests
-FIRST_SEEDS = {  # where the tests begin to play, as most seeds don't meet the defect; the table counts from 1
+MAX_SEEDS = 40  # seeds that a test plays for one defect
+FIRST_SEEDS = {  # first seed of a test, since most seeds don't reveal the defect; the table counts from 1
     "lease counted from the answer": 19,
     "drift ignored": 60,
     "late answer grants what was handed over": 71,
@@ -29,29 +29,30 @@
     "command with an older fencing token applied": 8,
     "lease expires ahead of time": 84,
 }
-PLAYED_MS = 10_000.0  # ms of each play with faults
+PLAYED_MS = 10_000.0  # ms of each play during which faults occur
 
 
-def fencing_token_by_task(grant):
-    """Number fences for each task, and begin anew with a task that was forgotten."""
+def fencing_token_by_task(original_grant):
+    """Count fencing tokens per task, and restart at 1 for a task that was forgotten."""
 
-    def granted(self, at, sender, name, lease, requested):
-        token = getattr(self, "count", {}).get(id(lease), 0) + 1
-        self.count = {**getattr(self, "count", {}), id(lease): token}
-        self.seen_leases = [*getattr(self, "seen_leases", []), lease]  # so that its id stays its own
-        result = grant(self, at, sender, name, lease, requested)
+    def grant_with_task_token(self, at, sender, name, lease, requested):
+        token = getattr(self, "tokens", {}).get(id(lease), 0) + 1
+        self.tokens = {**getattr(self, "tokens", {}), id(lease): token}
+        # Keep the lease object alive, so that its id isn't reused.
+        self.seen_leases = [*getattr(self, "seen_leases", []), lease]
+        result = original_grant(self, at, sender, name, lease, requested)
         lease.fencing_token = result.fence = token
         return result
 
-    return patch.object(LeaseStateMachine, "_grant", granted)
+    return patch.object(LeaseStateMachine, "_grant", grant_with_task_token)
 
 
-def stale_fact(fact):
-    """Tell the last fence though nobody holds the task."""
+def stale_fact(original_fact):
+    """Report the last fencing token even when no controller holds the task."""
 
     def last_token(self, kind, key):
         self.last_tokens = {**getattr(self, "last_tokens", {})}
-        self.last_tokens[key] = fact(self, kind, key) or self.last_tokens.get(key, 0)
+        self.last_tokens[key] = original_fact(self, kind, key) or self.last_tokens.get(key, 0)
         return self.last_tokens[key]
 
     return patch.object(LeaseStateMachine, "fact", last_token)
@@ -65,7 +66,7 @@
         "lease.fencing_token = lease.holder == sender and lease.fencing_token or at.index",
     )
 ]
-PLAYS = {  # the kind of play, and what is planted
+PLAYS = {  # by name: the kind of play, and the changes that plant the defect
     "lease counted from the answer": (
         "plain",
         [
@@ -167,7 +168,7 @@
         ],
     ),
 }
-STATEFUL = {
+BY_MODEL = {
     "renewal makes a lease shorter": [
         Line(LeaseStateMachine._grant, "lease.until_ms if lease.fencing_token else 0", "0")
     ],
@@ -180,7 +181,7 @@
     ],
     "fencing token reused": TOKEN_BY_TASK,
 }
-BY_OWN_TEST = {  # by a test of its own
+BY_DEDICATED_TEST = {  # by name: the changes, and the test in test_leases.py that finds the defect
     "order of a queue forgotten in a snapshot": (
         [
             Line(
@@ -225,54 +226,55 @@
 }
 
 
-def by_play(name: str, max_seeds: int, first: int = 1) -> tuple[int, str] | None:
-    """Return after how many seeds from the first on a defect is found, and what was said; None: by none."""
+def find_by_play(name: str, max_seeds: int, first_seed: int = 1) -> tuple[int, str] | None:
+    """Return after how many seeds a play finds the defect, and its error; None: not found."""
     kind, changes = PLAYS[name]
     with planted(changes):
         return broken(
-            (Play(seed, kind, played_ms=PLAYED_MS).run for seed in range(first, first + max_seeds)), Violation
+            (Play(seed, kind, played_ms=PLAYED_MS).run for seed in range(first_seed, first_seed + max_seeds)),
+            Violation,
         )
 
 
-def by_rules(name: str, max_examples: int = 300) -> tuple[int, str] | None:
-    """Return after how many examples the plain model of test_leases.py finds a defect."""
-    with planted(STATEFUL[name]):
+def find_by_model(name: str, max_examples: int = 300) -> tuple[int, str] | None:
+    """Return after how many examples the model in test_leases.py finds the defect; None: not found."""
+    with planted(BY_MODEL[name]):
         return by_model(Leases, max_examples, 30)
 
 
-def by_test(name: str) -> tuple[int, str] | None:
-    """Tell whether the test that is named finds a defect."""
-    changes, test = BY_OWN_TEST[name]
+def find_by_test(name: str) -> tuple[int, str] | None:
+    """Return 1 and the error if the dedicated test finds the defect; None: not found."""
+    changes, test = BY_DEDICATED_TEST[name]
     with planted(changes):
-        return broken([lambda: test(test_leases.Desk())], AssertionError)
+        return broken([lambda: test(test_leases.LeaseLog())], AssertionError)
 
 
 @pytest.mark.parametrize("name", [name for name in PLAYS if "in play" not in name])
 def test_a_planted_defect_is_found_in_play(name):
-    assert by_play(name, MAX_SEEDS, FIRST_SEEDS.get(name, 1))
+    assert find_by_play(name, MAX_SEEDS, FIRST_SEEDS.get(name, 1))
 
 
-@pytest.mark.parametrize("name", STATEFUL)
-def test_a_planted_defect_is_found_by_the_plain_rules(name):
-    assert by_rules(name)
+@pytest.mark.parametrize("name", BY_MODEL)
+def test_a_planted_defect_is_found_by_the_model(name):
+    assert find_by_model(name)
 
 
-@pytest.mark.parametrize("name", BY_OWN_TEST)
-def test_a_planted_defect_is_found_by_a_test_of_its_own(name):
-    assert by_test(name)
+@pytest.mark.parametrize("name", BY_DEDICATED_TEST)
+def test_a_planted_defect_is_found_by_its_dedicated_test(name):
+    assert find_by_test(name)
 
 
 def main() -> None:
-    """Print the table."""
+    """Print, for each defect, the check that finds it and after how many runs."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", type=int, default=500)
-    given = parser.parse_args()
+    arguments = parser.parse_args()
     for name, (kind, _) in PLAYS.items():
-        row(name, f"lease_play, {kind}", *(by_play(name, given.seeds) or ("not found", "")))
-    for name in STATEFUL:
-        row(name, "plain model", *(by_rules(name) or ("not found", "")))
-    for name in BY_OWN_TEST:
-        row(name, BY_OWN_TEST[name][1].__name__, *(by_test(name) or ("not found", "")))
+        row(name, f"lease_play, {kind}", *(find_by_play(name, arguments.seeds) or ("not found", "")))
+    for name in BY_MODEL:
+        row(name, "plain model", *(find_by_model(name) or ("not found", "")))
+    for name in BY_DEDICATED_TEST:
+        row(name, BY_DEDICATED_TEST[name][1].__name__, *(find_by_test(name) or ("not found", "")))
 
 
 if __name__ == "__main__":
