--- a/tests/quiescence/test_quiescence.py
+++ b/tests/quiescence/test_quiescence.py
@@ -1,22 +1,22 @@
-"""Quiescence without I/O: days of faults against an oracle, planted defects, the replicated state's rule."""
+"""Quiescence without I/O: random faults against an oracle, planted defects, early drops of replicas."""
 
 import pytest
-from clearance_defects import found
+from clearance_defects import find_defect
 from clearance_play import Play
 
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.state_machine import ShardMachine
 
-DAYS = 4  # of some 0.4 s each; `clearance_defects.py` and results/clearance.md have more
+DAYS = 4  # about 0.4 s each; `clearance_defects.py` and results/clearance.md have more
 
 
 def test_no_query_is_in_flight_or_starts_where_quiescence_was_reported():
     counts = {}
     for seed in range(DAYS):
-        for what, count in Play(seed).play().items():
-            counts[what] = counts.get(what, 0) + count
-    assert min(counts[what] for what in ("cleared", "kept away", "open", "silent")) >= 50, counts
+        for event, count in Play(seed).play().items():
+            counts[event] = counts.get(event, 0) + count
+    assert min(counts[event] for event in ("cleared", "kept away", "open", "silent")) >= 50, counts
 
 
 @pytest.mark.parametrize(
@@ -28,7 +28,7 @@
     ],
 )
 def test_a_planted_defect_is_found(title):
-    assert found(title, 20) is not None
+    assert find_defect(title, 20) is not None
 
 
 class Facts:
@@ -46,9 +46,9 @@
 def test_a_quiesced_replica_is_dropped_early_from_the_second_level_on(level, cleared, refusal):
     state = pb.State(last_move=1)
     state.shards.add(name="t/", table="t", size=1, copies=1, zones=1)
-    for engine, of in (("e0", "leaving"), ("e1", "good")):
+    for engine, replica_state in (("e0", "leaving"), ("e1", "good")):
         state.homes.add(name=engine, life="ready")
-        state.copies.add(shard="t/", engine=engine, state=of)
+        state.copies.add(shard="t/", engine=engine, state=replica_state)
     state.moves.add(number=1, shard="t/", target="e1", drops="e0", step="switched")
     machine = ShardMachine()
     machine.restore(state.SerializeToString())
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -1,9 +1,9 @@
-"""Defects planted in clearances, and after how many days of play each is found.
+"""Defects planted in quiescence, and after how many simulated days each is found.
 
 `tests/support/clearance_defects.py [DAYS]` prints the table.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - makes imports work when run as a script
 
 # isort: split
 
@@ -103,12 +103,12 @@
 }
 
 
-def found(title: str, days: int) -> tuple[int, str] | None:
-    """Return after how many days a defect was found, and how."""
+def find_defect(title: str, days: int) -> tuple[int, str] | None:
+    """Return after how many days a defect is found, and its error; None: not found."""
     with planted(DEFECTS[title]):
         return broken(partial(Play(seed).play) for seed in range(days))
 
 
 if __name__ == "__main__":
-    for each in DEFECTS:
-        row(each, *(found(each, int(sys.argv[1]) if sys.argv[1:] else 200) or ("not found", "")))
+    for title in DEFECTS:
+        row(title, *(find_defect(title, int(sys.argv[1]) if sys.argv[1:] else 200) or ("not found", "")))
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -1,9 +1,9 @@
-"""What clearances gain and cost.
+"""Measure what quiescence saves and costs.
 
 `python tests/support/clearance_measure.py drops|changes SEEDS`, `messages` or `check`.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - makes imports work when run as a script
 
 # isort: split
 
@@ -24,25 +24,30 @@
 from fennelwind.shards.routing import SLOTS_MOST, Routing
 
 
-def told(what, took):
-    """Print the median and the middle nine tenths of some times in ms."""
-    took = sorted(took)
-    low, high = took[len(took) // 20], took[-1 - len(took) // 20]
-    print(f"| {what} | {statistics.median(took):.0f} | {low:.0f} to {high:.0f} | {len(took)} |", flush=True)
+def print_times(title, times_ms):
+    """Print the median, the 5th and 95th percentile, and the number of some times in ms."""
+    times_ms = sorted(times_ms)
+    low, high = times_ms[len(times_ms) // 20], times_ms[-1 - len(times_ms) // 20]
+    print(
+        f"| {title} | {statistics.median(times_ms):.0f} | {low:.0f} to {high:.0f} | {len(times_ms)} |",
+        flush=True,
+    )
 
 
-def drops(on, seeds):
-    """From the switch to the end of the drop, with three controllers that query the shard all the while."""
-    took = []
+def drops(is_on, seeds):
+    """Measure the time from the switch to the end of the drop, while three controllers query the shard."""
+    times_ms = []
     for seed in range(seeds):
         scene = Scene(seed, controllers=3)
-        scene.play(lambda scene=scene: (scene.drain(scene.fleet.engines[0]), took.append(scene.gone_after())))
-    told("switch to drop, " + ("cleared" if on else "without"), took)
+        scene.play(
+            lambda scene=scene: (scene.drain(scene.fleet.engines[0]), times_ms.append(scene.gone_after()))
+        )
+    print_times("switch to drop, " + ("cleared" if is_on else "without"), times_ms)
 
 
-def changes(on, seeds):
-    """From an engine's quiet until its statement may run, per engine."""
-    took = []
+def changes(is_on, seeds):
+    """Measure, per engine, the time from its quiescence to the moment its statement may run."""
+    times_ms = []
     for seed in range(seeds):
         scene = Scene(seed, controllers=3)
 
@@ -50,94 +55,104 @@
             for engine in scene.fleet.engines:
                 engine.schemas.run(f"CREATE TABLE IF NOT EXISTS sales.orders ({OLD})")
             publish(scene.fleet.client(), OLD)
-            record = scene.record().machines["contracts"]
-            version = record.tables["sales.orders"].version
-            task, since = scene.host.spawn(publish, scene.fleet.client(), WIDER, version), {}
+            contracts = scene.record().machines["contracts"]
+            version = contracts.tables["sales.orders"].version
+            task, quiet_since_ms = scene.host.spawn(publish, scene.fleet.client(), WIDER, version), {}
             while not task.done:
                 now = scene.host.now()
-                for change in record.changes.values():
+                for change in contracts.changes.values():
                     for engine in change.quiet:
-                        since.setdefault(engine, now)
-                        if change.engines[engine] == 1:  # asked
-                            took.append(now - since[engine]) if since[engine] >= 0 else None
-                            since[engine] = -1.0
+                        quiet_since_ms.setdefault(engine, now)
+                        if change.engines[engine] == 1:  # ASKED: the engine may run the statement
+                            times_ms.append(now - quiet_since_ms[engine]) if quiet_since_ms[
+                                engine
+                            ] >= 0 else None
+                            quiet_since_ms[engine] = -1.0
                 scene.host.sleep(2.0)
 
         scene.play(call)
-    told("quiet to drained, " + ("cleared" if on else "without"), took)
+    print_times("quiet to drained, " + ("cleared" if is_on else "without"), times_ms)
 
 
 def messages(controllers=200):
-    """Commands and words a second at the leader, by so many controllers."""
+    """Measure log entries and acknowledgements per second at the leader, by number of barrier requests."""
     council = Council(1)
 
     def main(council):
         for name in council.names:
             council.kill(name)
             council.start(name, level=2)
-        parts = []
+        quiescence_clients = []
         for n in range(controllers):
-            keeper = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
-            keeper.quiescence = QuiescenceClient(keeper.loop, keeper.client, f"c{n}", InFlightTracker())
-            parts.append(keeper.quiescence)
+            host = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
+            host.quiescence = QuiescenceClient(host.loop, host.client, f"c{n}", InFlightTracker())
+            quiescence_clients.append(host.quiescence)
         council.until(
-            lambda: sum(p.in_flight.registration_number > 0 for p in parts) == controllers, 300_000.0
+            lambda: (
+                sum(client.in_flight.registration_number > 0 for client in quiescence_clients) == controllers
+            ),
+            300_000.0,
         )
-        rig = council.world.rig
-        for wishes in (0, 1, 20):
-            for part in parts:
-                part.update_replicas(wishes + 1, {}, [(f"t/d={n}", "e") for n in range(wishes)], True)
-            rig.sleep(5_000.0)
+        simulator = council.world.rig
+        for requests in (0, 1, 20):
+            for client in quiescence_clients:
+                client.update_replicas(requests + 1, {}, [(f"t/d={n}", "e") for n in range(requests)], True)
+            simulator.sleep(5_000.0)
             record = council.keepers[council.leader()].member.state.record
-            index, words = record.index, sum(p.counts["told"] for p in parts)
-            rig.sleep(60_000.0)
-            words = sum(p.counts["told"] for p in parts) - words
+            index, acknowledgements = (
+                record.index,
+                sum(client.counts["told"] for client in quiescence_clients),
+            )
+            simulator.sleep(60_000.0)
+            acknowledgements = sum(client.counts["told"] for client in quiescence_clients) - acknowledgements
             entries = (record.index - index) / 60
             print(
-                f"| {controllers} controllers, {wishes} wishes | {entries:.1f} entries/s |"
-                f" {words / 60:.1f} words/s |",
+                f"| {controllers} controllers, {requests} requests | {entries:.1f} entries/s |"
+                f" {acknowledgements / 60:.1f} acknowledgements/s |",
                 flush=True,
             )
 
     council.play(main)
 
 
-def check(times=5_000, runs=40):
-    """What a query costs in routing, in us of the quickest of some runs, with and without a book."""
-    for what, book, quiet in (
-        ("without a book", None, {}),
-        ("nothing is asked for", InFlightTracker(), {}),
-        ("three tables are quiet", InFlightTracker(), {t: frozenset({"e1"}) for t in "abt"}),
+def check(queries=5_000, runs=40):
+    """Measure the cost of a query in routing, in us of the fastest run, with and without a tracker."""
+    for case, tracker, excluded in (
+        ("without a tracker", None, {}),
+        ("nothing is requested", InFlightTracker(), {}),
+        ("three tables are quiesced", InFlightTracker(), {t: frozenset({"e1"}) for t in "abt"}),
     ):
-        routing = Routing(SETTINGS, SLOTS_MOST, book)
+        routing = Routing(SETTINGS, SLOTS_MOST, tracker)
         routing.rewrite_list(ENGINES)
         routing.update_replicas({"t/d=1": ("e1", "e3"), "t/d=2": ("e3", "e5")})
-        routing.update_quiesced(quiet)
-        for named in ((), ("t/d=1",)):
-            took = []
+        routing.update_quiesced(excluded)
+        for shards in ((), ("t/d=1",)):
+            times_us = []
             for _ in range(runs):
-                began = time.perf_counter()
-                for query in range(times):
-                    if named:
-                        routing.classify(query, 0, named)
+                started_s = time.perf_counter()
+                for query in range(queries):
+                    if shards:
+                        routing.classify(query, 0, shards)
                     if routing.may_send(query, "e3"):
                         routing.attempt_started(query, 0, "e3")
                         routing.attempt_ended(query, 0)
                     routing.query_ended(query)
-                took.append((time.perf_counter() - began) / times * 1e6)
-            print(f"| {what} | {len(named)} shards named | {min(took):.2f} us |", flush=True)
+                times_us.append((time.perf_counter() - started_s) / queries * 1e6)
+            print(f"| {case} | {len(shards)} shards named | {min(times_us):.2f} us |", flush=True)
 
 
 if __name__ == "__main__":
-    what, *rest = sys.argv[1:]
-    if what in ("drops", "changes"):
+    case, *arguments = sys.argv[1:]
+    if case in ("drops", "changes"):
         ControllerRegistry.silence_timeout_ms, quiescence.RENEWAL_MS = 40_000, 10_000.0
-        plain = Fleet.text
-        Fleet.text = staticmethod(lambda *args: plain(*args).replace('"(?i)load"', '"(?i)load|alter"'))
-        for on in (True, False):
+        original_text = Fleet.text
+        Fleet.text = staticmethod(
+            lambda *args: original_text(*args).replace('"(?i)load"', '"(?i)load|alter"')
+        )
+        for is_on in (True, False):
             program.moves.MOVES = program.MOVES = program.MOVES.replace(
-                "clearances: true", f"clearances: {str(on).lower()}"
+                "clearances: true", f"clearances: {str(is_on).lower()}"
             )
-            globals()[what](on, int(rest[0]))
+            globals()[case](is_on, int(arguments[0]))
     else:
-        globals()[what]()
+        globals()[case]()
