--- a/tests/leases/test_lease_defects.py
+++ b/tests/leases/test_lease_defects.py
@@ -29,7 +29,7 @@
     "command with an older fencing token applied": 8,
     "lease expires ahead of time": 84,
 }
-PLAYED_MS = 10_000.0  # ms of each play during which faults occur
+FAULTY_MS = 10_000.0  # ms of each play during which faults occur
 
 
 def fencing_token_by_task(original_grant):
@@ -128,7 +128,7 @@
     ),
     "guard not checked after a pause": (
         "plain",
-        [patch.object(Play, "may_continue", lambda self, guard, now, act: True)],
+        [patch.object(Play, "may_continue", lambda self, guard, now_ms, operation: True)],
     ),
     "resource checks no fencing token, pauses over the term": (
         "fences",
@@ -136,11 +136,17 @@
     ),
     "new leader's clock ahead of the log": (
         "plain",
-        [Line(Leader.change, "self.stamped", "self.stamped + self.play.random.randint(0, 3000)")],
+        [
+            Line(
+                Leader.change_leader,
+                "self.log_clock_ms",
+                "self.log_clock_ms + self.play.random.randint(0, 3000)",
+            )
+        ],
     ),
     "time without a leader counted": (
         "plain",
-        [Line(Leader.change, "self.play.now", "self.play.now - 1500.0")],
+        [Line(Leader.change_leader, "self.play.now_ms", "self.play.now_ms - 1500.0")],
     ),
     "fencing token counted by task, anew when forgotten": ("fences", TOKEN_BY_TASK),
     "restart taken for the same holder": (
@@ -231,7 +237,7 @@
     kind, changes = PLAYS[name]
     with planted(changes):
         return broken(
-            (Play(seed, kind, played_ms=PLAYED_MS).run for seed in range(first_seed, first_seed + max_seeds)),
+            (Play(seed, kind, faulty_ms=FAULTY_MS).run for seed in range(first_seed, first_seed + max_seeds)),
             Violation,
         )
 
--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -511,13 +511,13 @@
 
 @pytest.mark.parametrize("kind", ["fences", "plain"])
 def test_two_controllers_never_act_at_once(kind):
-    total = sum((Play(seed, kind, played_ms=8000.0).run() for seed in range(1, 101)), start=Play(0).counts)
+    total = sum((Play(seed, kind, faulty_ms=8000.0).run() for seed in range(1, 101)), start=Play(0).counts)
     assert total["acts"] > 5000 and total["faults"] > 300 and (kind == "plain" or total["refused"])
 
 
 @pytest.mark.parametrize("kind, seeds", [("fences", (1, 2)), ("plain", (4, 5))])
 def test_two_controllers_never_act_at_once_over_a_raft_group(kind, seeds):
-    total = sum((CouncilPlay(seed, kind, played_ms=5000.0).run() for seed in seeds), start=Play(0).counts)
+    total = sum((CouncilPlay(seed, kind, faulty_ms=5000.0).run() for seed in seeds), start=Play(0).counts)
     assert total["acts"] > 50 and total["faults"] > 5 and total["became leader"] > 4
 
 
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -1,13 +1,13 @@
-"""The plays of leases over a real council: three cores, their disks and network, and their clocks.
+"""Lease simulations over a real Raft group: three members, with their disks, network and clocks.
 
 python tests/support/lease_council.py --seeds 1000 [--kind fences|plain]
 
-As lease_play.py, but the record is agreed by cores (raft_cluster.py, with all its checks). They crash
-with unsynced writes lost, are cut off one way or both, lose and double messages, and hand over; snapshots are
-small and frequent. Each member's clock has its own pace within the stated drift.
+As lease_play.py, but the log is replicated by Raft members (raft_cluster.py, with all its checks). They crash
+with loss of unsynced writes, are cut off in one or both directions, lose and duplicate messages, and transfer
+leadership; snapshots are small and frequent. Each member's clock has its own rate within the maximum drift.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - makes imports work when run as a script
 
 # isort: split
 
@@ -25,11 +25,11 @@
 from fennelwind.raft.messages import Timing
 from fennelwind.raft.replicated_state import ReplicatedState
 
-CLIENTS = 60  # opened ahead: lives of controllers in one play
+CLIENT_COUNT = 60  # registered in advance: controller incarnations in one simulation
 
 
 class Members(Cluster):
-    """Three members with the leases' record; stands where lease_play has its one record."""
+    """Three members with the replicated leases, in place of the `Leader` of lease_play.py."""
 
     def __init__(self, play: "CouncilPlay") -> None:
         timing = Timing(
@@ -46,43 +46,45 @@
         self.play = play
         self.records: dict[str, ReplicatedState] = {}
         self.results: dict[tuple[str, int], council.Result] = {}
-        self.clients: list[int] = []
-        self.waiting: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
-        self.at_index: dict[tuple[str, int], int] = {}  # the token whose entry a member is going to apply
+        self.client_ids: list[int] = []
+        self.pending_commands: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
+        self.token_by_index: dict[
+            tuple[str, int], int
+        ] = {}  # token of the entry that a member is going to apply
         for node in self.nodes.values():
-            node.clock_rate = play.pace()
+            node.clock_rate = play.draw_clock_rate()
 
-    # What lease_play asks of its leader.
+    # The interface of `Leader` in lease_play.py.
 
     @property
     def record(self) -> ReplicatedState:
         return max(self.records.values(), key=lambda record: record.index)
 
     @property
-    def stamped(self) -> int:
+    def log_clock_ms(self) -> int:
         return self.record.clock_ms
 
     def open(self) -> int:
-        return self.clients.pop(0)
+        return self.client_ids.pop(0)
 
-    def change(self) -> None:
-        """Let another lead."""
+    def change_leader(self) -> None:
+        """Make the leader transfer its leadership."""
         for node in self.leaders():
             self.deliver(node.name, api.TransferLeadership())
 
     def begin(self) -> None:
-        """Found the council, and open clients."""
+        """Start the Raft group and register clients."""
         self.start_all()
-        while len(self.clients) < CLIENTS:
+        while len(self.client_ids) < CLIENT_COUNT:
             leader = self.await_leader()
-            for _ in range(CLIENTS - len(self.clients)):
+            for _ in range(CLIENT_COUNT - len(self.client_ids)):
                 self.command(leader.name, council.Command())
             self.run(self.now + 200.0)
-            self.clients = [
-                e.index
-                for e in self.checks.committed
-                if e.WhichOneof("what") == "command" and not e.command.client
-            ][:CLIENTS]
+            self.client_ids = [
+                entry.index
+                for entry in self.checks.committed
+                if entry.WhichOneof("what") == "command" and not entry.command.client
+            ][:CLIENT_COUNT]
 
     def command(self, name: str, command: council.Command) -> int:
         self.last_token += 1
@@ -95,7 +97,7 @@
         self.deliver(name, api.Propose(self.last_token, command))
         return self.last_token
 
-    # Carrying out.
+    # Actions of the members.
 
     def start(self, name: str) -> None:
         self.records[name] = ReplicatedState([LeaseStateMachine()])
@@ -115,12 +117,12 @@
         match action:
             case api.Apply(entries):
                 for entry in entries:
-                    ahead = entry.index > max(r.index for r in self.records.values())
+                    is_newest = entry.index > max(r.index for r in self.records.values())
                     result = record.apply(entry)
                     if entry.WhichOneof("what") == "command":
-                        self._told(node.name, entry.index, result)
-                    if ahead:
-                        self.play.watched()
+                        self._deliver_result(node.name, entry.index, result)
+                    if is_newest:
+                        self.play.notify_offers()
                 self.schedule(
                     0.1,
                     self._deliver_if_running,
@@ -128,67 +130,79 @@
                     node.epoch,
                     api.Applied(node.applied, record.next_expiry_clock_ms()),
                 )
-            case api.ProposalOutcome(token, refusal, index, _, again_ms) if token in self.waiting:
+            case api.ProposalOutcome(token, refusal, index, _, retry_after_ms) if (
+                token in self.pending_commands
+            ):
                 if refusal:
-                    who, life, number = self.waiting.pop(token)
-                    self.play.answered(who, life, lease_events.CommandAnswered(number, None, float(again_ms)))
+                    controller, identity, request_id = self.pending_commands.pop(token)
+                    self.play.send_answer(
+                        controller,
+                        identity,
+                        lease_events.CommandAnswered(request_id, None, float(retry_after_ms)),
+                    )
                 else:
-                    self.at_index[node.name, index] = token
+                    self.token_by_index[node.name, index] = token
                     if (node.name, index) in self.results:
-                        self._told(node.name, index, self.results[node.name, index])
+                        self._deliver_result(node.name, index, self.results[node.name, index])
 
-    def _told(self, name: str, index: int, result: council.Result) -> None:
+    def _deliver_result(self, name: str, index: int, result: council.Result) -> None:
         self.results[name, index] = result
-        token = self.at_index.pop((name, index), None)
+        token = self.token_by_index.pop((name, index), None)
         if token is not None:
-            who, life, number = self.waiting.pop(token)
-            self.play.answered(
-                who, life, lease_events.CommandAnswered(number, None if result.refusal else result.body)
+            controller, identity, request_id = self.pending_commands.pop(token)
+            self.play.send_answer(
+                controller,
+                identity,
+                lease_events.CommandAnswered(request_id, None if result.refusal else result.body),
             )
 
 
 class CouncilPlay(Play):
-    """A play over a council."""
+    """A simulation over a Raft group."""
 
-    def found(self) -> Members:
+    def start_leader(self) -> Members:
         self.members = Members(self)
         self.members.begin()
-        self.from_ms = self.members.now
+        self.faults_from_ms = self.members.now
         return self.members
 
     @property
-    def now(self) -> float:
+    def now_ms(self) -> float:
         return self.members.now if "members" in self.__dict__ else 0.0
 
-    @now.setter
-    def now(self, now: float) -> None:
+    @now_ms.setter
+    def now_ms(self, now_ms: float) -> None:
         pass
 
-    def at(self, when: float, what, *args) -> None:
-        self.members.schedule(max(0.0, when - self.now), what, *args)
+    def schedule_at(self, at_ms: float, call, *args) -> None:
+        self.members.schedule(max(0.0, at_ms - self.now_ms), call, *args)
 
     def run(self) -> Counter:
         members = self.members
         members.loss_rate, members.duplication_rate = self.random.choice(((0, 0), (0.05, 0.05), (0.15, 0.1)))
         members.delay_range_ms = self.random.choice(((0.5, 3.0), (1.0, 20.0)))
         for _ in range(self.random.randint(4, 16)):
-            self.at(self.from_ms + self.random.uniform(0, self.played_ms), self.fault)
-        self.at(self.from_ms + self.played_ms, self.end_of_faults)
-        members.run(self.from_ms + self.played_ms + 20_000.0)
+            self.schedule_at(self.faults_from_ms + self.random.uniform(0, self.faulty_ms), self.inject_fault)
+        self.schedule_at(self.faults_from_ms + self.faulty_ms, self.end_of_faults)
+        members.run(self.faults_from_ms + self.faulty_ms + 20_000.0)
         self.check_end()
         return self.counts + members.counts
 
-    def asked(
-        self, who: Controller, life: ControllerIncarnation, token: int, command: council.Command
+    def apply_command(
+        self,
+        controller: Controller,
+        identity: ControllerIncarnation,
+        request_id: int,
+        command: council.Command,
     ) -> None:
         leader = self.members.leader()
         name = leader.name if leader is not None and self.random.random() < 0.9 else self.random.choice("abc")
         if self.members.nodes[name].core is not None:
-            self.members.waiting[self.members.last_token + 1] = (who, life, token)
+            self.members.pending_commands[self.members.last_token + 1] = (controller, identity, request_id)
             self.members.command(name, command)
 
-    def no_leader(self, ms: float) -> None:
-        """Something happens to a member, the leader mostly, for so long."""
+    def lose_leader(self, ms: float) -> None:
+        """Crash, isolate or slow down a member, usually the leader, or crash all, for `ms`."""
         members, random = self.members, self.random
         leader = members.leader()
         name = leader.name if leader is not None and random.random() < 0.7 else random.choice("abc")
@@ -202,9 +216,9 @@
             case 2:
                 members.nodes[name].disk_slowdown = 50.0
             case 3:
-                for each in "abc":
-                    members.crash(each)
-        self.at(self.now + ms, self.heal)
+                for other_name in "abc":
+                    members.crash(other_name)
+        self.schedule_at(self.now_ms + ms, self.heal)
 
     def heal(self) -> None:
         members = self.members
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -1,14 +1,15 @@
-"""Controllers, their clocks and a record with leases in virtual time, by seed: do two ever act at once?
+"""Simulated controllers and a replicated log with leases in virtual time: do two ever act at once?
 
 python tests/support/lease_play.py --seeds 10000 [--first 1] [--kind fences|plain]
 
-`fences`: pauses longer than the term anywhere, and a resource that refuses older fences. `plain`: the
-resource checks nothing; a pause between a check and its effect, together with the call's way, stays within
-the stated bound, others are as long. Both: clocks up to the stated drift, loss, doubling, late and reordered
-asks and answers, restarts, ends, gaps without a leader, in which the record's clock stands still.
+Kind `fences`: processes may be paused for longer than the term at any point, and the resource rejects stale
+fencing tokens. Kind `plain`: the resource checks nothing. A pause between a check and its effect, plus the
+duration of the call, stays within the maximum pause; other pauses are as long as with `fences`. Both: clocks
+up to the maximum drift; lost, duplicated, late and reordered commands and answers; restarts and shutdowns;
+and times without a leader, during which the log's clock stands still.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - makes imports work when run as a script
 
 # isort: split
 
@@ -29,394 +30,466 @@
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import ReplicatedState
 
-TERM_MS, PAUSE_MS, ACT_MS = 2000, 150.0, 400.0  # ms: of the played tasks
-PLAYED_MS, CALM_MS = 25_000.0, 16_000.0  # ms with faults, and without them after it
-CLOCK_MS = (20.0, 500.0)  # ms after which a leader looks whether something lapses; the first is sharp
+TERM_MS, MAX_PAUSE_MS, OPERATION_MS = (
+    2000,
+    150.0,
+    400.0,
+)  # ms: term, pause and operation of the simulated tasks
+FAULTY_MS, FAULT_FREE_MS = 25_000.0, 16_000.0  # ms with faults, then without
+CLOCK_ENTRY_INTERVALS_MS = (20.0, 500.0)  # ms between checks for expiry; the first finds it at once
 TASKS = ("moves", "vacuum")
 
 
 class Violation(AssertionError):
-    """Two acted, or believed that they might, at once."""
+    """Two controllers acted, or relied on a lease of the same task, at the same time."""
 
 
 class Leader:
-    """The record under leaders that come and go, each with a clock of its own pace."""
+    """The replicated log under changing leaders; each leader's clock has its own rate."""
 
     def __init__(self, play: "Play") -> None:
         self.play = play
         self.record = ReplicatedState([LeaseStateMachine()])
-        self.index = self.stamped = 0
-        self.change()
-
-    def change(self) -> None:
-        self.pace, self.since, self.base = self.play.pace(), self.play.now, self.stamped
+        self.index = self.log_clock_ms = 0
+        self.change_leader()
+
+    def change_leader(self) -> None:
+        self.clock_rate, self.leader_since_ms, self.base_clock_ms = (
+            self.play.draw_clock_rate(),
+            self.play.now_ms,
+            self.log_clock_ms,
+        )
 
     def clock(self) -> int:
-        return max(self.stamped, self.base + int((self.play.now - self.since) * self.pace))
+        return max(
+            self.log_clock_ms,
+            self.base_clock_ms + int((self.play.now_ms - self.leader_since_ms) * self.clock_rate),
+        )
 
     def open(self) -> int:
-        """Return a new client's number."""
+        """Register a new client; return its id."""
         return self.write(council.Command()).index
 
     def write(self, command: council.Command | None = None) -> council.Result:
-        self.index, self.stamped = self.index + 1, self.clock()
-        entry = council.Entry(term=1, index=self.index, clock_ms=self.stamped)
+        self.index, self.log_clock_ms = self.index + 1, self.clock()
+        entry = council.Entry(term=1, index=self.index, clock_ms=self.log_clock_ms)
         if command is None:
             entry.nothing = True
         else:
             entry.command.CopyFrom(command)
         result = self.record.apply(entry)
-        self.play.watched()
+        self.play.notify_offers()
         return result
 
 
 class Controller:
-    """One process: a holder, its clock, the code of its tasks; it stands still, ends and starts anew."""
+    """One process: its lease client, clock and tasks; it is paused, shut down and restarted."""
 
     def __init__(self, play: "Play", number: int) -> None:
-        self.play, self.number, self.lives = play, number, 0
+        self.play, self.number, self.incarnation_count = play, number, 0
         self.start()
 
     def start(self) -> None:
-        self.lives += 1
-        self.life = ControllerIncarnation(f"c{self.number}", b"%d" % self.lives)
-        self.pace, self.offset = self.play.pace(), self.play.random.uniform(0, 1e6)
-        self.born, self.paused_until, self.alive, self.offers = self.play.now, 0.0, True, ()
-        self.cut_until: dict[str, float] = {}
-        self.client = self.play.leader.open()
-        self.holder = LeaseClient(self.life, self.play.seed, max_pause_ms=PAUSE_MS)
-        self.acting: Counter[str] = Counter()
-        self.timer = 0
+        self.incarnation_count += 1
+        self.identity = ControllerIncarnation(f"c{self.number}", b"%d" % self.incarnation_count)
+        self.clock_rate, self.offset = self.play.draw_clock_rate(), self.play.random.uniform(0, 1e6)
+        self.started_at_ms, self.paused_until_ms, self.is_alive, self.offers = self.play.now_ms, 0.0, True, ()
+        self.lost_until_ms: dict[str, float] = {}
+        self.client_id = self.play.leader.open()
+        self.lease_client = LeaseClient(self.identity, self.play.seed, max_pause_ms=MAX_PAUSE_MS)
+        self.operation_counts: Counter[str] = Counter()
+        self.timer_number = 0
         self.wanted = {task for task in TASKS if self.play.random.random() < 0.8}
         self.step([lease_events.AcquireLease(task, TERM_MS) for task in sorted(self.wanted)])
 
     def clock(self) -> float:
-        return self.offset + (self.play.now - self.born) * self.pace
+        return self.offset + (self.play.now_ms - self.started_at_ms) * self.clock_rate
 
-    def later(self, ms: float, what: Callable, *args) -> None:
-        """Run something in this life after ms of its clock; not before a pause is over."""
-        self.play.at(self.play.now + ms / self.pace, self._run, self.life, what, args)
+    def schedule(self, ms: float, call: Callable, *args) -> None:
+        """Schedule a call in this incarnation after `ms` of its own clock; a pause delays it."""
+        self.play.schedule_at(self.play.now_ms + ms / self.clock_rate, self._run, self.identity, call, args)
 
-    def _run(self, life: ControllerIncarnation, what: Callable, args: tuple) -> None:
-        if not self.alive or self.life != life:
+    def _run(self, identity: ControllerIncarnation, call: Callable, args: tuple) -> None:
+        if not self.is_alive or self.identity != identity:
             return
-        if self.play.now < self.paused_until:
-            self.play.at(self.paused_until, self._run, life, what, args)
+        if self.play.now_ms < self.paused_until_ms:
+            self.play.schedule_at(self.paused_until_ms, self._run, identity, call, args)
         else:
-            what(*args)
+            call(*args)
 
     def step(self, events: list[lease_events.Event]) -> None:
-        for action in self.holder.step(self.clock(), events):
+        for action in self.lease_client.step(self.clock(), events):
             match action:
-                case lease_events.SendCommand(token, body):
-                    self.play.ask(self, token, body)
+                case lease_events.SendCommand(request_id, body):
+                    self.play.send_command(self, request_id, body)
                 case lease_events.LeaseAcquired(task, _, _):
-                    self.later(self.play.random.choice([0, self.play.random.uniform(0, 200)]), self.act, task)
-                case lease_events.SetTimer(at):
-                    self.timer += 1
-                    self.later(max(0.0, at - self.clock()) + 0.01, self.woken, self.timer)
+                    self.schedule(
+                        self.play.random.choice([0, self.play.random.uniform(0, 200)]),
+                        self.begin_operation,
+                        task,
+                    )
+                case lease_events.SetTimer(at_ms):
+                    self.timer_number += 1
+                    self.schedule(max(0.0, at_ms - self.clock()) + 0.01, self.on_timer, self.timer_number)
                 case lease_events.ShutdownComplete():
-                    self.alive = False
-        self.play.believes(self)
+                    self.is_alive = False
+        self.play.check_belief(self)
 
-    def woken(self, timer: int) -> None:
-        if timer == self.timer:
+    def on_timer(self, timer_number: int) -> None:
+        if timer_number == self.timer_number:
             self.step([lease_events.Wakeup()])
 
-    # The code of a task: acts of some steps each, through the guard.
+    # A task: operations of one to four steps each, checked by the fencing guard.
 
-    def act(self, task: str) -> None:
+    def begin_operation(self, task: str) -> None:
         random = self.play.random
         try:
-            guard = self.holder.guard(task)
-            act = guard.begin(self.clock(), ACT_MS)
+            guard = self.lease_client.guard(task)
+            operation = guard.begin(self.clock(), OPERATION_MS)
         except (LeaseError, KeyError):
             return
         self.play.counts["acts"] += 1
         steps = random.randint(1, 4)
-        self.step_of(task, guard, act, steps)
+        self.run_step(task, guard, operation, steps)
 
-    def step_of(self, task: str, guard, act, left: int) -> None:
+    def run_step(self, task: str, guard, operation, steps_left: int) -> None:
         random = self.play.random
-        if not self.play.may_continue(guard, self.clock(), act) or not left:
-            guard.end(act)
+        if not self.play.may_continue(guard, self.clock(), operation) or not steps_left:
+            guard.end(operation)
             self.step([lease_events.Wakeup()])
-            if random.random() < 0.03 and not self.play.calm:
-                got = lease_events.SaveCheckpoint(task, b"%d" % act.fencing_token)
+            if random.random() < 0.03 and not self.play.is_fault_free:
+                checkpoint = lease_events.SaveCheckpoint(task, b"%d" % operation.fencing_token)
                 self.step(
-                    [random.choice([lease_events.TaskFailed(task), lease_events.ReleaseLease(task), got])]
+                    [
+                        random.choice(
+                            [lease_events.TaskFailed(task), lease_events.ReleaseLease(task), checkpoint]
+                        )
+                    ]
                 )
-            self.later(random.uniform(10, 1000 if self.play.calm else 150), self.act, task)
+            self.schedule(
+                random.uniform(10, 1000 if self.play.is_fault_free else 150), self.begin_operation, task
+            )
             return
-        # Between the check and its effect: the process may stand still, and the call takes its way.
-        stands = self.play.stand_still(self)
-        took = stands + self.play.way(stands)
-        self.play.at(self.play.now + took, self.play.effect, self.life, task, act)
-        if took < ACT_MS:  # else the call's answer is not waited for, and the act is left as it is
-            then = took * self.pace + random.uniform(1, ACT_MS / 6)
-            self.later(then, self.step_of, task, guard, act, left - 1)
+        # Between the check and its effect the process may be paused, and the call takes time.
+        paused_ms = self.play.draw_pause_ms(self)
+        total_ms = paused_ms + self.play.draw_call_ms(paused_ms)
+        self.play.schedule_at(
+            self.play.now_ms + total_ms, self.play.apply_effect, self.identity, task, operation
+        )
+        if total_ms < OPERATION_MS:  # else the call times out, and the operation is not ended
+            next_step_after_ms = total_ms * self.clock_rate + random.uniform(1, OPERATION_MS / 6)
+            self.schedule(next_step_after_ms, self.run_step, task, guard, operation, steps_left - 1)
         else:
-            self.later(ACT_MS, self.act, task)
+            self.schedule(OPERATION_MS, self.begin_operation, task)
 
 
 class Play:
-    """One play; `run` raises `Violation`."""
+    """One simulation; `run` raises `Violation`."""
 
-    def __init__(self, seed: int, kind: str = "fences", played_ms: float = PLAYED_MS) -> None:
+    def __init__(self, seed: int, kind: str = "fences", faulty_ms: float = FAULTY_MS) -> None:
         self.seed, self.kind, self.random = seed, kind, Random(f"{kind} {seed}")
-        self.played_ms = played_ms
-        self.now, self.calm, self.clock_ms = 0.0, False, self.random.choice(CLOCK_MS)
+        self.faulty_ms = faulty_ms
+        self.now_ms, self.is_fault_free, self.clock_interval_ms = (
+            0.0,
+            False,
+            self.random.choice(CLOCK_ENTRY_INTERVALS_MS),
+        )
         self._heap: list[tuple] = []
-        self._order = itertools.count()
+        self._event_sequence = itertools.count()
         self.counts: Counter[str] = Counter()
         self.beliefs: dict[str, dict[ControllerIncarnation, float]] = {
             task: {} for task in TASKS
-        }  # true time of their end
+        }  # by task and holder: until when, in true time, it relies on the lease
         self.resource = FencedResource() if kind == "fences" else None
-        self.acted: dict[str, list] = {task: [] for task in TASKS}  # acts in the order of their first step
-        self.owner: dict[tuple[str, int], ControllerIncarnation] = {}
+        self.operations_by_task: dict[str, list] = {
+            task: [] for task in TASKS
+        }  # in the order of their first steps
+        self.holder_by_token: dict[tuple[str, int], ControllerIncarnation] = {}
         self.controllers: list[Controller] = []
-        self.leader = self.found()
-        self.no_leader_until = 0.0
+        self.leader = self.start_leader()
+        self.no_leader_until_ms = 0.0
         self.controllers = [Controller(self, number) for number in range(3)]
 
-    def found(self) -> Leader:
+    def start_leader(self) -> Leader:
         return Leader(self)
 
-    def pace(self) -> float:
+    def draw_clock_rate(self) -> float:
         low, high = 1 - MAX_CLOCK_DRIFT, 1 + MAX_CLOCK_DRIFT
         return self.random.choice([low, high, low, high, self.random.uniform(low, high)])
 
-    def may_continue(self, guard, now: float, act) -> bool:
-        return guard.may_continue(now, act)
+    def may_continue(self, guard, now_ms: float, operation) -> bool:
+        return guard.may_continue(now_ms, operation)
 
-    def at(self, when: float, what: Callable, *args) -> None:
-        heapq.heappush(self._heap, (when, next(self._order), what, args))
+    def schedule_at(self, at_ms: float, call: Callable, *args) -> None:
+        heapq.heappush(self._heap, (at_ms, next(self._event_sequence), call, args))
 
     def run(self) -> Counter:
-        self.at(0.0, self.tick)
+        self.schedule_at(0.0, self.append_clock_entry)
         for _ in range(self.random.randint(4, 16)):
-            self.at(self.random.uniform(0, self.played_ms), self.fault)
-        self.at(self.played_ms, self.end_of_faults)
-        while self._heap and self._heap[0][0] <= self.played_ms + CALM_MS:
-            self.now, _, what, args = heapq.heappop(self._heap)
-            what(*args)
+            self.schedule_at(self.random.uniform(0, self.faulty_ms), self.inject_fault)
+        self.schedule_at(self.faulty_ms, self.end_of_faults)
+        while self._heap and self._heap[0][0] <= self.faulty_ms + FAULT_FREE_MS:
+            self.now_ms, _, call, args = heapq.heappop(self._heap)
+            call(*args)
         self.check_end()
         return self.counts
 
-    # The record.
+    # The replicated log.
 
-    def tick(self) -> None:
-        """Time alone, while something is due, by who leads."""
-        self.at(self.now + self.clock_ms / self.leader.pace, self.tick)
+    def append_clock_entry(self) -> None:
+        """Let the leader append an entry for the time if something is due."""
+        self.schedule_at(
+            self.now_ms + self.clock_interval_ms / self.leader.clock_rate, self.append_clock_entry
+        )
         due = self.leader.record.next_expiry_clock_ms()
-        if self.now >= self.no_leader_until and due is not None and due <= self.leader.clock():
+        if self.now_ms >= self.no_leader_until_ms and due is not None and due <= self.leader.clock():
             self.leader.write()
 
-    def delay(self) -> float:
-        if self.calm:
+    def draw_delay_ms(self) -> float:
+        if self.is_fault_free:
             return self.random.uniform(1, 10)
         return self.random.choice([self.random.uniform(1, 20)] * 9 + [self.random.uniform(1, 3000)])
 
-    def lost(self, who: Controller, way: str) -> bool:
-        """Tell whether something is lost on its way; asks and answers may be cut apart."""
-        return not self.calm and (self.random.random() < 0.1 or self.now < who.cut_until.get(way, 0.0))
+    def is_lost(self, controller: Controller, direction: str) -> bool:
+        """Return whether a message is lost; each direction may be cut separately."""
+        return not self.is_fault_free and (
+            self.random.random() < 0.1 or self.now_ms < controller.lost_until_ms.get(direction, 0.0)
+        )
 
-    def ask(self, who: Controller, token: int, body: bytes) -> None:
+    def send_command(self, controller: Controller, request_id: int, body: bytes) -> None:
         self.counts["asks"] += 1
         command = council.Command(
-            client=who.client, number=token, heard=max(0, token - 20), machine="leases", body=body
+            client=controller.client_id,
+            number=request_id,
+            heard=max(0, request_id - 20),
+            machine="leases",
+            body=body,
         )
-        for _ in range(1 + (not self.calm and self.random.random() < 0.1)):
-            if not self.lost(who, "asks"):
-                self.at(self.now + self.delay(), self.asked, who, who.life, token, command)
+        for _ in range(1 + (not self.is_fault_free and self.random.random() < 0.1)):
+            if not self.is_lost(controller, "asks"):
+                self.schedule_at(
+                    self.now_ms + self.draw_delay_ms(),
+                    self.apply_command,
+                    controller,
+                    controller.identity,
+                    request_id,
+                    command,
+                )
 
-    def asked(
-        self, who: Controller, life: ControllerIncarnation, token: int, command: council.Command
+    def apply_command(
+        self,
+        controller: Controller,
+        identity: ControllerIncarnation,
+        request_id: int,
+        command: council.Command,
     ) -> None:
-        if self.now < self.no_leader_until:
-            self.answered(who, life, lease_events.CommandAnswered(token, None, 100.0))
+        if self.now_ms < self.no_leader_until_ms:
+            self.send_answer(controller, identity, lease_events.CommandAnswered(request_id, None, 100.0))
         else:
             result = self.leader.write(command)
-            self.answered(
-                who, life, lease_events.CommandAnswered(token, None if result.refusal else result.body)
+            self.send_answer(
+                controller,
+                identity,
+                lease_events.CommandAnswered(request_id, None if result.refusal else result.body),
             )
 
-    def answered(
-        self, who: Controller, life: ControllerIncarnation, answer: lease_events.CommandAnswered
+    def send_answer(
+        self, controller: Controller, identity: ControllerIncarnation, answer: lease_events.CommandAnswered
     ) -> None:
-        if not self.lost(who, "answers"):
-            late = 0.0 if self.now >= who.cut_until.get("late", 0.0) else self.random.uniform(100, TERM_MS)
-            self.at(self.now + self.delay() + late, who._run, life, who.step, ([answer],))
-
-    def watched(self) -> None:
-        """Tell each controller what is newly offered to it; that may be lost as well."""
-        for who in self.controllers:
-            offers = self.leader.record.machines["leases"].offers(who.life)
-            if offers != who.offers and offers and not self.lost(who, "answers"):
-                self.at(
-                    self.now + self.delay(),
-                    who._run,
-                    who.life,
-                    who.step,
+        if not self.is_lost(controller, "answers"):
+            extra_delay_ms = (
+                0.0
+                if self.now_ms >= controller.lost_until_ms.get("late", 0.0)
+                else self.random.uniform(100, TERM_MS)
+            )
+            self.schedule_at(
+                self.now_ms + self.draw_delay_ms() + extra_delay_ms,
+                controller._run,
+                identity,
+                controller.step,
+                ([answer],),
+            )
+
+    def notify_offers(self) -> None:
+        """Notify each controller of new offers; the notification may be lost."""
+        for controller in self.controllers:
+            offers = self.leader.record.machines["leases"].offers(controller.identity)
+            if offers != controller.offers and offers and not self.is_lost(controller, "answers"):
+                self.schedule_at(
+                    self.now_ms + self.draw_delay_ms(),
+                    controller._run,
+                    controller.identity,
+                    controller.step,
                     ([lease_events.LeasesOffered(offers)],),
                 )
-            who.offers = offers
+            controller.offers = offers
 
     # Faults.
 
-    def fault(self) -> None:
-        random, who = self.random, self.random.choice(self.controllers)
+    def inject_fault(self) -> None:
+        random, controller = self.random, self.random.choice(self.controllers)
         match random.randrange(6):
             case 0:
-                self.no_leader(random.uniform(100, 6000))
+                self.lose_leader(random.uniform(100, 6000))
             case 1:
-                self.pause(who, random.uniform(100, 4 * TERM_MS))
+                self.pause(controller, random.uniform(100, 4 * TERM_MS))
             case 2:
-                self.kill(who)
-                self.at(self.now + random.uniform(0, 2 * TERM_MS), self.start, who)
+                self.kill(controller)
+                self.schedule_at(self.now_ms + random.uniform(0, 2 * TERM_MS), self.start, controller)
             case 3:
-                if who.alive and self.now >= who.paused_until:
-                    who.step([lease_events.Shutdown()])
-                self.at(self.now + random.uniform(3000, 6000), self.start, who)
+                if controller.is_alive and self.now_ms >= controller.paused_until_ms:
+                    controller.step([lease_events.Shutdown()])
+                self.schedule_at(self.now_ms + random.uniform(3000, 6000), self.start, controller)
             case 4:
-                self.leader.change()
+                self.leader.change_leader()
             case 5:
-                late = self.now + random.uniform(0, TERM_MS)
-                who.cut_until = random.choice(
+                late_until_ms = self.now_ms + random.uniform(0, TERM_MS)
+                controller.lost_until_ms = random.choice(
                     [
-                        {"asks": late},
-                        {"answers": late},
-                        {"late": late},
-                        {"late": late, "asks": late + 2 * TERM_MS},
+                        {"asks": late_until_ms},
+                        {"answers": late_until_ms},
+                        {"late": late_until_ms},
+                        {"late": late_until_ms, "asks": late_until_ms + 2 * TERM_MS},
                     ]
                 )
         self.counts["faults"] += 1
 
-    def no_leader(self, ms: float) -> None:
-        self.no_leader_until = self.now + ms
-        self.at(self.no_leader_until, self.leader.change)
+    def lose_leader(self, ms: float) -> None:
+        self.no_leader_until_ms = self.now_ms + ms
+        self.schedule_at(self.no_leader_until_ms, self.leader.change_leader)
 
-    def pause(self, who: Controller, ms: float) -> None:
-        who.paused_until = max(who.paused_until, self.now + ms)
+    def pause(self, controller: Controller, ms: float) -> None:
+        controller.paused_until_ms = max(controller.paused_until_ms, self.now_ms + ms)
 
-    def stand_still(self, who: Controller) -> float:
-        """Return for how long the process stands still between a check and its effect."""
-        if self.random.random() < 0.02 and not self.calm:
-            self.pause(who, self.random.uniform(0, 3 * TERM_MS if self.kind == "fences" else PAUSE_MS / 2))
-        return max(0.0, who.paused_until - self.now)
+    def draw_pause_ms(self, controller: Controller) -> float:
+        """Return for how long the process is paused between a check and its effect."""
+        if self.random.random() < 0.02 and not self.is_fault_free:
+            self.pause(
+                controller, self.random.uniform(0, 3 * TERM_MS if self.kind == "fences" else MAX_PAUSE_MS / 2)
+            )
+        return max(0.0, controller.paused_until_ms - self.now_ms)
 
-    def way(self, stands: float) -> float:
-        """Return how long a call takes to the resource; with no fences, all is within the stated bound.
+    def draw_call_ms(self, paused_ms: float) -> float:
+        """Return how long a call to the resource takes; with kind `plain` it fits into the maximum pause.
 
-        The bound is on the controller's clock: a fast one measures a true 100 ms as 120.
+        That maximum is on the controller's clock: a fast clock measures a true 100 ms as 120.
         """
         if self.kind == "plain":
-            most = max(0.0, PAUSE_MS / (1 + MAX_CLOCK_DRIFT) - stands)
-            return self.random.choice([most, self.random.uniform(0, most)])
-        return self.delay()
+            max_call_ms = max(0.0, MAX_PAUSE_MS / (1 + MAX_CLOCK_DRIFT) - paused_ms)
+            return self.random.choice([max_call_ms, self.random.uniform(0, max_call_ms)])
+        return self.draw_delay_ms()
 
-    def kill(self, who: Controller) -> None:
-        who.alive = False
+    def kill(self, controller: Controller) -> None:
+        controller.is_alive = False
         for beliefs in self.beliefs.values():
-            beliefs.pop(who.life, None)
+            beliefs.pop(controller.identity, None)
 
-    def start(self, who: Controller) -> None:
-        if not (self.calm and who.alive):
-            self.kill(who)
-            who.start()
+    def start(self, controller: Controller) -> None:
+        if not (self.is_fault_free and controller.is_alive):
+            self.kill(controller)
+            controller.start()
 
     def end_of_faults(self) -> None:
-        self.calm = True
-        self.no_leader_until = 0.0
-        self.leader.change()
-        for who in self.controllers:
-            who.paused_until = 0.0
-            if not who.alive:
-                who.start()
-            who.step([lease_events.AcquireLease(task, TERM_MS) for task in TASKS])
+        self.is_fault_free = True
+        self.no_leader_until_ms = 0.0
+        self.leader.change_leader()
+        for controller in self.controllers:
+            controller.paused_until_ms = 0.0
+            if not controller.is_alive:
+                controller.start()
+            controller.step([lease_events.AcquireLease(task, TERM_MS) for task in TASKS])
 
     # What is checked.
 
-    def believes(self, who: Controller) -> None:
-        """Note until when, in true time, its guards let acts pass; nobody else's may at the same time."""
+    def check_belief(self, controller: Controller) -> None:
+        """Record until when, in true time, its guards allow operations; no other controller's may overlap."""
         for task in TASKS:
             beliefs = self.beliefs[task]
-            beliefs.pop(who.life, None)
+            beliefs.pop(controller.identity, None)
             try:
-                guard = who.holder.guard(task)
+                guard = controller.lease_client.guard(task)
             except KeyError:
                 continue
-            end = self.now + (guard.valid_until_ms - who.clock()) / who.pace
+            believed_until_ms = (
+                self.now_ms + (guard.valid_until_ms - controller.clock()) / controller.clock_rate
+            )
             if (
-                not who.alive
+                not controller.is_alive
                 or not guard.fencing_token
-                or end <= self.now
+                or believed_until_ms <= self.now_ms
                 or not (guard.operation_budget_ms or guard.operations)
             ):
                 continue
-            beliefs[who.life] = end
+            beliefs[controller.identity] = believed_until_ms
             self.counts["beliefs"] += 1
-            other = [life for life, until in beliefs.items() if life != who.life and until > self.now]
-            if other:
+            others = [
+                identity
+                for identity, until_ms in beliefs.items()
+                if identity != controller.identity and until_ms > self.now_ms
+            ]
+            if others:
                 raise Violation(
-                    f"seed {self.seed}: at {self.now:.0f} {who.life} believes to hold {task}, "
-                    f"and so does {other[0]}"
+                    f"seed {self.seed}: at {self.now_ms:.0f} {controller.identity} relies on its lease "
+                    f"of {task}, and so does {others[0]}"
                 )
 
-    def effect(self, life: ControllerIncarnation, task: str, act) -> None:
-        """A step of an act comes to the resource, which notes it."""
+    def apply_effect(self, identity: ControllerIncarnation, task: str, operation) -> None:
+        """Apply a step of an operation at the resource, which records it."""
         if self.resource is not None:
             try:
-                self.resource.check(task, act.fencing_token)
+                self.resource.check(task, operation.fencing_token)
             except LeaseError:
                 self.counts["refused"] += 1
                 return
-            if self.owner.setdefault((task, act.fencing_token), life) != life:
-                raise Violation(f"seed {self.seed}: fence {act.fencing_token} of {task} is two holders'")
+            if self.holder_by_token.setdefault((task, operation.fencing_token), identity) != identity:
+                raise Violation(
+                    f"seed {self.seed}: two holders have fencing token {operation.fencing_token} of {task}"
+                )
         self.counts["steps"] += 1
-        acted = self.acted[task]
-        key = (life, act.fencing_token, act.number)
-        if acted and acted[-1][0] != life and key in acted:
+        operations = self.operations_by_task[task]
+        key = (identity, operation.fencing_token, operation.number)
+        if operations and operations[-1][0] != identity and key in operations:
             raise Violation(
-                f"seed {self.seed}: at {self.now:.0f} {life} goes on with act {act.number} of "
-                f"{task} after {acted[-1][0]} has begun"
+                f"seed {self.seed}: at {self.now_ms:.0f} {identity} continues operation {operation.number} "
+                f"of {task} after {operations[-1][0]} has begun one"
             )
-        if not acted or acted[-1] != key:
-            acted.append(key)
-            del acted[:-50]
+        if not operations or operations[-1] != key:
+            operations.append(key)
+            del operations[:-50]
 
     def check_end(self) -> None:
-        """After the faults somebody holds each task, but where all are passed over, and acts."""
+        """Check that each task has a holder at the end, unless all are excluded, and that steps were done."""
         record = self.leader.record.machines["leases"]
         for task in TASKS:
             view = record.view(task)
-            aside = view is not None and all(
-                view.excluded_until_ms.get(f"c{number}", 0) > self.leader.stamped for number in range(3)
+            all_excluded = view is not None and all(
+                view.excluded_until_ms.get(f"c{number}", 0) > self.leader.log_clock_ms for number in range(3)
             )
-            if view is None or not view.holder and not aside:
-                raise Violation(f"seed {self.seed}: nobody holds {task} at the end: {view}")
+            if view is None or not view.holder and not all_excluded:
+                raise Violation(f"seed {self.seed}: no controller holds {task} at the end: {view}")
         if self.counts["steps"] < 5:
-            raise Violation(f"seed {self.seed}: hardly anything was done: {self.counts}")
+            raise Violation(f"seed {self.seed}: too few steps were carried out: {self.counts}")
 
 
-def main(play: type[Play] = Play, told: str = __doc__, broken: type[Exception] = Violation) -> int:
-    """Play seeds; tell how many, and the first that broke."""
+def main(
+    play: type[Play] = Play, description: str = __doc__, violation_type: type[Exception] = Violation
+) -> int:
+    """Run simulations by seed; print their number, or the first seed with a violation."""
     kind = argparse.RawDescriptionHelpFormatter
-    parser = argparse.ArgumentParser(description=told, formatter_class=kind)
+    parser = argparse.ArgumentParser(description=description, formatter_class=kind)
     parser.add_argument("--seeds", type=int, default=10_000)
     parser.add_argument("--first", type=int, default=1)
     parser.add_argument("--kind", choices=("fences", "plain"), default="")
-    given = parser.parse_args()
-    for kind in [given.kind] if given.kind else ["fences", "plain"]:
+    arguments = parser.parse_args()
+    for kind in [arguments.kind] if arguments.kind else ["fences", "plain"]:
         counts: Counter[str] = Counter()
-        for seed in range(given.first, given.first + given.seeds):
+        for seed in range(arguments.first, arguments.first + arguments.seeds):
             try:
                 counts += play(seed, kind).run()
-            except broken as exc:
+            except violation_type as exc:
                 print(f"{kind}: seed {seed}: {exc}")
                 return 1
-        print(f"{kind}: {given.seeds} seeds, none broke; {dict(sorted(counts.items()))}")
+        print(f"{kind}: {arguments.seeds} seeds, no violation; {dict(sorted(counts.items()))}")
     return 0
 
 
