--- a/tests/leases/test_leases.py
+++ b/tests/leases/test_leases.py
@@ -523,8 +523,8 @@
 
 @pytest.mark.parametrize("menu", MENUS)
 def test_two_controllers_never_hold_in_any_order_of_a_few_events(menu):
-    states, _, depth, wrong, path = search(400, menu=menu)
-    assert states >= 400 and depth >= 3 and not wrong, path
+    state_count, _, depth, violation, path = search(400, menu=menu)
+    assert state_count >= 400 and depth >= 3 and not violation, path
 
 
 IGNORED_DRIFT = [Line(LeaseClient.__init__, "self.max_drift = max_drift", "self.max_drift = 0.0")]
--- a/tests/support/lease_search.py
+++ b/tests/support/lease_search.py
@@ -1,17 +1,18 @@
-"""Every order of events of two holders and the machine, to a depth: can both believe that they hold a task?
+"""Search all event orders of two lease clients and the state machine, up to a depth: can both hold a task?
 
 python tests/support/lease_search.py [--states 1000000] [--menu late|crash|fail|spare]
 
-The real holder, guard and machine. Time goes in ticks; the record's clock is as fast and the first holder's
-as slow as the stated drift allows, so that a lease ends on the record at the tick at which its holder has
-just stopped counting on it. Asks and answers come in any order, late or never (one that is never delivered);
-holders stand still over a tick. Besides, by menu: asks are doubled (the record's memory of done commands is
-left out), holders crash and start anew, fail or hand over, or have two tasks, one to spare. Breadth first,
-each state once. Two states are one if they differ by nothing but a shift of all times, by which numbers stand
-for the same order of fences, or by what can't matter within some seconds (`World.key`).
+It runs the real lease client, fencing guard and state machine. Time advances in ticks. The log's clock is as
+fast, and the first client's as slow, as the maximum drift allows, so that a lease expires on the log at the
+tick at which its holder has just stopped relying on it. Commands and answers arrive in any order, late or not
+at all; a controller may be paused over a tick. Depending on the menu, commands are also duplicated (the log's
+record of commands that were already applied is left out), controllers crash and restart, fail or shut down,
+or there are two tasks, one of them surplus. The search is breadth first and visits each state once. Two
+states are the same if they differ only by a shift of all times, by which numbers express the same order of
+fencing tokens, or by what can't matter within a few seconds (`World.key`).
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - makes imports work when run as a script
 
 # isort: split
 
@@ -32,13 +33,22 @@
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft.state_machine import LogPosition
 
-TERM_MS, PAUSE_MS, ACT_MS = 300, 0.0, 60.0  # ms; the shortest term is two ticks of the fast record
-TICKS = {"a": 100.0, "b": 125.0, "record": 150.0}  # ms on each clock of 125 ms of true time; drift as stated
+TERM_MS, MAX_PAUSE_MS, OPERATION_MS = (
+    300,
+    0.0,
+    60.0,
+)  # ms; the shortest term is two ticks of the log's fast clock
+TICK_MS_BY_CLOCK = {
+    "a": 100.0,
+    "b": 125.0,
+    "record": 150.0,
+}  # ms that each clock measures in 125 ms of true time, at the maximum drift
 assert (
-    TICKS["a"] == (1 - MAX_CLOCK_DRIFT) * TICKS["b"] and TICKS["record"] == (1 + MAX_CLOCK_DRIFT) * TICKS["b"]
+    TICK_MS_BY_CLOCK["a"] == (1 - MAX_CLOCK_DRIFT) * TICK_MS_BY_CLOCK["b"]
+    and TICK_MS_BY_CLOCK["record"] == (1 + MAX_CLOCK_DRIFT) * TICK_MS_BY_CLOCK["b"]
 )
-UNDER_WAY = 4  # messages on their way; of more, the oldest is lost
-MENUS = {  # tasks, doubled asks and events in one history, events
+MAX_MESSAGES = 4  # messages in flight; of more, the oldest is lost
+MENUS = {  # by name: tasks, duplicated commands and events in one history, events
     "late": (1, 1, 0, ()),
     "crash": (1, 0, 2, ("crash", "leave")),
     "fail": (1, 1, 1, ("fail", "unwant")),
@@ -46,128 +56,141 @@
 }
 
 
-class Steady:
-    """In place of chance: the longest wait."""
+class MaxJitter:
+    """Replaces the random generator: always the longest backoff."""
 
     def random(self) -> float:
         return 1.0
 
 
 class World:
-    """All of it; a value by its bytes."""
+    """The whole simulated state; two worlds are equal if their keys are."""
 
     def __init__(self, menu: str = "late") -> None:
         self.machine = LeaseStateMachine()
-        tasks, self.doubles, self.events, self.kinds = MENUS[menu]
+        tasks, self.duplications_left, self.events_left, self.event_kinds = MENUS[menu]
         self.tasks = tuple(f"t{n}" for n in range(tasks))
-        self.tick = self.index = 0
-        self.holders: dict[str, LeaseClient] = {}
-        self.timers: dict[str, float] = {}
-        self.lives: Counter[str] = Counter()
-        self.acts: dict[str, tuple] = {}  # one act each, as task and act
-        self.way: list[tuple[str, str, bytes, int, bytes | None]] = []  # kind, who, life, token, body
-        for who in ("a", "b"):
-            self.start(who)
-            while self.way:
+        self.tick_count = self.index = 0
+        self.lease_clients: dict[str, LeaseClient] = {}
+        self.timers_ms: dict[str, float] = {}
+        self.incarnation_counts: Counter[str] = Counter()
+        self.operations: dict[str, tuple] = {}  # by controller: task and operation, at most one
+        # In flight: kind, controller, incarnation, request id, body.
+        self.messages: list[tuple[str, str, bytes, int, bytes | None]] = []
+        for controller in ("a", "b"):
+            self.start(controller)
+            while self.messages:
                 self.deliver(0)
 
-    def clock(self, who: str) -> float:
-        return self.tick * TICKS[who]
+    def clock_ms(self, controller: str) -> float:
+        return self.tick_count * TICK_MS_BY_CLOCK[controller]
 
-    def start(self, who: str) -> None:
-        self.lives[who] += 1
-        self.holders[who] = LeaseClient(
-            ControllerIncarnation(who, b"%d" % self.lives[who]), 0, max_pause_ms=PAUSE_MS
+    def start(self, controller: str) -> None:
+        self.incarnation_counts[controller] += 1
+        self.lease_clients[controller] = LeaseClient(
+            ControllerIncarnation(controller, b"%d" % self.incarnation_counts[controller]),
+            0,
+            max_pause_ms=MAX_PAUSE_MS,
         )
-        self.holders[who]._random = Steady()
-        self.acts.pop(who, None)
-        self.step(who, *(lease_events.AcquireLease(task, TERM_MS) for task in self.tasks))
-
-    def step(self, who: str, *events: lease_events.Event) -> None:
-        holder = self.holders[who]
-        self.timers[who] = float("inf")
-        for action in holder.step(self.clock(who), list(events)):
+        self.lease_clients[controller]._random = MaxJitter()
+        self.operations.pop(controller, None)
+        self.step(controller, *(lease_events.AcquireLease(task, TERM_MS) for task in self.tasks))
+
+    def step(self, controller: str, *events: lease_events.Event) -> None:
+        lease_client = self.lease_clients[controller]
+        self.timers_ms[controller] = float("inf")
+        for action in lease_client.step(self.clock_ms(controller), list(events)):
             match action:
-                case lease_events.SendCommand(token, body):
-                    self.way.append(("ask", who, holder.identity.incarnation, token, body))
-                case lease_events.SetTimer(at):
-                    self.timers[who] = at
-        del self.way[:-UNDER_WAY]
-
-    def deliver(self, number: int, double: bool = False) -> None:
-        kind, who, life, token, body = self.way[number] if double else self.way.pop(number)
+                case lease_events.SendCommand(request_id, body):
+                    self.messages.append(
+                        ("ask", controller, lease_client.identity.incarnation, request_id, body)
+                    )
+                case lease_events.SetTimer(at_ms):
+                    self.timers_ms[controller] = at_ms
+        del self.messages[:-MAX_MESSAGES]
+
+    def deliver(self, number: int, is_duplicate: bool = False) -> None:
+        kind, controller, incarnation, request_id, body = (
+            self.messages[number] if is_duplicate else self.messages.pop(number)
+        )
         if kind == "ask":
-            self.entry()
-            answer = self.machine.apply(LogPosition(self.index, int(self.clock("record"))), body, None)
-            self.way.append(("answer", who, life, token, answer))
-            del self.way[:-UNDER_WAY]
-        elif self.holders[who].identity.incarnation == life:
-            self.step(who, lease_events.CommandAnswered(token, body))
-
-    def entry(self) -> None:
+            self.append_entry()
+            answer = self.machine.apply(LogPosition(self.index, int(self.clock_ms("record"))), body, None)
+            self.messages.append(("answer", controller, incarnation, request_id, answer))
+            del self.messages[:-MAX_MESSAGES]
+        elif self.lease_clients[controller].identity.incarnation == incarnation:
+            self.step(controller, lease_events.CommandAnswered(request_id, body))
+
+    def append_entry(self) -> None:
         self.index += 1
-        now = LogPosition(self.index, int(self.clock("record")))
+        position = LogPosition(self.index, int(self.clock_ms("record")))
         due = self.machine.next_expiry_clock_ms()
-        if due is not None and due <= now.clock_ms:
-            self.machine.expire_due(now)
+        if due is not None and due <= position.clock_ms:
+            self.machine.expire_due(position)
 
-    def watched(self, but: str = "") -> None:
-        """Who is not standing still wakes where its time has come, and sees what is offered to it."""
-        for who in self.holders:
-            offers = self.machine.offers(self.holders[who].identity)
-            if who != but and (offers or self.timers[who] <= self.clock(who)):
-                self.step(who, lease_events.LeasesOffered(offers))
+    def wake_controllers(self, paused_controller: str = "") -> None:
+        """Let each controller that isn't paused handle its timer, if that is due, and its offers."""
+        for controller in self.lease_clients:
+            offers = self.machine.offers(self.lease_clients[controller].identity)
+            if controller != paused_controller and (
+                offers or self.timers_ms[controller] <= self.clock_ms(controller)
+            ):
+                self.step(controller, lease_events.LeasesOffered(offers))
 
-    # What may happen next.
+    # The moves that are possible next.
 
     def moves(self) -> Iterator[tuple]:
         yield from (("tick", ""), ("tick", "a"), ("tick", "b"))
-        for number, message in enumerate(self.way):
-            if message not in self.way[:number]:
+        for number, message in enumerate(self.messages):
+            if message not in self.messages[:number]:
                 yield ("deliver", number)
-                if self.doubles and message[0] == "ask":
+                if self.duplications_left and message[0] == "ask":
                     yield ("double", number)
-        for who in self.holders:
-            held = self.holders[who].held_tasks(self.clock(who))
-            if who in self.acts:
-                yield ("end", who)
-            elif held and who == "a":
-                yield ("begin", who)
-            if self.events:
-                yield from ((kind, who) for kind in self.kinds if held or kind == "crash")
-
-    def do(self, move: tuple) -> None:
+        for controller in self.lease_clients:
+            held = self.lease_clients[controller].held_tasks(self.clock_ms(controller))
+            if controller in self.operations:
+                yield ("end", controller)
+            elif held and controller == "a":
+                yield ("begin", controller)
+            if self.events_left:
+                yield from ((kind, controller) for kind in self.event_kinds if held or kind == "crash")
+
+    def apply_move(self, move: tuple) -> None:
         match move:
-            case ("tick", still):
-                self.tick += 1
-                self.entry()
-                self.watched(still)
+            case ("tick", paused_controller):
+                self.tick_count += 1
+                self.append_entry()
+                self.wake_controllers(paused_controller)
             case ("deliver", number):
                 self.deliver(number)
-                self.watched()
+                self.wake_controllers()
             case ("double", number):
                 self.deliver(number, True)
-                self.doubles -= 1
-            case ("begin", who):
-                task = self.holders[who].held_tasks(self.clock(who))[0]
+                self.duplications_left -= 1
+            case ("begin", controller):
+                task = self.lease_clients[controller].held_tasks(self.clock_ms(controller))[0]
                 try:
-                    act = self.holders[who].guard(task).begin(self.clock(who), ACT_MS)
-                    self.acts[who] = task, act
+                    operation = (
+                        self.lease_clients[controller]
+                        .guard(task)
+                        .begin(self.clock_ms(controller), OPERATION_MS)
+                    )
+                    self.operations[controller] = task, operation
                 except LeaseNotHeldError:
                     pass
-            case ("end", who):
-                task, act = self.acts.pop(who)
-                if task in self.holders[who]._leases:
-                    self.holders[who].guard(task).end(act)
-                self.step(who, lease_events.Wakeup())
-            case ("crash", who):
-                self.events -= 1
-                self.start(who)
-            case (event, who):
-                self.events -= 1
+            case ("end", controller):
+                task, operation = self.operations.pop(controller)
+                if task in self.lease_clients[controller]._leases:
+                    self.lease_clients[controller].guard(task).end(operation)
+                self.step(controller, lease_events.Wakeup())
+            case ("crash", controller):
+                self.events_left -= 1
+                self.start(controller)
+            case (event, controller):
+                self.events_left -= 1
                 task = self.tasks[0]
                 self.step(
-                    who,
+                    controller,
                     *{
                         "fail": (lease_events.TaskFailed(task),),
                         "leave": (lease_events.Shutdown(),),
@@ -175,135 +198,157 @@
                     }[event],
                 )
 
-    # What is checked.
+    # The invariant.
 
-    def wrong(self) -> str:
-        """Return what is wrong, or nothing."""
+    def find_violation(self) -> str:
+        """Return the violation in this state; "": none."""
         for task in self.tasks:
-            believe = [
-                who
-                for who, holder in self.holders.items()
-                if task in holder._leases
-                and (guard := holder.guard(task)).fencing_token
-                and self.clock(who) < guard.valid_until_ms
+            holders = [
+                controller
+                for controller, lease_client in self.lease_clients.items()
+                if task in lease_client._leases
+                and (guard := lease_client.guard(task)).fencing_token
+                and self.clock_ms(controller) < guard.valid_until_ms
                 and (guard.operation_budget_ms or guard.operations)
             ]
-            if len(believe) > 1:
-                return f"{task} is held by {' and by '.join(believe)}"
-            acting = [
-                who
-                for who, (name, act) in self.acts.items()
+            if len(holders) > 1:
+                return f"{task} is held by {' and by '.join(holders)}"
+            operating = [
+                controller
+                for controller, (name, operation) in self.operations.items()
                 if name == task
-                and task in self.holders[who]._leases
-                and self.holders[who].guard(task).may_continue(self.clock(who), act)
+                and task in self.lease_clients[controller]._leases
+                and self.lease_clients[controller]
+                .guard(task)
+                .may_continue(self.clock_ms(controller), operation)
             ]
-            if acting and believe and acting != believe:
-                return f"{acting[0]} acts on {task}, which {believe[0]} holds"
+            if operating and holders and operating != holders:
+                return f"{operating[0]} runs an operation of {task}, which {holders[0]} holds"
         return ""
 
-    # Which states are one.
+    # Equality of states.
 
     def key(self) -> bytes:
-        """Return what tells this state from others."""
-        fences: set[int] = set()
-        asks = [(kind, who, life, token, _body(kind, body)) for kind, who, life, token, body in self.way]
-        for *_, told in asks:
-            fences |= {one[2] for one in told[0]}
+        """Return a digest that is equal for states that count as the same."""
+        tokens: set[int] = set()
+        messages = [
+            (kind, controller, incarnation, request_id, _parse_body(kind, body))
+            for kind, controller, incarnation, request_id, body in self.messages
+        ]
+        for *_, results in messages:
+            tokens |= {result[2] for result in results[0]}
         state = pb.LeaseState.FromString(self.machine.snapshot())
-        fences |= {task.fence for task in state.tasks} | {act.fencing_token for _, act in self.acts.values()}
-        fences |= {
-            lease.fencing_token for holder in self.holders.values() for lease in holder._leases.values()
+        tokens |= {task.fence for task in state.tasks} | {
+            operation.fencing_token for _, operation in self.operations.values()
+        }
+        tokens |= {
+            lease.fencing_token
+            for lease_client in self.lease_clients.values()
+            for lease in lease_client._leases.values()
         }
-        rank = {fence: number for number, fence in enumerate(sorted(fences | {0}))}
-        clock = int(self.clock("record"))
+        rank_by_token = {token: number for number, token in enumerate(sorted(tokens | {0}))}
+        clock_ms = int(self.clock_ms("record"))
 
-        def age(who: str, life: bytes) -> int:
-            return self.lives[who] - int(life)
+        def incarnation_age(controller: str, incarnation: bytes) -> int:
+            return self.incarnation_counts[controller] - int(incarnation)
 
-        found: list = [self.doubles, self.events]
+        parts: list = [self.duplications_left, self.events_left]
         for task in state.tasks:
             holder = task.holder
-            found.append(
+            parts.append(
                 (
                     task.name,
                     holder.name,
-                    age(holder.name, holder.life or b"0"),
-                    rank[task.fence],
-                    task.until_ms - clock,
-                    [(w.who.name, age(w.who.name, w.who.life)) for w in task.waiters],
-                    [(one.name, one.failures, max(0, one.until_ms - clock)) for one in task.asides],
+                    incarnation_age(holder.name, holder.life or b"0"),
+                    rank_by_token[task.fence],
+                    task.until_ms - clock_ms,
+                    [
+                        (waiter.who.name, incarnation_age(waiter.who.name, waiter.who.life))
+                        for waiter in task.waiters
+                    ],
+                    [
+                        (aside.name, aside.failures, max(0, aside.until_ms - clock_ms))
+                        for aside in task.asides
+                    ],
                 )
             )
-        for who, holder in self.holders.items():
-            now = self.clock(who)
-            found.append(
+        for controller, lease_client in self.lease_clients.items():
+            now_ms = self.clock_ms(controller)
+            parts.append(
                 (
-                    who,
-                    holder._is_shutting_down,
-                    holder._is_shut_down,
-                    holder._shutdown_attempts,
-                    _left(holder._backoff_until_ms, now),
-                    holder._failed_attempts,
-                    _left(self.timers[who], now),
-                    None if holder._awaited is None else now - holder._sent[holder._awaited].sent_at_ms,
+                    controller,
+                    lease_client._is_shutting_down,
+                    lease_client._is_shut_down,
+                    lease_client._shutdown_attempts,
+                    _remaining_ms(lease_client._backoff_until_ms, now_ms),
+                    lease_client._failed_attempts,
+                    _remaining_ms(self.timers_ms[controller], now_ms),
+                    None
+                    if lease_client._awaited is None
+                    else now_ms - lease_client._sent[lease_client._awaited].sent_at_ms,
                 )
             )
-            for name, lease in sorted(holder._leases.items()):
-                found.append(
+            for name, lease in sorted(lease_client._leases.items()):
+                parts.append(
                     (
                         name,
                         lease.phase,
                         lease.release,
                         lease.is_wanted,
                         lease.is_offered,
-                        rank[lease.fencing_token],
-                        _left(lease.request_at_ms, now),
-                        _left(lease.renew_at_ms, now),
-                        _left(lease.guard.valid_until_ms, now),
+                        rank_by_token[lease.fencing_token],
+                        _remaining_ms(lease.request_at_ms, now_ms),
+                        _remaining_ms(lease.renew_at_ms, now_ms),
+                        _remaining_ms(lease.guard.valid_until_ms, now_ms),
                         lease.guard.operation_budget_ms > 0,
                         lease.rejections,
-                        sorted(act.deadline_ms - now for act in lease.guard.operations.values()),
+                        sorted(
+                            operation.deadline_ms - now_ms for operation in lease.guard.operations.values()
+                        ),
                     )
                 )
-        for who, (task, act) in sorted(self.acts.items()):
-            found.append(
+        for controller, (task, operation) in sorted(self.operations.items()):
+            parts.append(
                 (
-                    who,
+                    controller,
                     task,
-                    rank[act.fencing_token],
-                    act.deadline_ms - self.clock(who),
-                    act.number
+                    rank_by_token[operation.fencing_token],
+                    operation.deadline_ms - self.clock_ms(controller),
+                    operation.number
                     in (
-                        self.holders[who]._leases[task].guard.operations
-                        if task in self.holders[who]._leases
+                        self.lease_clients[controller]._leases[task].guard.operations
+                        if task in self.lease_clients[controller]._leases
                         else ()
                     ),
                 )
             )
-        on_way = []
-        for kind, who, life, token, (told, more) in asks:
-            holder, sent = self.holders[who], None
-            if holder.identity.incarnation == life:
-                of = holder._sent.get(token)
-                sent = of and (
-                    token == holder._awaited,
-                    self.clock(who) - of.sent_at_ms,
+        message_parts = []
+        for kind, controller, incarnation, request_id, (results, other_content) in messages:
+            lease_client, sent = self.lease_clients[controller], None
+            if lease_client.identity.incarnation == incarnation:
+                sent_command = lease_client._sent.get(request_id)
+                sent = sent_command and (
+                    request_id == lease_client._awaited,
+                    self.clock_ms(controller) - sent_command.sent_at_ms,
                     [
-                        (name, name in holder._leases and holder._leases[name].epoch == epoch)
-                        for name, epoch in of.epochs.items()
+                        (name, name in lease_client._leases and lease_client._leases[name].epoch == epoch)
+                        for name, epoch in sent_command.epochs.items()
                     ],
                 )
-            on_way.append(
+            message_parts.append(
                 (
                     kind,
-                    who,
-                    age(who, life),
+                    controller,
+                    incarnation_age(controller, incarnation),
                     sent,
-                    [(name, what, rank[fence], rest) for name, what, fence, rest in told],
-                    more,
+                    [
+                        (name, what, rank_by_token[token], other_fields)
+                        for name, what, token, other_fields in results
+                    ],
+                    other_content,
                 )
             )
-        return hashlib.blake2b(repr((found, on_way)).encode(), digest_size=12).digest()
+        return hashlib.blake2b(repr((parts, message_parts)).encode(), digest_size=12).digest()
 
     def __getstate__(self) -> dict:
         return {**self.__dict__, "machine": self.machine.snapshot()}
@@ -314,16 +359,16 @@
         self.machine.restore(data)
 
 
-def _left(at: float, now: float) -> float:
-    """Return for how long something is still to come; what has come is one."""
-    return max(0.0, at - now)
+def _remaining_ms(at_ms: float, now_ms: float) -> float:
+    """Return the ms until a time; all times in the past count as now."""
+    return max(0.0, at_ms - now_ms)
 
 
 @lru_cache(100_000)
-def _body(kind: str, body: bytes) -> tuple[list, tuple]:
-    """Return what a message says of each task: name, what, fence and the rest; and what it says besides."""
+def _parse_body(kind: str, body: bytes) -> tuple[list, tuple]:
+    """Return a message's content per task (name, kind, token, other fields), and its other content."""
     if kind == "ask":
-        asked = pb.LeaseCommand.FromString(body)
+        command = pb.LeaseCommand.FromString(body)
         return [
             (
                 ask.task,
@@ -331,41 +376,44 @@
                 getattr(getattr(ask, what), "fence", 0),
                 what == "hand_over" and ask.hand_over.only_spare or what == "give_up" and ask.give_up.reason,
             )
-            for ask in asked.asks
+            for ask in command.asks
             if (what := ask.WhichOneof("what"))
-        ], (asked.leave,)
+        ], (command.leave,)
     answer = pb.LeaseAnswer.FromString(body)
-    return [("", told.state, told.fence, (told.refusal, told.term_ms, told.spare)) for told in answer.told], (
+    return [
+        ("", result.state, result.fence, (result.refusal, result.term_ms, result.spare))
+        for result in answer.told
+    ], (
         tuple(answer.offers),
         answer.waits,
     )
 
 
-def search(states_most: int, menu: str = "late") -> tuple[int, int, int, str, list]:
-    """Return states, moves, depth, and what was wrong by which moves, if anything."""
+def search(max_states: int, menu: str = "late") -> tuple[int, int, int, str, list]:
+    """Return the number of states and moves, the depth, and the violation with its moves, if there is one."""
     first = World(menu)
     seen = {first.key()}
-    waiting = deque([(pickle.dumps(first), 0, ())])
-    moved = depth = 0
-    while waiting and len(seen) < states_most:
-        data, depth, path = waiting.popleft()
+    frontier = deque([(pickle.dumps(first), 0, ())])
+    move_count = depth = 0
+    while frontier and len(seen) < max_states:
+        data, depth, path = frontier.popleft()
         world = pickle.loads(data)
         for move in list(world.moves())[::-1]:
             world = world or pickle.loads(data)
-            world.do(move)
-            moved += 1
-            wrong = world.wrong()
-            if wrong:
-                return len(seen), moved, depth + 1, wrong, _told((path, move))
+            world.apply_move(move)
+            move_count += 1
+            violation = world.find_violation()
+            if violation:
+                return len(seen), move_count, depth + 1, violation, _list_moves((path, move))
             key = world.key()
             if key not in seen:
                 seen.add(key)
-                waiting.append((pickle.dumps(world), depth + 1, (path, move)))
+                frontier.append((pickle.dumps(world), depth + 1, (path, move)))
             world = None
-    return len(seen), moved, depth, "", []
+    return len(seen), move_count, depth, "", []
 
 
-def _told(path: tuple) -> list:
+def _list_moves(path: tuple) -> list:
     moves = []
     while path:
         path, move = path
@@ -374,22 +422,22 @@
 
 
 def main() -> int:
-    """Search; tell how many states, or the way to what is wrong."""
+    """Search each menu; print the number of states, or the violation and the moves that lead to it."""
     kind = argparse.RawDescriptionHelpFormatter
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=kind)
     parser.add_argument("--states", type=int, default=1_000_000)
     parser.add_argument("--menu", choices=MENUS, default="")
-    given = parser.parse_args()
-    for menu in [given.menu] if given.menu else MENUS:
-        states, moved, depth, wrong, path = search(given.states, menu=menu)
+    arguments = parser.parse_args()
+    for menu in [arguments.menu] if arguments.menu else MENUS:
+        state_count, move_count, depth, violation, path = search(arguments.states, menu=menu)
         print(
-            f"{menu}: {states} states by {moved} moves, all up to depth {depth - 1}: "
-            f"{wrong or 'nothing wrong'}",
+            f"{menu}: {state_count} states by {move_count} moves, all up to depth {depth - 1}: "
+            f"{violation or 'nothing wrong'}",
             flush=True,
         )
         for move in path:
             print("  ", *move)
-        if wrong:
+        if violation:
             return 1
     return 0
 
