--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -44,7 +44,7 @@
         )
         super().__init__(play.seed, 3, timing)
         self.play = play
-        self.records: dict[str, ReplicatedState] = {}
+        self.replicated_states: dict[str, ReplicatedState] = {}
         self.results: dict[tuple[str, int], council.Result] = {}
         self.client_ids: list[int] = []
         self.pending_commands: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
@@ -57,14 +57,14 @@
     # The interface of `Leader` in lease_play.py.
 
     @property
-    def record(self) -> ReplicatedState:
-        return max(self.records.values(), key=lambda record: record.index)
+    def replicated_state(self) -> ReplicatedState:
+        return max(self.replicated_states.values(), key=lambda replicated_state: replicated_state.index)
 
     @property
     def log_clock_ms(self) -> int:
-        return self.record.clock_ms
+        return self.replicated_state.clock_ms
 
-    def open(self) -> int:
+    def register_client(self) -> int:
         return self.client_ids.pop(0)
 
     def change_leader(self) -> None:
@@ -72,7 +72,7 @@
         for node in self.leaders():
             self.deliver(node.name, api.TransferLeadership())
 
-    def begin(self) -> None:
+    def start_group(self) -> None:
         """Start the Raft group and register clients."""
         self.start_all()
         while len(self.client_ids) < CLIENT_COUNT:
@@ -100,25 +100,25 @@
     # Actions of the members.
 
     def start(self, name: str) -> None:
-        self.records[name] = ReplicatedState([LeaseStateMachine()])
+        self.replicated_states[name] = ReplicatedState([LeaseStateMachine()])
         super().start(name)
 
     def _carry_out(self, node: Node, action: api.Action) -> None:
-        record = self.records[node.name]
+        replicated_state = self.replicated_states[node.name]
         match action:
             case api.TakeSnapshot():
-                snapshot = api.Snapshot(node.applied, node.clock_ms, node.state + record.snapshot())
+                snapshot = api.Snapshot(node.applied, node.clock_ms, node.state + replicated_state.snapshot())
                 self.schedule(self.random.uniform(0, 5), self._deliver_if_running, node, node.epoch, snapshot)
                 self.counts["snapshots"] += 1
                 return
             case api.Restore(_, data):
-                record.restore(data[32:])
+                replicated_state.restore(data[32:])
         super()._carry_out(node, action)
         match action:
             case api.Apply(entries):
                 for entry in entries:
-                    is_newest = entry.index > max(r.index for r in self.records.values())
-                    result = record.apply(entry)
+                    is_newest = entry.index > max(state.index for state in self.replicated_states.values())
+                    result = replicated_state.apply(entry)
                     if entry.WhichOneof("what") == "command":
                         self._deliver_result(node.name, entry.index, result)
                     if is_newest:
@@ -128,7 +128,7 @@
                     self._deliver_if_running,
                     node,
                     node.epoch,
-                    api.Applied(node.applied, record.next_expiry_clock_ms()),
+                    api.Applied(node.applied, replicated_state.next_expiry_clock_ms()),
                 )
             case api.ProposalOutcome(token, refusal, index, _, retry_after_ms) if (
                 token in self.pending_commands
@@ -162,7 +162,7 @@
 
     def start_leader(self) -> Members:
         self.members = Members(self)
-        self.members.begin()
+        self.members.start_group()
         self.faults_from_ms = self.members.now
         return self.members
 
@@ -183,7 +183,7 @@
         members.delay_range_ms = self.random.choice(((0.5, 3.0), (1.0, 20.0)))
         for _ in range(self.random.randint(4, 16)):
             self.schedule_at(self.faults_from_ms + self.random.uniform(0, self.faulty_ms), self.inject_fault)
-        self.schedule_at(self.faults_from_ms + self.faulty_ms, self.end_of_faults)
+        self.schedule_at(self.faults_from_ms + self.faulty_ms, self.stop_faults)
         members.run(self.faults_from_ms + self.faulty_ms + 20_000.0)
         self.check_end()
         return self.counts + members.counts
@@ -229,10 +229,10 @@
                 members.start(name)
             members.repair_disk(name)
 
-    def end_of_faults(self) -> None:
+    def stop_faults(self) -> None:
         self.members.loss_rate = self.members.duplication_rate = 0.0
         self.heal()
-        super().end_of_faults()
+        super().stop_faults()
 
 
 if __name__ == "__main__":
--- a/tests/support/lease_fleet.py
+++ b/tests/support/lease_fleet.py
@@ -94,8 +94,8 @@
         self.seed, self.random, self.now_ms = seed, Random(f"fleet {seed} {term_ms}"), 0.0
         self.tasks, self.term_ms = [f"task-{n:02}" for n in range(tasks)], term_ms
         self.counts: Counter[str] = Counter()
-        self.record, self.index = ReplicatedState([LeaseStateMachine()]), 0
-        self.machine = self.record.machines["leases"]
+        self.replicated_state, self.index = ReplicatedState([LeaseStateMachine()]), 0
+        self.machine = self.replicated_state.machines["leases"]
         self._heap: list[tuple] = []
         self._event_sequence = itertools.count()
         self.holders: dict[str, Controller] = {}  # by task: the controller that began the last operation
@@ -126,7 +126,7 @@
 
     def append_clock_entry(self) -> None:
         self.schedule(CLOCK_ENTRY_INTERVAL_MS, self.append_clock_entry)
-        if self.record.next_expiry_clock_ms() is not None:
+        if self.replicated_state.next_expiry_clock_ms() is not None:
             self.append_entry(None)
 
     def append_entry(self, command: council.Command | None) -> council.Result:
@@ -136,7 +136,7 @@
             entry.nothing = True
         else:
             entry.command.CopyFrom(command)
-        result = self.record.apply(entry)
+        result = self.replicated_state.apply(entry)
         for controller in self.controllers:
             offers = self.machine.offers(controller.identity)
             if offers != controller.offers and offers:
--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -49,7 +49,7 @@
 
     def __init__(self, play: "Play") -> None:
         self.play = play
-        self.record = ReplicatedState([LeaseStateMachine()])
+        self.replicated_state = ReplicatedState([LeaseStateMachine()])
         self.index = self.log_clock_ms = 0
         self.change_leader()
 
@@ -60,24 +60,24 @@
             self.log_clock_ms,
         )
 
-    def clock(self) -> int:
+    def clock_ms(self) -> int:
         return max(
             self.log_clock_ms,
             self.base_clock_ms + int((self.play.now_ms - self.leader_since_ms) * self.clock_rate),
         )
 
-    def open(self) -> int:
+    def register_client(self) -> int:
         """Register a new client; return its id."""
-        return self.write(council.Command()).index
+        return self.append_entry(council.Command()).index
 
-    def write(self, command: council.Command | None = None) -> council.Result:
-        self.index, self.log_clock_ms = self.index + 1, self.clock()
+    def append_entry(self, command: council.Command | None = None) -> council.Result:
+        self.index, self.log_clock_ms = self.index + 1, self.clock_ms()
         entry = council.Entry(term=1, index=self.index, clock_ms=self.log_clock_ms)
         if command is None:
             entry.nothing = True
         else:
             entry.command.CopyFrom(command)
-        result = self.record.apply(entry)
+        result = self.replicated_state.apply(entry)
         self.play.notify_offers()
         return result
 
@@ -92,18 +92,18 @@
     def start(self) -> None:
         self.incarnation_count += 1
         self.identity = ControllerIncarnation(f"c{self.number}", b"%d" % self.incarnation_count)
-        self.clock_rate, self.offset = self.play.draw_clock_rate(), self.play.random.uniform(0, 1e6)
+        self.clock_rate, self.clock_offset_ms = self.play.draw_clock_rate(), self.play.random.uniform(0, 1e6)
         self.started_at_ms, self.paused_until_ms, self.is_alive, self.offers = self.play.now_ms, 0.0, True, ()
         self.lost_until_ms: dict[str, float] = {}
-        self.client_id = self.play.leader.open()
+        self.client_id = self.play.leader.register_client()
         self.lease_client = LeaseClient(self.identity, self.play.seed, max_pause_ms=MAX_PAUSE_MS)
         self.operation_counts: Counter[str] = Counter()
         self.timer_number = 0
         self.wanted = {task for task in TASKS if self.play.random.random() < 0.8}
         self.step([lease_events.AcquireLease(task, TERM_MS) for task in sorted(self.wanted)])
 
-    def clock(self) -> float:
-        return self.offset + (self.play.now_ms - self.started_at_ms) * self.clock_rate
+    def clock_ms(self) -> float:
+        return self.clock_offset_ms + (self.play.now_ms - self.started_at_ms) * self.clock_rate
 
     def schedule(self, ms: float, call: Callable, *args) -> None:
         """Schedule a call in this incarnation after `ms` of its own clock; a pause delays it."""
@@ -118,7 +118,7 @@
             call(*args)
 
     def step(self, events: list[lease_events.Event]) -> None:
-        for action in self.lease_client.step(self.clock(), events):
+        for action in self.lease_client.step(self.clock_ms(), events):
             match action:
                 case lease_events.SendCommand(request_id, body):
                     self.play.send_command(self, request_id, body)
@@ -130,7 +130,7 @@
                     )
                 case lease_events.SetTimer(at_ms):
                     self.timer_number += 1
-                    self.schedule(max(0.0, at_ms - self.clock()) + 0.01, self.on_timer, self.timer_number)
+                    self.schedule(max(0.0, at_ms - self.clock_ms()) + 0.01, self.on_timer, self.timer_number)
                 case lease_events.ShutdownComplete():
                     self.is_alive = False
         self.play.check_belief(self)
@@ -145,7 +145,7 @@
         random = self.play.random
         try:
             guard = self.lease_client.guard(task)
-            operation = guard.begin(self.clock(), OPERATION_MS)
+            operation = guard.begin(self.clock_ms(), OPERATION_MS)
         except (LeaseError, KeyError):
             return
         self.play.counts["acts"] += 1
@@ -154,7 +154,7 @@
 
     def run_step(self, task: str, guard, operation, steps_left: int) -> None:
         random = self.play.random
-        if not self.play.may_continue(guard, self.clock(), operation) or not steps_left:
+        if not self.play.may_continue(guard, self.clock_ms(), operation) or not steps_left:
             guard.end(operation)
             self.step([lease_events.Wakeup()])
             if random.random() < 0.03 and not self.play.is_fault_free:
@@ -197,13 +197,11 @@
         self._heap: list[tuple] = []
         self._event_sequence = itertools.count()
         self.counts: Counter[str] = Counter()
-        self.beliefs: dict[str, dict[ControllerIncarnation, float]] = {
-            task: {} for task in TASKS
-        }  # by task and holder: until when, in true time, it relies on the lease
+        # By task and controller: until when, in true time, it relies on its lease.
+        self.beliefs: dict[str, dict[ControllerIncarnation, float]] = {task: {} for task in TASKS}
         self.resource = FencedResource() if kind == "fences" else None
-        self.operations_by_task: dict[str, list] = {
-            task: [] for task in TASKS
-        }  # in the order of their first steps
+        # In the order of their first steps.
+        self.operations_by_task: dict[str, list] = {task: [] for task in TASKS}
         self.holder_by_token: dict[tuple[str, int], ControllerIncarnation] = {}
         self.controllers: list[Controller] = []
         self.leader = self.start_leader()
@@ -227,7 +225,7 @@
         self.schedule_at(0.0, self.append_clock_entry)
         for _ in range(self.random.randint(4, 16)):
             self.schedule_at(self.random.uniform(0, self.faulty_ms), self.inject_fault)
-        self.schedule_at(self.faulty_ms, self.end_of_faults)
+        self.schedule_at(self.faulty_ms, self.stop_faults)
         while self._heap and self._heap[0][0] <= self.faulty_ms + FAULT_FREE_MS:
             self.now_ms, _, call, args = heapq.heappop(self._heap)
             call(*args)
@@ -241,9 +239,9 @@
         self.schedule_at(
             self.now_ms + self.clock_interval_ms / self.leader.clock_rate, self.append_clock_entry
         )
-        due = self.leader.record.next_expiry_clock_ms()
-        if self.now_ms >= self.no_leader_until_ms and due is not None and due <= self.leader.clock():
-            self.leader.write()
+        due = self.leader.replicated_state.next_expiry_clock_ms()
+        if self.now_ms >= self.no_leader_until_ms and due is not None and due <= self.leader.clock_ms():
+            self.leader.append_entry()
 
     def draw_delay_ms(self) -> float:
         if self.is_fault_free:
@@ -286,7 +284,7 @@
         if self.now_ms < self.no_leader_until_ms:
             self.send_answer(controller, identity, lease_events.CommandAnswered(request_id, None, 100.0))
         else:
-            result = self.leader.write(command)
+            result = self.leader.append_entry(command)
             self.send_answer(
                 controller,
                 identity,
@@ -313,7 +311,7 @@
     def notify_offers(self) -> None:
         """Notify each controller of new offers; the notification may be lost."""
         for controller in self.controllers:
-            offers = self.leader.record.machines["leases"].offers(controller.identity)
+            offers = self.leader.replicated_state.machines["leases"].offers(controller.identity)
             if offers != controller.offers and offers and not self.is_lost(controller, "answers"):
                 self.schedule_at(
                     self.now_ms + self.draw_delay_ms(),
@@ -389,7 +387,7 @@
             self.kill(controller)
             controller.start()
 
-    def end_of_faults(self) -> None:
+    def stop_faults(self) -> None:
         self.is_fault_free = True
         self.no_leader_until_ms = 0.0
         self.leader.change_leader()
@@ -411,7 +409,7 @@
             except KeyError:
                 continue
             believed_until_ms = (
-                self.now_ms + (guard.valid_until_ms - controller.clock()) / controller.clock_rate
+                self.now_ms + (guard.valid_until_ms - controller.clock_ms()) / controller.clock_rate
             )
             if (
                 not controller.is_alive
@@ -459,9 +457,9 @@
 
     def check_end(self) -> None:
         """Check that each task has a holder at the end, unless all are excluded, and that steps were done."""
-        record = self.leader.record.machines["leases"]
+        replicated_state = self.leader.replicated_state.machines["leases"]
         for task in TASKS:
-            view = record.view(task)
+            view = replicated_state.view(task)
             all_excluded = view is not None and all(
                 view.excluded_until_ms.get(f"c{number}", 0) > self.leader.log_clock_ms for number in range(3)
             )
--- a/tests/support/lease_search.py
+++ b/tests/support/lease_search.py
@@ -41,11 +41,11 @@
 TICK_MS_BY_CLOCK = {
     "a": 100.0,
     "b": 125.0,
-    "record": 150.0,
+    "log": 150.0,
 }  # ms that each clock measures in 125 ms of true time, at the maximum drift
 assert (
     TICK_MS_BY_CLOCK["a"] == (1 - MAX_CLOCK_DRIFT) * TICK_MS_BY_CLOCK["b"]
-    and TICK_MS_BY_CLOCK["record"] == (1 + MAX_CLOCK_DRIFT) * TICK_MS_BY_CLOCK["b"]
+    and TICK_MS_BY_CLOCK["log"] == (1 + MAX_CLOCK_DRIFT) * TICK_MS_BY_CLOCK["b"]
 )
 MAX_MESSAGES = 4  # messages in flight; of more, the oldest is lost
 MENUS = {  # by name: tasks, duplicated commands and events in one history, events
@@ -115,7 +115,7 @@
         )
         if kind == "ask":
             self.append_entry()
-            answer = self.machine.apply(LogPosition(self.index, int(self.clock_ms("record"))), body, None)
+            answer = self.machine.apply(LogPosition(self.index, int(self.clock_ms("log"))), body, None)
             self.messages.append(("answer", controller, incarnation, request_id, answer))
             del self.messages[:-MAX_MESSAGES]
         elif self.lease_clients[controller].identity.incarnation == incarnation:
@@ -123,7 +123,7 @@
 
     def append_entry(self) -> None:
         self.index += 1
-        position = LogPosition(self.index, int(self.clock_ms("record")))
+        position = LogPosition(self.index, int(self.clock_ms("log")))
         due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= position.clock_ms:
             self.machine.expire_due(position)
@@ -247,7 +247,7 @@
             for lease in lease_client._leases.values()
         }
         rank_by_token = {token: number for number, token in enumerate(sorted(tokens | {0}))}
-        clock_ms = int(self.clock_ms("record"))
+        clock_ms = int(self.clock_ms("log"))
 
         def incarnation_age(controller: str, incarnation: bytes) -> int:
             return self.incarnation_counts[controller] - int(incarnation)
