--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -28,9 +28,8 @@
 MAX_TERM_MS = 600_000  # ms; a longer one leaves the task of a dead holder idle for too long
 OFFER_TERM_DIVISOR = 2  # an offer lasts half a term, so a dead first waiter costs half a term
 WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
-WAITER_QUIET_MS = (
-    WAITER_TIMEOUT_MS // 2
-)  # ms without a command (one comes every 8 to 12 s) after which other waiters are preferred
+# A waiter sends a command every 8 to 12 s; after this many ms without one, other waiters are preferred.
+WAITER_QUIET_MS = WAITER_TIMEOUT_MS // 2
 MIN_EXCLUSION_MS = 2000  # ms for which a controller is excluded after its first failure
 MAX_EXCLUSION_MS = 120_000  # ms for which it is excluded at most
 MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum limits to 120 s
@@ -181,9 +180,8 @@
             return pb.Told(refusal=pb.TOO_LARGE)
         requested = Waiter(gain.term_ms, gain.purpose)
         lease = self._leases.get(name)
-        if (
-            lease is not None and lease.holder == sender
-        ):  # grant a new token, so that a late command with the old one can't end the lease
+        if lease is not None and lease.holder == sender:
+            # Grant a new token, so that a late command with the old one can't end the lease.
             return self._grant(at, sender, name, lease, requested)
         if lease is None:
             if len(self._leases) >= MAX_TASKS:
--- a/tests/support/clearance_play.py
+++ b/tests/support/clearance_play.py
@@ -49,9 +49,8 @@
         )
         self.query_ids = itertools.count()
         self.heard_at_ms = 0.0  # when its last command was applied
-        self.last_registered_index = (
-            NO_INDEX if is_excused else 0
-        )  # its last registration: a view from then on ends the excuse
+        # Index of its last registration; a view from then on ends the excuse.
+        self.last_registered_index = NO_INDEX if is_excused else 0
 
 
 class Member:
--- a/tests/support/lease_council.py
+++ b/tests/support/lease_council.py
@@ -48,9 +48,8 @@
         self.results: dict[tuple[str, int], council.Result] = {}
         self.client_ids: list[int] = []
         self.pending_commands: dict[int, tuple[Controller, ControllerIncarnation, int]] = {}  # by token
-        self.token_by_index: dict[
-            tuple[str, int], int
-        ] = {}  # token of the entry that a member is going to apply
+        # By member and index: token of the entry that the member is going to apply.
+        self.token_by_index: dict[tuple[str, int], int] = {}
         for node in self.nodes.values():
             node.clock_rate = play.draw_clock_rate()
 
@@ -78,7 +77,7 @@
         while len(self.client_ids) < CLIENT_COUNT:
             leader = self.await_leader()
             for _ in range(CLIENT_COUNT - len(self.client_ids)):
-                self.command(leader.name, council.Command())
+                self.propose_command(leader.name, council.Command())
             self.run(self.now + 200.0)
             self.client_ids = [
                 entry.index
@@ -86,7 +85,7 @@
                 if entry.WhichOneof("what") == "command" and not entry.command.client
             ][:CLIENT_COUNT]
 
-    def command(self, name: str, command: council.Command) -> int:
+    def propose_command(self, name: str, command: council.Command) -> int:
         self.last_token += 1
         self.pending_requests[self.last_token] = (
             "propose",
@@ -199,7 +198,7 @@
         name = leader.name if leader is not None and self.random.random() < 0.9 else self.random.choice("abc")
         if self.members.nodes[name].core is not None:
             self.members.pending_commands[self.members.last_token + 1] = (controller, identity, request_id)
-            self.members.command(name, command)
+            self.members.propose_command(name, command)
 
     def lose_leader(self, ms: float) -> None:
         """Crash, isolate or slow down a member, usually the leader, or crash all, for `ms`."""
