--- a/tests/support/lease_play.py
+++ b/tests/support/lease_play.py
@@ -30,11 +30,8 @@
 from fennelwind.raft import council_pb2 as council
 from fennelwind.raft.replicated_state import ReplicatedState
 
-TERM_MS, MAX_PAUSE_MS, OPERATION_MS = (
-    2000,
-    150.0,
-    400.0,
-)  # ms: term, pause and operation of the simulated tasks
+# Term, maximum pause and operation of the simulated tasks.
+TERM_MS, MAX_PAUSE_MS, OPERATION_MS = 2000, 150.0, 400.0
 FAULTY_MS, FAULT_FREE_MS = 25_000.0, 16_000.0  # ms with faults, then without
 CLOCK_ENTRY_INTERVALS_MS = (20.0, 500.0)  # ms between checks for expiry; the first finds it at once
 TASKS = ("moves", "vacuum")
--- a/tests/support/lease_search.py
+++ b/tests/support/lease_search.py
@@ -33,11 +33,8 @@
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.raft.state_machine import LogPosition
 
-TERM_MS, MAX_PAUSE_MS, OPERATION_MS = (
-    300,
-    0.0,
-    60.0,
-)  # ms; the shortest term is two ticks of the log's fast clock
+# The shortest term is two ticks of the log's fast clock.
+TERM_MS, MAX_PAUSE_MS, OPERATION_MS = 300, 0.0, 60.0
 TICK_MS_BY_CLOCK = {
     "a": 100.0,
     "b": 125.0,
