--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -190,9 +190,9 @@
             shards,
             book,
             router.named,
-            cleared=told.clearances,
+            wait_for_acknowledgements=told.clearances,
         )
-        keeper.moves.launched = launched
+        keeper.migrations.engine_start_times = launched
 
     def _engines(self) -> list[str]:
         """Return the engines that are there now, as the module was told."""
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -66,7 +66,7 @@
         self.tasks = LeasedTasks(loop, self.client, place.me, seed, log)
         self.gate: SchemaGate | None = None
         self.changes: SchemaRollouts | None = None
-        self.moves: ShardMigrations | None = None
+        self.migrations: ShardMigrations | None = None
         self._engines: Callable[[], Iterable[str]] = tuple
         self._migrations_task: Task | None = None
         self.copies: ReplicaLocations | None = None
@@ -113,17 +113,17 @@
         in_flight: InFlightTracker,
         named: Named,
         *,
-        cleared: bool = False,
+        wait_for_acknowledgements: bool = False,
     ) -> None:
         """Move shards while the lease is held here.
 
         `in_flight` counts the queries in flight here, and gives routing each newer view of the replicated
-        state; `named` counts what queries name, to be reported; with `cleared`, a lease holder here goes by
-        what all controllers have acknowledged.
+        state; `named` counts the shards that queries name; with `wait_for_acknowledgements` the lease holder
+        drops a replica as soon as all controllers have acknowledged that they send no query to it.
         """
         statements = EngineStatements(self.loop, links.settings, links.tls)
         record = self.member.state.record if self.member is not None else None
-        self.moves = ShardMigrations(
+        self.migrations = ShardMigrations(
             self.loop,
             self.client,
             self.tasks,
@@ -138,10 +138,10 @@
         self.heat = AccessLoadReporter(self.loop, self.client, named, self._seed)
         self.quiescence = quiescence = QuiescenceClient(self.loop, self.client, self.place.me, in_flight)
         self.copies = ReplicaLocations(self.loop, self.client, quiescence.update_replicas)
-        self.moves.quiescence = quiescence if cleared else None
+        self.migrations.quiescence = quiescence if wait_for_acknowledgements else None
         if self.changes is not None:
             self.changes.on_quiesced_tables = quiescence.update_tables
-            self.changes.quiescence = self.moves.quiescence
+            self.changes.quiescence = self.migrations.quiescence
 
     def start(self) -> None:
         """Start all parts; returns at once, or once replica locations are known or their time is up."""
@@ -154,7 +154,7 @@
         for part in (self.quiescence, self.gate, self.changes, self.copies, self.heat):
             if part is not None:
                 part.start()
-        if self.moves is not None:
+        if self.migrations is not None:
             self._migrations_task = self.loop.spawn(self._start_migrations, name="keeper: moves")
         if self.copies is not None and not self.copies.wait():
             self._log(
@@ -165,7 +165,7 @@
         """Migrate shards once an engine is known: to a controller that knows none, all seem removed."""
         while not list(self._engines()):
             self.loop.sleep(ENGINES_CHECK_MS)
-        self.moves.start()
+        self.migrations.start()
 
     def gauges(self) -> list[tuple[str, str, float]]:
         """Return the gauges: name, meaning and value of each."""
@@ -236,7 +236,7 @@
         """Stop all parts."""
         if self._migrations_task is not None:
             self._migrations_task.cancel()
-        for part in (self.quiescence, self.gate, self.changes, self.moves, self.copies, self.heat):
+        for part in (self.quiescence, self.gate, self.changes, self.migrations, self.copies, self.heat):
             if part is not None:
                 part.close()
         self.tasks.close()
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -158,13 +158,13 @@
         self._register_soon(subscriber)
         return subscriber
 
-    def leave(self, subscriber: Subscriber) -> None:
+    def unsubscribe(self, subscriber: Subscriber) -> None:
         """Note that a session has ended; with the last one the subscription is renewed no more."""
         subscriber.sessions -= 1
         if subscriber.sessions <= 0 and self.subscribers.get(subscriber.said) is subscriber:
             del self.subscribers[subscriber.said]
 
-    def word(self, subscriber: Subscriber) -> str:
+    def registration_text(self, subscriber: Subscriber) -> str:
         """Return what the record says to a subscription, after a short wait; "later" where it is late."""
         if not subscriber.told.ready and not self.lost:
             try:
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -33,9 +33,9 @@
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
 TASK = "table:"  # and the table's name: the lease under which its changes are carried out
-TERM_MS = 60_000  # ms of that lease; some 26 s of it are left at the least while renewals go well
-STATEMENT_MS = 20_000.0  # ms for a statement or a look: an ALTER touches the metastore, no rows
-STOP_MS = 5000.0  # ms for one try to end a statement that nobody knows of
+LEASE_TERM_MS = 60_000  # ms of that lease; some 26 s of it are left at the least while renewals go well
+STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or a look: an ALTER touches the metastore, no rows
+STOP_TIMEOUT_MS = 5000.0  # ms for one try to end a statement that nobody knows of
 ASK_MS = 4000.0  # ms for one command
 WATCH_MS = 20_000.0  # ms of one watch for changes under way
 PACE_MS = 200.0  # ms between two watches: a long list is answered at once
@@ -141,7 +141,7 @@
             self.tasks.remove(TASK + table)
         for table in sorted(now):
             if self._wanted.get(table) != now[table]:  # also where one has ended and the next came at once
-                self.tasks.add(TASK + table, partial(self._run, table), TERM_MS, "change of its schema")
+                self.tasks.add(TASK + table, partial(self._run, table), LEASE_TERM_MS, "change of its schema")
             self._wanted[table] = now[table]
 
     def _run(self, table: str, held: HeldLease) -> bool:
@@ -187,7 +187,9 @@
         self._quiet_since = dict.fromkeys(change.quiet, seen)
         self._drains: dict[str, int] = {}  # by engine: the token of what it is to be cleared for
         self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
-        patience = rollout.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
+        patience = rollout.Patience(
+            answer_ms=STATEMENT_TIMEOUT_MS + STOP_TIMEOUT_MS, record_ms=ASK_MS + AGAIN_MS
+        )
         self.carrier = Carrier(change, old, held.fencing_token, patience)
         self.hands: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
         self._running: dict[str, Statement] = {}  # the last statement for each engine
@@ -270,9 +272,9 @@
             self.loop.sleep(HEAR_MS)
 
     def _statement(self, action: rollout.Run) -> None:
-        with self.held.operation(STATEMENT_MS) as act:
+        with self.held.operation(STATEMENT_TIMEOUT_MS) as act:
             statement = self._running[action.engine] = self.changes.statements.to(action.engine)
-            how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_MS)
+            how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_TIMEOUT_MS)
             act.is_outcome_unknown = how == LOST
         if how != OK:
             self.changes.said(
@@ -283,15 +285,17 @@
 
     def _stop(self, action: rollout.Stop) -> None:
         statement = self._running[action.engine]
-        while not statement.stop(STOP_MS):
+        while not statement.stop(STOP_TIMEOUT_MS):
             self.loop.sleep(AGAIN_MS)  # until the carrier's own time is up
         self.hands.post(rollout.Stopped(action.token, action.engine))
 
     def _look(self, action: rollout.Look) -> None:
         parts = ".".join(quoted(part) for part in self.change.table.split("."))
-        with self.held.operation(STATEMENT_MS):
+        with self.held.operation(STATEMENT_TIMEOUT_MS):
             statement = self.changes.statements.to(action.engine)
-            how, rows = statement.run(f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_MS, rows=True)
+            how, rows = statement.run(
+                f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_TIMEOUT_MS, rows=True
+            )
         if how == OK:
             try:
                 self.hands.post(rollout.Looked(action.token, action.engine, shape(rows)))
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -33,13 +33,15 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
-TERM_MS = 30_000  # ms of the lease; the sending of a statement is an act of its own and has to fit in
+LEASE_TERM_MS = 30_000  # ms of the lease; the sending of a statement is an act of its own and has to fit in
 ASK_MS = 4_000.0  # ms for one command or look at the record
 WATCH_MS = 20_000.0  # ms of one watch for changes of the record
-NEWS_MS = 2_000.0  # ms between looks at which engines are there
+ENGINE_CHECK_INTERVAL_MS = 2_000.0  # ms between looks at which engines are there
 LIST_MS = 600_000.0  # ms from one list of what an engine holds to the next, where nothing calls for one
-LIST_SOON_MS = 5_000.0  # and after one that failed, or differs from the record
-LOOK_MS = 5_000.0  # ms for a mark or one table's list, and for a statement to be taken by its engine
+LIST_RETRY_MS = 5_000.0  # and after one that failed, or differs from the record
+SHORT_STATEMENT_TIMEOUT_MS = (
+    5_000.0  # ms for a mark or one table's list, and for a statement to be taken by its engine
+)
 HEAR_MS = 500.0  # ms between two questions which copies that leave are cleared
 POLL_MS = 100.0  # ms between looks at engines that answer a status at once
 LISTS_AT_ONCE = 16  # engines that are listed side by side; 200 engines of 1,000 tables take a minute then
@@ -128,14 +130,16 @@
         self.homes, self.staging, self.said = homes, staging, said
         self.bounds, self.timing, self.planner, self.record = bounds, timing, planner, record
         self.shards = tuple(shards)
-        self.launched: Callable[[], dict[str, float]] = dict  # when engines were started, as lists tell it
+        self.engine_start_times: Callable[[], dict[str, float]] = (
+            dict  # when engines were started, as lists tell it
+        )
         self.quiescence: QuiescenceClient | None = None  # None: replicas go after their rest
         self.counts: Counter[str] = Counter()
         self.planning = False  # a plan is being made, for this or an earlier time that the lease was held
 
     def start(self) -> None:
         """Want the lease from now on."""
-        self.tasks.add(LEASE, self._run, TERM_MS, "moves of shards")
+        self.tasks.add(LEASE, self._run, LEASE_TERM_MS, "moves of shards")
 
     def close(self) -> None:
         """Want it no more."""
@@ -174,7 +178,7 @@
             for part in (self._watch, self._news, self._hear, *[self._list] * LISTS_AT_ONCE):
                 self.hands.spawn(part)
             while not self.held.stop_requested.ready:
-                wake = self.loop.now() + NEWS_MS
+                wake = self.loop.now() + ENGINE_CHECK_INTERVAL_MS
                 for action in self.carrier.step(self.loop.now(), self.hands.events()):
                     match action:
                         case api.Propose():
@@ -230,7 +234,7 @@
                 index = self.client.read(SHARDS, BEYOND, within_ms=ASK_MS).index
             except ClusterError as exc:  # the lease ends meanwhile, if it lasts
                 self.moves.counts[exc.code] += 1
-                self.loop.sleep(NEWS_MS)
+                self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
         until = self.loop.now() + BEHIND_MOST_MS
         while record.index < index:  # its folder may not open, its disk stand, its member be closed
             if self.loop.now() >= until or record.index == self.stood_at:
@@ -261,7 +265,7 @@
                     break
             except ClusterError as exc:  # the lease ends meanwhile, if it lasts
                 self.moves.counts[exc.code] += 1
-                self.loop.sleep(NEWS_MS)
+                self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
         if seen.index >= self.index:  # else a later look has come ahead of this one
             if self.machine is None or self.machine.state_at != revision:
                 self.machine = ShardMachine()
@@ -292,7 +296,7 @@
                 after = self.client.watch(SHARDS, after, wait_ms=WATCH_MS, query=BEYOND).revision
             except ClusterError as exc:
                 self.moves.counts[exc.code] += 1
-                self.loop.sleep(NEWS_MS)
+                self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
                 continue
             self._look()
 
@@ -346,7 +350,7 @@
             if how == OK:
                 how, rows = statement.wait(action.timeout_ms)
         except Cancelled:  # it took too long, or the lease has gone
-            self.loop.spawn(statement.stop, LOOK_MS, name=f"stop at {action.engine}")
+            self.loop.spawn(statement.stop, SHORT_STATEMENT_TIMEOUT_MS, name=f"stop at {action.engine}")
             raise
         finally:
             self._statements.pop(action.token, None)
@@ -368,10 +372,10 @@
         self.starts.put(None)
         after = 0.0
         try:
-            with self.held.operation(LOOK_MS) as act:
-                how = statement.send(action.statement, action.overlay, LOOK_MS)
+            with self.held.operation(SHORT_STATEMENT_TIMEOUT_MS) as act:
+                how = statement.send(action.statement, action.overlay, SHORT_STATEMENT_TIMEOUT_MS)
                 act.is_outcome_unknown = how == LOST
-                after = LOOK_MS if act.is_outcome_unknown else 0.0
+                after = SHORT_STATEMENT_TIMEOUT_MS if act.is_outcome_unknown else 0.0
         finally:
             self.loop.after(after, self.starts.get)
         return how
@@ -390,7 +394,7 @@
                 elif self.lives.get(name, "gone") == "gone" or shards != self.shards:
                     self.list_at[name] = self.loop.now()
                 self.lives[name] = home.life
-            launched = self.moves.launched()
+            launched = self.moves.engine_start_times()
             for name in self.list_at:
                 if launched.get(name) != self.launched.get(name):  # it may have come back with another disk
                     self.list_at[name] = self.loop.now()
@@ -400,16 +404,16 @@
             told = [replace(home, mark=self.marks.get(name, "")) for name, home in sorted(homes.items())]
             # One that is back is not told of before its mark is known: it may have another disk.
             self.hands.post(api.Heard(tuple(home for home in told if home.mark or home.life == "gone")))
-            self.loop.sleep(NEWS_MS)
+            self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
 
     def _list(self) -> None:
         """Read marks, and what engines hold: of each engine for itself, of some of them side by side."""
         while True:
             now = self.loop.now()
             due = ((at, name) for name, at in self.list_at.items() if name not in self.listing)
-            at, name = min(due, default=(now + NEWS_MS, ""))
+            at, name = min(due, default=(now + ENGINE_CHECK_INTERVAL_MS, ""))
             if at > now:
-                self.loop.sleep(min(at - now, NEWS_MS))
+                self.loop.sleep(min(at - now, ENGINE_CHECK_INTERVAL_MS))
                 continue
             self.listing.add(name)
             try:
@@ -421,7 +425,7 @@
                 continue  # it went meanwhile
             known = {shard for shard, copies in self.machine.copies.items() if name in copies}
             # What is not as the record has it is believed when a second list says the same.
-            self.list_at[name] = self.loop.now() + (LIST_MS if held == known else LIST_SOON_MS)
+            self.list_at[name] = self.loop.now() + (LIST_MS if held == known else LIST_RETRY_MS)
             if held is not None:
                 self.marks[name] = mark
                 self.hands.post(api.Heard((), {name: held}))
@@ -454,8 +458,11 @@
 
     def _asked(self, engine: str, text: str) -> tuple[str, list[tuple[str, ...]], str]:
         statement: Statement = self.moves.statements.to(engine)
-        with self.held.operation(LOOK_MS):
+        with self.held.operation(SHORT_STATEMENT_TIMEOUT_MS):
             how, rows = statement.run(
-                text, migration_statements.overlay(self.held.fencing_token, LOOK_MS), LOOK_MS, rows=True
+                text,
+                migration_statements.overlay(self.held.fencing_token, SHORT_STATEMENT_TIMEOUT_MS),
+                SHORT_STATEMENT_TIMEOUT_MS,
+                rows=True,
             )
         return how, rows, statement.state
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -253,7 +253,7 @@
         if self.sessions.pop(session.handle.sessionId.guid, None) is not None:
             self.admission.sessions.release(session.user)
             if session.subscriber is not None:
-                self.gate.leave(session.subscriber)
+                self.gate.unsubscribe(session.subscriber)
         for operation in list(session.operations.values()):
             self._close(session, operation, reason)
 
@@ -288,7 +288,11 @@
             mine[handle.sessionId.guid] = None
 
         def reply() -> tuple[Structure, None]:
-            told = {} if session.subscriber is None else {SUBSCRIBED: self.gate.word(session.subscriber)}
+            told = (
+                {}
+                if session.subscriber is None
+                else {SUBSCRIBED: self.gate.registration_text(session.subscriber)}
+            )
             return hs2.TOpenSessionResp(
                 status=success(), serverProtocolVersion=protocol, sessionHandle=handle, configuration=told
             ), None
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -46,13 +46,13 @@
 AGAIN_MS = 100.0  # ms until a client asks another controller
 TRIES_MOST = 50  # controllers that a client asks for one query
 QUICK = {  # constants of a short play: the same order among them as the product's have
-    "fennelwind.cluster.shard_migration:TERM_MS": 6000,
-    "fennelwind.cluster.shard_migration:LOOK_MS": 1500.0,
-    "fennelwind.cluster.shard_migration:NEWS_MS": 300.0,
-    "fennelwind.cluster.shard_migration:LIST_SOON_MS": 500.0,
-    "fennelwind.cluster.schema_rollout:TERM_MS": 6000,
-    "fennelwind.cluster.schema_rollout:STATEMENT_MS": 1500.0,
-    "fennelwind.cluster.schema_rollout:STOP_MS": 1000.0,
+    "fennelwind.cluster.shard_migration:LEASE_TERM_MS": 6000,
+    "fennelwind.cluster.shard_migration:SHORT_STATEMENT_TIMEOUT_MS": 1500.0,
+    "fennelwind.cluster.shard_migration:ENGINE_CHECK_INTERVAL_MS": 300.0,
+    "fennelwind.cluster.shard_migration:LIST_RETRY_MS": 500.0,
+    "fennelwind.cluster.schema_rollout:LEASE_TERM_MS": 6000,
+    "fennelwind.cluster.schema_rollout:STATEMENT_TIMEOUT_MS": 1500.0,
+    "fennelwind.cluster.schema_rollout:STOP_TIMEOUT_MS": 1000.0,
     "fennelwind.cluster.raft_host:LEVEL_CHECK_MS": 300.0,
     "fennelwind.shards.state_machine:ShardMachine.rest_ms": 4000,
 }
--- a/fennelwind/testbed/wholework.py
+++ b/fennelwind/testbed/wholework.py
@@ -64,7 +64,7 @@
 
         def serve_shards(self, *args: Any, **more: Any) -> None:
             super().serve_shards(*args, **more)
-            self.moves.timing = replace(Timing(), **spec.get("timing", {}))
+            self.migrations.timing = replace(Timing(), **spec.get("timing", {}))
 
     importlib.import_module(PROGRAM).RealLoop, runtime.ClusterRuntime = RigLoop, RigKeeper
     for name, value in spec.get("constants", {}).items():
--- a/tests/cluster/test_clearance_processes.py
+++ b/tests/cluster/test_clearance_processes.py
@@ -44,7 +44,7 @@
 from fennelwind.cluster import quiescence, shard_migration
 from fennelwind.shards.state_machine import ShardMachine
 ControllerRegistry.silence_timeout_ms, quiescence.RENEWAL_MS, quiescence.RETRY_MS = 4_000, 700.0, 500.0
-ShardMachine.rest_ms, shard_migration.LIST_SOON_MS = 20_000, 500.0
+ShardMachine.rest_ms, shard_migration.LIST_RETRY_MS = 20_000, 500.0
 from fennelwind.cli.main import main
 main()
 """
