--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -47,7 +47,7 @@
         post: Callable[[Event], None],
         ask: Callable[[StateMachine, bytes], bytes],
     ) -> None:
-        self.loop, self.record, self.post, self.ask = loop, record, post, ask
+        self.loop, self.replicated_state, self.post, self.ask = loop, record, post, ask
         self.revisions = dict.fromkeys(record.known_machines, 0)
         self.applied = 0  # entries since the start
         self._work: deque[Apply | Restore | TakeSnapshot] = deque()
@@ -71,14 +71,14 @@
 
     def when_applied(self, index: int, call: Callable[[Result], None]) -> None:
         """Make the call with what the entry brings; UNKNOWN if it was applied already: ask again."""
-        if index <= self.record.index:
+        if index <= self.replicated_state.index:
             call(Result(refusal=Result.UNKNOWN, index=index))
         else:
             self._results[index] = call
 
     def when_at_index(self, index: int, call: Callable[[], None]) -> None:
         """Make the call when the state is of this index or a later one."""
-        if index <= self.record.index:
+        if index <= self.replicated_state.index:
             call()
         else:
             self._order += 1
@@ -86,7 +86,7 @@
 
     def watch(self, view: pb.View, call: Callable[[], None], gone: Callable[[], bool]) -> bool:
         """Make the call once what is watched has changed, or after its time; False: too many wait."""
-        machine = self.record.machines.get(view.machine)
+        machine = self.replicated_state.machines.get(view.machine)
         if machine is None or view.ByteSize() > MAX_WATCH_QUERY_BYTES:
             call()
             return True
@@ -136,7 +136,7 @@
             self.loop.sleep(0.0)
 
     def _do(self, action: Apply | Restore | TakeSnapshot) -> None:
-        record = self.record
+        record = self.replicated_state
         if self.too_new:
             return
         if isinstance(action, TakeSnapshot):
@@ -157,7 +157,7 @@
             self.post(Applied(record.index, due))
 
     def _apply(self, entries: tuple[council_pb2.Entry, ...]) -> None:
-        record = self.record
+        record = self.replicated_state
         for entry in entries:
             if self.too_new:
                 return
@@ -186,7 +186,7 @@
     def _changed(self, machines: list[str]) -> None:
         for name in machines:
             # A machine may tell when its state has really changed; else every command counts as a change.
-            revision = getattr(self.record.machines[name], "revision", self.record.index)
+            revision = getattr(self.replicated_state.machines[name], "revision", self.replicated_state.index)
             if revision == self.revisions[name]:
                 continue
             self.revisions[name] = revision
@@ -200,22 +200,22 @@
     @property
     def too_new(self) -> bool:
         """Tell whether the record uses what this version does not know: nothing more is applied then."""
-        return self.record.level > self.record.supported_level
+        return self.replicated_state.level > self.replicated_state.supported_level
 
     def _settle(self) -> None:
         """Answer the reads whose index has come, and those whose entry a snapshot has swallowed."""
-        while self._reads and self._reads[0][0] <= self.record.index:
+        while self._reads and self._reads[0][0] <= self.replicated_state.index:
             heapq.heappop(self._reads)[2]()
-        for index in [i for i in self._results if i <= self.record.index]:
+        for index in [i for i in self._results if i <= self.replicated_state.index]:
             self._results.pop(index)(Result(refusal=Result.UNKNOWN, index=index))
 
     def view(self, view: pb.View) -> pb.Told:
         """Return what is asked for as it is here now."""
-        told = pb.Told(revision=self.revisions.get(view.machine, 0), clock_ms=self.record.clock_ms)
-        result = Result(index=self.record.index)
-        machine = self.record.machines.get(view.machine)
+        told = pb.Told(revision=self.revisions.get(view.machine, 0), clock_ms=self.replicated_state.clock_ms)
+        result = Result(index=self.replicated_state.index)
+        machine = self.replicated_state.machines.get(view.machine)
         if view.kind:
-            told.fact = self.record.fact(view.kind, view.key)
+            told.fact = self.replicated_state.fact(view.kind, view.key)
         elif machine is None:
             result.refusal = Result.NO_MACHINE
         else:
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -174,7 +174,7 @@
         facts = {
             "name": self.me.name,
             "incarnation": self.me.id.hex(),
-            "index": self.state.record.index,
+            "index": self.state.replicated_state.index,
             "entries": len(durable.entries),
         }
         self._log("raft member started", facts)
@@ -260,7 +260,7 @@
             fleet=self.place.fleet,
             name=self.me.name,
             life=self.me.id,
-            level=self.state.record.supported_level,
+            level=self.state.replicated_state.supported_level,
         )
 
     def member_connected(self, sender: Incarnation) -> None:
@@ -303,12 +303,12 @@
 
         A member that does not know yet that another leads may answer as well: acknowledgements stay true.
         """
-        registry = self.state.record.machines.get(ROLL)
+        registry = self.state.replicated_state.machines.get(ROLL)
         if registry is None:
             return Result(refusal=Result.NO_MACHINE)
         if self.role != "leader":
             return Result(refusal=Result.NOT_LEADER, leader=self.leader)
-        record = self.state.record
+        record = self.state.replicated_state
         try:
             if request.HasField("word"):
                 self.counts["words"] += 1
@@ -423,7 +423,7 @@
             "role": change.role,
             "term": change.term,
             "leader": change.leader,
-            "index": self.state.record.index,
+            "index": self.state.replicated_state.index,
         }
         self._log("role changed", facts)
         waiters, self._role_waiters = self._role_waiters, []
@@ -444,7 +444,7 @@
 
     def _stop_if_too_new(self) -> None:
         """Take part no more in a log that a later version writes; queries go on as without the Raft group."""
-        record = self.state.record
+        record = self.state.replicated_state
         if self.state.too_new and self.role != "closed":
             error = LogTooNewError(
                 f"the log is of level {record.level}, this version knows {record.supported_level}",
@@ -457,7 +457,7 @@
 
     def _raise_level(self) -> None:
         """Raise the log's level, while leading, once all members have reported that they know the next."""
-        record = self.state.record
+        record = self.state.replicated_state
         while record.level < record.supported_level:
             self.loop.sleep(LEVEL_CHECK_MS)
             members = self.core.log.configuration.members.members
@@ -509,7 +509,7 @@
 
     def _snapshot(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
         """Return a snapshot of what is committed and applied, which makes room in place of a long log."""
-        record, log = self.state.record, self.core.log
+        record, log = self.state.replicated_state, self.core.log
         term = log.term(record.index)
         if not record.index or term is None:
             return None, b""
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -122,7 +122,7 @@
         drops a replica as soon as all controllers have acknowledged that they send no query to it.
         """
         statements = EngineStatements(self.loop, links.settings, links.tls)
-        record = self.member.state.record if self.member is not None else None
+        record = self.member.state.replicated_state if self.member is not None else None
         self.migrations = ShardMigrations(
             self.loop,
             self.client,
@@ -188,7 +188,7 @@
             )
         member = self.member
         if member is not None and member.core is not None:
-            record = member.state.record
+            record = member.state.replicated_state
             told += [
                 ("leads", "1 where this member leads.", member.role == "leader"),
                 (
--- a/fennelwind/testbed/councilwork.py
+++ b/fennelwind/testbed/councilwork.py
@@ -197,7 +197,7 @@
                     "term": view.term,
                     "leader": view.leader,
                     "commit": view.commit_index,
-                    "applied": member.state.record.index,
+                    "applied": member.state.replicated_state.index,
                     "members": len(view.members.members),
                     "memory_kb": resource.getrusage(resource.RUSAGE_SELF).ru_maxrss,
                     "now_kb": _memory_kb(),
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -81,11 +81,13 @@
         with pytest.raises(CommandRejectedError, match="NO_MACHINE"):
             council.on("f0", ask)
         council.world.rig.sleep(10_000.0)
-        assert {k.member.state.record.level for n, k in council.keepers.items() if k.member} == {1}
+        assert {k.member.state.replicated_state.level for n, k in council.keepers.items() if k.member} == {1}
         council.kill("m2")
         council.start("m2", **newer | {"more": (Tally(),)})
         council.until(
-            lambda: all(k.member.state.record.level == 2 for n, k in council.keepers.items() if k.member)
+            lambda: all(
+                k.member.state.replicated_state.level == 2 for n, k in council.keepers.items() if k.member
+            )
         )
         assert council.on("f0", ask) == b"1"
         council.kill("m0")
@@ -100,7 +102,7 @@
         council.kill("m0")
         council.start("m0", **newer | {"more": (Tally(),)})
         council.until(lambda: council.keepers["m0"].member.role in ("follower", "leader"))
-        records = [k.member.state.record for k in council.keepers.values() if k.member]
+        records = [k.member.state.replicated_state for k in council.keepers.values() if k.member]
         council.until(lambda: len({r.index for r in records}) == 1)
         assert len({r.snapshot() for r in records}) == 1
         # What the log's own fields are called is no fact's name: it would be written over.
@@ -135,7 +137,9 @@
         read = council.on("f0", lambda: asker.read("registers", b"a", within_ms=20_000))
         council.until(
             lambda: all(
-                k.member.state.record.index >= read.index for k in council.keepers.values() if k.member
+                k.member.state.replicated_state.index >= read.index
+                for k in council.keepers.values()
+                if k.member
             )
         )
         for name in council.names:
--- a/tests/cluster/test_gate.py
+++ b/tests/cluster/test_gate.py
@@ -94,7 +94,7 @@
 
     def version(self):
         """Return the table's version, as a publisher learns it from a refusal."""
-        record = next(k.member.state.record for k in self.council.keepers.values())
+        record = next(k.member.state.replicated_state for k in self.council.keepers.values())
         return record.machines["contracts"].tables["sales.orders"].version
 
     def columns(self):
@@ -197,7 +197,7 @@
         version, keeper = scene.version(), scene.fleet.program.keeper
         scene.engines[0].faults.hang = True
         scene.host.spawn(lambda: scene.change(scene.session()[0], WIDER, version, statement=alter(WIDER)))
-        record = next(k.member.state.record for k in scene.council.keepers.values())
+        record = next(k.member.state.replicated_state for k in scene.council.keepers.values())
         changes = record.machines["contracts"].changes
         while not changes or not next(iter(changes.values())).fence:
             scene.host.sleep(20.0)
@@ -254,7 +254,7 @@
     def call():
         scene.change(scene.session()[0], OLD, statement=alter(OLD))
         reader, _ = scene.session(READS | {"fennelwind.subscriber.term_s": "10"})
-        record = next(k.member.state.record for k in scene.council.keepers.values())
+        record = next(k.member.state.replicated_state for k in scene.council.keepers.values())
         machine = record.machines["contracts"]
         scene.host.sleep(40_000.0)
         assert len(machine.subscriptions) == 1
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -127,7 +127,7 @@
             ours.propose("sum", b"x", 1000)
         with pytest.raises(CommandRejectedError, match="NO_MACHINE"):
             ours.propose("moon", b"x", 1000)
-        assert there.state.record.machines["sum"].sum == 6
+        assert there.state.replicated_state.machines["sum"].sum == 6
 
     play(main)
 
@@ -139,7 +139,7 @@
         there.core.way = "silent"
         loop.after(1500.0, lambda: setattr(there.core, "way", ""))
         assert ours.propose("sum", b"5", 9000) == b"6"
-        assert there.core.asked > 3 and there.state.record.machines["sum"].sum == 6
+        assert there.core.asked > 3 and there.state.replicated_state.machines["sum"].sum == 6
 
     play(main)
 
@@ -164,7 +164,7 @@
         tasks = [loop.spawn(ours.propose, "sum", b"1", 5000) for _ in range(300)]
         answers = sorted(int(task.join()) for task in tasks)
         assert answers == list(range(1, 301))
-        kept = [client.kept for client in there.state.record._clients.values()]
+        kept = [client.kept for client in there.state.replicated_state._clients.values()]
         assert max(map(len, kept)) <= 64
 
     play(main)
@@ -174,10 +174,10 @@
     def main(loop):
         there, ours = member(loop), asker(loop)
         ours.propose("sum", b"1", 1000)
-        there.state.record._clients.clear()
+        there.state.replicated_state._clients.clear()
         assert ours.propose("sum", b"1", 1000) == b"2"
         there.core.way = "silent"
-        loop.after(500.0, there.state.record._clients.clear)
+        loop.after(500.0, there.state.replicated_state._clients.clear)
         loop.after(900.0, lambda: setattr(there.core, "way", ""))
         with pytest.raises(OutcomeUnknownError):
             ours.propose("sum", b"1", 9000)
@@ -446,7 +446,7 @@
         there = member(loop, said=lambda what, facts: said.append(what))
         ours = asker(loop)
         ours.propose("sum", b"1", 1000)
-        there.state.record.machines["sum"].apply = lambda *_: 1 / 0
+        there.state.replicated_state.machines["sum"].apply = lambda *_: 1 / 0
         with pytest.raises(OutcomeUnknownError):
             ours.propose("sum", b"1", 3000)
         assert there.role == "closed" and not loop.listeners
--- a/tests/cluster/test_moves_program.py
+++ b/tests/cluster/test_moves_program.py
@@ -143,7 +143,7 @@
         assert blind.driver.router.places == scene.fleet.program.driver.router.places  # ahead of any client
         scene.fleet.program.keeper.close()  # its leases lapse
         scene.host.sleep(90_000.0)
-        machine = next(iter(scene.council.keepers.values())).member.state.record.machines["shards"]
+        machine = next(iter(scene.council.keepers.values())).member.state.replicated_state.machines["shards"]
         assert {home.life for home in machine.homes.values()} == {"ready"}
         assert all(machine.good(name) for name in NAMES)
 
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -59,7 +59,7 @@
                 self.begin(name)
             if self.members:
                 for name in council.names:
-                    self.begin_moves(name, council.keepers[name].member.state.record)
+                    self.begin_moves(name, council.keepers[name].member.state.replicated_state)
             council.on(
                 "c0",
                 lambda: council.keepers["c0"].client.propose(
@@ -107,7 +107,7 @@
 
     def record(self):
         return next(
-            self.council.keepers[name].member.state.record
+            self.council.keepers[name].member.state.replicated_state
             for name in self.council.names
             if not self.council.hosts[name].dead
         )
@@ -172,11 +172,11 @@
         platter.fails = True
         scene.council.until(lambda: scene.council.keepers[holder].member.role == "mute")
         scene.council.keepers[holder].member.server.close()  # and it hears nothing any more
-        stands = scene.council.keepers[holder].member.state.record.index
+        stands = scene.council.keepers[holder].member.state.replicated_state.index
         scene.drain()
         scene.council.until(lambda: scene.settled(), 120_000.0)
         assert scene.holder() == holder
-        assert scene.council.keepers[holder].member.state.record.index <= stands + 5
+        assert scene.council.keepers[holder].member.state.replicated_state.index <= stands + 5
 
     scene.play(call)
 
--- a/tests/cluster/test_quiescence_program.py
+++ b/tests/cluster/test_quiescence_program.py
@@ -45,7 +45,7 @@
         return super()._main(main)
 
     def record(self):
-        return next(k.member.state.record for k in self.council.keepers.values())
+        return next(k.member.state.replicated_state for k in self.council.keepers.values())
 
     def drain(self, engine):
         """Let every controller hear that an engine drains; it has to be emptied then."""
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -88,7 +88,7 @@
             for part in parts:
                 part.update_replicas(wishes + 1, {}, [(f"t/d={n}", "e") for n in range(wishes)], True)
             rig.sleep(5_000.0)
-            record = council.keepers[council.leader()].member.state.record
+            record = council.keepers[council.leader()].member.state.replicated_state
             index, words = record.index, sum(p.counts["told"] for p in parts)
             rig.sleep(60_000.0)
             words = sum(p.counts["told"] for p in parts) - words
--- a/tests/support/council_chaos.py
+++ b/tests/support/council_chaos.py
@@ -154,7 +154,7 @@
         self.over = True
         for keeper in council.keepers.values():
             keeper.tasks.close()
-        records = [council.keepers[name].member.state.record for name in council.names]
+        records = [council.keepers[name].member.state.replicated_state for name in council.names]
         council.until(lambda: len({record.index for record in records}) == 1)
         states = {record.snapshot() for record in records}
         assert len(states) == 1, "states differ at the same index"
@@ -238,8 +238,10 @@
                 not council.hosts[self.lost].dead
                 and before.role in ("leader", "follower")
                 and (
-                    before.state.record.index
-                    >= max(council.keepers[each].member.state.record.index for each in council.names)
+                    before.state.replicated_state.index
+                    >= max(
+                        council.keepers[each].member.state.replicated_state.index for each in council.names
+                    )
                 )
             )
         if not stood:
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -220,7 +220,7 @@
             council.start(member, level=2)
         council.until(council.leader)
         council.start("c0", "10.0.2.0", level=2)
-        record = council.keepers[council.leader()].member.state.record
+        record = council.keepers[council.leader()].member.state.replicated_state
         council.until(lambda: record.level == 2)
         client = council.keepers["c0"].client
         for index, (machine, body) in enumerate(commands(30)):
