--- a/fennelwind/cluster/__init__.py
+++ b/fennelwind/cluster/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the Raft group on the loop: members, connections, clients, leased tasks and what rests on them."""
+"""Runs the Raft group on the loop: members, connections, clients, leased tasks and services on top."""
--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -1,7 +1,7 @@
-"""Reports how often this controller's queries name each shard to the replicated state, in rare batches.
+"""Reports to the replicated state, in batches, how often this controller's queries name each shard.
 
-A batch every ten minutes, if there is anything to report, the first after a random part of that: two hundred
-controllers make twenty commands a minute, each of some 70 kB at the most, and no watch is woken.
+A batch is sent every ten minutes if there is anything to report, the first after a random share of that: two
+hundred controllers make twenty commands a minute, each of at most about 70 kB, and no watch is triggered.
 """
 
 from collections import Counter
@@ -14,15 +14,15 @@
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import Named
 
-REPORT_INTERVAL_MS = 600_000.0  # ms from one batch to the next, a third of the half-life
-PROPOSE_TIMEOUT_MS = 20_000.0  # ms for one command: nobody waits for it
+REPORT_INTERVAL_MS = 600_000.0  # ms between two batches, a third of the access load's half-life
+PROPOSE_TIMEOUT_MS = 20_000.0  # ms for one command; nothing waits for it
 
 
 class AccessLoadReporter:
-    """One controller's reports."""
+    """Sends one controller's reports."""
 
     def __init__(self, loop: Loop, client: RaftClient, named: Named, seed: int) -> None:
-        """Make it; `named` counts the shards that queries name."""
+        """Create it; `named` counts the shards that queries name."""
         self.counts: Counter[str] = Counter()
         self._loop = loop
         self._client = client
@@ -31,11 +31,11 @@
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Report from now on."""
+        """Start reporting."""
         self._task = self._loop.spawn(self._report_forever, name="heat: tell")
 
     def close(self) -> None:
-        """Report no more."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.cancel()
 
@@ -49,7 +49,9 @@
                 body = command.SerializeToString(deterministic=True)
                 try:
                     self._client.propose(SHARDS, body, PROPOSE_TIMEOUT_MS)
-                except ClusterError as exc:  # reported with the next; if only the answer was lost, twice
+                except (
+                    ClusterError
+                ) as exc:  # retried with the next batch; counted twice if only the answer was lost
                     self.counts[exc.code] += 1
                 else:
                     self.counts["told"] += 1
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -1,6 +1,6 @@
-"""The record as a member or one that asks sees it: applied in slices, with revisions, reads and watches.
+"""A member's replicated state: applies committed entries, and serves reads and watches of the result.
 
-Entries are applied between turns of the loop, so many at a time, so that a long catch-up delays no query.
+Entries are applied in slices, one slice per iteration of the loop, so that a long catch-up delays no query.
 """
 
 import heapq
@@ -18,215 +18,222 @@
 from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
 
-MAX_IMMEDIATE_ENTRIES = 8  # entries applied in the turn that committed them: a command's answer waits for it
-ENTRIES_PER_SLICE = 64  # entries applied in one turn of the loop; some 2 ms
-MAX_WATCHERS = 4096  # watches that wait here: two hundred controllers with twenty tables each
-SWEEP_MS = 1000.0  # ms between two searches for watches of askers that have gone; one costs some ms
-MAX_VIEW_BYTES = MAX_FRAME_BYTES - 4096  # bytes of a state that is told in one frame
-MAX_WATCH_QUERY_BYTES = 4096  # bytes of what one watch compares with; a longer one is answered at once
-MAX_WAIT_MS = 60_000  # ms that one watch waits; longer ones ask again
+MAX_IMMEDIATE_ENTRIES = 8  # entries applied as soon as committed: a command's answer waits for them
+ENTRIES_PER_SLICE = 64  # entries applied in one iteration of the loop; about 2 ms
+MAX_WATCHES = 4096  # pending watches: two hundred controllers with twenty tables each
+SWEEP_INTERVAL_MS = 1000.0  # ms between two searches for watches of disconnected clients; each takes some ms
+MAX_VIEW_BYTES = MAX_FRAME_BYTES - 4096  # bytes of a state that fits in one frame
+MAX_WATCH_QUERY_BYTES = 4096  # bytes of a watch request; a larger one is answered at once
+MAX_WAIT_MS = 60_000  # ms that one watch waits; clients that wait longer repeat the request
 
 Result = council_pb2.Result
 
 
 @dataclass(slots=True)
 class _Watch:
-    holds: Callable[[], bool]
-    call: Callable[[], None]
-    gone: Callable[[], bool]  # whether nobody waits for the answer any more
+    is_triggered: Callable[[], bool]
+    callback: Callable[[], None]
+    is_abandoned: Callable[[], bool]  # whether nobody waits for the answer any more
     timer: Any = None
 
 
 class AppliedState:
-    """Applies what is agreed; tells who waits for an entry, a state of at least an index, or a change."""
+    """Applies committed entries; calls back whoever waits for an entry, an index or a change of state."""
 
     def __init__(
         self,
         loop: Loop,
-        record: ReplicatedState,
+        replicated_state: ReplicatedState,
         post: Callable[[Event], None],
-        ask: Callable[[StateMachine, bytes], bytes],
+        answer_query: Callable[[StateMachine, bytes], bytes],
     ) -> None:
-        self.loop, self.replicated_state, self.post, self.ask = loop, record, post, ask
-        self.revisions = dict.fromkeys(record.known_machines, 0)
-        self.applied = 0  # entries since the start
+        self.loop, self.replicated_state, self.post, self.answer_query = (
+            loop,
+            replicated_state,
+            post,
+            answer_query,
+        )
+        self.revisions = dict.fromkeys(replicated_state.known_machines, 0)
+        self.applied_entries = 0  # since the start
         self._work: deque[Apply | Restore | TakeSnapshot] = deque()
-        self._wakeup, self._busy = Wakeup(loop), False
-        self._due: int | None = None  # as it was told last
-        self._results: dict[int, Callable[[Result], None]] = {}  # who waits for an entry's result
-        self._reads: list[tuple[int, int, Callable[[], None]]] = []  # heap: index, order, what is to be done
-        self._order = 0
-        self._watches: dict[str, list[_Watch]] = {name: [] for name in record.known_machines}
-        self.watchers = 0
-        self._sweep_at = 0.0
-
-    def take(self, action: Apply | Restore | TakeSnapshot) -> None:
-        """Take what is to be done, in order; few entries are applied at once, if nothing is ahead of them."""
-        small = isinstance(action, Apply) and len(action.entries) <= MAX_IMMEDIATE_ENTRIES
-        if small and not self._work and not self._busy:
-            self._do(action)
+        self._wakeup, self._is_busy = Wakeup(loop), False
+        self._posted_expiry_ms: int | None = None  # on the log's clock, as the core got it last
+        self._results: dict[int, Callable[[Result], None]] = {}  # callbacks by the index of the entry
+        self._reads: list[tuple[int, int, Callable[[], None]]] = []  # heap: index, sequence number, callback
+        self._last_read = 0
+        self._watches: dict[str, list[_Watch]] = {name: [] for name in replicated_state.known_machines}
+        self.watch_count = 0
+        self._next_sweep_ms = 0.0
+
+    def submit(self, action: Apply | Restore | TakeSnapshot) -> None:
+        """Queue an action of the core; a few entries are applied at once if the queue is empty."""
+        is_small = isinstance(action, Apply) and len(action.entries) <= MAX_IMMEDIATE_ENTRIES
+        if is_small and not self._work and not self._is_busy:
+            self._perform(action)
             return
         self._work.append(action)
         self._wakeup.notify()
 
-    def when_applied(self, index: int, call: Callable[[Result], None]) -> None:
-        """Make the call with what the entry brings; UNKNOWN if it was applied already: ask again."""
+    def when_applied(self, index: int, callback: Callable[[Result], None]) -> None:
+        """Call back with the result of an entry; with UNKNOWN if it was applied already."""
         if index <= self.replicated_state.index:
-            call(Result(refusal=Result.UNKNOWN, index=index))
+            callback(Result(refusal=Result.UNKNOWN, index=index))
         else:
-            self._results[index] = call
+            self._results[index] = callback
 
-    def when_at_index(self, index: int, call: Callable[[], None]) -> None:
-        """Make the call when the state is of this index or a later one."""
+    def when_at_index(self, index: int, callback: Callable[[], None]) -> None:
+        """Call back when the entries up to this index have been applied."""
         if index <= self.replicated_state.index:
-            call()
+            callback()
         else:
-            self._order += 1
-            heapq.heappush(self._reads, (index, self._order, call))
+            self._last_read += 1
+            heapq.heappush(self._reads, (index, self._last_read, callback))
 
-    def watch(self, view: pb.View, call: Callable[[], None], gone: Callable[[], bool]) -> bool:
-        """Make the call once what is watched has changed, or after its time; False: too many wait."""
+    def watch(self, view: pb.View, callback: Callable[[], None], is_abandoned: Callable[[], bool]) -> bool:
+        """Call back once the watched state has changed or its wait is over; return False if too many wait."""
         machine = self.replicated_state.machines.get(view.machine)
         if machine is None or view.ByteSize() > MAX_WATCH_QUERY_BYTES:
-            call()
+            callback()
             return True
 
-        def holds() -> bool:
+        def is_triggered() -> bool:
             if view.HasField("unlike"):
-                return self.ask(machine, view.query) != view.unlike
+                return self.answer_query(machine, view.query) != view.unlike
             return self.revisions[view.machine] > view.after
 
-        if holds():
-            call()
+        if is_triggered():
+            callback()
             return True
-        if self.watchers >= MAX_WATCHERS and not self._drop_gone():
+        if self.watch_count >= MAX_WATCHES and not self._remove_abandoned():
             return False
-        watch = _Watch(holds, call, gone)
+        watch = _Watch(is_triggered, callback, is_abandoned)
 
-        def late() -> None:
+        def time_out() -> None:
             self._watches[view.machine].remove(watch)
-            self.watchers -= 1
-            call()
+            self.watch_count -= 1
+            callback()
 
-        watch.timer = self.loop.after(min(view.wait_ms, MAX_WAIT_MS), late)
+        watch.timer = self.loop.after(min(view.wait_ms, MAX_WAIT_MS), time_out)
         self._watches[view.machine].append(watch)
-        self.watchers += 1
+        self.watch_count += 1
         return True
 
-    def _drop_gone(self) -> bool:
-        """Forget watches whose askers have gone; tell whether there were any. Looked for once a second."""
-        if self.loop.now() < self._sweep_at:
+    def _remove_abandoned(self) -> bool:
+        """Remove watches of disconnected clients, once a second at most; return whether there were any."""
+        if self.loop.now() < self._next_sweep_ms:
             return False
-        self._sweep_at, before = self.loop.now() + SWEEP_MS, self.watchers
+        self._next_sweep_ms, count_before = self.loop.now() + SWEEP_INTERVAL_MS, self.watch_count
         for watches in self._watches.values():
-            for watch in [watch for watch in watches if watch.gone()]:
+            for watch in [watch for watch in watches if watch.is_abandoned()]:
                 watches.remove(watch)
                 watch.timer.cancel()
-                self.watchers -= 1
-        return self.watchers < before
+                self.watch_count -= 1
+        return self.watch_count < count_before
 
     def run(self) -> None:
-        """Apply what comes, for ever."""
+        """Perform queued actions, forever."""
         while True:
             while not self._work:
-                self._busy = False
+                self._is_busy = False
                 self._wakeup.wait()
-            self._busy = True
-            self._do(self._work.popleft())
+            self._is_busy = True
+            self._perform(self._work.popleft())
             self.loop.sleep(0.0)
 
-    def _do(self, action: Apply | Restore | TakeSnapshot) -> None:
-        record = self.replicated_state
-        if self.too_new:
+    def _perform(self, action: Apply | Restore | TakeSnapshot) -> None:
+        state = self.replicated_state
+        if self.is_too_new:
             return
         if isinstance(action, TakeSnapshot):
-            self.post(Snapshot(record.index, record.clock_ms, record.snapshot()))
+            self.post(Snapshot(state.index, state.clock_ms, state.snapshot()))
             return
         if isinstance(action, Restore):
-            record.restore(action.data)
-            self._changed(list(record.machines))
+            state.restore(action.data)
+            self._notify_watches(list(state.machines))
         else:
             for start in range(0, len(action.entries), ENTRIES_PER_SLICE):
                 if start:
                     self.loop.sleep(0.0)
                 self._apply(action.entries[start : start + ENTRIES_PER_SLICE])
-        self._settle()
-        due = record.next_expiry_clock_ms()
-        if due != self._due:  # all that the core wants to know of what was applied
-            self._due = due
-            self.post(Applied(record.index, due))
+        self._call_back_waiters()
+        expiry_ms = state.next_expiry_clock_ms()
+        if expiry_ms != self._posted_expiry_ms:  # the core needs no other news of applied entries
+            self._posted_expiry_ms = expiry_ms
+            self.post(Applied(state.index, expiry_ms))
 
     def _apply(self, entries: tuple[council_pb2.Entry, ...]) -> None:
-        record = self.replicated_state
+        state = self.replicated_state
         for entry in entries:
-            if self.too_new:
+            if self.is_too_new:
                 return
-            if entry.index <= record.index:
-                continue  # a folder that was read anew gives again what was agreed
-            clock_ms = max(record.clock_ms, entry.clock_ms)
+            if entry.index <= state.index:
+                continue  # already applied: a folder that was reopened yields its entries again
+            clock_ms = max(state.clock_ms, entry.clock_ms)
             changed = [
                 name
-                for name, machine in record.machines.items()
-                if (due := machine.next_expiry_clock_ms()) is not None and due <= clock_ms
+                for name, machine in state.machines.items()
+                if (expiry_ms := machine.next_expiry_clock_ms()) is not None and expiry_ms <= clock_ms
             ]
-            result = record.apply(entry)
-            self.applied += 1
+            result = state.apply(entry)
+            self.applied_entries += 1
             if (
                 entry.WhichOneof("what") == "command"
-                and entry.command.machine in record.machines
+                and entry.command.machine in state.machines
                 and entry.command.machine not in changed
             ):
                 changed.append(entry.command.machine)
             if changed:
-                self._changed(changed)
-            call = self._results.pop(entry.index, None)
-            if call is not None:
-                call(result)
+                self._notify_watches(changed)
+            callback = self._results.pop(entry.index, None)
+            if callback is not None:
+                callback(result)
 
-    def _changed(self, machines: list[str]) -> None:
+    def _notify_watches(self, machines: list[str]) -> None:
         for name in machines:
-            # A machine may tell when its state has really changed; else every command counts as a change.
+            # A state machine may keep a revision of its own; otherwise every command counts as a change.
             revision = getattr(self.replicated_state.machines[name], "revision", self.replicated_state.index)
             if revision == self.revisions[name]:
                 continue
             self.revisions[name] = revision
-            ripe = [watch for watch in self._watches[name] if watch.holds()]
-            for watch in ripe:
+            triggered = [watch for watch in self._watches[name] if watch.is_triggered()]
+            for watch in triggered:
                 self._watches[name].remove(watch)
                 watch.timer.cancel()
-                self.watchers -= 1
-                watch.call()
+                self.watch_count -= 1
+                watch.callback()
 
     @property
-    def too_new(self) -> bool:
-        """Tell whether the record uses what this version does not know: nothing more is applied then."""
+    def is_too_new(self) -> bool:
+        """Whether the log is of a level that this version does not support: nothing more is applied then."""
         return self.replicated_state.level > self.replicated_state.supported_level
 
-    def _settle(self) -> None:
-        """Answer the reads whose index has come, and those whose entry a snapshot has swallowed."""
+    def _call_back_waiters(self) -> None:
+        """Call back reads whose index was reached, and commands whose entry a snapshot replaced."""
         while self._reads and self._reads[0][0] <= self.replicated_state.index:
             heapq.heappop(self._reads)[2]()
         for index in [i for i in self._results if i <= self.replicated_state.index]:
             self._results.pop(index)(Result(refusal=Result.UNKNOWN, index=index))
 
-    def view(self, view: pb.View) -> pb.Told:
-        """Return what is asked for as it is here now."""
-        told = pb.Told(revision=self.revisions.get(view.machine, 0), clock_ms=self.replicated_state.clock_ms)
+    def answer_view(self, view: pb.View) -> pb.Told:
+        """Return the answer to a read from the state applied here."""
+        response = pb.Told(
+            revision=self.revisions.get(view.machine, 0), clock_ms=self.replicated_state.clock_ms
+        )
         result = Result(index=self.replicated_state.index)
         machine = self.replicated_state.machines.get(view.machine)
         if view.kind:
-            told.fact = self.replicated_state.fact(view.kind, view.key)
+            response.fact = self.replicated_state.fact(view.kind, view.key)
         elif machine is None:
             result.refusal = Result.NO_MACHINE
         else:
-            result.body = self.ask(machine, view.query)
+            result.body = self.answer_query(machine, view.query)
             if len(result.body) > MAX_VIEW_BYTES:
                 result.ClearField("body")
                 result.refusal = Result.TOO_LARGE
-        told.result = result.SerializeToString()
-        return told
+        response.result = result.SerializeToString()
+        return response
 
 
 def complete_state(machine: StateMachine, query: bytes) -> bytes:
-    """Answer any query by all that a machine keeps."""
+    """Answer any query with the complete state of a state machine."""
     return machine.snapshot()
--- a/fennelwind/cluster/backoff.py
+++ b/fennelwind/cluster/backoff.py
@@ -2,13 +2,13 @@
 
 from random import Random
 
-MIN_MS = 50.0  # ms; a peer that restarts listens again within tens of ms at best
-MAX_MS = 2000.0  # ms; a peer that is back has to be found within a few election time-outs
-MAX_DOUBLINGS = 16  # keeps the power within a float; the maximum is reached long before
+MIN_MS = 50.0  # ms; a restarted peer listens again after tens of ms at best
+MAX_MS = 2000.0  # ms; a peer that is back must be found within a few election timeouts
+MAX_DOUBLINGS = 16  # avoids overflow of the float; the maximum wait is reached long before
 
 
 class Backoff:
-    """Each wait doubles, up to a maximum; the jitter keeps two hundred from coming together."""
+    """Each wait doubles, up to a maximum; the jitter spreads the retries of two hundred controllers."""
 
     def __init__(self, random: Random, min_ms: float = MIN_MS, max_ms: float = MAX_MS) -> None:
         self._random = random
@@ -17,11 +17,11 @@
         self._attempts = 0
 
     def next_ms(self) -> float:
-        """Return the next wait in ms: between a half and the whole of the grown one."""
+        """Return the next wait in ms: a random value from half of the doubled wait up to all of it."""
         wait_ms = min(self._max_ms, self._min_ms * 2.0 ** min(self._attempts, MAX_DOUBLINGS))
         self._attempts += 1
         return wait_ms * (0.5 + 0.5 * self._random.random())
 
     def reset(self) -> None:
-        """Begin with the shortest wait again: something went well."""
+        """Start from the minimum wait again, after a success."""
         self._attempts = 0
--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -1,8 +1,9 @@
-"""The way back when a majority of the members is lost for good: one that is left restarts the log alone.
+"""Recovery after a majority of the members is lost for good: one survivor restarts the log alone.
 
-What it has and the others had not committed is committed from then on; what the others had committed and it
-has not is lost. Fencing tokens are indexes of the log, and none may come twice: so the log goes on far behind
-all that the lost members can have given out. `cli.council` calls this while the member is down.
+Entries that it holds become committed, even if they had not been before; entries that the lost members had
+committed and it lacks are lost. Fencing tokens are indexes of the log and must never be reused, so the log
+continues far beyond any index that the lost members can have issued. `cli.council` calls this while the
+member is down.
 """
 
 from dataclasses import dataclass
@@ -12,12 +13,12 @@
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import DurableState, Write
 
-SKIPPED_ENTRIES = 100_000  # a member that is further behind takes a snapshot and is no fit survivor
+SKIPPED_ENTRIES = 100_000  # a member this far behind would be sent a snapshot, and is no fit survivor
 
 
 @dataclass(slots=True, frozen=True)
 class FolderSummary:
-    """What a member's folder holds; of several the one with the highest (last_term, last) lost least."""
+    """What a member's folder holds; of several, the one with the highest (last_term, last) lost least."""
 
     name: str
     last_term: int
@@ -27,12 +28,12 @@
 
     @property
     def majority(self) -> int:
-        """How many of its members could go on without any recovery."""
+        """The number of members that could continue without recovery."""
         return len(self.members) // 2 + 1
 
 
 def summarize(durable: DurableState) -> FolderSummary:
-    """Return what a folder holds."""
+    """Return a summary of what a folder holds."""
     log = Log(durable.snapshot_head, durable.entries)
     return FolderSummary(
         durable.me.name,
@@ -44,18 +45,18 @@
 
 
 def restart_alone(folder: MemberFolder, durable: DurableState, address: str) -> FolderSummary:
-    """Make this member the only one. Raises `StoreError` and `DiskError`; nothing is changed then."""
-    before, me = summarize(durable), durable.me
-    term = max(durable.hard_state.term, before.last_term) + 1
+    """Make this member the only one. Raises `StoreError` and `DiskError` without any change."""
+    previous, me = summarize(durable), durable.me
+    term = max(durable.hard_state.term, previous.last_term) + 1
     alone = pb.Members(members=[pb.Member(name=me.name, life=me.id, address=address, votes=True)])
-    entries = [pb.Entry(term=term, index=before.last + 1, clock_ms=before.clock_ms, members=alone)]
+    entries = [pb.Entry(term=term, index=previous.last + 1, clock_ms=previous.clock_ms, members=alone)]
     entries += [
-        pb.Entry(term=term, index=before.last + 1 + offset, clock_ms=before.clock_ms, nothing=True)
+        pb.Entry(term=term, index=previous.last + 1 + offset, clock_ms=previous.clock_ms, nothing=True)
         for offset in range(1, SKIPPED_ENTRIES)
     ]
     hard = pb.HardState(term=term, voted_name=me.name, voted_life=me.id)
     folder.write([Write(1, hard_state=hard, entries=tuple(entries))])
-    return FolderSummary(me.name, term, entries[-1].index, before.clock_ms, (me.name,))
+    return FolderSummary(me.name, term, entries[-1].index, previous.clock_ms, (me.name,))
 
 
 def _clock_ms(durable: DurableState) -> int:
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -1,9 +1,9 @@
-"""Statements of the fleet's tasks on engines: each over a connection and session of its own, by HiveServer2.
+"""Statements of leased tasks on engines: each over its own HiveServer2 connection and session.
 
-They pass neither the module nor the pools of links: an act of a task is no query, is never sent twice by
-itself, and has to be stopped for certain. What its engine says is told apart: it went through, the engine
-said no, it has seen a newer fence, or nobody knows. One that nobody knows of has ended once its session is
-closed from another connection: an engine ends a session's operations with it.
+They pass neither the policy nor the connection pools: such a statement is no query, must not be retried by
+the gateway, and must be stopped reliably. It ends in one of four ways: the engine completed it, rejected it,
+rejected its fencing token as stale, or the outcome is unknown. A statement with an unknown outcome has ended
+once its session is closed from another connection, since an engine ends a session's operations with it.
 """
 
 from contextlib import suppress
@@ -16,115 +16,122 @@
 from fennelwind.thrift.codec import Malformed, Structure
 
 OK, FAILED, FENCED, LOST = "ok", "failed", "fenced", "lost"
-CLOSE_MS = 2000.0  # ms for closing a session that went well; the engine ends an idle one by itself
-LOOK_ROWS = 4096  # rows read of a description; a table has 2000 columns at most
+CLOSE_TIMEOUT_MS = 2000.0  # ms to close a session normally; the engine expires an idle one
+MAX_ROWS = 4096  # rows read of a result; a described table has at most 2000 columns
 
 
 class Statement:
-    """One statement on its way. `run` is called once; `stop` any time, by another task."""
+    """One statement on one engine. `run` is called once; `stop` at any time, by another task."""
 
-    def __init__(self, loop: Loop, links: settings.EngineLinks, tls: object, engine: str) -> None:
-        self.loop, self.links, self.tls, self.engine = loop, links, tls, engine
-        self.link: EngineConnection | None = None
-        self.text = self.state = ""  # what the engine said, where it said no, and its SQLSTATE
+    def __init__(self, loop: Loop, link_settings: settings.EngineLinks, tls: object, engine: str) -> None:
+        self.loop, self.link_settings, self.tls, self.engine = loop, link_settings, tls, engine
+        self.connection: EngineConnection | None = None
+        self.error_text = self.sql_state = ""  # the error's text and SQLSTATE, if the statement failed
 
     def run(
-        self, statement: str, overlay: dict[str, str], within_ms: float, rows: bool = False
+        self, statement: str, overlay: dict[str, str], within_ms: float, fetch_rows: bool = False
     ) -> tuple[str, list[tuple[str, ...]]]:
-        """Run it; return how it ended and, where they are wanted, its rows of texts."""
-        sent = False
+        """Run the statement; return `OK`, `FAILED`, `FENCED` or `LOST`, and its rows if requested."""
+        may_have_arrived = False
         try:
             with self.loop.deadline(within_ms):
-                self.link = self._open()
-                sent = True
-                reply = self.link.call(
+                self.connection = self._open()
+                may_have_arrived = True
+                reply = self.connection.call(
                     "ExecuteStatement",
                     hs2.TExecuteStatementReq(
-                        sessionHandle=self.link.session, statement=statement, confOverlay=overlay
+                        sessionHandle=self.connection.session, statement=statement, confOverlay=overlay
                     ),
                 )
-                found = self._rows(reply.operationHandle) if rows else []
+                result_rows = self._fetch_rows(reply.operationHandle) if fetch_rows else []
         except RemoteError as exc:
-            self.text = str(exc)
-            self.state = exc.status.sqlState or "" if exc.status is not None else ""
-            self._leave()
-            fenced = exc.status is not None and hints.FENCED in hints.read(exc.status.infoMessages)
-            return (FENCED if fenced else FAILED), []
+            self.error_text = str(exc)
+            self.sql_state = exc.status.sqlState or "" if exc.status is not None else ""
+            self._close_session()
+            is_fenced = exc.status is not None and hints.FENCED in hints.read(exc.status.infoMessages)
+            return (FENCED if is_fenced else FAILED), []
         except (OSError, DeadlineExceeded, Malformed) as exc:
-            self.text = f"{type(exc).__name__}: {exc}"
-            self._drop()
-            return (LOST if sent else FAILED), []
-        except BaseException:  # the task's lease is lost; whether it ran is not known
-            self._drop()
+            self.error_text = f"{type(exc).__name__}: {exc}"
+            self._drop_connection()
+            return (LOST if may_have_arrived else FAILED), []
+        except BaseException:  # cancelled, as the lease is lost; the outcome is unknown
+            self._drop_connection()
             raise
-        self._leave()
-        return OK, found
+        self._close_session()
+        return OK, result_rows
 
     def stop(self, within_ms: float) -> bool:
-        """End whatever the engine still does of it; tell whether the engine said so."""
-        self._drop()
-        if self.link is None or self.link.session is None:
-            return True  # it had no session, and nothing was sent
+        """End the statement on the engine by closing its session; return whether the engine confirmed it."""
+        self._drop_connection()
+        if self.connection is None or self.connection.session is None:
+            return True  # without a session nothing was sent
         try:
             with self.loop.deadline(within_ms):
-                link = self._open()
+                connection = self._open()
                 try:
-                    with suppress(RemoteError):  # it knows no such session: that has ended then
-                        link.call("CloseSession", hs2.TCloseSessionReq(self.link.session))
+                    with suppress(RemoteError):  # unknown session: it has ended already
+                        connection.call("CloseSession", hs2.TCloseSessionReq(self.connection.session))
                 finally:
-                    link.drop()
+                    connection.drop()
         except (OSError, DeadlineExceeded, Malformed, RemoteError) as exc:
-            self.text = f"{type(exc).__name__}: {exc}"
+            self.error_text = f"{type(exc).__name__}: {exc}"
             return False
         return True
 
     def _open(self) -> EngineConnection:
-        link = EngineConnection(
-            self.loop, parse_address(self.engine), TRANSPORTS[self.links.transport], self.links.user, self.tls
+        connection = EngineConnection(
+            self.loop,
+            parse_address(self.engine),
+            TRANSPORTS[self.link_settings.transport],
+            self.link_settings.user,
+            self.tls,
         )
         try:
-            with self.loop.deadline(self.links.connect_ms):
-                link.open()
+            with self.loop.deadline(self.link_settings.connect_ms):
+                connection.open()
         except BaseException:
-            link.drop()
+            connection.drop()
             raise
-        return link
+        return connection
 
-    def _rows(self, handle: Structure) -> list[tuple[str, ...]]:
-        page = self.link.call(
+    def _fetch_rows(self, handle: Structure) -> list[tuple[str, ...]]:
+        page = self.connection.call(
             "FetchResults",
-            hs2.TFetchResultsReq(operationHandle=handle, orientation=hs2.FETCH_NEXT, maxRows=LOOK_ROWS),
+            hs2.TFetchResultsReq(operationHandle=handle, orientation=hs2.FETCH_NEXT, maxRows=MAX_ROWS),
         ).results
         columns = []
         for column in page.columns or ():
             if column.stringVal is None:
-                raise Malformed("a column that is no text")
+                raise Malformed("result column is not of type string")
             columns.append([bytes(v).decode("utf-8", "replace") for v in column.stringVal.values])
         return list(zip(*columns, strict=True))
 
-    def _leave(self) -> None:
-        """Close the session in order, beside whatever comes next."""
-        link = self.link
+    def _close_session(self) -> None:
+        """Close the session in a task of its own, without waiting for it."""
+        connection = self.connection
 
         def close() -> None:
-            with suppress(OSError, DeadlineExceeded, Malformed, RemoteError), self.loop.deadline(CLOSE_MS):
-                link.call("CloseSession", hs2.TCloseSessionReq(link.session))
-            link.drop()
-
-        if link is not None and link.session is not None:
+            with (
+                suppress(OSError, DeadlineExceeded, Malformed, RemoteError),
+                self.loop.deadline(CLOSE_TIMEOUT_MS),
+            ):
+                connection.call("CloseSession", hs2.TCloseSessionReq(connection.session))
+            connection.drop()
+
+        if connection is not None and connection.session is not None:
             self.loop.spawn(close, name=f"close session at {self.engine}")
 
-    def _drop(self) -> None:
-        if self.link is not None:
-            self.link.drop()
+    def _drop_connection(self) -> None:
+        if self.connection is not None:
+            self.connection.drop()
 
 
 class EngineStatements:
-    """Makes statements for engines, by the settings of the links to them."""
+    """Creates statements for engines, by the settings of the connections to them."""
 
-    def __init__(self, loop: Loop, links: settings.EngineLinks, tls: object = None) -> None:
-        self.loop, self.links, self.tls = loop, links, tls
+    def __init__(self, loop: Loop, link_settings: settings.EngineLinks, tls: object = None) -> None:
+        self.loop, self.link_settings, self.tls = loop, link_settings, tls
 
-    def to(self, engine: str) -> Statement:
-        """Return a statement for an engine, named by its address."""
-        return Statement(self.loop, self.links, self.tls, engine)
+    def create(self, engine: str) -> Statement:
+        """Return a new statement for an engine, given by its address."""
+        return Statement(self.loop, self.link_settings, self.tls, engine)
--- a/fennelwind/cluster/framing.py
+++ b/fennelwind/cluster/framing.py
@@ -1,4 +1,4 @@
-"""Length-prefixed protobuf frames: read within a bound on their size, written from a bounded queue."""
+"""Length-prefixed protobuf frames: read with a limit on their size, written from a bounded queue."""
 
 import struct
 from collections import deque
@@ -12,12 +12,12 @@
 from fennelwind.loop import Loop, Stream
 from fennelwind.loop.streams import PushStream
 
-MAX_HELLO_BYTES = 1024  # of a first frame: names are short, and its sender is not known yet
+MAX_HELLO_BYTES = 1024  # of a hello: names are short, and the sender is not identified yet
 MAX_FRAME_BYTES = 2 * 1024 * 1024  # an append holds 512 KiB and at least one command of 256 KiB
-MAX_QUEUED_BYTES = 4 * 1024 * 1024  # that wait for one stream; twice the largest frame
-MAX_WRITE_BYTES = 256 * 1024  # written at once
-WRITE_TIMEOUT_MS = 5000.0  # ms in which a peer has to take some bytes, or it counts as gone
-LENGTH = struct.Struct(">I")  # ahead of each frame: how many bytes follow
+MAX_QUEUED_BYTES = 4 * 1024 * 1024  # per stream; twice the largest frame
+MAX_WRITE_BYTES = 256 * 1024  # per write
+WRITE_TIMEOUT_MS = 5000.0  # ms for a peer to accept some bytes; after that it counts as disconnected
+LENGTH = struct.Struct(">I")  # precedes each frame: the number of bytes that follow
 
 ParsedMessage = TypeVar("ParsedMessage", bound=Message)
 
@@ -36,11 +36,11 @@
         self._buffer = bytearray()
 
     def hello(self) -> pb.Hello | None:
-        """Return the first frame; None at the end. Raises `InvalidFrameError` and `StreamReset`."""
+        """Return the first frame; None at the stream's end. Raises `InvalidFrameError` and `StreamReset`."""
         return _parse(pb.Hello, self._read(MAX_HELLO_BYTES))
 
     def frame(self) -> pb.Frame | None:
-        """Return the next frame; None at the end. Raises `InvalidFrameError` and `StreamReset`."""
+        """Return the next frame; None at the stream's end. Raises `InvalidFrameError` and `StreamReset`."""
         return _parse(pb.Frame, self._read(MAX_FRAME_BYTES))
 
     def _read(self, max_bytes: int) -> bytes | None:
@@ -76,10 +76,10 @@
 
 
 class Outbox:
-    """The frames that wait to be written to one peer.
+    """The queue of frames to be written to one peer.
 
-    At the bound the oldest frames that may be lost go first; one that may not be lost and finds no room is
-    not taken, and the peer counts as gone.
+    When it is full, the oldest frames that may be lost are dropped to make room; if that is not enough, the
+    new frame is rejected, and the caller decides what becomes of the connection.
     """
 
     def __init__(self, loop: Loop, max_bytes: int = MAX_QUEUED_BYTES) -> None:
@@ -90,14 +90,14 @@
         self._frames: deque[tuple[bytes, bool]] = deque()  # each with whether it may be lost
         self._wakeup = Wakeup(loop)
         self._idle_stream: PushStream | None = None  # while `run` waits for frames
-        self._unwritten = b""  # what the stream did not take at once
-        self._is_push_due = False  # what waits is written at the end of this turn of the loop
+        self._unwritten = b""  # data that the stream did not accept at once
+        self._is_push_due = False  # queued frames are written at the end of this iteration of the loop
 
     def __len__(self) -> int:
         return len(self._frames)
 
     def put(self, frame: bytes, may_be_lost: bool = False) -> bool:
-        """Queue a frame; tell whether there was room."""
+        """Queue a frame; return whether there was room."""
         while self.queued_bytes + len(frame) > self._max_bytes and self._drop_oldest():
             pass
         if self.queued_bytes + len(frame) > self._max_bytes:
@@ -113,23 +113,23 @@
         return True
 
     def _drop_oldest(self) -> bool:
-        for position, (frame, may_be_lost) in enumerate(self._frames):
+        for index, (frame, may_be_lost) in enumerate(self._frames):
             if may_be_lost:
-                del self._frames[position]
+                del self._frames[index]
                 self.queued_bytes -= len(frame)
                 self.dropped += 1
                 return True
         return False
 
     def clear(self) -> None:
-        """Drop all that waits: it was for a connection that is closed."""
+        """Drop all queued frames, which were for a connection that is closed."""
         self._frames.clear()
         self.queued_bytes = 0
 
     def run(self, stream: PushStream) -> None:
-        """Write what comes until the stream breaks. Raises `StreamReset` and `DeadlineExceeded`.
+        """Write queued frames until the stream breaks. Raises `StreamReset` and `DeadlineExceeded`.
 
-        While the stream takes all at once, no task is woken for it.
+        While the stream accepts all data at once, frames are written without waking this task.
         """
         self._unwritten = b""
         try:
@@ -144,14 +144,14 @@
             self._idle_stream = None
 
     def _push(self) -> None:
-        """Write what has come in this turn; leave to the task what the stream does not take at once."""
+        """Write the frames of this iteration; leave to the task what the stream does not accept at once."""
         self._is_push_due = False
         if self._idle_stream is None or not self._frames:
             return
         data = self._take_batch()
         try:
             written = self._idle_stream.push(data)
-        except OSError:  # the task's own write meets it as well, and raises
+        except OSError:  # the task's own write fails in the same way, and raises
             written = 0
         if written < len(data) or self._frames:
             self._unwritten = data[written:]
@@ -159,7 +159,7 @@
             self._wakeup.notify()
 
     def _take_batch(self) -> bytes:
-        """Take out as much as is written at once; there is at least one frame."""
+        """Dequeue the frames for one write; there is at least one."""
         batch: list[bytes] = []
         size = 0
         while self._frames and (not batch or size + len(self._frames[0][0]) <= MAX_WRITE_BYTES):
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -1,4 +1,4 @@
-"""Who a controller is towards the Raft group, as its settings say, and the check of a peer's hello."""
+"""A controller's identity in the Raft group, from its settings, and the check of a peer's hello."""
 
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -8,22 +8,22 @@
 from fennelwind.loop import Address
 from fennelwind.raft.messages import Timing
 
-PROTOCOL = 1  # version of the frames; raised where an older controller could not read them
-MAX_NAME_LENGTH = 64  # letters of a name
+PROTOCOL = 1  # version of the frames; incremented by changes that an older controller can't read
+MAX_NAME_LENGTH = 64  # characters of a name
 
 
 @dataclass(slots=True, frozen=True)
 class ClusterIdentity:
-    """The section `council` of the settings."""
+    """The `council` section of the settings."""
 
     fleet: str
-    me: str  # this controller's name; a member's stands among `members`
-    members: dict[str, Address]  # where each is reached from here
-    folder: Path | None = None  # of the log; None: this controller is a client only
+    me: str  # this controller's name; if it is a member, a key of `members`
+    members: dict[str, Address]  # by name: the address to connect to
+    folder: Path | None = None  # of the log; None: this controller is no member
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
-    reserve_bytes: int = 0  # reserved on the disk, so that the log can be cut when all else is full
-    handover_ms: float = 2000.0  # ms for the transfer of leadership, when this one ends
+    reserve_bytes: int = 0  # reserved on the disk, so that a snapshot can replace the log on a full disk
+    handover_ms: float = 2000.0  # ms to hand over leases and leadership at shutdown
 
     @property
     def is_member(self) -> bool:
@@ -32,7 +32,7 @@
 
 
 def hello_error(hello: pb.Hello, fleet: str) -> ClusterError | None:
-    """Return why the sender of this hello is not to be talked to; None: it may be."""
+    """Return the error for which the sender of this hello must be rejected; None if it is accepted."""
     if hello.fleet != fleet:
         theirs = hello.fleet[:MAX_NAME_LENGTH]
         return FleetMismatchError(
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -1,7 +1,7 @@
-"""Runs the leased tasks of this controller: each is a function that runs while its lease is surely held here.
+"""Runs the leased tasks of this controller: each is a function that runs only while its lease is held.
 
 `leases.lease_client.LeaseClient` decides; this module feeds it events and carries out its actions over the
-Raft client. A task's function gets a `HeldLease`; whatever it does to others goes through
+Raft client. A task's function gets a `HeldLease`; its effects on other systems go through
 `HeldLease.operation`, under the fencing guard and with the fencing token.
 """
 
@@ -24,33 +24,33 @@
 from fennelwind.loop import Loop, Once, Task
 from fennelwind.loop.timers import Timer
 
-PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command; the lease client itself sends another when it wants to
+PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command; the lease client decides itself about a retry
 WATCH_MS = 20_000.0  # ms of one watch for offers; each ends with the first offer
-WATCH_RETRY_MS = 1000.0  # ms until a watch that failed is started again
-NOT_HELD_RETRY_MS = 50.0  # ms until a function that found its lease too short is called again
-INCARNATION_BYTES = 16  # no two starts of a controller draw the same
+WATCH_RETRY_MS = 1000.0  # ms until a failed watch is repeated
+NOT_HELD_RETRY_MS = 50.0  # ms until a function that had too little of its lease left is called again
+INCARNATION_BYTES = 16  # random, so that each start of a controller gets a unique one
 
 TaskFunction = Callable[["HeldLease"], bool]
 
 
 class LeasedOperation:
-    """An operation of a task that is under way, as the task's function sees it."""
+    """An operation in progress, as the task's function sees it."""
 
     def __init__(self, lease: "HeldLease", operation: FencedOperation) -> None:
         self._lease = lease
         self._operation = operation
         self.fencing_token = operation.fencing_token
-        self.is_outcome_unknown = False  # its last call brought no answer, and may still take effect
+        self.is_outcome_unknown = False  # its last call was not answered and may still take effect
 
     def check(self) -> None:
-        """Check ahead of each step and after each wait. Raises `LeaseNotHeldError`: it may not continue."""
+        """Check before each step and after each wait. Raises `LeaseNotHeldError` if it may not continue."""
         lease = self._lease
         if not lease.guard.may_continue(lease.loop.now(), self._operation):
             raise LeaseNotHeldError(f"the operation of {lease.name} may not continue", task=lease.name)
 
 
 class HeldLease:
-    """A lease that is held, as the function of its task sees it."""
+    """A held lease, as the function of its task sees it."""
 
     def __init__(
         self, tasks: "LeasedTasks", name: str, guard: FencingGuard, fencing_token: int, checkpoint: bytes
@@ -60,19 +60,19 @@
         self.name = name
         self.guard = guard
         self.fencing_token = fencing_token
-        self.checkpoint = checkpoint  # as the last holder left it
-        self.stop_requested = Once(tasks.loop)  # set when the task should come to an end here
+        self.checkpoint = checkpoint  # as the last holder saved it
+        self.stop_requested = Once(tasks.loop)  # set when the task should end on this controller
 
     @contextmanager
     def operation(self, operation_ms: float) -> Iterator[LeasedOperation]:
-        """Do something to others, within `operation_ms`.
+        """Run an operation with effects on other systems, within `operation_ms`.
 
-        An operation whose last call timed out, or whose stream broke, is not over with that: its deadline
-        ends it.
+        An operation whose last call timed out, or whose stream broke, may still take effect: it counts as
+        open until its deadline.
 
         Raises:
-            LeaseNotHeldError: too little of the lease is left now.
-            OperationTooLongError: not even a fresh lease would be long enough.
+            LeaseNotHeldError: too little of the lease is left.
+            OperationTooLongError: even a newly renewed lease would be too short.
 
         """
         fenced = self.guard.begin(self.loop.now(), operation_ms)
@@ -88,7 +88,7 @@
             self.tasks.post(lease_events.Wakeup())
 
     def save_checkpoint(self, checkpoint: bytes) -> None:
-        """Keep how far the task has got, for whoever holds it next."""
+        """Save the task's progress for the next holder of the lease."""
         self.tasks.post(lease_events.SaveCheckpoint(self.name, checkpoint))
 
 
@@ -99,7 +99,7 @@
 
 
 class LeasedTasks:
-    """All leased tasks that one controller wants to run."""
+    """Runs the leased tasks that this controller requests."""
 
     def __init__(
         self, loop: Loop, client: RaftClient, name: str, seed: int, log: Callable[[str, dict], None]
@@ -112,7 +112,7 @@
         self.counts: Counter[str] = Counter()
         self.shutdown_complete = Once(loop)
         self._functions: dict[str, TaskFunction] = {}
-        self._any_wanted = Once(loop)  # set with the first task
+        self._any_added = Once(loop)  # set with the first task
         self._running: dict[str, _RunningTask] = {}
         self._events: deque[lease_events.Event] = deque()
         self._wakeup = Wakeup(loop)
@@ -120,7 +120,7 @@
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        """Request the leases that are wanted, from now on."""
+        """Start requesting the leases of the tasks added."""
         self._tasks = [
             self.loop.spawn(self._step_forever, name="tasks: turns"),
             self.loop.spawn(self._watch_offers, name="tasks: offers"),
@@ -135,21 +135,21 @@
     ) -> None:
         """Run the task whenever its lease is held here.
 
-        `function` returns true when the task is over for all controllers, false when it shall go to another,
-        and raises where it can't be run here: then another gets it, and this controller is passed over a
-        while. It is cancelled as soon as the lease is not surely held; where `LeaseNotHeldError` ends it
-        before, it is called again.
+        `function` returns true when the task has ended for all controllers, and false when the lease should
+        go to another one. If it raises, another controller gets the lease, and this one is excluded for a
+        while. It is cancelled as soon as the lease is no longer certain to be held. If it raises
+        `LeaseNotHeldError` before that, it is called again.
         """
         self._functions[name] = function
-        self._any_wanted.set()
+        self._any_added.set()
         self.post(lease_events.AcquireLease(name, term_ms, purpose))
 
     def remove(self, name: str) -> None:
-        """Run the task no longer; the lease goes to another when its operations have ended."""
+        """Stop running the task; its lease is released once its operations have ended."""
         self.post(lease_events.ReleaseLease(name))
 
     def hand_over_all(self, within_ms: float) -> bool:
-        """Hand over all leases; tell whether that was confirmed in time, or nothing was to be handed over."""
+        """Hand over all leases; return whether that was confirmed in time or there were no tasks."""
         if not self._functions:
             return True
         self.post(lease_events.Shutdown())
@@ -167,7 +167,7 @@
             self._timer.cancel()
 
     def post(self, event: lease_events.Event) -> None:
-        """Hand the lease client an event, in its next step."""
+        """Queue an event for the lease client's next step."""
         self._events.append(event)
         self._wakeup.notify()
 
@@ -217,7 +217,7 @@
         self.post(lease_events.CommandAnswered(request_id, answer, retry_after_ms))
 
     def _start_task(self, name: str, fencing_token: int, checkpoint: bytes) -> None:
-        self._stop_task(name)  # it may be ending, and is wanted here again
+        self._stop_task(name)  # an earlier run may still be ending
         lease = HeldLease(self, name, self.lease_client.guard(name), fencing_token, checkpoint)
         task = self.loop.spawn(self._run, lease, name=f"task: {name}")
         self._running[name] = _RunningTask(lease, task)
@@ -234,7 +234,7 @@
             try:
                 is_finished = self._functions[name](lease)
                 break
-            except LeaseNotHeldError:  # too little was left for an operation; a renewal may be on its way
+            except LeaseNotHeldError:  # too little was left for an operation; a renewal may be in progress
                 self.counts["not held"] += 1
                 if lease.stop_requested.ready:
                     return
@@ -245,7 +245,7 @@
                 self._log("task failed", {"task": name} | facts)
                 self.post(lease_events.TaskFailed(name))
                 return
-            except Exception:  # a defect, which the loop reports; a lease kept here would stop the task
+            except Exception:  # a defect, reported by the loop; keeping the lease would block the task
                 self.counts["broke"] += 1
                 self.post(lease_events.TaskFailed(name))
                 raise
@@ -254,10 +254,10 @@
             self.post(event)
 
     def _watch_offers(self) -> None:
-        """Receive offers at once; without a watch they come with the answer to the next command."""
+        """Receive lease offers at once; without a watch they arrive with the answer to the next command."""
         query = pb.Who(name=self.identity.name, life=self.identity.incarnation).SerializeToString()
         last_answer = b""
-        self._any_wanted.wait()
+        self._any_added.wait()
         while True:
             try:
                 answer = self._client.watch(LEASES, wait_ms=WATCH_MS, query=query, unlike=last_answer).state
--- a/fennelwind/cluster/member_connection.py
+++ b/fennelwind/cluster/member_connection.py
@@ -1,7 +1,7 @@
-"""A Raft client's connection to one member, on which requests and answers pass.
+"""A Raft client's connection to one member, for requests and their answers.
 
-`raft_client.RaftClient` opens and owns it. A request whose answer does not come in time is given up; the
-connection is closed as well if the member has sent nothing at all meanwhile.
+`raft_client.RaftClient` opens and owns it. A request that is not answered in time is abandoned; if the member
+has sent nothing at all since the request, the connection is closed as well.
 """
 
 from fennelwind.cluster import keeper_pb2 as pb
@@ -11,7 +11,7 @@
 
 
 class MemberConnection:
-    """An open connection, after both sides have said hello."""
+    """An open connection, after the exchange of hellos."""
 
     def __init__(self, loop: Loop, name: str, stream: Stream, reader: FrameReader) -> None:
         self.name = name
@@ -22,14 +22,14 @@
         self._outbox = Outbox(loop)
         self._received_at_ms = loop.now()
         self._last_request_id = 0
-        self._answers: dict[int, Once] = {}  # by request, of those under way
+        self._answers: dict[int, Once] = {}  # by id of the request in progress
         self._tasks: list[Task] = [
             loop.spawn(self._read, name=f"asker: from {name}"),
             loop.spawn(self._write, name=f"asker: to {name}"),
         ]
 
     def request(self, message: pb.Ask, until_ms: float) -> pb.Told | None:
-        """Send a request and return its answer; None if the connection broke or the time is up."""
+        """Send a request and return its answer; None if the connection broke or the deadline passed."""
         if not self.is_open:
             return None
         self._last_request_id += 1
@@ -43,7 +43,7 @@
             with self._loop.deadline_at(until_ms):
                 return answer.wait()
         except TimeoutError:
-            if self._received_at_ms < sent_at_ms:  # it sent nothing to anybody meanwhile
+            if self._received_at_ms < sent_at_ms:  # the member sent nothing since the request
                 self.close()
             return None
         finally:
@@ -68,7 +68,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close the connection; all who wait for an answer get None."""
+        """Close the connection; requests in progress return None."""
         if not self.is_open:
             return
         self.is_open = False
--- a/fennelwind/cluster/member_folder.py
+++ b/fennelwind/cluster/member_folder.py
@@ -1,4 +1,4 @@
-"""The folder of a Raft member at work: its disk and its store, read again after they have failed."""
+"""The folder of a running Raft member: its disk and store, reopened after a failure."""
 
 from collections.abc import Callable
 
@@ -7,11 +7,11 @@
 from fennelwind.raft.messages import DurableState, Write
 from fennelwind.raft_storage.store import Store, StoreLimits
 
-INCARNATION_BYTES = 16  # no two folders ever draw the same
+INCARNATION_BYTES = 16  # random, so that each new folder gets a unique incarnation
 
 
 class MemberFolder:
-    """What a `RaftHost` stores. An incarnation is drawn for a folder that is made anew."""
+    """The storage of a `RaftHost`; a new folder gets a new incarnation."""
 
     def __init__(
         self,
@@ -22,17 +22,17 @@
         limits: StoreLimits,
         pause: Callable[[], None] = lambda: None,
     ) -> None:
-        """Make it; `pause` lets other tasks run while a long log is read."""
+        """Create it; `pause` lets other tasks run while a long log is read."""
         self._make_disk = make_disk
         self._fleet = fleet
         self._name = name
         self._draw_token = draw_token
         self._limits = limits
         self._pause = pause
-        self.store: Store | None = None  # once it is open
+        self.store: Store | None = None  # None until it is opened
 
     def open(self) -> DurableState:
-        """Read what is stored. Raises `StoreError` and `DiskError`; it may be tried again."""
+        """Read the stored state. Raises `StoreError` and `DiskError`; the call may be repeated."""
         disk = self._make_disk()
         try:
             incarnation = self._draw_token(INCARNATION_BYTES)
@@ -45,19 +45,22 @@
         return durable
 
     def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> DurableState:
-        """Read again what is stored after a failed write. Raises `StoreError` and `DiskError`."""
+        """Read the stored state again after a failed write. Raises `StoreError` and `DiskError`."""
         return self._opened_store().reopen(head, snapshot)
 
     def write(self, writes: list[Write]) -> None:
-        """Write in order, with one sync. Raises `StoreError` and `DiskError`; then nothing counts."""
+        """Make the writes in order, with one sync.
+
+        Raises `StoreError` and `DiskError`; none of the writes counts as made then.
+        """
         self._opened_store().write(*writes)
 
     def is_space_low(self) -> bool:
-        """Tell whether the disk is nearly full."""
+        """Return whether the disk is nearly full."""
         try:
             return self._opened_store().is_low_on_space()
         except DiskError:
-            return False  # a disk that can't even say so is met by the next write
+            return False  # the next write reports the failing disk
 
     def close(self) -> None:
         """Close the store, if it is open."""
@@ -65,5 +68,5 @@
             self.store.close()
 
     def _opened_store(self) -> Store:
-        assert self.store is not None, "the folder is used before it was opened"
+        assert self.store is not None, "the folder was used before it was opened"
         return self.store
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -1,9 +1,9 @@
-"""A member's outgoing connections: one to each other member, which carries this one's Raft messages there.
+"""A member's outgoing connections: one to each other member, for this member's Raft messages.
 
-What the other member sends comes on the connection that it opens here (`server`), so that a path that is cut
-in one direction alone is exactly that. The other one sends a heartbeat each second (`Frame.pulse`); a
-connection without one for `HEARTBEAT_TIMEOUT_MS` is closed and opened anew, as the kernel may keep a dead one
-for minutes.
+The other member's messages arrive on the connection that it opens to this one (`server`), so a network cut in
+one direction affects that direction only. The receiver sends a heartbeat (`Frame.pulse`) every second; a
+connection without one for `HEARTBEAT_TIMEOUT_MS` is closed and reopened, since the kernel may keep a dead
+connection for minutes.
 """
 
 from collections import Counter
@@ -25,29 +25,29 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
 
-CONNECT_TIMEOUT_MS = 1000.0  # ms to connect, and again to receive the other's hello
-HEARTBEAT_MS = 1000.0  # ms between two heartbeats of a reader
-HEARTBEAT_TIMEOUT_MS = 4000.0  # ms without one after which a connection is closed
+CONNECT_TIMEOUT_MS = 1000.0  # ms to connect, and as long again to receive the peer's hello
+HEARTBEAT_MS = 1000.0  # ms between two heartbeats of a receiver
+HEARTBEAT_TIMEOUT_MS = 4000.0  # ms without a heartbeat until a connection is closed
 
 
 class PeerConnection:
-    """The connection to one member, opened again with backoff whenever it breaks."""
+    """The connection to one member, reopened with backoff whenever it breaks."""
 
     def __init__(self, peers: "PeerConnections", name: str, address: Address) -> None:
         self.name = name
         self.address = address
         self.outbox = Outbox(peers.loop)
-        self.incarnation = b""  # as the last hello said
-        self.level = 0  # the highest level of the log that the peer knows
+        self.incarnation = b""  # of the last hello
+        self.level = 0  # the highest level of the log that the peer supports
         self.is_connected = False
         self._peers = peers
-        self._heartbeat_ms = 0.0  # when the last one came
+        self._heartbeat_ms = 0.0  # when the last heartbeat arrived
         self._reachable = Wakeup(peers.loop)
-        self._error: ClusterError | None = None  # why it is not talked to, as it was logged last
+        self._error: ClusterError | None = None  # the reason for the last rejection, logged once
         self.task: Task = peers.loop.spawn(self._run, name=f"keeper: to {name}")
 
     def reconnect(self) -> None:
-        """End the wait for the next attempt: the peer has just connected here."""
+        """Connect without waiting for the backoff: the peer has just connected here."""
         if not self.is_connected:
             self._reachable.notify()
 
@@ -93,7 +93,9 @@
             tasks.append(loop.spawn(self._watch_heartbeat, stream, name=f"keeper: watch {self.name}"))
             while (frame := reader.frame()) is not None:
                 if frame.WhichOneof("what") != "pulse":
-                    raise InvalidFrameError(f"{self.name} sent what is no heartbeat", peer=self.name)
+                    raise InvalidFrameError(
+                        f"{self.name} sent a frame that is not a heartbeat", peer=self.name
+                    )
                 self._heartbeat_ms = loop.now()
         finally:
             for task in tasks:
@@ -101,7 +103,7 @@
             stream.abort()
 
     def _check_hello(self, hello: pb.Hello | None) -> None:
-        """Take the peer's hello. Raises a `ClusterError` that says why it is not to be talked to."""
+        """Check and store the peer's hello. Raises a `ClusterError` if the peer must not be used."""
         if hello is None:
             raise InvalidFrameError(f"{self.name} closed without a hello", peer=self.name)
         error = hello_error(hello, self._peers.fleet)
@@ -151,10 +153,10 @@
         self.on_connected = on_connected
         self.random = Random(seed)
         self.by_name: dict[str, PeerConnection] = {}
-        self.counts: Counter[str] = Counter()  # messages by what became of them
+        self.counts: Counter[str] = Counter()  # messages by outcome
 
     def set_members(self, addresses: dict[str, Address]) -> None:
-        """Keep connections to these members and to no others."""
+        """Connect to these members and to no others."""
         removed = [name for name, peer in self.by_name.items() if addresses.get(name) != peer.address]
         for name in removed:
             self.by_name.pop(name).task.cancel()
@@ -163,7 +165,7 @@
                 self.by_name[name] = PeerConnection(self, name, address)
 
     def send(self, to: Incarnation, message: council_pb2.Message) -> None:
-        """Send a message, or lose it: to an unknown peer, another incarnation, without a connection."""
+        """Send a message; it is dropped if the peer is unknown, disconnected or another incarnation."""
         peer = self.by_name.get(to.name)
         if peer is None or not peer.is_connected or to.id and peer.incarnation != to.id:
             self.counts["unsent"] += 1
@@ -173,7 +175,7 @@
         self.counts["sent" if peer.outbox.put(frame, may_be_lost=is_large) else "dropped"] += 1
 
     def reconnect(self, name: str) -> None:
-        """Connect to a peer at once, if it is known: it has just connected here."""
+        """Connect to a known peer at once: it has just connected here."""
         peer = self.by_name.get(name)
         if peer is not None:
             peer.reconnect()
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -2,8 +2,8 @@
 
 All three go to the Raft leader, over the Raft client.
 
-Nothing here is waited for by a query. Without the Raft group nothing is acknowledged, and replicas and
-engines that are to be quiesced are taken after the waits that hold without acknowledgements.
+No query waits for any of them. Without the Raft group nothing is acknowledged, and replicas and engines to be
+quiesced are dropped or changed after fixed waits instead.
 """
 
 from collections import Counter
@@ -20,14 +20,21 @@
 from fennelwind.quiescence.in_flight import InFlightTracker, Pair
 from fennelwind.quiescence.registered_controllers import SILENCE_TIMEOUT_MS
 
-RENEWAL_MS = SILENCE_TIMEOUT_MS / 4.0  # ms between renewals: three may be lost, on a clock a fifth slow
-RETRY_MS = 5000.0  # ms until a registration that failed is sent again; the registry counts after the timeout
+RENEWAL_MS = (
+    SILENCE_TIMEOUT_MS / 4.0
+)  # ms between renewals: three may be lost, on a clock that is a fifth too slow
+RETRY_MS = (
+    5000.0  # ms until a failed registration is repeated; the registry is complete after the timeout only
+)
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
-LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or question; a later one says more
+LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or barrier request; a later one supersedes it
 
 
 class QuiescenceClient:
-    """One controller's part. `in_flight` is None where queries don't go by what engines hold."""
+    """One controller's part in quiescence.
+
+    `in_flight` is None on a controller that can't withhold queries from an engine.
+    """
 
     def __init__(self, loop: Loop, client: RaftClient, name: str, in_flight: InFlightTracker | None) -> None:
         self.loop = loop
@@ -39,7 +46,7 @@
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        """Register from now on, and acknowledge what is requested."""
+        """Start registering this controller and acknowledging requests."""
         self._tasks = [self.loop.spawn(self._stay_registered, name="clearances: roll")]
         if self.in_flight is not None:
             self._tasks.append(
@@ -47,14 +54,14 @@
             )
 
     def close(self) -> None:
-        """Acknowledge nothing more: others wait for this one until its registration times out."""
+        """Stop acknowledging; others wait for this controller until its registration times out."""
         for task in self._tasks:
             task.cancel()
 
     def update_replicas(
         self, revision: int, locations: Places, draining: list[Pair], is_complete: bool
     ) -> None:
-        """Take a view of replicas: where good ones are, and which ones drain."""
+        """Handle a view of the replicas: where good ones are, and which ones drain."""
         if self.in_flight is not None:
             self.in_flight.update_replicas(revision, locations, draining, is_complete)
             self._wakeup.notify()
@@ -62,7 +69,7 @@
     def update_tables(
         self, index: int, excluded: dict[str, frozenset[str]], quiesced: list[Pair], is_complete: bool
     ) -> None:
-        """Take a view of the engines that get no query of some tables."""
+        """Handle a view of the engines excluded or being quiesced for some tables."""
         if self.in_flight is not None:
             self.in_flight.update_tables(index, excluded, quiesced, is_complete)
             self._wakeup.notify()
@@ -72,7 +79,7 @@
         while True:
             try:
                 answer = self._register(number)
-            except ClusterError as exc:  # the log may be of a level without a registry
+            except ClusterError as exc:  # the log's level may be too low for a registry
                 self.counts[exc.code] += 1
                 self.loop.sleep(RETRY_MS)
                 continue
@@ -84,7 +91,7 @@
             self.loop.sleep(RENEWAL_MS if number else RETRY_MS)
 
     def _register(self, number: int) -> pb.RollAnswer:
-        """Renew the registration of this number; 0: register anew. Raises `ClusterError`."""
+        """Renew the registration with this number, or register if it is 0. Raises `ClusterError`."""
         if number:
             command = pb.RollCommand(renew=pb.Renew(number=number))
         else:
@@ -95,15 +102,15 @@
 
     def _send_acknowledgements(self, in_flight: InFlightTracker) -> None:
         while True:
-            due = in_flight.next_acknowledgement(self.loop.now())
-            if due.message is None:
+            next_one = in_flight.next_acknowledgement(self.loop.now())
+            if next_one.message is None:
                 try:
-                    with self.loop.deadline_at(due.check_at_ms):
+                    with self.loop.deadline_at(next_one.check_at_ms):
                         self._wakeup.wait()
                 except DeadlineExceeded:
                     pass
                 continue
-            body = due.message.SerializeToString()
+            body = next_one.message.SerializeToString()
             try:
                 self.client.request_leader(lambda body=body: keeper_pb2.Ask(word=body), LEADER_TIMEOUT_MS)
                 self.counts["told"] += 1
@@ -113,14 +120,14 @@
                 self.loop.sleep(RETRY_MS if isinstance(exc, CommandRejectedError) else 0.0)
 
     def barrier_states(self, requests: Iterable[pb.Wish]) -> list[pb.Heard.State]:
-        """Return how barrier requests stand, in order; SILENT where the leader can't be reached."""
-        question = pb.Asked(wishes=requests)
-        body = question.SerializeToString()
-        unknown = [pb.Heard.SILENT] * len(question.wishes)
+        """Return the state of each barrier request; SILENT for all if the leader can't be reached."""
+        message = pb.Asked(wishes=requests)
+        body = message.SerializeToString()
+        unknown = [pb.Heard.SILENT] * len(message.wishes)
         try:
             answer = self.client.request_leader(lambda: keeper_pb2.Ask(cleared=body), LEADER_TIMEOUT_MS)
         except ClusterError as exc:
             self.counts[exc.code] += 1
             return unknown
-        states = [answered.state for answered in pb.Heard.FromString(answer).states]
-        return states if len(states) == len(question.wishes) else unknown
+        states = [result.state for result in pb.Heard.FromString(answer).states]
+        return states if len(states) == len(message.wishes) else unknown
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -1,9 +1,8 @@
-"""The client of the Raft group that every controller has, be it a member itself or not.
+"""The client of the Raft group that every controller runs, whether or not it is a member itself.
 
-A command gets a sequence number once and is sent with it until an answer comes, however often and to whatever
-member: the replicated state applies it once. Members that don't lead name the leader. What is under way is
-bounded by how many answers the replicated state retains for one client; further commands wait for their turn
-until their deadline.
+A command gets one sequence number and is resent with it, to any member, until it is answered; the replicated
+state applies it once. Members that don't lead name the leader. Commands in progress are bounded by the number
+of results that the replicated state retains for one client; further commands wait until their deadline.
 """
 
 import math
@@ -33,13 +32,13 @@
 from fennelwind.raft.replicated_state import MAX_RETAINED_RESULTS
 
 Result = council_pb2.Result
-CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a member that runs needs few
-ATTEMPT_TIMEOUT_MS = 1000.0  # ms until another member is tried; three election time-outs of 300 ms
-MAX_CONNECT_BACKOFF_MS = 5000.0  # ms between two rounds of connects when no member is there at all
-MAX_RETRY_BACKOFF_MS = 800.0  # ms between two attempts at most: a leader is there again within some 600
-RETRY_AFTER_MS = 2000  # ms; told to callers when no member names one: an election and a growing wait
-MAX_QUEUED_COMMANDS = 1024  # commands that wait for a number; one more is rejected at once
-MAX_WATCHES = 64  # watches under way from one controller
+CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a running member takes a few
+ATTEMPT_TIMEOUT_MS = 1000.0  # ms until another member is tried; three election timeouts of 300 ms
+MAX_CONNECT_BACKOFF_MS = 5000.0  # ms between two rounds of connects while no member is reachable
+MAX_RETRY_BACKOFF_MS = 800.0  # ms between two attempts: a new leader is elected within about 600 ms
+RETRY_AFTER_MS = 2000  # ms; reported to callers while no leader is known: an election and a backoff
+MAX_QUEUED_COMMANDS = 1024  # commands that wait for a sequence number; one more is rejected at once
+MAX_WATCHES = 64  # concurrent watches of one controller
 RETRIABLE_REFUSALS = {
     Result.NO_LEADER,
     Result.UNKNOWN,
@@ -51,18 +50,18 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadResult:
-    """What a read returned."""
+    """The result of a read."""
 
     state: bytes  # the state machine's answer
-    fact: int
-    revision: int  # of the state machine: the entry that last changed it
-    index: int  # the state is of this entry, or a later one
-    clock_ms: int  # the log's clock
+    fact: int  # the value of the requested fact; 0 without one
+    revision: int  # index of the entry that last changed the state machine
+    index: int  # the state includes the log up to this entry
+    clock_ms: int  # the log's clock at the answer
 
 
 @dataclass(slots=True, frozen=True)
 class CommandResult:
-    """What a command that was applied returned."""
+    """The result of a command that was applied."""
 
     body: bytes  # the state machine's answer
     index: int  # of the entry that applied it
@@ -70,11 +69,11 @@
 
 @dataclass(slots=True, frozen=True)
 class _Outcome:
-    """What became of a request over all its attempts."""
+    """The outcome of a request over all its attempts."""
 
-    answer: pb.Told | None  # None: the time is up
+    answer: pb.Told | None  # None: no final answer before the deadline
     result: Result | None
-    may_be_applied: bool  # it was sent, and nobody said what became of it
+    may_be_applied: bool  # an attempt of it had no answer or an unknown outcome
 
 
 class RaftClient:
@@ -89,7 +88,7 @@
         seed: str,
         on_error: Callable[[ClusterError], None] = lambda _: None,
     ) -> None:
-        """Make it; `on_error` is called with each new reason why a member can't be talked to."""
+        """Create the client; `on_error` is called when the error that prevents connecting changes."""
         self.fleet = fleet
         self.name = name
         self.attempts = 0
@@ -98,37 +97,37 @@
         self._members = dict(members)
         self._on_error = on_error
         self._random = Random(seed)
-        self._connect_error: ClusterError | None = None  # what an operator has to put right
+        self._connect_error: ClusterError | None = None  # a configuration error, for an operator to correct
         self._member_order = sorted(self._members)
         self._target = self._member_order[self._random.randrange(len(self._member_order))]
         self._connection: MemberConnection | None = None
         self._connecting: Once | None = None
         self._connect_backoff = Backoff(self._random, max_ms=MAX_CONNECT_BACKOFF_MS)
-        self._failed_connects = 0  # one after the other
+        self._failed_connects = 0  # in a row
         self._no_connect_before_ms = -math.inf
-        self._client_id = 0  # 0: none was given yet
+        self._client_id = 0  # 0: not assigned yet
         self._opening: Once | None = None
-        self._last_number = 0  # given to the last command
-        self._ended_up_to = 0  # all commands up to this number are over
-        self._ended_numbers: set[int] = set()  # numbers behind `_ended_up_to` that are over
-        self._queue: deque[Once] = deque()  # commands that wait for a number
+        self._last_number = 0  # sequence number of the last command
+        self._ended_up_to = 0  # all commands up to this number have ended
+        self._ended_numbers: set[int] = set()  # ended commands with numbers above `_ended_up_to`
+        self._queue: deque[Once] = deque()  # commands that wait for a sequence number
         self._watches = 0
-        self._last_refusal = Result.NONE  # what kept the last answer from counting
+        self._last_refusal = Result.NONE  # why the last answer was not final
 
     # Commands.
 
     def propose(self, machine: str, body: bytes, within_ms: float) -> bytes:
-        """Have a command applied once; return the answer. Raises as `propose_with_index` does."""
+        """Have a command applied once; return the state machine's answer. Raises as `propose_with_index`."""
         return self.propose_with_index(machine, body, within_ms).body
 
     def propose_with_index(self, machine: str, body: bytes, within_ms: float) -> CommandResult:
-        """Have a command applied once; return the state machine's answer, and the entry that applied it.
+        """Have a command applied once; return the state machine's answer and the entry's index.
 
         Raises:
-            CommandRejectedError: it was not applied, and will not be.
-            ClientOverloadedError: it was not sent: too many commands wait here.
-            OutcomeUnknownError: it was sent, and may be applied or not.
-            ClusterUnavailableError: it was never sent, or every member that was tried refused it for now.
+            CommandRejectedError: it was not applied and will not be.
+            ClientOverloadedError: it was not sent, since too many commands wait here.
+            OutcomeUnknownError: it was sent, and may or may not be applied.
+            ClusterUnavailableError: it was never sent, or every member tried refused it temporarily.
 
         """
         until_ms = self._loop.now() + within_ms
@@ -137,7 +136,7 @@
             client_id = self._client_id or self._open(until_ms)
             number = self._take_number(until_ms)
             if client_id != self._client_id:
-                continue  # the numbers are another client's by now: this one was never sent
+                continue  # the client id was replaced meanwhile, and this number was never sent
             command = council_pb2.Command(client=client_id, number=number, machine=machine, body=body)
             try:
                 outcome = self._submit(command, until_ms)
@@ -154,7 +153,7 @@
                 if client_id == self._client_id:
                     self._forget_client()
                 if not may_be_applied:
-                    continue  # the replicated state never saw it: a new client sends it anew
+                    continue  # the replicated state never saw it: resend under a new client id
             if result.refusal in (Result.CLIENT_GONE, Result.NUMBER_GONE):
                 raise self._outcome_unknown(machine, number)
             raise _rejected(machine, result, machine=machine)
@@ -167,7 +166,7 @@
         return self._request(make_request, until_ms)
 
     def _open(self, until_ms: float) -> int:
-        """Be given an identifier as a client, once for all who wait for it."""
+        """Obtain a client id; concurrent callers share one request for it."""
         if self._opening is None:
             self._opening = Once(self._loop)
             self._loop.spawn(self._open_client, self._opening, name="asker: open")
@@ -198,28 +197,28 @@
             self._queue.popleft().set()
 
     def _take_number(self, until_ms: float) -> int:
-        """Return the next number, once the replicated state has room to retain its answer."""
+        """Return the next sequence number, once the replicated state can retain its result."""
         client_id = self._client_id
-        while self._under_way >= MAX_RETAINED_RESULTS and client_id == self._client_id:
+        while self._commands_in_progress >= MAX_RETAINED_RESULTS and client_id == self._client_id:
             if len(self._queue) >= MAX_QUEUED_COMMANDS:
                 raise ClientOverloadedError(
                     f"{MAX_QUEUED_COMMANDS} commands wait here already", most=MAX_QUEUED_COMMANDS
                 )
-            turn = Once(self._loop)
-            self._queue.append(turn)
+            number_available = Once(self._loop)
+            self._queue.append(number_available)
             try:
                 with self._loop.deadline_at(until_ms):
-                    turn.wait()
+                    number_available.wait()
             except TimeoutError:
                 raise self._unavailable() from None
             finally:
-                if turn in self._queue:
-                    self._queue.remove(turn)
+                if number_available in self._queue:
+                    self._queue.remove(number_available)
         self._last_number += 1
         return self._last_number
 
     @property
-    def _under_way(self) -> int:
+    def _commands_in_progress(self) -> int:
         return self._last_number - self._ended_up_to
 
     def _end_number(self, number: int) -> None:
@@ -227,29 +226,29 @@
         while self._ended_up_to + 1 in self._ended_numbers:
             self._ended_up_to += 1
             self._ended_numbers.discard(self._ended_up_to)
-        for _ in range(min(len(self._queue), MAX_RETAINED_RESULTS - self._under_way)):
+        for _ in range(min(len(self._queue), MAX_RETAINED_RESULTS - self._commands_in_progress)):
             self._queue.popleft().set()
 
     # Reads.
 
     def read(self, machine: str, query: bytes = b"", *, within_ms: float) -> ReadResult:
-        """Return a state machine's state or answer to a query, as of now (a linearizable read).
+        """Return a state machine's state, or its answer to a query, by a linearizable read.
 
         Raises `CommandRejectedError`, `ClusterUnavailableError`.
         """
         return self._view(pb.View(machine=machine, query=query, fresh=True), within_ms)
 
     def fact(self, machine: str, kind: str, key: str, *, within_ms: float, fresh: bool = True) -> ReadResult:
-        """Return a fact; without `fresh` as some member knows it. Raises as `read` does."""
+        """Return a fact; without `fresh`, a member's possibly stale value. Raises as `read` does."""
         return self._view(pb.View(machine=machine, kind=kind, key=key, fresh=fresh), within_ms)
 
     def watch(
         self, machine: str, after: int = 0, *, wait_ms: float, query: bytes = b"", unlike: bytes | None = None
     ) -> ReadResult:
-        """Return the state once it has changed after the revision, or as it is after `wait_ms`.
+        """Return the state once its revision exceeds `after`, or unchanged after `wait_ms`.
 
-        With `unlike` it is the answer to the query that has to differ. Raises as `read` does, and
-        `ClientOverloadedError` when `MAX_WATCHES` are under way.
+        With `unlike`, waits until the answer to the query differs from `unlike` instead. Raises as `read`
+        does, and `ClientOverloadedError` when `MAX_WATCHES` are in progress.
         """
         if self._watches >= MAX_WATCHES:
             raise ClientOverloadedError(f"{MAX_WATCHES} watches are under way", most=MAX_WATCHES)
@@ -261,7 +260,7 @@
             self._watches -= 1
 
     def request_leader(self, make_request: Callable[[], pb.Ask], within_ms: float) -> bytes:
-        """Return what the leader alone answers to a request. Raises as `read` does."""
+        """Return the answer to a request that only the leader answers. Raises as `read` does."""
         outcome = self._request(make_request, self._loop.now() + within_ms)
         if outcome.result is None:
             raise self._unavailable()
@@ -281,13 +280,13 @@
     # Attempts at members.
 
     def _request(self, make_request: Callable[[], pb.Ask], until_ms: float, wait_ms: float = 0.0) -> _Outcome:
-        """Send a request to one member after the other until one answers for good, or the time is up."""
+        """Send a request to one member after another until a final answer or the deadline."""
         backoff = Backoff(self._random, max_ms=MAX_RETRY_BACKOFF_MS)
-        hops = 0  # attempts without a wait, each at the member that the one before named
+        hops = 0  # attempts without a wait, each to the leader named by the previous answer
         may_be_applied = False
         self._last_refusal = Result.NONE
         while self._loop.now() < until_ms:
-            connection = self._connected(until_ms)
+            connection = self._get_connection(until_ms)
             if connection is None:
                 continue
             retry_after_ms = 0.0
@@ -317,7 +316,7 @@
         return _Outcome(None, None, may_be_applied)
 
     def _change_target(self, tried: str, leader: str) -> bool:
-        """Try another member from now on, unless that was done already; tell whether it should lead."""
+        """Switch to another member unless that was done already; return whether it is expected to lead."""
         if self._target != tried:
             return True
         if leader in self._members and leader != tried:
@@ -332,19 +331,19 @@
         return self._member_order[(self._member_order.index(name) + 1) % len(self._member_order)]
 
     def _retire(self, connection: MemberConnection) -> None:
-        """Close a connection when what is under way on it has its answers; nothing new goes there."""
+        """Send nothing new on a connection, and close it once pending requests had time for an answer."""
         self._connection = None
         self._loop.after(ATTEMPT_TIMEOUT_MS, connection.close)
 
     # Connections.
 
-    def _connected(self, until_ms: float) -> MemberConnection | None:
-        """Return a connection to some member; None: the connect has failed, or the time is up."""
+    def _get_connection(self, until_ms: float) -> MemberConnection | None:
+        """Return a connection to some member; None if the connect failed or the deadline passed."""
         if self._connection is not None and self._connection.is_open:
             return self._connection
-        rest_ms = min(self._no_connect_before_ms, until_ms) - self._loop.now()
-        if rest_ms > 0.0:
-            self._loop.sleep(rest_ms)
+        pause_ms = min(self._no_connect_before_ms, until_ms) - self._loop.now()
+        if pause_ms > 0.0:
+            self._loop.sleep(pause_ms)
             return None
         if self._connecting is None:
             self._connecting = Once(self._loop)
@@ -378,7 +377,7 @@
             connecting.set(connection)
 
     def _connect_failed(self, name: str) -> None:
-        """Connect to the next one; when all have failed, wait first, once for all requests."""
+        """Select the next member; once all have failed, delay the next connect for all requests."""
         if self._target == name:
             self._target = self._member_after(name)
         self._failed_connects += 1
@@ -398,7 +397,7 @@
         return MemberConnection(self._loop, name, stream, reader)
 
     def _check_hello(self, name: str, hello: pb.Hello | None) -> None:
-        """Raise what keeps us from talking to whoever answers where this member should be."""
+        """Check that the hello is from the expected member. Raises a `ClusterError` if it is not."""
         if hello is None:
             raise InvalidFrameError(f"{name} closed without a hello", peer=name)
         error = hello_error(hello, self.fleet)
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -1,8 +1,8 @@
-"""Runs one Raft member: the core (`raft.member`) decides without I/O, this carries its actions out.
+"""Runs one Raft member: the core (`raft.member`) decides without I/O, this module does the I/O.
 
-One loop callback gives the core the events that have come and hands its actions on; one task makes the
-writes, in their order; one applies committed entries. No query waits for any of them. What can't be had (the
-folder, the listening address, the disk) is tried again with backoff, and logged once.
+One loop callback passes queued events to the core and carries out the actions it returns; one task makes the
+writes, in order; another applies committed entries. No query waits for any of them. If the folder, the
+listening address or the disk is unavailable, the attempt is repeated with backoff and logged once.
 """
 
 from collections import Counter, deque
@@ -57,57 +57,60 @@
 from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft.state_machine import StateMachine
 
-MAX_QUEUED_EVENTS = 8192  # events that wait for the core; further messages are lost, as on any network
-MAX_EVENTS_PER_STEP = 256  # events of one step; some 20 ms at the worst
-MAX_WRITES_PER_SYNC = 256  # writes made with one sync
-MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS = 200.0, 5000.0  # ms between attempts to open, listen or write again
+MAX_QUEUED_EVENTS = 8192  # events queued for the core; further messages are dropped, as a network may do
+MAX_EVENTS_PER_STEP = 256  # events passed to one step of the core; about 20 ms in the worst case
+MAX_WRITES_PER_SYNC = 256  # writes that share one sync
+MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS = 200.0, 5000.0  # ms between attempts to open, listen or write
 DISK_SPACE_CHECK_MS = 1000.0  # ms between two checks of the disk's free space
 LEVEL_CHECK_MS = 2000.0  # ms between two checks whether all members know a later level; upgrades take minutes
-ROLL = ControllerRegistry.name
-OVERLOAD_RETRY_AFTER_MS = 200  # ms; told to a client that found too many requests waiting
+REGISTRY = ControllerRegistry.name
+OVERLOAD_RETRY_AFTER_MS = 200  # ms; sent to a client whose request found the queue full
 
 Result = council_pb2.Result
 
 
 class RaftCore(Protocol):
-    """The core, as far as it is used here (`raft.member.RaftMember`)."""
+    """The part of `raft.member.RaftMember` that the host uses."""
 
     log: Log
 
     def step(self, now: float, events: list[Event]) -> list[Action]:
-        """Take events; return what is to be done."""
+        """Process events; return the actions to carry out."""
 
 
 class MemberStorage(Protocol):
-    """The folder, as far as it is used here (`member_folder.MemberFolder`).
+    """The part of `member_folder.MemberFolder` that the host uses.
 
-    Its calls wait for the disk, and raise what it raises.
+    Calls wait for the disk and raise its errors.
     """
 
     def open(self) -> DurableState:
-        """Read what is stored."""
+        """Read the stored state."""
 
     def reopen(self, head: council_pb2.SnapshotHead | None, snapshot: bytes) -> DurableState:
-        """Read again what is stored after a failed write; on a full disk a snapshot may replace it."""
+        """Read the stored state again after a failed write; on a full disk a snapshot may replace the log."""
 
     def write(self, writes: list[Write]) -> None:
-        """Write in order, with one sync."""
+        """Make the writes in order, with one sync."""
 
     def is_space_low(self) -> bool:
-        """Tell whether the disk is nearly full."""
+        """Return whether the disk is nearly full."""
 
     def close(self) -> None:
         """Close the folder."""
 
 
 class RaftHost:
-    """One member of the Raft group. `start` returns at once; what can't be had is tried again."""
+    """One member of the Raft group.
+
+    `start` returns at once; opening the folder and listening are retried until they succeed.
+    """
 
     def __init__(
         self,
         loop: Loop,
-        place: ClusterIdentity,
-        record: ReplicatedState,
+        identity: ClusterIdentity,
+        replicated_state: ReplicatedState,
         store: MemberStorage,
         make_core: Callable[[DurableState], RaftCore],
         seed: str,
@@ -115,16 +118,16 @@
         answer_query: Callable[[StateMachine, bytes], bytes] = complete_state,
     ) -> None:
         self.loop = loop
-        self.place = place
+        self.identity = identity
         self.store = store
         self.core: RaftCore | None = None
-        self.me = Incarnation(place.me, b"")
+        self.me = Incarnation(identity.me, b"")
         self.role = "closed"
         self.term = 0
-        self.leader = ""  # by name; "": none is known
-        self.state = AppliedState(loop, record, self.post, answer_query)
+        self.leader = ""  # name; "" while none is known
+        self.state = AppliedState(loop, replicated_state, self.post, answer_query)
         self.peers = PeerConnections(
-            loop, place.fleet, self.hello, seed, self._log_rejected, self._log_connected
+            loop, identity.fleet, self.hello, seed, self._log_rejected, self._log_connected
         )
         self.server: ClusterServer | None = None
         self.counts: Counter[str] = Counter()
@@ -134,7 +137,7 @@
         self._random = self.peers.random
         self._events: deque[Event] = deque()
         self._writes_pending = Wakeup(loop)
-        self._is_step_due = True  # no step is scheduled ahead of the first one
+        self._is_step_due = True  # `_run` makes the first step itself
         self._is_stopped = False
         self._writes: deque[Write] = deque()
         self._timer: LoopTimer | None = None
@@ -143,23 +146,23 @@
         self._role_waiters: list[Once] = []
         self._tasks: list[Task] = []
 
-    # Start and end.
+    # Start and stop.
 
     def start(self) -> None:
-        """Open the folder and take part in the Raft group."""
+        """Start opening the folder and joining the Raft group."""
         self._tasks.append(self.loop.spawn(self._guarded, self._run, name="keeper: member"))
 
     def _guarded(self, call: Callable[[], None]) -> None:
-        """Run a call that must not fail; if it does, close the whole member rather than run on in part."""
+        """Run a call that must not fail; if it raises, close the member rather than let it run partly."""
         try:
             call()
-        except Exception as exc:  # a defect; the loop reports all of it
+        except Exception as exc:  # a defect; the loop reports the traceback
             self._log("raft host failed", {"text": f"{type(exc).__name__}: {exc}"[:300]})
             self.loop.spawn(self.close, name="keeper: close")
             raise
 
     def _run(self) -> None:
-        durable = self._opened()
+        durable = self._open_with_retries()
         self.me = durable.me
         self.core = self._make_core(durable)
         self._listen()
@@ -180,8 +183,8 @@
         self._log("raft member started", facts)
         self._step()
 
-    def _opened(self) -> DurableState:
-        """Open the folder, sooner or later; each new reason why it can't be is logged."""
+    def _open_with_retries(self) -> DurableState:
+        """Open the folder, retrying until it succeeds; log an error when its code changes."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         logged_code = ""
         while True:
@@ -198,41 +201,43 @@
         is_logged = False
         while self.server is None:
             try:
-                listener = self.loop.listen(self.place.listen)
+                listener = self.loop.listen(self.identity.listen)
             except OSError as exc:
                 if not is_logged:
                     error = AddressInUseError(
-                        f"{self.place.listen}: {exc.strerror}", address=str(self.place.listen)
+                        f"{self.identity.listen}: {exc.strerror}", address=str(self.identity.listen)
                     )
                     self._log("cannot listen", error.told())
                     is_logged = True
                 self.loop.sleep(backoff.next_ms())
             else:
-                self.server = ClusterServer(self.loop, listener, self.place.fleet, self, self._log_rejected)
+                self.server = ClusterServer(
+                    self.loop, listener, self.identity.fleet, self, self._log_rejected
+                )
                 self.server.start()
 
     def hand_over(self, within_ms: float) -> bool:
-        """Transfer leadership, if this member leads; tell whether it does not lead any more."""
+        """Transfer leadership if this member leads; return whether it no longer leads."""
         if self.role == "leader":
             self.post(TransferLeadership())
-            # Until another leads: its election may need this one's vote, which has to reach the disk first.
+            # Wait until another leads: its election may need this member's vote, which must be on disk first.
             self.wait_for_role(lambda: self.role != "leader" and self.leader != "", within_ms)
         return self.role != "leader"
 
     def wait_for_role(self, is_reached: Callable[[], bool], within_ms: float) -> bool:
-        """Wait until a condition on this member's role holds; tell whether it does."""
+        """Wait until a condition on this member's role holds; return whether it does."""
         try:
             with self.loop.deadline(within_ms):
                 while not is_reached():
-                    change = Once(self.loop)
-                    self._role_waiters.append(change)
-                    change.wait()
+                    role_changed = Once(self.loop)
+                    self._role_waiters.append(role_changed)
+                    role_changed.wait()
         except TimeoutError:
             pass
         return is_reached()
 
     def close(self) -> None:
-        """Take part no more; what is committed stays."""
+        """Leave the Raft group's work; the stored state stays on disk."""
         self.role = "closed"
         self._is_stopped = True
         if self._timer is not None:
@@ -247,7 +252,7 @@
     # Events.
 
     def post(self, event: Event) -> None:
-        """Hand the core an event, in its next step."""
+        """Queue an event for the core's next step."""
         self._events.append(event)
         if not self._is_step_due:
             self._is_step_due = True
@@ -257,25 +262,25 @@
         """Return the first message on each of this member's connections."""
         return pb.Hello(
             protocol=PROTOCOL,
-            fleet=self.place.fleet,
+            fleet=self.identity.fleet,
             name=self.me.name,
             life=self.me.id,
             level=self.state.replicated_state.supported_level,
         )
 
     def member_connected(self, sender: Incarnation) -> None:
-        """Note that a member has connected to this one, so it can be reached again."""
+        """Reconnect at once to a member that has just connected: it is reachable again."""
         self.peers.reconnect(sender.name)
 
     def message_received(self, sender: Incarnation, message: council_pb2.Message) -> None:
-        """Take a Raft message of a member."""
+        """Queue a member's Raft message for the core, or drop it when the queue is full."""
         if len(self._events) >= MAX_QUEUED_EVENTS:
             self.counts["lost, too busy"] += 1
             return
         self.post(MessageReceived(sender, message))
 
     def request_received(self, client: ClientConnection, request: pb.Ask) -> None:
-        """Take a client's request; each is answered once."""
+        """Handle a client's request; each is answered exactly once."""
         kind = request.WhichOneof("what")
         if len(self._events) >= MAX_QUEUED_EVENTS:
             overloaded = Result(refusal=Result.TOO_MANY, again_ms=OVERLOAD_RETRY_AFTER_MS)
@@ -299,28 +304,28 @@
         client.answer(pb.Told(token=token, result=result.SerializeToString()))
 
     def _quiescence_result(self, request: pb.Ask) -> Result:
-        """Take a controller's acknowledgement, or evaluate barrier requests; the leader's alone.
+        """Accept a controller's acknowledgement, or evaluate barrier requests; only the leader does.
 
-        A member that does not know yet that another leads may answer as well: acknowledgements stay true.
+        A leader that has not yet learnt of its successor may answer too: acknowledgements stay valid.
         """
-        registry = self.state.replicated_state.machines.get(ROLL)
+        registry = self.state.replicated_state.machines.get(REGISTRY)
         if registry is None:
             return Result(refusal=Result.NO_MACHINE)
         if self.role != "leader":
             return Result(refusal=Result.NOT_LEADER, leader=self.leader)
-        record = self.state.replicated_state
+        state = self.state.replicated_state
         try:
             if request.HasField("word"):
                 self.counts["words"] += 1
                 self.acknowledgements.accept(clearance_pb2.Word.FromString(request.word), registry)
-                return Result(index=record.index)
+                return Result(index=state.index)
             barriers = clearance_pb2.Asked.FromString(request.cleared).wishes
         except DecodeError:
             return Result(refusal=Result.UNREADABLE)
         if len(barriers) > MAX_BARRIER_REQUESTS:
             return Result(refusal=Result.TOO_LARGE)
-        states = self.acknowledgements.evaluate(barriers, registry, record.index, record.clock_ms)
-        return Result(body=states.SerializeToString(), index=record.index)
+        states = self.acknowledgements.evaluate(barriers, registry, state.index, state.clock_ms)
+        return Result(body=states.SerializeToString(), index=state.index)
 
     def _propose(self, command: council_pb2.Command, answer: Callable[[Result], None]) -> None:
         def decided(outcome: ProposalOutcome) -> None:
@@ -333,9 +338,9 @@
 
     def _read(self, client: ClientConnection, token: int, view: pb.View) -> None:
         def answer() -> None:
-            told = self.state.view(view)
-            told.token = token
-            client.answer(told)
+            response = self.state.answer_view(view)
+            response.token = token
+            client.answer(response)
 
         def answer_or_watch() -> None:
             if not view.wait_ms:
@@ -365,28 +370,28 @@
         self._log("peer connected", facts)
 
     def _log_rejected(self, exc: ClusterError) -> None:
-        if exc.code != "council-frame-refused":  # strangers may not fill the log; they are counted
+        if exc.code != "council-frame-refused":  # unknown senders must not flood the log; they are counted
             self._log("connection rejected", exc.told())
 
     # Steps of the core.
 
     def _step(self) -> None:
-        """Pass the queued events to the core, `MAX_EVENTS_PER_STEP` at most, and carry its actions out."""
+        """Pass at most `MAX_EVENTS_PER_STEP` queued events to the core and carry out its actions."""
         if self._is_stopped:
             return
         events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
         try:
             self._carry_out(self.core.step(self.loop.now(), events))
-        except Exception as exc:  # raised in a task of the member's, as any other defect of it
+        except Exception as exc:  # reported by a task, as every other defect of the member is
             self._is_stopped = True
             self.loop.spawn(self._guarded, partial(_raise, exc), name="keeper: member")
             return
         self._is_step_due = bool(self._events)
         if self._events:
-            self.loop.soon(self._step)  # the loop's other tasks come first, queries above all
+            self.loop.soon(self._step)  # the loop's other tasks run first, above all queries
 
     def _carry_out(self, actions: list[Action]) -> None:
-        for action in actions:  # who waits for an entry has to be known before it is applied
+        for action in actions:  # waiters must be registered before their entries are applied
             if isinstance(action, ProposalOutcome | ReadOutcome):
                 handler = self._outcome_handlers.pop(action.token, None)
                 if handler is not None:
@@ -404,7 +409,7 @@
             self._writes.append(action)
             self._writes_pending.notify()
         elif isinstance(action, Apply | Restore | TakeSnapshot):
-            self.state.take(action)
+            self.state.submit(action)
         elif isinstance(action, Timer):
             self._set_timer(action.at_ms)
         elif isinstance(action, RoleChanged):
@@ -431,46 +436,46 @@
             waiter.set()
 
     def _connect_members(self) -> None:
-        """Keep connections to the members of the settings, and to those of the log that these don't name."""
+        """Connect to the members of the settings and of the log; the settings' addresses take precedence."""
         addresses: dict[str, Address] = {}
         for member in self.core.log.configuration.members.members:
             try:
                 addresses[member.name] = parse_address(member.address)
             except ValueError:
                 self.counts["no address"] += 1
-        addresses |= self.place.members
+        addresses |= self.identity.members
         addresses.pop(self.me.name, None)
         self.peers.set_members(addresses)
 
     def _stop_if_too_new(self) -> None:
-        """Take part no more in a log that a later version writes; queries go on as without the Raft group."""
-        record = self.state.replicated_state
-        if self.state.too_new and self.role != "closed":
+        """Stop this member if the log needs a later version; queries go on as without the Raft group."""
+        state = self.state.replicated_state
+        if self.state.is_too_new and self.role != "closed":
             error = LogTooNewError(
-                f"the log is of level {record.level}, this version knows {record.supported_level}",
-                record_level=record.level,
-                known=record.supported_level,
+                f"the log is of level {state.level}, this version knows {state.supported_level}",
+                record_level=state.level,
+                known=state.supported_level,
             )
             self._log("raft member stopped", error.told())
             self.role = "closed"
             self.loop.spawn(self.close, name="keeper: close")
 
     def _raise_level(self) -> None:
-        """Raise the log's level, while leading, once all members have reported that they know the next."""
-        record = self.state.replicated_state
-        while record.level < record.supported_level:
+        """While leading, raise the log's level once all members have reported support for the next one."""
+        state = self.state.replicated_state
+        while state.level < state.supported_level:
             self.loop.sleep(LEVEL_CHECK_MS)
             members = self.core.log.configuration.members.members
             others = [member for member in members if (member.name, member.life) != self.me]
             known_level = min((self._known_level(member) for member in others), default=0)
-            if self.role == "leader" and known_level > record.level:
+            if self.role == "leader" and known_level > state.level:
                 self._propose(
-                    council_pb2.Command(machine=LEVEL_COMMAND_TARGET, body=b"%d" % (record.level + 1)),
+                    council_pb2.Command(machine=LEVEL_COMMAND_TARGET, body=b"%d" % (state.level + 1)),
                     lambda result: self._log("level raised", {"record_level": result.body.decode()}),
                 )
 
     def _known_level(self, member: council_pb2.Member) -> int:
-        """Return the highest level that a member knows; 0 where it can't be reached now."""
+        """Return the highest level that a member supports; 0 while it is unreachable."""
         peer = self.peers.by_name.get(member.name)
         if peer is None or not peer.is_connected or peer.incarnation != member.life:
             return 0
@@ -494,7 +499,7 @@
                 self.post(WriteCompleted(writes[-1].number))
 
     def _recover_storage(self, is_full: bool) -> None:
-        """Wait until the folder takes writes again; writes queued behind a failed one count for nothing."""
+        """Wait until the folder accepts writes again; writes queued after the failed one are discarded."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         while True:
             self.loop.sleep(backoff.next_ms())
@@ -508,14 +513,14 @@
         self.post(StorageRecovered(durable))
 
     def _snapshot(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
-        """Return a snapshot of what is committed and applied, which makes room in place of a long log."""
-        record, log = self.state.replicated_state, self.core.log
-        term = log.term(record.index)
-        if not record.index or term is None:
+        """Return a snapshot of the applied state, which frees disk space by replacing a long log."""
+        state, log = self.state.replicated_state, self.core.log
+        term = log.term(state.index)
+        if not state.index or term is None:
             return None, b""
-        data = record.snapshot()
+        data = state.snapshot()
         return make_snapshot_head(
-            record.index, term, record.clock_ms, log.configuration_at(record.index).members, data
+            state.index, term, state.clock_ms, log.configuration_at(state.index).members, data
         ), data
 
     def _check_disk_space(self) -> None:
--- a/fennelwind/cluster/replica_locations.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -1,10 +1,9 @@
-"""One controller's view of where replicas of shards are, read again whenever it has changed.
+"""One controller's view of the locations of shard replicas, read again whenever they change.
 
-Without the Raft group the last view stands, and queries go on by it: no migration takes a step then either. A
-controller that alone can't reach the group goes on as well; a query that it sends to a replica that was
-dropped meanwhile is rejected there, and another attempt follows. A controller that starts takes clients once
-it has a view, or has waited `FIRST_VIEW_TIMEOUT_MS` for one: without any, queries go to engines that may not
-have what they read.
+While the Raft group is unavailable, queries are routed by the last view; no migration makes progress then
+either. A single controller that can't reach the group continues as well: a query that it sends to a replica
+dropped meanwhile is rejected there and retried. A starting controller accepts clients once it has a view, or
+after `FIRST_VIEW_TIMEOUT_MS`; without a view, queries may go to engines that lack the shards they read.
 """
 
 from collections import Counter
@@ -18,21 +17,26 @@
 from fennelwind.shards import shards_pb2 as pb
 
 WATCH_MS = 20_000.0  # ms of one watch
-READ_TIMEOUT_MS = 4000.0  # ms for one page of the state
-MIN_READ_INTERVAL_MS = 500.0  # ms between two readings, however much changes; a view may be 5 s old
-WATCH_RETRY_MS = 1000.0  # ms until a watch that failed is started again
-FIRST_VIEW_TIMEOUT_MS = 4000.0  # ms that a starting controller waits: an election and a few connects
-
-Places = dict[str, tuple[str, ...]]  # by shard: the engines with good replicas
-
-# Takes a revision, where good replicas are, which replicas drain, and whether these are all that drain.
+READ_TIMEOUT_MS = 4000.0  # ms to read one page of the state
+MIN_READ_INTERVAL_MS = (
+    500.0  # ms between two reads, however often the locations change; a view may be 5 s old
+)
+WATCH_RETRY_MS = 1000.0  # ms until a failed watch is repeated
+FIRST_VIEW_TIMEOUT_MS = (
+    4000.0  # ms that a starting controller waits for a view: an election and a few connects
+)
+
+Places = dict[str, tuple[str, ...]]  # by shard: engines with good replicas
+
+# Parameters: revision, locations of good replicas, draining replicas, whether the latter are complete.
 ViewCallback = Callable[[int, Places, list[tuple[str, str]], bool], None]
 
 
 def read_locations(client: RaftClient, known: Places, after: int) -> tuple[Places, pb.Places]:
-    """Return where good replicas are now, from those known of an earlier revision, and the first page.
+    """Return the current locations of good replicas, and the first page of the answer.
 
-    That page has the revision of the whole, and the replicas that drain.
+    `known` are the locations as of the revision `after`; only changes since then are read where possible. The
+    first page contains the revision of the result and the draining replicas.
 
     Raises `ClusterError`.
     """
@@ -41,10 +45,10 @@
     while True:
         query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name)).SerializeToString()
         page = pb.Places.FromString(client.read(SHARDS, query, within_ms=READ_TIMEOUT_MS).state)
-        if not name:  # what changes between two pages has a later revision
+        if not name:  # changes between two pages have a later revision
             first = page
         elif page.whole and not first.whole:
-            received, name, after = {}, "", 0  # another member, without changes so far back: read all
+            received, name, after = {}, "", 0  # this member lacks changes that old: read everything
             continue
         received.update(
             (place.shard, tuple(page.engines[number] for number in place.engines)) for place in page.places
@@ -58,7 +62,7 @@
     """Watches the replica locations for one controller."""
 
     def __init__(self, loop: Loop, client: RaftClient, on_view: ViewCallback) -> None:
-        """Make it; `on_view` gets each view."""
+        """Create it; `on_view` is called with each view."""
         self.counts: Counter[str] = Counter()
         self.places: Places = {}  # of the last view
         self._loop = loop
@@ -68,24 +72,24 @@
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Watch from now on."""
+        """Start watching."""
         self._task = self._loop.spawn(self._watch, name="copies: watch")
 
     def wait(self) -> bool:
-        """Wait for the first view, for `FIRST_VIEW_TIMEOUT_MS` at most; tell whether it is there."""
+        """Wait for the first view, at most `FIRST_VIEW_TIMEOUT_MS`; return whether there is one."""
         with suppress(DeadlineExceeded), self._loop.deadline(FIRST_VIEW_TIMEOUT_MS):
             self._first_view.wait()
         return self._first_view.ready
 
     def close(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         if self._task is not None:
             self._task.cancel()
 
     def _watch(self) -> None:
         after = 0
         revision_only = pb.ShardQuery(skip=2**62).SerializeToString()
-        revision = 0  # that the last view is of
+        revision = 0  # of the last view
         while True:
             try:
                 after = self._client.watch(SHARDS, after, wait_ms=WATCH_MS, query=revision_only).revision
--- a/fennelwind/cluster/running_work.py
+++ b/fennelwind/cluster/running_work.py
@@ -1,4 +1,4 @@
-"""The tasks of a lease holder that are under way, and the outcomes that its decisions have not seen yet."""
+"""The running tasks of a lease holder, and their outcomes, queued as events for its core."""
 
 from collections import deque
 from collections.abc import Callable
@@ -13,9 +13,9 @@
 
 
 class RunningWork(Generic[Event]):
-    """Tasks of one time that a lease is held; each posts its outcome as an event.
+    """Tasks that run during one tenure of a lease; each posts its outcome as an event.
 
-    Whoever starts the tasks bounds their number.
+    The caller limits the number of tasks.
     """
 
     def __init__(self, loop: Loop, name: str) -> None:
@@ -27,17 +27,19 @@
         self._error: LeaseNotHeldError | None = None
 
     def post(self, event: Event) -> None:
-        """Have an event returned by the next call of `events`."""
+        """Queue an event for the next call of `events`."""
         self._events.append(event)
         self._wakeup.notify()
 
     def spawn(self, call: Callable[..., None], *args: object) -> Task:
-        """Start a task; one that finds too little of the lease ends all of the work at the next `wait`."""
+        """Start a task; if it raises `LeaseNotHeldError`, so does the next `wait`."""
 
         def run() -> None:
             try:
                 call(*args)
-            except LeaseNotHeldError as exc:  # another may hold it by now: the outcome is not posted
+            except (
+                LeaseNotHeldError
+            ) as exc:  # another controller may hold the lease: the outcome is not posted
                 self._error = exc
                 self._wakeup.notify()
             finally:
@@ -48,13 +50,13 @@
         return task
 
     def events(self) -> list[Event]:
-        """Return what was posted since the last call."""
+        """Return the events posted since the last call."""
         events = list(self._events)
         self._events.clear()
         return events
 
     def wait(self, until_ms: float) -> None:
-        """Wait for an event until the time. Raises `LeaseNotHeldError` where a task did."""
+        """Wait for an event until `until_ms`. Raises `LeaseNotHeldError` if a task did."""
         if self._error is not None:
             raise self._error
         if not self._events:
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -1,7 +1,8 @@
-"""What one controller runs for the Raft group, put together.
+"""Assembles everything that one controller runs for the Raft group.
 
-Its member, if it is one, its Raft client, its leased tasks, and what rests on them: the schema gate, schema
-rollouts, shard migrations, replica locations, quiescence. `cli.program` makes, starts and closes it.
+That is the Raft member (if this controller is one), the Raft client, the leased tasks, and the services built
+on them: schema gate, schema rollouts, shard migrations, replica locations and quiescence. `cli.program`
+creates, starts and closes it.
 """
 
 from collections.abc import Callable, Iterable
@@ -19,12 +20,12 @@
 from fennelwind.cluster.schema_gate import SchemaGate
 from fennelwind.cluster.schema_rollout import SchemaRollouts
 from fennelwind.cluster.shard_migration import ShardMigrations
-from fennelwind.cluster.state_machines import answer, machines
+from fennelwind.cluster.state_machines import answer_query, machines
 from fennelwind.engines.engine_client import EngineClient
 from fennelwind.loop import Loop, Task
 from fennelwind.loop.disk import Disk
 from fennelwind.quiescence.in_flight import InFlightTracker
-from fennelwind.raft.council_pb2 import Member as StatedMember
+from fennelwind.raft.council_pb2 import Member as MemberMessage
 from fennelwind.raft.member import RaftMember
 from fennelwind.raft.messages import DurableState
 from fennelwind.raft.replicated_state import LEVEL, ReplicatedState
@@ -34,74 +35,78 @@
 from fennelwind.shards.model import Bounds, Home
 from fennelwind.shards.shards_pb2 import Shard
 
-ENGINES_CHECK_MS = 100.0  # ms between two checks whether any engine is known here
-LEASES_HANDOVER_SHARE = 0.5  # of the time to hand over: leases first, then leadership
+ENGINES_CHECK_MS = 100.0  # ms between two checks for a first known engine
+LEASES_HANDOVER_SHARE = 0.5  # share of the handover time for leases; the remainder is for leadership
 
 
 class ClusterRuntime:
-    """What a controller with a section `council` runs. No query waits for it."""
+    """Runs the Raft services of a controller with a `council` section; no query waits for it."""
 
     def __init__(
         self,
         loop: Loop,
-        place: ClusterIdentity,
+        identity: ClusterIdentity,
         seed: int,
         log: Callable[[str, dict], None],
         disk: Callable[[], Disk] | None = None,
-        more: Iterable[StateMachine] = (),
+        extra_machines: Iterable[StateMachine] = (),
         level: int = LEVEL,
     ) -> None:
-        """Make it. `disk`, `more` state machines and another known `level` are for testbeds."""
+        """Create the services without starting them.
+
+        `disk`, `extra_machines` and a `level` other than this version's are set by testbeds only.
+        """
         self.loop = loop
-        self.place = place
+        self.identity = identity
         self._log = log
         self.member = (
-            self._member(seed, disk, ReplicatedState([*machines(), *more], level))
-            if place.is_member
+            self._member(seed, disk, ReplicatedState([*machines(), *extra_machines], level))
+            if identity.is_member
             else None
         )
         self.client = RaftClient(
-            loop, place.fleet, place.me, place.members, f"asker {seed}", self._log_connect_error
+            loop, identity.fleet, identity.me, identity.members, f"asker {seed}", self._log_connect_error
         )
-        self.tasks = LeasedTasks(loop, self.client, place.me, seed, log)
+        self.tasks = LeasedTasks(loop, self.client, identity.me, seed, log)
         self.gate: SchemaGate | None = None
-        self.changes: SchemaRollouts | None = None
+        self.rollouts: SchemaRollouts | None = None
         self.migrations: ShardMigrations | None = None
         self._engines: Callable[[], Iterable[str]] = tuple
         self._migrations_task: Task | None = None
-        self.copies: ReplicaLocations | None = None
-        self.heat: AccessLoadReporter | None = None
+        self.locations: ReplicaLocations | None = None
+        self.load_reporter: AccessLoadReporter | None = None
         self.quiescence: QuiescenceClient | None = None
         self._seed = seed
 
-    def _member(self, seed: int, disk: Callable[[], Disk] | None, record: ReplicatedState) -> RaftHost:
-        place, loop = self.place, self.loop
-        limits = StoreLimits(reserve_bytes=place.reserve_bytes, min_free_bytes=2 * place.reserve_bytes)
-        stated = [
-            StatedMember(name=name, address=str(address)) for name, address in sorted(place.members.items())
+    def _member(self, seed: int, disk: Callable[[], Disk] | None, state: ReplicatedState) -> RaftHost:
+        identity, loop = self.identity, self.loop
+        limits = StoreLimits(reserve_bytes=identity.reserve_bytes, min_free_bytes=2 * identity.reserve_bytes)
+        settings_members = [
+            MemberMessage(name=name, address=str(address))
+            for name, address in sorted(identity.members.items())
         ]
 
-        def core(durable: DurableState) -> RaftMember:
-            return RaftMember(place.timing, durable, seed, stated)
+        def make_core(durable: DurableState) -> RaftMember:
+            return RaftMember(identity.timing, durable, seed, settings_members)
 
         folder = MemberFolder(
-            disk or self._disk, place.fleet, place.me, loop.token, limits, lambda: loop.sleep(0.0)
+            disk or self._disk, identity.fleet, identity.me, loop.token, limits, lambda: loop.sleep(0.0)
         )
-        return RaftHost(loop, place, record, folder, core, f"member {seed}", self._log, answer)
+        return RaftHost(loop, identity, state, folder, make_core, f"member {seed}", self._log, answer_query)
 
     def _disk(self) -> Disk:
-        from fennelwind.loop.realdisk import RealDisk  # in virtual time the disk is handed in
+        from fennelwind.loop.realdisk import RealDisk  # not loaded in virtual time, where `disk` is given
 
-        return RealDisk(self.loop, str(self.place.folder))
+        return RealDisk(self.loop, str(self.identity.folder))
 
     def _log_connect_error(self, exc: ClusterError) -> None:
         self._log("raft client cannot connect", exc.told())
 
     def serve_engines(self, links: EngineClient, engines: Callable[[], Iterable[str]]) -> None:
-        """Guard the schemas of the engines' tables; `engines` returns those that are there now."""
+        """Set up the schema gate and schema rollouts; `engines` returns the engines known now."""
         statements, self._engines = EngineStatements(self.loop, links.settings, links.tls), engines
         self.gate = SchemaGate(self.loop, self.client, engines, f"gate {self._seed}", self._log)
-        self.changes = SchemaRollouts(self.loop, self.client, self.tasks, statements, engines, self._log)
+        self.rollouts = SchemaRollouts(self.loop, self.client, self.tasks, statements, engines, self._log)
 
     def serve_shards(
         self,
@@ -115,14 +120,14 @@
         *,
         wait_for_acknowledgements: bool = False,
     ) -> None:
-        """Move shards while the lease is held here.
+        """Set up shard migrations, which run while this controller holds their lease.
 
         `in_flight` counts the queries in flight here, and gives routing each newer view of the replicated
         state; `named` counts the shards that queries name; with `wait_for_acknowledgements` the lease holder
         drops a replica as soon as all controllers have acknowledged that they send no query to it.
         """
         statements = EngineStatements(self.loop, links.settings, links.tls)
-        record = self.member.state.replicated_state if self.member is not None else None
+        state = self.member.state.replicated_state if self.member is not None else None
         self.migrations = ShardMigrations(
             self.loop,
             self.client,
@@ -133,36 +138,42 @@
             self._log,
             bounds,
             shards=shards,
-            record=record,
+            replicated_state=state,
         )
-        self.heat = AccessLoadReporter(self.loop, self.client, named, self._seed)
-        self.quiescence = quiescence = QuiescenceClient(self.loop, self.client, self.place.me, in_flight)
-        self.copies = ReplicaLocations(self.loop, self.client, quiescence.update_replicas)
+        self.load_reporter = AccessLoadReporter(self.loop, self.client, named, self._seed)
+        self.quiescence = quiescence = QuiescenceClient(self.loop, self.client, self.identity.me, in_flight)
+        self.locations = ReplicaLocations(self.loop, self.client, quiescence.update_replicas)
         self.migrations.quiescence = quiescence if wait_for_acknowledgements else None
-        if self.changes is not None:
-            self.changes.on_quiesced_tables = quiescence.update_tables
-            self.changes.quiescence = self.migrations.quiescence
+        if self.rollouts is not None:
+            self.rollouts.on_quiesced_tables = quiescence.update_tables
+            self.rollouts.quiescence = self.migrations.quiescence
 
     def start(self) -> None:
-        """Start all parts; returns at once, or once replica locations are known or their time is up."""
+        """Start all services.
+
+        With shard migrations, waits until replica locations are known or the wait for them times out.
+        """
         if self.member is not None:
             self.member.start()
         self.tasks.start()
-        if self.quiescence is None and self.changes is not None:
-            # It sends queries, and keeps none away: whoever holds a lease is to know so.
-            self.quiescence = QuiescenceClient(self.loop, self.client, self.place.me, None)
-        for part in (self.quiescence, self.gate, self.changes, self.copies, self.heat):
-            if part is not None:
-                part.start()
+        if self.quiescence is None and self.rollouts is not None:
+            # This controller sends queries and can't withhold any from an engine: the registration says so.
+            self.quiescence = QuiescenceClient(self.loop, self.client, self.identity.me, None)
+        for service in (self.quiescence, self.gate, self.rollouts, self.locations, self.load_reporter):
+            if service is not None:
+                service.start()
         if self.migrations is not None:
             self._migrations_task = self.loop.spawn(self._start_migrations, name="keeper: moves")
-        if self.copies is not None and not self.copies.wait():
+        if self.locations is not None and not self.locations.wait():
             self._log(
                 "replica locations unknown", {"advice": "Queries go to any engine until the council answers."}
             )
 
     def _start_migrations(self) -> None:
-        """Migrate shards once an engine is known: to a controller that knows none, all seem removed."""
+        """Start shard migrations once an engine is known.
+
+        A controller that knows no engine yet would treat all engines as removed.
+        """
         while not list(self._engines()):
             self.loop.sleep(ENGINES_CHECK_MS)
         self.migrations.start()
@@ -170,26 +181,26 @@
     def gauges(self) -> list[tuple[str, str, float]]:
         """Return the gauges: name, meaning and value of each."""
         held = len(self.tasks.lease_client.held_tasks(self.loop.now()))
-        told = [("leases_held", "Leases of tasks held here.", held)]
-        if self.copies is not None:
-            told.append(
+        gauges = [("leases_held", "Leases of tasks held here.", held)]
+        if self.locations is not None:
+            gauges.append(
                 (
                     "shards_known",
                     "Shards of the record, by the view that queries go by here.",
-                    len(self.copies.places),
+                    len(self.locations.places),
                 )
             )
-            told.append(
+            gauges.append(
                 (
                     "shards_readable",
                     "Shards with a good copy, by the view that queries go by here.",
-                    sum(map(bool, self.copies.places.values())),
+                    sum(map(bool, self.locations.places.values())),
                 )
             )
         member = self.member
         if member is not None and member.core is not None:
-            record = member.state.replicated_state
-            told += [
+            state = member.state.replicated_state
+            gauges += [
                 ("leads", "1 where this member leads.", member.role == "leader"),
                 (
                     "votes",
@@ -197,48 +208,59 @@
                     member.role in ("leader", "follower", "asking"),
                 ),
                 ("term", "The member's term.", member.term),
-                ("index", "The last entry that was applied.", record.index),
-                ("level", "The record's level.", record.level),
+                ("index", "The last entry that was applied.", state.index),
+                ("level", "The record's level.", state.level),
                 (
                     "members_reached",
                     "Other members that can be sent to.",
                     sum(peer.is_connected for peer in member.peers.by_name.values()),
                 ),
-                ("watchers", "Watches that wait here.", member.state.watchers),
+                ("watchers", "Watches that wait here.", member.state.watch_count),
             ]
-        return [(name, help_, float(value)) for name, help_, value in told]
+        return [(name, help_, float(value)) for name, help_, value in gauges]
 
     def events(self) -> list[tuple[str, str, int]]:
         """Return the counters: component, event and count of each."""
-        found = {
+        counters = {
             "asker": {"asked": self.client.attempts, "lost": self.client.unanswered_attempts},
             "tasks": self.tasks.counts,
         }
         if self.quiescence is not None:
-            found["clearances"] = self.quiescence.counts
-        if self.heat is not None:
-            found["heat"] = self.heat.counts
+            counters["clearances"] = self.quiescence.counts
+        if self.load_reporter is not None:
+            counters["heat"] = self.load_reporter.counts
         member = self.member
         if member is not None:
-            found |= {"member": member.counts, "peers": member.peers.counts}
+            counters |= {"member": member.counts, "peers": member.peers.counts}
             if member.server is not None:
-                found["door"] = member.server.counts
-        return [(where, event, count) for where, counts in found.items() for event, count in counts.items()]
+                counters["door"] = member.server.counts
+        return [
+            (component, event, count)
+            for component, counts in counters.items()
+            for event, count in counts.items()
+        ]
 
     def hand_over(self) -> None:
-        """Hand leases and leadership over to others, within the stated time."""
-        within_ms = self.place.handover_ms
+        """Hand leases and leadership over to other controllers, within `handover_ms` of the settings."""
+        within_ms = self.identity.handover_ms
         self.tasks.hand_over_all(within_ms * LEASES_HANDOVER_SHARE)
         if self.member is not None:
             self.member.hand_over(within_ms * (1.0 - LEASES_HANDOVER_SHARE))
 
     def close(self) -> None:
-        """Stop all parts."""
+        """Stop all services."""
         if self._migrations_task is not None:
             self._migrations_task.cancel()
-        for part in (self.quiescence, self.gate, self.changes, self.migrations, self.copies, self.heat):
-            if part is not None:
-                part.close()
+        for service in (
+            self.quiescence,
+            self.gate,
+            self.rollouts,
+            self.migrations,
+            self.locations,
+            self.load_reporter,
+        ):
+            if service is not None:
+                service.close()
         self.tasks.close()
         self.client.close()
         if self.member is not None:
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -1,11 +1,12 @@
-"""The gate for schema changes on one controller.
+"""The schema gate of one controller: registers what sessions read and checks schema changes against it.
 
-What its sessions read is registered in the replicated state, what its publishers change is checked there, and
-an admitted change is carried out under the lease of its table.
+Subscriptions are registered in the replicated state, which checks each published schema change against them.
+An admitted change is rolled out under its table's lease (`schema_rollout`).
 
-A subscriber's session opens at once: its subscription is registered beside it, and told with its answer where
-that comes within `TOLD_MS`. Sessions that read alike share one subscription, renewed while any is open; then
-it lapses by its term. A publisher's statement waits for the record and for the engines, within its time-out.
+A subscriber's session opens without waiting for its registration: the reply reports the result only if it
+arrives within `REGISTRATION_WAIT_MS`. Sessions with equal subscriptions share one registration, renewed while
+any of them is open and left to expire at the end of its term afterwards. A publisher's statement waits for
+the replicated state and for the engines, within its timeout.
 """
 
 from collections import Counter
@@ -31,21 +32,21 @@
 )
 from fennelwind.schema_compatibility.state_machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
 
-TOLD_MS = 500.0  # ms that a subscriber's OpenSession waits for the record's word; then it goes on without
-ASK_MS = 4000.0  # ms for one command
-AGAIN_MS, AGAIN_MOST_MS = 500.0, 30_000.0  # ms between tries to register
-RENEW_PART = 3.0  # a subscription is renewed when this part of its term is over
-RENEW_LEAST_MS = 3000.0  # ms between renewals of the shortest term that the record takes
-NUMBERS_MOST = 1000  # renewed in one command
-SUBSCRIBERS_MOST = 10_000  # different ones of one controller; the record takes five times as many
-PUBLISHERS_MOST = 256  # statements of publishers that wait at a time
-WATCH_MS = 20_000.0  # ms of one watch for a change's outcome
-TEXT_MOST = 4000  # letters of a verdict in one status; the rest is counted
-ENDS = {FINISHED: "finished", UNDONE: "undone", WITHDRAWN: "withdrawn", LAPSED: "lapsed"}
+REGISTRATION_WAIT_MS = 500.0  # ms that OpenSession waits for the result of a registration
+PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
+MIN_RETRY_MS, MAX_RETRY_MS = 500.0, 30_000.0  # ms between attempts to register
+RENEWALS_PER_TERM = 3.0  # a subscription is renewed this often in its term
+MIN_RENEWAL_INTERVAL_MS = 3000.0  # ms between renewals for the shortest term allowed
+MAX_RENEWALS_PER_COMMAND = 1000
+MAX_SUBSCRIBERS = 10_000  # distinct ones of one controller; the replicated state holds five times as many
+MAX_PUBLICATIONS = 256  # publishers' statements in progress
+WATCH_MS = 20_000.0  # ms of one watch for a schema change's outcome
+MAX_TEXT_LENGTH = 4000  # characters of a status text; longer ones are cut
+OUTCOME_NAMES = {FINISHED: "finished", UNDONE: "undone", WITHDRAWN: "withdrawn", LAPSED: "lapsed"}
 
 
 class GateError(FennelwindError):
-    """The root of what a publisher's statement meets at the gate; `state` is its SQLSTATE."""
+    """Base class of the schema gate's errors for a publisher's statement; `state` is the SQLSTATE."""
 
     code = "gate-error"
     advice = "docs/operators/contracts.md tells how changes of schemas pass the gate."
@@ -53,7 +54,7 @@
 
 
 class SchemaChangeRejectedError(GateError):
-    """The change would break a subscriber, or can't be judged as it was asked; nothing was changed."""
+    """The change would break a subscriber, or can't be checked as submitted; nothing was changed."""
 
     code = "gate-change-refused"
     advice = (
@@ -64,7 +65,7 @@
 
 
 class SchemaChangeBlockedError(GateError):
-    """The change has to wait; nothing was changed. `again_ms` is a time to come back."""
+    """The change has to wait; nothing was changed. `again_ms` is the time until a retry."""
 
     code = "gate-change-not-now"
     advice = (
@@ -75,7 +76,7 @@
 
 
 class SchemaChangeInProgressError(GateError):
-    """The change was admitted and has not ended within the publisher's time; it goes on by itself."""
+    """The change was admitted and has not ended within the publisher's timeout; its rollout continues."""
 
     code = "gate-change-open"
     advice = (
@@ -86,7 +87,7 @@
 
 
 class SchemaChangeRevertedError(GateError):
-    """The change was admitted and then taken back: engines have the table's old schema."""
+    """The change was admitted and then reverted: engines have the table's old schema."""
 
     code = "gate-change-taken-back"
     advice = "An engine refused the statement or did not come back; see its log, mend that and ask anew."
@@ -95,18 +96,18 @@
 
 @dataclass(slots=True, eq=False)
 class Subscriber:
-    """One form of subscription, of all sessions here that read alike."""
+    """A subscription shared by all sessions of this controller that declared the same reads."""
 
-    said: Subscription
-    told: Once  # the record's word has come once, in text
+    subscription: Subscription
+    first_result: Once  # the text of the first answer to the registration
     sessions: int = 1
-    number: int = 0  # on the record; 0: not registered now
-    renew_at: float = 0.0
-    text: str = ""
+    registration_number: int = 0  # 0: not registered now
+    renew_at_ms: float = 0.0
+    result_text: str = ""
 
 
 class SchemaGate:
-    """One controller's part in it."""
+    """One controller's schema gate."""
 
     def __init__(
         self,
@@ -114,230 +115,244 @@
         client: RaftClient,
         engines: Callable[[], Iterable[str]],
         seed: str,
-        said: Callable[[str, dict], None],
+        log: Callable[[str, dict], None],
     ) -> None:
-        self.loop, self.client, self.engines, self.said = loop, client, engines, said
+        self.loop, self.client, self.engines, self.log = loop, client, engines, log
         self.random = Random(seed)
         self.subscribers: dict[Subscription, Subscriber] = {}
-        self.publishing = 0
+        self.publications_in_progress = 0
         self.counts: Counter[str] = Counter()
-        self.closed = False
-        self.lost = False  # the record did not answer the last time: nobody waits for it at OpenSession
+        self.is_closed = False
+        self.is_unavailable = False  # the last command was not answered: OpenSession does not wait
         self._wakeup = Wakeup(loop)
         self._registering: set[Subscriber] = set()
         self._tasks = []
 
     def start(self) -> None:
-        """Renew what is registered, for as long as the controller runs."""
-        self._tasks = [self.loop.spawn(self._renew, name="gate: renewals")]
+        """Start renewing registered subscriptions."""
+        self._tasks = [self.loop.spawn(self._renew_forever, name="gate: renewals")]
 
     def close(self) -> None:
-        """Renew nothing more: subscriptions lapse by their terms. Who waits for a change is told so."""
-        self.closed = True
+        """Stop renewals, so that subscriptions expire, and end the waits for schema changes."""
+        self.is_closed = True
         for task in self._tasks:
             task.cancel()
 
     # Subscribers.
 
     def subscribe(self, configuration: dict[str, str], protocol: int, database: str) -> Subscriber | None:
-        """Take what a session says it reads; None if it says nothing. Raises `SaidError`."""
-        said = subscription(configuration, protocol, database)
-        if said is None:
+        """Subscribe a session to the reads it declares; None if it declares none. Raises `SaidError`."""
+        declared = subscription(configuration, protocol, database)
+        if declared is None:
             return None
-        known = self.subscribers.get(said)
+        known = self.subscribers.get(declared)
         if known is not None:
             known.sessions += 1
             return known
-        subscriber = Subscriber(said, Once(self.loop))
-        if len(self.subscribers) >= SUBSCRIBERS_MOST:
+        subscriber = Subscriber(declared, Once(self.loop))
+        if len(self.subscribers) >= MAX_SUBSCRIBERS:
             self.counts["subscribers over the bound"] += 1
-            subscriber.told.set("not registered: too many subscribers here")
+            subscriber.first_result.set("not registered: too many subscribers here")
             subscriber.sessions = 0
             return subscriber
-        self.subscribers[said] = subscriber
-        self._register_soon(subscriber)
+        self.subscribers[declared] = subscriber
+        self._start_registering(subscriber)
         return subscriber
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Note that a session has ended; with the last one the subscription is renewed no more."""
+        """Note that a session has ended; after the last one the subscription is no longer renewed."""
         subscriber.sessions -= 1
-        if subscriber.sessions <= 0 and self.subscribers.get(subscriber.said) is subscriber:
-            del self.subscribers[subscriber.said]
+        if subscriber.sessions <= 0 and self.subscribers.get(subscriber.subscription) is subscriber:
+            del self.subscribers[subscriber.subscription]
 
     def registration_text(self, subscriber: Subscriber) -> str:
-        """Return what the record says to a subscription, after a short wait; "later" where it is late."""
-        if not subscriber.told.ready and not self.lost:
+        """Return the result of a registration after a short wait; "later" if it is not known yet."""
+        if not subscriber.first_result.ready and not self.is_unavailable:
             try:
-                with self.loop.deadline(TOLD_MS):
-                    subscriber.told.wait()
+                with self.loop.deadline(REGISTRATION_WAIT_MS):
+                    subscriber.first_result.wait()
             except TimeoutError:
                 pass
-        return subscriber.told.value if subscriber.told.ready else "later"
+        return subscriber.first_result.value if subscriber.first_result.ready else "later"
 
-    def _register_soon(self, subscriber: Subscriber) -> None:
+    def _start_registering(self, subscriber: Subscriber) -> None:
         if subscriber not in self._registering:
             self._registering.add(subscriber)
             self.loop.spawn(self._register, subscriber, name="gate: register")
 
     def _register(self, subscriber: Subscriber) -> None:
-        """Register a subscription, sooner or later, as long as a session wants it."""
-        waits = Backoff(self.random, AGAIN_MS, AGAIN_MOST_MS)
+        """Register a subscription, retrying while a session uses it."""
+        backoff = Backoff(self.random, MIN_RETRY_MS, MAX_RETRY_MS)
         try:
             while subscriber.sessions > 0:
                 try:
-                    answer = self._ask(subscriber.said.command())
+                    answer = self._propose(subscriber.subscription.command())
                 except ClusterError as exc:
-                    self.lost = True
+                    self.is_unavailable = True
                     self.counts[exc.code] += 1
-                    self.loop.sleep(waits.next_ms())
+                    self.loop.sleep(backoff.next_ms())
                     continue
                 if answer.refusal == pb.TOO_MANY:
-                    self.loop.sleep(max(waits.next_ms(), float(answer.again_ms)))
+                    self.loop.sleep(max(backoff.next_ms(), float(answer.again_ms)))
                     continue
-                self._registered(subscriber, answer)
+                self._handle_registration(subscriber, answer)
                 return
         finally:
             self._registering.discard(subscriber)
 
-    def _registered(self, subscriber: Subscriber, answer: pb.ContractAnswer) -> None:
+    def _handle_registration(self, subscriber: Subscriber, answer: pb.ContractAnswer) -> None:
         if answer.refusal:
-            found = "; ".join(map(finding_text, answer.found)) or answer.text
-            subscriber.text = f"refused: {pb.Refusal.Name(answer.refusal)}: {found}"[:TEXT_MOST]
-            self.said("subscriber refused", {"subscriber": subscriber.said.name, "text": subscriber.text})
+            reason = "; ".join(map(finding_text, answer.found)) or answer.text
+            subscriber.result_text = f"refused: {pb.Refusal.Name(answer.refusal)}: {reason}"[:MAX_TEXT_LENGTH]
+            self.log(
+                "subscription rejected",
+                {"subscriber": subscriber.subscription.name, "text": subscriber.result_text},
+            )
         else:
-            subscriber.number = answer.number
-            subscriber.renew_at = self.loop.now() + self._renew_ms(subscriber)
+            subscriber.registration_number = answer.number
+            subscriber.renew_at_ms = self.loop.now() + self._renewal_interval_ms(subscriber)
             since = "; ".join(map(finding_text, answer.since))
-            subscriber.text = f"registered{f'; since it lapsed: {since}' if since else ''}"[:TEXT_MOST]
+            subscriber.result_text = f"registered{f'; since it lapsed: {since}' if since else ''}"[
+                :MAX_TEXT_LENGTH
+            ]
             self._wakeup.notify()
-        if not subscriber.told.set(subscriber.text):
-            subscriber.told.value = subscriber.text
+        if not subscriber.first_result.set(subscriber.result_text):
+            subscriber.first_result.value = subscriber.result_text
 
     @staticmethod
-    def _renew_ms(subscriber: Subscriber) -> float:
-        return max(subscriber.said.term_s * 1000.0 / RENEW_PART, RENEW_LEAST_MS)
+    def _renewal_interval_ms(subscriber: Subscriber) -> float:
+        return max(subscriber.subscription.term_s * 1000.0 / RENEWALS_PER_TERM, MIN_RENEWAL_INTERVAL_MS)
 
-    def _renew(self) -> None:
+    def _renew_forever(self) -> None:
         while True:
-            registered = [s for s in self.subscribers.values() if s.number]
+            registered = [s for s in self.subscribers.values() if s.registration_number]
             if not registered:
                 self._wakeup.wait()
                 continue
             now = self.loop.now()
-            first = min(s.renew_at for s in registered)
-            if first > now:
-                self.loop.sleep(min(first - now, RENEW_LEAST_MS))  # one that came meanwhile may be due sooner
+            next_renewal_ms = min(s.renew_at_ms for s in registered)
+            if next_renewal_ms > now:
+                # A subscription registered meanwhile may be due sooner.
+                self.loop.sleep(min(next_renewal_ms - now, MIN_RENEWAL_INTERVAL_MS))
                 continue
-            # Whatever falls due soon goes along.
-            due = [s for s in registered if s.renew_at <= now + self._renew_ms(s) / 4.0][:NUMBERS_MOST]
-            command = pb.ContractCommand(rules=NUMBER, renew=pb.Renew(numbers=[s.number for s in due]))
+            # Subscriptions that are due soon are renewed by the same command.
+            due = [s for s in registered if s.renew_at_ms <= now + self._renewal_interval_ms(s) / 4.0][
+                :MAX_RENEWALS_PER_COMMAND
+            ]
+            command = pb.ContractCommand(
+                rules=NUMBER, renew=pb.Renew(numbers=[s.registration_number for s in due])
+            )
             try:
-                answer = self._ask(command)
+                answer = self._propose(command)
             except ClusterError as exc:
                 self.counts[exc.code] += 1
-                self.loop.sleep(AGAIN_MS)
+                self.loop.sleep(MIN_RETRY_MS)
                 continue
-            gone = set(answer.gone)
+            expired = set(answer.gone)
             for subscriber in due:
-                subscriber.renew_at = self.loop.now() + self._renew_ms(subscriber)
-                if subscriber.number in gone:  # it lapsed while the council was away
-                    subscriber.number = 0
-                    self._register_soon(subscriber)
+                subscriber.renew_at_ms = self.loop.now() + self._renewal_interval_ms(subscriber)
+                if subscriber.registration_number in expired:  # while the Raft group was unavailable
+                    subscriber.registration_number = 0
+                    self._start_registering(subscriber)
 
     # Publishers.
 
     def publication(self, overlay: dict[str, str], database: str) -> Publication | None:
-        """Return the change that a statement brings along; None if it brings none. Raises `SaidError`."""
+        """Return the schema change declared with a statement; None if there is none. Raises `SaidError`."""
         return publication(overlay, database)
 
-    def publish(self, change: Publication, statement: str, until: float) -> list[str]:
-        """Have a change judged and made; return what is to be known of it. Raises `GateError`."""
-        if self.publishing >= PUBLISHERS_MOST:
-            raise SchemaChangeBlockedError(f"{PUBLISHERS_MOST} changes wait here", again_ms=1000)
-        self.publishing += 1
+    def publish(self, change: Publication, statement: str, until_ms: float) -> list[str]:
+        """Have a schema change checked and rolled out; return its findings, as texts. Raises `GateError`."""
+        if self.publications_in_progress >= MAX_PUBLICATIONS:
+            raise SchemaChangeBlockedError(f"{MAX_PUBLICATIONS} changes wait here", again_ms=1000)
+        self.publications_in_progress += 1
         try:
-            return self._publish(change, statement, until)
+            return self._publish(change, statement, until_ms)
         finally:
-            self.publishing -= 1
+            self.publications_in_progress -= 1
 
-    def _publish(self, change: Publication, statement: str, until: float) -> list[str]:
+    def _publish(self, change: Publication, statement: str, until_ms: float) -> list[str]:
         engines = tuple(sorted(self.engines()))
         if not engines:
             raise SchemaChangeBlockedError("no engine is known here yet", again_ms=1000)
         command = change.command(engines, (statement,))
         try:
-            answer = self._ask(command, min(ASK_MS, until - self.loop.now()))
+            answer = self._propose(command, min(PROPOSE_TIMEOUT_MS, until_ms - self.loop.now()))
         except OutcomeUnknownError as exc:
             raise SchemaChangeInProgressError(f"{change.table}: {exc}") from None
         except ClusterError as exc:
-            again = int(exc.facts.get("again_ms", AGAIN_MS))
-            raise SchemaChangeBlockedError(f"{change.table}: {exc}", again_ms=again) from None
-        told = verdict_lines(answer)
+            retry_after_ms = int(exc.facts.get("again_ms", MIN_RETRY_MS))
+            raise SchemaChangeBlockedError(f"{change.table}: {exc}", again_ms=retry_after_ms) from None
+        findings = finding_lines(answer)
         if answer.refusal in (pb.CHANGING, pb.MOVING, pb.TOO_MANY):
             raise SchemaChangeBlockedError(
                 f"{change.table}: {pb.Refusal.Name(answer.refusal)}", again_ms=answer.again_ms
             )
         if answer.refusal:
-            why = told or [pb.Refusal.Name(answer.refusal), answer.text]
+            reasons = findings or [pb.Refusal.Name(answer.refusal), answer.text]
             if answer.refusal == pb.VERSION:
-                why = [f"the table's version is {answer.version}: look at it and say that one"]
+                reasons = [f"the table's version is {answer.version}: look at it and say that one"]
             raise SchemaChangeRejectedError(
-                f"{change.table}: {'; '.join(filter(None, why))}"[:TEXT_MOST],
+                f"{change.table}: {'; '.join(filter(None, reasons))}"[:MAX_TEXT_LENGTH],
                 refusal=pb.Refusal.Name(answer.refusal),
             )
-        self.said("change admitted", {"table": change.table, "number": answer.number})
-        outcome = self._outcome(answer.number, until)
+        self.log("schema change admitted", {"table": change.table, "number": answer.number})
+        outcome = self._wait_for_outcome(answer.number, until_ms)
         if outcome == FINISHED:
-            return told
+            return findings
         if not outcome:
             raise SchemaChangeInProgressError(
                 f"{change.table}: change {answer.number} goes on", number=answer.number
             )
         raise SchemaChangeRevertedError(
-            f"{change.table}: change {answer.number} is {ENDS[outcome]}", number=answer.number
+            f"{change.table}: change {answer.number} is {OUTCOME_NAMES[outcome]}", number=answer.number
         )
 
-    def _outcome(self, number: int, until: float) -> int:
-        """Wait for what becomes of a change; 0 when the time is up."""
-        query, seen = gate_pb2.ChangeQuery(number=number).SerializeToString(), None
-        while self.loop.now() < until and not self.closed:
-            wait = min(WATCH_MS, max(0.0, until - self.loop.now()))
+    def _wait_for_outcome(self, number: int, until_ms: float) -> int:
+        """Wait for the outcome of a schema change; return 0 when the time is up or the gate is closed."""
+        query, last_state = gate_pb2.ChangeQuery(number=number).SerializeToString(), None
+        while self.loop.now() < until_ms and not self.is_closed:
+            wait_ms = min(WATCH_MS, max(0.0, until_ms - self.loop.now()))
             try:
-                with self.loop.deadline_at(until):
-                    seen = self.client.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen).state
+                with self.loop.deadline_at(until_ms):
+                    last_state = self.client.watch(
+                        CONTRACTS, wait_ms=wait_ms, query=query, unlike=last_state
+                    ).state
             except TimeoutError:
                 return 0
             except ClusterError:
-                self.loop.sleep(min(AGAIN_MS, max(0.0, until - self.loop.now())))
+                self.loop.sleep(min(MIN_RETRY_MS, max(0.0, until_ms - self.loop.now())))
                 continue
-            told = gate_pb2.ChangeTold.FromString(seen)
-            if not told.under_way:
-                return told.outcome
+            progress = gate_pb2.ChangeTold.FromString(last_state)
+            if not progress.under_way:
+                return progress.outcome
         return 0
 
-    def _ask(self, command: pb.ContractCommand, within_ms: float = ASK_MS) -> pb.ContractAnswer:
-        raw = self.client.propose(CONTRACTS, command.SerializeToString(deterministic=True), within_ms)
-        self.lost = False
-        return pb.ContractAnswer.FromString(raw)
+    def _propose(
+        self, command: pb.ContractCommand, within_ms: float = PROPOSE_TIMEOUT_MS
+    ) -> pb.ContractAnswer:
+        body = self.client.propose(CONTRACTS, command.SerializeToString(deterministic=True), within_ms)
+        self.is_unavailable = False
+        return pb.ContractAnswer.FromString(body)
 
 
-def finding_text(found: pb.Found) -> str:
-    """Return a finding as a sentence, with what can be done instead."""
-    rule = RULES.get(found.rule)
-    column = f"{found.column}: " if found.column else ""
-    about = f" ({found.what})" if found.what else ""
+def finding_text(finding: pb.Found) -> str:
+    """Return a finding as text, with the suggested alternative of its rule."""
+    rule = RULES.get(finding.rule)
+    column = f"{finding.column}: " if finding.column else ""
+    detail = f" ({finding.what})" if finding.what else ""
     if rule is None:
-        return f"{column}{found.rule}{about}"
-    return f"{column}{rule.says}{about}. {rule.instead}".rstrip()
+        return f"{column}{finding.rule}{detail}"
+    return f"{column}{rule.says}{detail}. {rule.instead}".rstrip()
 
 
-def verdict_lines(answer: pb.ContractAnswer) -> list[str]:
-    """Return a verdict in lines, those who would break first."""
+def finding_lines(answer: pb.ContractAnswer) -> list[str]:
+    """Return the findings of a check as lines, beginning with the subscribers that would break."""
     lines = [
-        f"{', '.join(readers.names)}: {finding_text(found)}"
+        f"{', '.join(readers.names)}: {finding_text(finding)}"
         for readers in answer.readers
-        for found in readers.found
+        for finding in readers.found
     ]
     if answer.more:
         lines.append(f"and {answer.more} subscribers more")
-    return lines + [finding_text(found) for found in answer.found]
+    return lines + [finding_text(finding) for finding in answer.found]
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -1,34 +1,34 @@
-"""What the machine of contracts is asked by controllers, beside its commands."""
+"""Queries of controllers to the state machine of schema compatibility."""
 
 from fennelwind.cluster import gate_pb2
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.state_machine import ContractMachine, change_message
 
-NAMED_MOST = 10_000  # engines that are told as quiet or behind; with long addresses a quarter of a frame
+MAX_LISTED_ENGINES = 10_000  # quiesced or behind, in one answer; with long addresses a quarter of a frame
 
 
-def asked(machine: ContractMachine, raw: bytes) -> bytes:
-    """Answer a `ChangeQuery` from the machine's state."""
-    query, told = gate_pb2.ChangeQuery.FromString(raw), gate_pb2.ChangeTold()
+def answer_change_query(machine: ContractMachine, body: bytes) -> bytes:
+    """Answer a `ChangeQuery` from the state machine's state. Raises `DecodeError`."""
+    query, answer = gate_pb2.ChangeQuery.FromString(body), gate_pb2.ChangeTold()
     if query.open:
-        named = 0
+        listed = 0
         for number, change in sorted(machine.changes.items()):
-            quiet = sorted(change.quiet)[: NAMED_MOST - named]
-            told.open.add(number=number, table=change.table, fence=change.fence, quiet=quiet)
-            named, told.cut = named + len(quiet), told.cut or len(quiet) < len(change.quiet)
+            quiesced = sorted(change.quiet)[: MAX_LISTED_ENGINES - listed]
+            answer.open.add(number=number, table=change.table, fence=change.fence, quiet=quiesced)
+            listed, answer.cut = listed + len(quiesced), answer.cut or len(quiesced) < len(change.quiet)
         for name in sorted(machine.lagging) if query.behind else ():
             table = machine.tables[name]
-            behind = sorted(table.behind)[: NAMED_MOST - named]
+            behind = sorted(table.behind)[: MAX_LISTED_ENGINES - listed]
             if behind:
-                told.behind.add(table=name, engines=behind)
-            named, told.cut = named + len(behind), told.cut or len(behind) < len(table.behind)
-        return told.SerializeToString(deterministic=True)
+                answer.behind.add(table=name, engines=behind)
+            listed, answer.cut = listed + len(behind), answer.cut or len(behind) < len(table.behind)
+        return answer.SerializeToString(deterministic=True)
     change = machine.changes.get(query.number)
-    told.under_way = change is not None
-    told.outcome = machine.ended.get(query.number, 0)
+    answer.under_way = change is not None
+    answer.outcome = machine.ended.get(query.number, 0)
     if query.whole and change is not None:
-        told.change = change_message(change).SerializeToString(deterministic=True)
+        answer.change = change_message(change).SerializeToString(deterministic=True)
         table = machine.tables.get(change.table)
         if table is not None:
-            told.old = schema_message(table.schema).SerializeToString(deterministic=True)
-    return told.SerializeToString(deterministic=True)
+            answer.old = schema_message(table.schema).SerializeToString(deterministic=True)
+    return answer.SerializeToString(deterministic=True)
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -1,12 +1,13 @@
-"""Carries admitted schema changes out on this controller, wherever it holds the lease of a table.
+"""Rolls out admitted schema changes to the engines, on the controller that holds the table's lease.
 
-Every controller with tasks watches for changes under way and wants the lease `table:NAME` of each; the record
-gives it to one. That one's carrier (`contracts.carrying`) decides; this makes its statements and its looks. A
-controller that dies half-way is followed by the next in line, which goes on from what the record says.
+Every controller with leased tasks watches for schema changes in progress and requests the lease `table:NAME`
+for each. The holder's core (`schema_compatibility.rollout`) decides; this module runs its statements and
+DESCRIBEs on the engines. If the holder fails, the next holder continues from the replicated state.
 
-Every controller learns by the same watch which engines are quiet for which tables. Where clearances are on,
-the holder waits until all controllers have said that no query of theirs is left on an engine; where one is
-silent for `SILENT_MS`, or keeps no queries away at all, the engine's own lock on its table is what is left.
+By the same watch every controller learns which engines are quiesced for which tables. With acknowledgements
+enabled, the holder waits until all controllers have acknowledged that none of their queries runs on an
+engine. If a controller is silent for `SILENCE_TIMEOUT_MS`, or can't withhold queries, only the engine's own
+table lock separates its queries from the change.
 """
 
 from collections import Counter
@@ -32,52 +33,55 @@
 from fennelwind.schema_compatibility.state_machine import Underway, read_change
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
-TASK = "table:"  # and the table's name: the lease under which its changes are carried out
-LEASE_TERM_MS = 60_000  # ms of that lease; some 26 s of it are left at the least while renewals go well
-STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or a look: an ALTER touches the metastore, no rows
-STOP_TIMEOUT_MS = 5000.0  # ms for one try to end a statement that nobody knows of
-ASK_MS = 4000.0  # ms for one command
-WATCH_MS = 20_000.0  # ms of one watch for changes under way
-PACE_MS = 200.0  # ms between two watches: a long list is answered at once
-AGAIN_MS = 1000.0  # ms until a watch that failed is tried again
-SHORT_MS = 2000.0  # ms of one while engines are quiet: the age of the view is part of what is said of it
-SILENT_MS = 60_000.0  # ms that a silent controller is waited for: as long as a copy rests that leaves
-HEAR_MS = 500.0  # ms between two questions whether an engine is cleared
-NO_TABLE = "42S02"  # SQLSTATE of a look at a table that is not there
+LEASE_PREFIX = "table:"  # with the table's name: the lease for rollouts of the table
+LEASE_TERM_MS = 60_000  # ms of that lease; at least about 26 s of it remain while renewals succeed
+STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or DESCRIBE: an ALTER changes the metastore, no rows
+STOP_TIMEOUT_MS = 5000.0  # ms for one attempt to stop a statement with an unknown outcome
+PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
+WATCH_MS = 20_000.0  # ms of one watch for schema changes in progress
+MIN_WATCH_INTERVAL_MS = 200.0  # ms between two watches: one with a large `unlike` is answered at once
+RETRY_MS = 1000.0  # ms until a failed watch or stop is repeated, and between checks of the engine list
+QUIESCING_WATCH_MS = 2000.0  # ms of one watch while engines are quiesced: acknowledgements need a recent view
+SILENCE_TIMEOUT_MS = 60_000.0  # ms to wait for a silent controller: as long as a draining replica rests
+BARRIER_CHECK_MS = 500.0  # ms between two barrier requests
+NO_TABLE = "42S02"  # SQLSTATE of a DESCRIBE of a missing table
 
 Carrier = rollout.Carrier
-Kept = dict[str, frozenset[str]]  # by table: engines to which no new query of it is to go
-# Takes the entry that a view is of, what is kept away, the pairs that are asked for, whether these are all.
-Quieted = Callable[[int, Kept, list[tuple[str, str]], bool], None]
+ExcludedEngines = dict[str, frozenset[str]]  # by table: engines to which no new query of it may go
+# Parameters: the view's index, excluded engines, pairs of table and engine being quiesced, whether the view
+# is complete.
+QuiescedTablesCallback = Callable[[int, ExcludedEngines, list[tuple[str, str]], bool], None]
 
 
 class SchemaChangeAbandonedError(FennelwindError):
-    """A change can't be carried on from this controller; another one is tried."""
+    """This controller can't continue a schema change; another controller takes it over."""
 
     code = "gate-change-given-up"
     advice = (
-        "Look at the engine that is named: it refuses the publisher's statement, or can't be reached "
-        "from here. The change goes on from another controller, or from here after a while."
+        "Check the engine named in the text: it rejects the publisher's statement, or can't be reached from "
+        "this controller. The change continues on another controller, or on this one after a while."
     )
 
 
-def shape(rows: Iterable[tuple[str, ...]]) -> tuple[tuple[str, str], ...]:
-    """Return names and types of a description's rows: those ahead of the first that is empty or a heading.
+def parse_description(rows: Iterable[tuple[str, ...]]) -> tuple[tuple[str, str], ...]:
+    """Return the names and types of a table's columns, from the rows of a DESCRIBE.
 
-    So it stands in the language manual (DDL, Describe): all columns, partition columns among them, and
-    behind an empty row what else there is. Raises `SchemaTextError`, `SchemaError`.
+    These are the rows before the first one that is empty or a heading. By Hive's language manual (DDL,
+    Describe) they list all columns, partition columns included; other details follow an empty row.
+
+    Raises `SchemaTextError`, `SchemaError`.
     """
-    found = []
+    columns = []
     for row in rows:
         name = row[0].strip().lower() if row else ""
         if not name or name.startswith("#") or len(row) < 2:
             break
-        found.append((name, str(parse_type(row[1].strip()))))
-    return tuple(found)
+        columns.append((name, str(parse_type(row[1].strip()))))
+    return tuple(columns)
 
 
 class SchemaRollouts:
-    """This controller's part in carrying changes out."""
+    """Rolls out the schema changes of all tables whose lease this controller holds."""
 
     def __init__(
         self,
@@ -86,22 +90,22 @@
         tasks: LeasedTasks,
         statements: EngineStatements,
         engines: Callable[[], Iterable[str]],
-        said: Callable[[str, dict], None],
+        log: Callable[[str, dict], None],
     ) -> None:
         self.loop, self.client, self.tasks, self.statements = loop, client, tasks, statements
-        self.on_quiesced_tables: Quieted | None = None  # who keeps queries away here
+        self.on_quiesced_tables: QuiescedTablesCallback | None = None  # None: queries can't be withheld
         self.quiescence: QuiescenceClient | None = None  # None: no barrier requests
-        self.engines, self.said = engines, said
+        self.engines, self.log = engines, log
         self.counts: Counter[str] = Counter()
-        self._wanted: dict[str, int] = {}  # tables and the change of each
+        self._changes: dict[str, int] = {}  # by table: the number of its change in progress
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Watch for changes from now on."""
+        """Start watching for schema changes."""
         self._task = self.loop.spawn(self._watch, name="changes: watch")
 
     def close(self) -> None:
-        """Watch no more."""
+        """Stop watching."""
         if self._task is not None:
             self._task.cancel()
 
@@ -109,203 +113,216 @@
         query = gate_pb2.ChangeQuery(
             open=True, behind=self.on_quiesced_tables is not None
         ).SerializeToString()
-        seen, wait = None, WATCH_MS
+        last_state, wait_ms = None, WATCH_MS
         while True:
             try:
-                view = self.client.watch(CONTRACTS, wait_ms=wait, query=query, unlike=seen)
+                view = self.client.watch(CONTRACTS, wait_ms=wait_ms, query=query, unlike=last_state)
             except ClusterError as exc:
                 self.counts[exc.code] += 1
-                self.loop.sleep(AGAIN_MS)
+                self.loop.sleep(RETRY_MS)
                 continue
-            seen, told = view.state, gate_pb2.ChangeTold.FromString(view.state)
-            self._open(told)
-            wait = SHORT_MS if self._tell_quiet(view.index, told) else WATCH_MS
-            self.loop.sleep(PACE_MS)
-
-    def _tell_quiet(self, index: int, told: gate_pb2.ChangeTold) -> bool:
-        """Let queries be kept away; tell whether anybody waits for that."""
-        asked = [(change.table, engine) for change in told.open for engine in change.quiet]
+            last_state, changes = view.state, gate_pb2.ChangeTold.FromString(view.state)
+            self._update_tasks(changes)
+            wait_ms = QUIESCING_WATCH_MS if self._report_quiesced(view.index, changes) else WATCH_MS
+            self.loop.sleep(MIN_WATCH_INTERVAL_MS)
+
+    def _report_quiesced(self, index: int, changes: gate_pb2.ChangeTold) -> bool:
+        """Report the engines to withhold queries from; return whether any change waits for that."""
+        quiesced = [(change.table, engine) for change in changes.open for engine in change.quiet]
         if self.on_quiesced_tables is not None:
-            kept: dict[str, set[str]] = {each.table: set(each.engines) for each in told.behind}
-            for table, engine in asked:
-                kept.setdefault(table, set()).add(engine)
+            excluded: dict[str, set[str]] = {each.table: set(each.engines) for each in changes.behind}
+            for table, engine in quiesced:
+                excluded.setdefault(table, set()).add(engine)
             self.on_quiesced_tables(
-                index, {table: frozenset(of) for table, of in kept.items()}, asked, not told.cut
+                index,
+                {table: frozenset(engines) for table, engines in excluded.items()},
+                quiesced,
+                not changes.cut,
             )
-        return bool(asked) and self.on_quiesced_tables is not None
-
-    def _open(self, told: gate_pb2.ChangeTold) -> None:
-        now = {change.table: change.number for change in told.open}
-        for table in sorted(set(self._wanted) - set(now)):
-            del self._wanted[table]
-            self.tasks.remove(TASK + table)
-        for table in sorted(now):
-            if self._wanted.get(table) != now[table]:  # also where one has ended and the next came at once
-                self.tasks.add(TASK + table, partial(self._run, table), LEASE_TERM_MS, "change of its schema")
-            self._wanted[table] = now[table]
+        return bool(quiesced) and self.on_quiesced_tables is not None
+
+    def _update_tasks(self, changes: gate_pb2.ChangeTold) -> None:
+        in_progress = {change.table: change.number for change in changes.open}
+        for table in sorted(set(self._changes) - set(in_progress)):
+            del self._changes[table]
+            self.tasks.remove(LEASE_PREFIX + table)
+        for table in sorted(in_progress):
+            if self._changes.get(table) != in_progress[table]:  # new, or the next one of the same table
+                self.tasks.add(
+                    LEASE_PREFIX + table, partial(self._run, table), LEASE_TERM_MS, "change of its schema"
+                )
+            self._changes[table] = in_progress[table]
 
     def _run(self, table: str, held: HeldLease) -> bool:
-        """Carry the table's changes out under its lease; true when none is left."""
-        done = 0
-        while self._wanted.get(table, done) != done:
-            done = self._wanted[table]
-            self._carry_out(table, done, held)
+        """Roll out the table's changes under its lease; return true once none is in progress."""
+        number = 0
+        while self._changes.get(table, number) != number:
+            number = self._changes[table]
+            self._roll_out(table, number, held)
         return True
 
-    def _carry_out(self, table: str, number: int, held: HeldLease) -> None:
-        if not list(self.engines()):  # to who knows none, all seem gone
+    def _roll_out(self, table: str, number: int, held: HeldLease) -> None:
+        if not list(self.engines()):  # otherwise all engines would count as removed
             raise SchemaChangeAbandonedError(
                 f"change {number} of {table}: no engine is known here", table=table, number=number
             )
         query = gate_pb2.ChangeQuery(number=number, whole=True).SerializeToString()
         try:
-            seen = self.client.read(CONTRACTS, query, within_ms=ASK_MS)
-        except ClusterError as exc:  # called again while the lease is held
+            read = self.client.read(CONTRACTS, query, within_ms=PROPOSE_TIMEOUT_MS)
+        except ClusterError as exc:  # the task is called again while the lease is held
             raise LeaseNotHeldError(f"{held.name}: {exc}", task=held.name) from None
-        told = gate_pb2.ChangeTold.FromString(seen.state)
-        if not told.under_way:
+        answer = gate_pb2.ChangeTold.FromString(read.state)
+        if not answer.under_way:
             return
-        change = read_change(pb.Change.FromString(told.change))
-        old = read_schema(pb.Schema.FromString(told.old)) if told.HasField("old") else None
-        over = _Carrying(self, held, change, old, seen.index).run()
-        self.said("change " + over.how, {"table": table, "number": number, "reason": over.reason})
-        self.counts[over.how] += 1
-        if over.how not in ("finished", "undone"):
+        change = read_change(pb.Change.FromString(answer.change))
+        old_schema = read_schema(pb.Schema.FromString(answer.old)) if answer.HasField("old") else None
+        result = _Rollout(self, held, change, old_schema, read.index).run()
+        self.log("schema change " + result.how, {"table": table, "number": number, "reason": result.reason})
+        self.counts[result.how] += 1
+        if result.how not in ("finished", "undone"):
             raise SchemaChangeAbandonedError(
-                f"change {number} of {table}: {over.how}: {over.reason}", table=table, number=number
+                f"change {number} of {table}: {result.how}: {result.reason}", table=table, number=number
             )
 
 
-class _Carrying:
-    """One change, under one fence."""
+class _Rollout:
+    """The rollout of one schema change during one tenure of the table's lease."""
 
     def __init__(
-        self, changes: SchemaRollouts, held: HeldLease, change: Underway, old: Schema | None, seen: int
+        self,
+        rollouts: SchemaRollouts,
+        held: HeldLease,
+        change: Underway,
+        old_schema: Schema | None,
+        read_index: int,
     ) -> None:
-        # By engine: an entry at which it was quiet, and has been since. What was so at `seen` is, as only
-        # the holder of the lease can let queries go there again.
-        self._quiet_since = dict.fromkeys(change.quiet, seen)
-        self._drains: dict[str, int] = {}  # by engine: the token of what it is to be cleared for
-        self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
+        # By engine: the index of an entry since which it has been quiesced. Engines quiesced at `read_index`
+        # still are, as only the lease holder can let queries go there again.
+        self._quiesced_since = dict.fromkeys(change.quiet, read_index)
+        self._drain_tokens: dict[str, int] = {}  # by engine: the token of the last `Quiet` action
+        self.rollouts, self.loop, self.held, self.change = rollouts, rollouts.loop, held, change
         patience = rollout.Patience(
-            answer_ms=STATEMENT_TIMEOUT_MS + STOP_TIMEOUT_MS, record_ms=ASK_MS + AGAIN_MS
+            answer_ms=STATEMENT_TIMEOUT_MS + STOP_TIMEOUT_MS, record_ms=PROPOSE_TIMEOUT_MS + RETRY_MS
         )
-        self.carrier = Carrier(change, old, held.fencing_token, patience)
-        self.hands: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
-        self._running: dict[str, Statement] = {}  # the last statement for each engine
-        # One that the last holder noted as gone may be back: then it is told of as returned.
-        self._there = {name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY}
+        self.core = Carrier(change, old_schema, held.fencing_token, patience)
+        self.work: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
+        self._statements: dict[str, Statement] = {}  # the last statement for each engine
+        # An engine that the last holder recorded as removed may be back: `Returned` is posted for it then.
+        self._present_engines = {
+            name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY
+        }
 
     def run(self) -> rollout.Over:
-        """Carry it out to its end here. Raises `LeaseNotHeldError` where too little of the lease is left."""
+        """Run the rollout to its end. Raises `LeaseNotHeldError` when too little of the lease is left."""
         try:
             while True:
-                self._look_around()
-                for action in self.carrier.step(self.loop.now(), self.hands.events()):
-                    self._carry(action)
-                if self.carrier.over is not None:
-                    return self.carrier.over
-                due = self.carrier.due
-                self.hands.wait(min(inf if due is None else due, self.loop.now() + AGAIN_MS))
+                self._update_engines()
+                for action in self.core.step(self.loop.now(), self.work.events()):
+                    self._carry_out(action)
+                if self.core.over is not None:
+                    return self.core.over
+                due_ms = self.core.due
+                self.work.wait(min(inf if due_ms is None else due_ms, self.loop.now() + RETRY_MS))
         finally:
-            self.hands.close()
+            self.work.close()
 
-    def _look_around(self) -> None:
-        """Tell the carrier which engines have left, and which are back."""
-        known = set(self.changes.engines())
+    def _update_engines(self) -> None:
+        """Post an event for each engine that was removed or has returned."""
+        known = set(self.rollouts.engines())
         for engine in sorted(self.change.engines):
-            if engine in self._there and engine not in known:
-                self._there.discard(engine)
-                self.hands.post(rollout.Left(engine))
-            elif engine not in self._there and engine in known:
-                self._there.add(engine)
-                self.hands.post(rollout.Returned(engine))
-
-    def _carry(self, action: rollout.Action) -> None:
+            if engine in self._present_engines and engine not in known:
+                self._present_engines.discard(engine)
+                self.work.post(rollout.Left(engine))
+            elif engine not in self._present_engines and engine in known:
+                self._present_engines.add(engine)
+                self.work.post(rollout.Returned(engine))
+
+    def _carry_out(self, action: rollout.Action) -> None:
         match action:
             case rollout.Tell():
-                self.hands.spawn(self._tell, action)
-            case rollout.Quiet(token, engine) if self.changes.quiescence is None:
-                self.hands.post(rollout.Drained(token, engine))  # the engine's own lock keeps them apart
+                self.work.spawn(self._submit_command, action)
+            case rollout.Quiet(token, engine) if self.rollouts.quiescence is None:
+                self.work.post(rollout.Drained(token, engine))  # the engine's table lock is relied on
             case rollout.Quiet(token, engine):
-                self._drains[engine] = token
-                self.hands.spawn(self._drain, token, engine)
+                self._drain_tokens[engine] = token
+                self.work.spawn(self._await_drain, token, engine)
             case rollout.Run():
-                self.hands.spawn(self._statement, action)
+                self.work.spawn(self._run_statement, action)
             case rollout.Stop():
-                self.hands.spawn(self._stop, action)
+                self.work.spawn(self._stop_statement, action)
             case rollout.Look():
-                self.hands.spawn(self._look, action)
+                self.work.spawn(self._describe_table, action)
 
-    def _tell(self, action: rollout.Tell) -> None:
+    def _submit_command(self, action: rollout.Tell) -> None:
         try:
             command = action.command.SerializeToString(deterministic=True)
-            result = self.changes.client.propose_with_index(CONTRACTS, command, ASK_MS)
+            result = self.rollouts.client.propose_with_index(CONTRACTS, command, PROPOSE_TIMEOUT_MS)
         except ClusterError as exc:
-            self.changes.counts[exc.code] += 1
-            self.hands.post(rollout.Recorded(action.token, None))
+            self.rollouts.counts[exc.code] += 1
+            self.work.post(rollout.Recorded(action.token, None))
         else:
             answer, mark = pb.ContractAnswer.FromString(result.body), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
-                self._quiet_since.pop(mark.engine, None)
+                self._quiesced_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
-                self._quiet_since.setdefault(mark.engine, result.index)
-            self.hands.post(rollout.Recorded(action.token, answer))
+                self._quiesced_since.setdefault(mark.engine, result.index)
+            self.work.post(rollout.Recorded(action.token, answer))
 
-    def _drain(self, token: int, engine: str) -> None:
-        """Wait until no controller has a query of the table on an engine, for as long as it is asked for."""
+    def _await_drain(self, token: int, engine: str) -> None:
+        """Wait until no controller has a query of the table on an engine; a newer `Quiet` ends the wait."""
         silent_since: float | None = None
-        wish = clear.Wish(table=True, name=self.change.table, engine=engine)
-        while self._drains.get(engine) == token:
-            wish.since = self._quiet_since.get(engine, 2**62)
-            (state,) = self.changes.quiescence.barrier_states([wish])
+        barrier = clear.Wish(table=True, name=self.change.table, engine=engine)
+        while self._drain_tokens.get(engine) == token:
+            barrier.since = self._quiesced_since.get(engine, 2**62)
+            (state,) = self.rollouts.quiescence.barrier_states([barrier])
             now = self.loop.now()
             if state != clear.Heard.SILENT:
                 silent_since = None
             elif silent_since is None:
                 silent_since = now
-            late = silent_since is not None and now - silent_since >= SILENT_MS
-            if late or state in (clear.Heard.CLEARED, clear.Heard.BLIND):
-                self.changes.counts["engines cleared" if not late else "engines not cleared"] += 1
-                self.hands.post(rollout.Drained(token, engine))
+            is_timed_out = silent_since is not None and now - silent_since >= SILENCE_TIMEOUT_MS
+            if is_timed_out or state in (clear.Heard.CLEARED, clear.Heard.BLIND):
+                self.rollouts.counts["engines cleared" if not is_timed_out else "engines not cleared"] += 1
+                self.work.post(rollout.Drained(token, engine))
                 return
-            self.loop.sleep(HEAR_MS)
-
-    def _statement(self, action: rollout.Run) -> None:
-        with self.held.operation(STATEMENT_TIMEOUT_MS) as act:
-            statement = self._running[action.engine] = self.changes.statements.to(action.engine)
-            how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_TIMEOUT_MS)
-            act.is_outcome_unknown = how == LOST
-        if how != OK:
-            self.changes.said(
-                "statement " + how,
-                {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]},
+            self.loop.sleep(BARRIER_CHECK_MS)
+
+    def _run_statement(self, action: rollout.Run) -> None:
+        with self.held.operation(STATEMENT_TIMEOUT_MS) as operation:
+            statement = self._statements[action.engine] = self.rollouts.statements.create(action.engine)
+            status, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_TIMEOUT_MS)
+            operation.is_outcome_unknown = status == LOST
+        if status != OK:
+            self.rollouts.log(
+                "statement " + status,
+                {"engine": action.engine, "table": self.change.table, "text": statement.error_text[:300]},
             )
-        self.hands.post(rollout.Ran(action.token, action.engine, how))
+        self.work.post(rollout.Ran(action.token, action.engine, status))
 
-    def _stop(self, action: rollout.Stop) -> None:
-        statement = self._running[action.engine]
+    def _stop_statement(self, action: rollout.Stop) -> None:
+        statement = self._statements[action.engine]
         while not statement.stop(STOP_TIMEOUT_MS):
-            self.loop.sleep(AGAIN_MS)  # until the carrier's own time is up
-        self.hands.post(rollout.Stopped(action.token, action.engine))
+            self.loop.sleep(RETRY_MS)  # until the core's own deadline
+        self.work.post(rollout.Stopped(action.token, action.engine))
 
-    def _look(self, action: rollout.Look) -> None:
-        parts = ".".join(quoted(part) for part in self.change.table.split("."))
+    def _describe_table(self, action: rollout.Look) -> None:
+        table_name = ".".join(quoted(part) for part in self.change.table.split("."))
         with self.held.operation(STATEMENT_TIMEOUT_MS):
-            statement = self.changes.statements.to(action.engine)
-            how, rows = statement.run(
-                f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_TIMEOUT_MS, rows=True
+            statement = self.rollouts.statements.create(action.engine)
+            status, rows = statement.run(
+                f"DESCRIBE {table_name}", dict(action.overlay), STATEMENT_TIMEOUT_MS, fetch_rows=True
             )
-        if how == OK:
+        if status == OK:
             try:
-                self.hands.post(rollout.Looked(action.token, action.engine, shape(rows)))
+                self.work.post(rollout.Looked(action.token, action.engine, parse_description(rows)))
                 return
             except (SchemaTextError, SchemaError) as exc:
-                statement.text = f"a description that can't be read: {exc}"
-        elif statement.state == NO_TABLE:
-            self.hands.post(rollout.Looked(action.token, action.engine, None))
+                statement.error_text = f"unreadable description: {exc}"
+        elif statement.sql_state == NO_TABLE:
+            self.work.post(rollout.Looked(action.token, action.engine, None))
             return
-        self.changes.said(
-            "look " + how, {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]}
+        self.rollouts.log(
+            "describe " + status,
+            {"engine": action.engine, "table": self.change.table, "text": statement.error_text[:300]},
         )
-        self.hands.post(rollout.LookFailed(action.token, action.engine, how == FENCED))
+        self.work.post(rollout.LookFailed(action.token, action.engine, status == FENCED))
