--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -1,8 +1,8 @@
-"""The server of a Raft member: accepts the connections of other members and of clients.
+"""The server of a Raft member: accepts connections from other members and from clients.
 
-A connection's first frame says who it is: with an incarnation a member, whose Raft messages follow, without
-one a client, whose requests follow and are answered on the same connection. Whoever sends anything else is
-disconnected and counted. What is received goes to a `RequestHandler` (the Raft host).
+The first frame of a connection, the hello, identifies the sender. With an incarnation it is a member, and its
+Raft messages follow; without one it is a client, whose requests are answered on the same connection. A sender
+of anything else is disconnected and counted. Messages and requests go to a `RequestHandler` (the Raft host).
 """
 
 from collections import Counter
@@ -20,17 +20,19 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
 
-HELLO_TIMEOUT_MS = 2000.0  # ms in which a new connection has to say who it is
-MAX_UNIDENTIFIED = 128  # connections without a hello; one more is closed at once
+HELLO_TIMEOUT_MS = 2000.0  # ms for a new connection to send its hello
+MAX_UNIDENTIFIED = 128  # connections that have sent no hello yet; one more is closed at once
 MAX_CLIENTS = 1024  # connections of clients: five for each of two hundred controllers
-MAX_MEMBERS = 16  # connections of members: seven, and their incarnations that are not known to be over
-IDLE_TIMEOUT_MS = 120_000.0  # ms without a request, twice the longest wait of one; a client connects anew
-MAX_PENDING_REQUESTS = 128  # requests of one connection that wait; twice what one client may have under way
-OVERLOAD_RETRY_AFTER_MS = 100  # ms; told to a client that has too many requests pending
+MAX_MEMBERS = (
+    16  # connections of members: seven members, and earlier incarnations not yet known to have ended
+)
+IDLE_TIMEOUT_MS = 120_000.0  # ms without a request, twice the longest wait of one; clients reconnect
+MAX_PENDING_REQUESTS = 128  # per connection; twice what one client may have in progress
+OVERLOAD_RETRY_AFTER_MS = 100  # ms; sent to a client that has too many pending requests
 
 
 class RequestHandler(Protocol):
-    """Takes what the server receives."""
+    """Handles what the server receives."""
 
     def hello(self) -> pb.Hello:
         """Return the first message on each of this member's connections."""
@@ -39,14 +41,14 @@
         """Note that a member has connected to this one."""
 
     def message_received(self, sender: Incarnation, message: council_pb2.Message) -> None:
-        """Take a Raft message of a member."""
+        """Handle a member's Raft message."""
 
     def request_received(self, client: "ClientConnection", request: pb.Ask) -> None:
-        """Take a request, to be answered by `ClientConnection.answer` once."""
+        """Handle a request, which is answered by exactly one call of `ClientConnection.answer`."""
 
 
 class ClientConnection:
-    """One client's connection."""
+    """The server's side of one client's connection."""
 
     def __init__(self, loop: Loop, name: str) -> None:
         self.name = name
@@ -56,14 +58,14 @@
         self.outbox = Outbox(loop)
 
     def answer(self, answer: pb.Told) -> None:
-        """Answer a request; a client that doesn't read its answers is disconnected."""
+        """Queue an answer; a client that does not read its answers is disconnected."""
         self.pending_requests -= 1
         if not self.is_closed and not self.outbox.put(encode_frame(pb.Frame(told=answer))):
             self.is_closed = True
 
 
 class ClusterServer:
-    """Accepts connections, and reads what comes on them."""
+    """Accepts connections and reads messages and requests from them."""
 
     def __init__(
         self,
@@ -73,10 +75,10 @@
         handler: RequestHandler,
         on_error: Callable[[ClusterError], None],
     ) -> None:
-        """Make it; `on_error` is called with each reason why a connection was rejected."""
-        self.counts: Counter[str] = Counter()  # connections by what became of them
+        """Create the server; `on_error` is called with the error of each rejected connection."""
+        self.counts: Counter[str] = Counter()  # connections by outcome
         self.unidentified = 0
-        self.members: dict[Incarnation, Stream] = {}  # the newest connection of each
+        self.members: dict[Incarnation, Stream] = {}  # the newest connection of each member
         self.clients: set[ClientConnection] = set()
         self._loop = loop
         self._listener = listener
@@ -87,11 +89,11 @@
         self._tasks: set[Task] = set()
 
     def start(self) -> None:
-        """Accept from now on."""
+        """Start accepting connections."""
         self._accept_task = self._loop.spawn(self._accept, name="keeper: accept")
 
     def close(self) -> None:
-        """Accept nothing more, and close all connections."""
+        """Stop accepting and close all connections."""
         self._listener.close()
         for task in [self._accept_task, *self._tasks]:
             if task is not None:
@@ -133,7 +135,7 @@
             self._tasks.discard(self._loop.current)
 
     def _exchange_hellos(self, stream: Stream, reader: FrameReader) -> pb.Hello | None:
-        """Read the other's hello and send ours; None: the connection is not served."""
+        """Read the peer's hello and send ours; return None if the connection is not to be served."""
         with self._loop.deadline(HELLO_TIMEOUT_MS):
             hello = reader.hello()
             if hello is None:
@@ -165,10 +167,10 @@
 
     def _serve_member(self, stream: Stream, reader: FrameReader, hello: pb.Hello) -> None:
         sender = Incarnation(hello.name, hello.life)
-        before = self.members.get(sender)
+        previous = self.members.get(sender)
         self.members[sender] = stream
-        if before is not None:
-            before.abort()
+        if previous is not None:
+            previous.abort()
         self._handler.member_connected(sender)
         heartbeat = self._loop.spawn(self._send_heartbeats, stream, name="keeper: pulse")
         try:
@@ -198,7 +200,9 @@
         try:
             while not client.is_closed and (frame := reader.frame()) is not None:
                 if frame.WhichOneof("what") != "ask":
-                    raise InvalidFrameError(f"{hello.name} sends what a client may not", peer=hello.name)
+                    raise InvalidFrameError(
+                        f"{hello.name} sent a frame that is not a request", peer=hello.name
+                    )
                 client.pending_requests += 1
                 client.last_request_ms = self._loop.now()
                 if client.pending_requests > MAX_PENDING_REQUESTS:
@@ -217,7 +221,7 @@
         client.answer(pb.Told(token=request.token, result=result.SerializeToString()))
 
     def _close_when_idle(self, stream: Stream, client: ClientConnection) -> None:
-        """Disconnect a client without requests: its machine may be lost, and its place is another's."""
+        """Disconnect a client without requests: its machine may be lost, and others need the slot."""
         while client.pending_requests or self._loop.now() - client.last_request_ms < IDLE_TIMEOUT_MS:
             self._loop.sleep(IDLE_TIMEOUT_MS)
         self.counts["idle"] += 1
@@ -233,8 +237,8 @@
 
 def _raft_message(frame: pb.Frame, sender: str) -> council_pb2.Message:
     if frame.WhichOneof("what") != "council":
-        raise InvalidFrameError(f"{sender} sends what a member may not", peer=sender)
+        raise InvalidFrameError(f"{sender} sent a frame that is not a Raft message", peer=sender)
     try:
         return council_pb2.Message.FromString(frame.council)
     except DecodeError:
-        raise InvalidFrameError(f"{sender} sent what is no message", peer=sender) from None
+        raise InvalidFrameError(f"{sender} sent a malformed Raft message", peer=sender) from None
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -1,8 +1,9 @@
-"""Carries moves of shards out on this controller while it holds the lease `moves`.
+"""Runs shard migrations on this controller while it holds the lease `moves`.
 
-The carrier (`shards.carrier`) decides; this makes its statements, asks its commands of the record, and tells
-it what engines are there, which disk each has by its mark, and what they list. Sending a statement is an act
-under the lease's guard; what runs at an engine then is ended by its time-out, or when its session is closed.
+The core (`shards.migration`) decides; this module runs its statements, proposes its commands, and reports the
+known engines, the identity of each one's disk (its mark) and the shards that each one lists. Sending a
+statement is an operation under the lease's fencing guard; the statement itself is ended on the engine by its
+timeout, or when its session is closed.
 """
 
 from collections import Counter
@@ -33,46 +34,48 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
-LEASE_TERM_MS = 30_000  # ms of the lease; the sending of a statement is an act of its own and has to fit in
-ASK_MS = 4_000.0  # ms for one command or look at the record
-WATCH_MS = 20_000.0  # ms of one watch for changes of the record
-ENGINE_CHECK_INTERVAL_MS = 2_000.0  # ms between looks at which engines are there
-LIST_MS = 600_000.0  # ms from one list of what an engine holds to the next, where nothing calls for one
-LIST_RETRY_MS = 5_000.0  # and after one that failed, or differs from the record
-SHORT_STATEMENT_TIMEOUT_MS = (
-    5_000.0  # ms for a mark or one table's list, and for a statement to be taken by its engine
+LEASE_TERM_MS = 30_000  # ms of the lease; sending a statement is one operation, which must fit into it
+REQUEST_TIMEOUT_MS = 4_000.0  # ms for one command or read of the replicated state
+WATCH_MS = 20_000.0  # ms of one watch for changes of the replicated state
+ENGINE_CHECK_INTERVAL_MS = (
+    2_000.0  # ms between checks of the engine list, and until a failed request is repeated
 )
-HEAR_MS = 500.0  # ms between two questions which copies that leave are cleared
-POLL_MS = 100.0  # ms between looks at engines that answer a status at once
-LISTS_AT_ONCE = 16  # engines that are listed side by side; 200 engines of 1,000 tables take a minute then
-STARTS_AT_ONCE = 32  # statements that are being sent; with the lists, far within the guard's bound on acts
-MARK_BYTES = 16  # no two disks get the same
-BEHIND_MS = 2.0  # ms between looks at whether the record here has come up to what was read
-BEHIND_MOST_MS = 3000.0  # ms until all is asked for in its place; some 100 are usual
-BEYOND = pb.ShardQuery(skip=2**62).SerializeToString()  # asks for the revision alone
-NO_TABLE = "42S02"  # SQLSTATE of a look at a table that is not there
+LIST_INTERVAL_MS = 600_000.0  # ms between two listings of an engine's shards, unless an event requires one
+LIST_RETRY_MS = (
+    5_000.0  # ms until the next one after a listing that failed or differs from the replicated state
+)
+SHORT_STATEMENT_TIMEOUT_MS = 5_000.0  # ms for a mark, one table's listing, or sending a statement
+BARRIER_CHECK_MS = 500.0  # ms between two barrier requests for draining replicas
+STATUS_POLL_MS = 100.0  # ms between status requests to engines that answer them at once
+MAX_CONCURRENT_LISTINGS = 16  # engines; listing 200 engines of 1,000 tables takes a minute
+MAX_CONCURRENT_SENDS = 32  # statements; with the listings, far below the guard's limit on operations
+MARK_BYTES = 16  # random, so that marks are unique
+CATCH_UP_POLL_MS = 2.0  # ms between checks whether the local state has caught up with a read
+MAX_CATCH_UP_MS = 3000.0  # ms until the state is read over the Raft client instead; about 100 are usual
+REVISION_QUERY = pb.ShardQuery(skip=2**62).SerializeToString()  # answered without any state
+NO_TABLE = "42S02"  # SQLSTATE of a query of a missing table
 
 
-class _Long(Statement):
-    """A statement that may run for long: sent in one act, waited for without one."""
+class _AsyncStatement(Statement):
+    """A statement that may run for long: sent in one leased operation, waited for outside of any."""
 
     def send(self, statement: str, overlay: dict[str, str], within_ms: float) -> str:
-        """Let it begin; tell how that ended."""
-        return self._do(partial(self._begin, statement, overlay), within_ms)[0]
+        """Start the statement on the engine; return `OK`, `FAILED` or `LOST`."""
+        return self._call(partial(self._start, statement, overlay), within_ms)[0]
 
     def wait(self, within_ms: float) -> tuple[str, list[tuple[str, ...]]]:
-        """Wait for its end; return how it ended, and its rows of texts."""
-        how, rows = self._do(self._finish, within_ms)
-        if how != LOST:
-            self._leave()
-        return how, rows
-
-    def _begin(self, statement: str, overlay: dict[str, str]) -> None:
-        self.link = self._open()
-        self.handle = self.link.call(
+        """Wait for its end; return `OK`, `FAILED` or `LOST`, and its rows of texts."""
+        status, rows = self._call(self._poll, within_ms)
+        if status != LOST:
+            self._close_session()
+        return status, rows
+
+    def _start(self, statement: str, overlay: dict[str, str]) -> None:
+        self.connection = self._open()
+        self.handle = self.connection.call(
             "ExecuteStatement",
             hs2.TExecuteStatementReq(
-                sessionHandle=self.link.session,
+                sessionHandle=self.connection.session,
                 statement=statement,
                 confOverlay=overlay,
                 runAsync=True,
@@ -80,31 +83,31 @@
             ),
         ).operationHandle
 
-    def _finish(self) -> list[tuple[str, ...]]:
+    def _poll(self) -> list[tuple[str, ...]]:
         while True:
             request = hs2.TGetOperationStatusReq(operationHandle=self.handle)
-            reply = self.link.call("GetOperationStatus", request)
+            reply = self.connection.call("GetOperationStatus", request)
             if reply.operationState == hs2.FINISHED:
-                return self._rows(self.handle) if reply.hasResultSet else []
+                return self._fetch_rows(self.handle) if reply.hasResultSet else []
             if reply.operationState not in (hs2.INITIALIZED, hs2.RUNNING, hs2.PENDING):
                 raise RemoteError(f"state {reply.operationState}: {reply.errorMessage}")
-            self.loop.sleep(POLL_MS)
+            self.loop.sleep(STATUS_POLL_MS)
 
-    def _do(self, call: Callable[[], object], within_ms: float) -> tuple[str, list[tuple[str, ...]]]:
+    def _call(self, call: Callable[[], object], within_ms: float) -> tuple[str, list[tuple[str, ...]]]:
         try:
             with self.loop.deadline(within_ms):
                 return OK, call() or []
         except RemoteError as exc:
-            self.text = str(exc)
+            self.error_text = str(exc)
             return FAILED, []
         except (OSError, DeadlineExceeded, Malformed) as exc:
-            self.text = f"{type(exc).__name__}: {exc}"
-            self._drop()
-            return (LOST if self.link is not None else FAILED), []
+            self.error_text = f"{type(exc).__name__}: {exc}"
+            self._drop_connection()
+            return (LOST if self.connection is not None else FAILED), []
 
 
 class ShardMigrations:
-    """This controller's part in the moves of shards."""
+    """Runs shard migrations whenever this controller holds their lease."""
 
     def __init__(
         self,
@@ -114,355 +117,403 @@
         statements: EngineStatements,
         homes: Callable[[], Iterable[Home]],
         staging: str,
-        said: Callable[[str, dict], None],
+        log: Callable[[str, dict], None],
         bounds: Bounds | None = None,
         timing: api.Timing | None = None,
         planner: Callable[[World, Bounds], Planned] = plan,
         shards: Iterable[pb.Shard] = (),
-        record: ReplicatedState | None = None,
+        replicated_state: ReplicatedState | None = None,
     ) -> None:
-        """Make it. `homes` tells the engines that are there now; `shards` are those that settings state.
+        """Create it. `homes` returns the engines known now; `shards` are the shards of the settings.
 
-        With the record at hand, as a member has it, its state is read in place; else all of it is asked for
-        after each command, which is for small ones: 20,000 shards take some 300 ms to be read.
+        With `replicated_state`, which a Raft member has, the state is read locally. Without it, all of the
+        state is read over the Raft client after each command, which suits small states only: reading 20,000
+        shards takes about 300 ms.
         """
         self.loop, self.client, self.tasks, self.statements = loop, client, tasks, statements
-        self.homes, self.staging, self.said = homes, staging, said
-        self.bounds, self.timing, self.planner, self.record = bounds, timing, planner, record
+        self.homes, self.staging, self.log = homes, staging, log
+        self.bounds, self.timing, self.planner, self.replicated_state = (
+            bounds,
+            timing,
+            planner,
+            replicated_state,
+        )
         self.shards = tuple(shards)
         self.engine_start_times: Callable[[], dict[str, float]] = (
-            dict  # when engines were started, as lists tell it
+            dict  # by engine, in ms, as endpoint lists report it
+        )
+        self.quiescence: QuiescenceClient | None = (
+            None  # None: replicas are dropped after a fixed wait, without acknowledgements
         )
-        self.quiescence: QuiescenceClient | None = None  # None: replicas go after their rest
         self.counts: Counter[str] = Counter()
-        self.planning = False  # a plan is being made, for this or an earlier time that the lease was held
+        self.is_planning = False  # a plan is being made, for this or an earlier tenure of the lease
 
     def start(self) -> None:
-        """Want the lease from now on."""
+        """Start requesting the lease."""
         self.tasks.add(LEASE, self._run, LEASE_TERM_MS, "moves of shards")
 
     def close(self) -> None:
-        """Want it no more."""
+        """Release the lease and stop requesting it."""
         self.tasks.remove(LEASE)
 
     def _run(self, held: HeldLease) -> bool:
-        """Carry moves out until the lease goes; never over for the fleet."""
-        _Carrying(self, held).run()
+        """Run migrations until the lease is lost; return false, as the task never ends for good."""
+        _LeaseTenure(self, held).run()
         return False
 
 
-class _Carrying:
-    """One time that the lease is held."""
+class _LeaseTenure:
+    """The migrations' work during one tenure of the lease."""
 
-    def __init__(self, moves: ShardMigrations, held: HeldLease) -> None:
-        self.moves, self.loop, self.held, self.client = moves, moves.loop, held, moves.client
-        self.carrier = api.Carrier(held.fencing_token, 0, moves.staging, moves.bounds, moves.timing)
+    def __init__(self, migrations: ShardMigrations, held: HeldLease) -> None:
+        self.migrations, self.loop, self.held, self.client = (
+            migrations,
+            migrations.loop,
+            held,
+            migrations.client,
+        )
+        self.core = api.Carrier(
+            held.fencing_token, 0, migrations.staging, migrations.bounds, migrations.timing
+        )
         self.machine: ShardMachine | None = None
-        self.index = 0  # up to which the record is seen
-        self.stood_at = -1  # where the record here stands while others go on; -1: it does not
-        self.lives: dict[str, str] = {}  # of engines, as they were told last
-        self.marks: dict[str, str] = {}  # of engines that are there, once they are known
-        self.list_at: dict[str, float] = {}  # by engine: when its next list is due
-        self.listing: set[str] = set()  # engines that are being listed
-        self.starts = Channel(self.loop, STARTS_AT_ONCE)  # holds one for each statement that is being sent
-        self.launched: dict[str, float] = {}  # as it was told last
-        self.shards: frozenset[str] = frozenset()  # that lists were made of
-        self.hands: RunningWork[api.Event] = RunningWork(self.loop, held.name)
+        self.index = 0  # of the last entry included in `machine`
+        self.stalled_at_index = -1  # index at which the local state stopped catching up; -1: it has not
+        self.engine_states: dict[str, str] = {}  # `Home.life` by engine, as last reported
+        self.marks: dict[str, str] = {}  # by known engine, once its mark has been read
+        self.next_listing_ms: dict[str, float] = {}  # by engine: when its next listing is due
+        self.engines_in_listing: set[str] = set()
+        self.send_slots = Channel(self.loop, MAX_CONCURRENT_SENDS)  # one element per statement being sent
+        self.engine_start_times: dict[str, float] = {}  # as last reported
+        self.listed_shards: frozenset[str] = frozenset()  # the shards declared at the last check
+        self.work: RunningWork[api.Event] = RunningWork(self.loop, held.name)
         self._statements: dict[int, Task] = {}
 
     def run(self) -> None:
-        """Carry moves out. Raises `LeaseNotHeldError` where too little of the lease is left."""
+        """Run migrations. Raises `LeaseNotHeldError` when the lease is lost or too little of it is left."""
         try:
-            self._look()
-            self._declare()
-            for part in (self._watch, self._news, self._hear, *[self._list] * LISTS_AT_ONCE):
-                self.hands.spawn(part)
+            self._read_state()
+            self._declare_shards()
+            for function in (
+                self._watch,
+                self._observe_engines,
+                self._check_quiescence,
+                *[self._list_engines] * MAX_CONCURRENT_LISTINGS,
+            ):
+                self.work.spawn(function)
             while not self.held.stop_requested.ready:
-                wake = self.loop.now() + ENGINE_CHECK_INTERVAL_MS
-                for action in self.carrier.step(self.loop.now(), self.hands.events()):
+                wake_ms = self.loop.now() + ENGINE_CHECK_INTERVAL_MS
+                for action in self.core.step(self.loop.now(), self.work.events()):
                     match action:
                         case api.Propose():
-                            self.hands.spawn(self._propose, action)
+                            self.work.spawn(self._propose, action)
                         case api.Run():
-                            self._statements[action.token] = self.hands.spawn(self._statement, action)
+                            self._statements[action.token] = self.work.spawn(self._run_statement, action)
                         case api.Plan():
-                            self.hands.spawn(self._plan, action)
+                            self.work.spawn(self._plan, action)
                         case api.Stop(token) if token in self._statements:
                             self._statements[token].cancel()
-                        case api.Wake(at):
-                            wake = min(wake, at)
+                        case api.Wake(at_ms):
+                            wake_ms = min(wake_ms, at_ms)
                         case api.Over():
                             raise LeaseNotHeldError(
-                                f"{self.held.name}: another holds it", task=self.held.name
+                                f"{self.held.name}: another controller holds the lease", task=self.held.name
                             )
-                self.hands.wait(wake)
+                self.work.wait(wake_ms)
         finally:
-            self.hands.close()
+            self.work.close()
 
-    # The record.
+    # The replicated state.
 
-    def _declare(self) -> None:
-        """Tell the record of shards that the settings state and it does not know so."""
+    def _declare_shards(self) -> None:
+        """Declare shards of the settings that are missing from the replicated state or differ there."""
         known, new = self.machine.shards, []
-        for told in self.moves.shards:
-            shard = known.get(told.name)
+        for configured in self.migrations.shards:
+            shard = known.get(configured.name)
             if shard is None or (shard.size, shard.copies, shard.zones, shard.kinds) != (
-                told.size,
-                told.copies,
-                told.zones,
-                tuple(told.kinds),
+                configured.size,
+                configured.copies,
+                configured.zones,
+                tuple(configured.kinds),
             ):
-                new.append(told)
+                new.append(configured)
         for start in range(0, len(new), PLAN_MOST):
             command = pb.Command(declare=pb.Declare(shards=new[start : start + PLAN_MOST]))
             try:
-                raw = self.client.propose(SHARDS, command.SerializeToString(deterministic=True), ASK_MS)
-            except ClusterError as exc:  # whoever holds the lease next tells it
-                self.moves.counts[exc.code] += 1
+                body = self.client.propose(
+                    SHARDS, command.SerializeToString(deterministic=True), REQUEST_TIMEOUT_MS
+                )
+            except ClusterError as exc:  # the next lease holder declares them
+                self.migrations.counts[exc.code] += 1
                 return
-            refused = [pb.Answer.Refusal.Name(r) for r in pb.Answer.FromString(raw).refusals if r]
-            if refused:
-                self.moves.said("shards refused", {"refusals": refused[:20], "count": len(refused)})
-
-    def _look(self) -> int:
-        """See the record as it is now; return the index."""
-        if self.moves.record is None:
-            return self._ask_for_all()
-        record, index = self.moves.record, 0
+            refusals = [pb.Answer.Refusal.Name(r) for r in pb.Answer.FromString(body).refusals if r]
+            if refusals:
+                self.migrations.log("shards rejected", {"refusals": refusals[:20], "count": len(refusals)})
+
+    def _read_state(self) -> int:
+        """Post the current state to the core; return its index."""
+        if self.migrations.replicated_state is None:
+            return self._read_remote_state()
+        state, index = self.migrations.replicated_state, 0
         while not index:
             try:
-                index = self.client.read(SHARDS, BEYOND, within_ms=ASK_MS).index
-            except ClusterError as exc:  # the lease ends meanwhile, if it lasts
-                self.moves.counts[exc.code] += 1
+                index = self.client.read(SHARDS, REVISION_QUERY, within_ms=REQUEST_TIMEOUT_MS).index
+            except ClusterError as exc:  # if this persists, the lease expires
+                self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
-        until = self.loop.now() + BEHIND_MOST_MS
-        while record.index < index:  # its folder may not open, its disk stand, its member be closed
-            if self.loop.now() >= until or record.index == self.stood_at:
-                self.stood_at = record.index
-                self.moves.counts["record here stands"] += 1
-                return self._ask_for_all()
-            self.loop.sleep(BEHIND_MS)
-        self.stood_at = -1
-        self.machine, self.index = record.machines[SHARDS], record.index
+        until_ms = self.loop.now() + MAX_CATCH_UP_MS
+        while state.index < index:  # the folder may not open, the disk may hang, the member may be closed
+            if self.loop.now() >= until_ms or state.index == self.stalled_at_index:
+                self.stalled_at_index = state.index
+                self.migrations.counts["record here stands"] += 1
+                return self._read_remote_state()
+            self.loop.sleep(CATCH_UP_POLL_MS)
+        self.stalled_at_index = -1
+        self.machine, self.index = state.machines[SHARDS], state.index
         tables = {shard.table for shard in self.machine.shards.values()}
-        frozen = frozenset(table for table in tables if record.fact("changing", table))
-        self.hands.post(api.Seen(self.index, self.machine, frozen))
+        frozen = frozenset(table for table in tables if state.fact("changing", table))
+        self.work.post(api.Seen(self.index, self.machine, frozen))
         return index
 
-    def _ask_for_all(self) -> int:
-        """Ask for the state, all pieces of one revision; return the index."""
+    def _read_remote_state(self) -> int:
+        """Read the state over the Raft client, in pieces of one revision; return its index."""
         data, revision = b"", None
         while True:
             try:
                 query = pb.ShardQuery(skip=len(data)).SerializeToString()
-                seen = self.client.read(SHARDS, query, within_ms=ASK_MS)
-                told = pb.ShardSeen.FromString(seen.state)
-                if revision is not None and told.revision != revision:
+                read = self.client.read(SHARDS, query, within_ms=REQUEST_TIMEOUT_MS)
+                chunk = pb.ShardSeen.FromString(read.state)
+                if revision is not None and chunk.revision != revision:
                     data, revision = b"", None  # it changed between two pieces
                     continue
-                data, revision = data + told.piece, told.revision
-                if len(data) >= told.size:
+                data, revision = data + chunk.piece, chunk.revision
+                if len(data) >= chunk.size:
                     break
-            except ClusterError as exc:  # the lease ends meanwhile, if it lasts
-                self.moves.counts[exc.code] += 1
+            except ClusterError as exc:  # if this persists, the lease expires
+                self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
-        if seen.index >= self.index:  # else a later look has come ahead of this one
+        if read.index >= self.index:  # otherwise a concurrent later read was posted already
             if self.machine is None or self.machine.state_at != revision:
                 self.machine = ShardMachine()
                 self.machine.restore(data)
-            self.index = seen.index
-            frozen = self._frozen()
-            self.hands.post(api.Seen(self.index, self.machine, frozen))
-        return seen.index
+            self.index = read.index
+            frozen = self._frozen_tables()
+            self.work.post(api.Seen(self.index, self.machine, frozen))
+        return read.index
 
-    def _frozen(self) -> frozenset[str]:
-        """Return the tables under change, by their names here; what can't be heard is left to the record."""
+    def _frozen_tables(self) -> frozenset[str]:
+        """Return the tables with a schema change in progress, by their names in shards.
+
+        If the read fails, the last ones known are returned: the state machine rejects what they lack.
+        """
         try:
-            told = gate_pb2.ChangeTold.FromString(
+            changes = gate_pb2.ChangeTold.FromString(
                 self.client.read(
-                    CONTRACTS, gate_pb2.ChangeQuery(open=True).SerializeToString(), within_ms=ASK_MS
+                    CONTRACTS,
+                    gate_pb2.ChangeQuery(open=True).SerializeToString(),
+                    within_ms=REQUEST_TIMEOUT_MS,
                 ).state
             )
         except ClusterError as exc:
-            self.moves.counts[exc.code] += 1
-            return self.carrier.frozen
-        changing = {change.table for change in told.open}
+            self.migrations.counts[exc.code] += 1
+            return self.core.frozen
+        changing = {change.table for change in changes.open}
         return frozenset(s.table for s in self.machine.shards.values() if s.table.lower() in changing)
 
     def _watch(self) -> None:
         after = 0
         while True:
             try:
-                after = self.client.watch(SHARDS, after, wait_ms=WATCH_MS, query=BEYOND).revision
+                after = self.client.watch(SHARDS, after, wait_ms=WATCH_MS, query=REVISION_QUERY).revision
             except ClusterError as exc:
-                self.moves.counts[exc.code] += 1
+                self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
                 continue
-            self._look()
+            self._read_state()
 
     def _propose(self, action: api.Propose) -> None:
         try:
-            raw = self.client.propose(SHARDS, action.command, ASK_MS)
+            body = self.client.propose(SHARDS, action.command, REQUEST_TIMEOUT_MS)
         except ClusterError as exc:
-            self.moves.counts[exc.code] += 1
-            self.hands.post(api.Proposed(action.token, None))
+            self.migrations.counts[exc.code] += 1
+            self.work.post(api.Proposed(action.token, None))
             return
-        index = self._look()  # of this command, or later
-        self.hands.post(api.Proposed(action.token, pb.Answer.FromString(raw), index))
+        index = self._read_state()  # includes the command
+        self.work.post(api.Proposed(action.token, pb.Answer.FromString(body), index))
 
     def _plan(self, action: api.Plan) -> None:
-        """Have a plan made beside the loop, one at a time; the carrier asks anew for one left out."""
-        if not self.moves.planning:
-            self.moves.planning = True
-            self.loop.spawn(self._make, action, name="plan of moves")  # it ends, lease or not
+        """Make a plan outside the loop, one at a time; the core repeats a request that was ignored."""
+        if not self.migrations.is_planning:
+            self.migrations.is_planning = True
+            self.loop.spawn(self._make_plan, action, name="plan of moves")  # not cancelled with the lease
 
-    def _make(self, action: api.Plan) -> None:
+    def _make_plan(self, action: api.Plan) -> None:
         try:
-            planned = self.loop.aside(self.moves.planner, action.world, action.bounds)
+            planned = self.loop.aside(self.migrations.planner, action.world, action.bounds)
         finally:
-            self.moves.planning = False
-        self.hands.post(api.Made(action.token, planned))
+            self.migrations.is_planning = False
+        self.work.post(api.Made(action.token, planned))
 
-    def _hear(self) -> None:
-        """Ask which copies that leave have been cleared by all."""
-        while self.moves.quiescence is not None:
-            self.loop.sleep(HEAR_MS)
+    def _check_quiescence(self) -> None:
+        """Check by barrier requests which draining replicas all controllers have acknowledged."""
+        while self.migrations.quiescence is not None:
+            self.loop.sleep(BARRIER_CHECK_MS)
             machine = self.machine
             waiting = machine.waiting()[:MAX_BARRIER_REQUESTS]
-            moves = [machine.move_of(shard).number for shard, _ in waiting]
-            wishes = [
+            numbers = [machine.move_of(shard).number for shard, _ in waiting]
+            barriers = [
                 clear.Wish(name=shard, engine=engine, since=machine.touched(shard))
                 for shard, engine in waiting
             ]
-            for wish, move, state in zip(
-                wishes, moves, self.moves.quiescence.barrier_states(wishes) if wishes else (), strict=True
+            for barrier, number, state in zip(
+                barriers,
+                numbers,
+                self.migrations.quiescence.barrier_states(barriers) if barriers else (),
+                strict=True,
             ):
                 if state == clear.Heard.CLEARED:
-                    self.hands.post(api.Quiet(wish.name, wish.engine, move))
+                    self.work.post(api.Quiet(barrier.name, barrier.engine, number))
 
     # Engines.
 
-    def _statement(self, action: api.Run) -> None:
-        made = self.moves.statements
-        statement, rows = _Long(made.loop, made.links, made.tls, action.engine), []
+    def _run_statement(self, action: api.Run) -> None:
+        factory = self.migrations.statements
+        statement, rows = (
+            _AsyncStatement(factory.loop, factory.link_settings, factory.tls, action.engine),
+            [],
+        )
         try:
-            how = self._send(statement, action)
-            if how == OK:
-                how, rows = statement.wait(action.timeout_ms)
-        except Cancelled:  # it took too long, or the lease has gone
+            status = self._send(statement, action)
+            if status == OK:
+                status, rows = statement.wait(action.timeout_ms)
+        except Cancelled:  # it took too long, or the lease was lost
             self.loop.spawn(statement.stop, SHORT_STATEMENT_TIMEOUT_MS, name=f"stop at {action.engine}")
             raise
         finally:
             self._statements.pop(action.token, None)
-        if how != OK:
-            self.moves.said(
-                "move's statement " + how,
-                {"engine": action.engine, "statement": action.statement[:300], "text": statement.text[:300]},
+        if status != OK:
+            self.migrations.log(
+                "migration statement " + status,
+                {
+                    "engine": action.engine,
+                    "statement": action.statement[:300],
+                    "text": statement.error_text[:300],
+                },
             )
-        outcome, figures = {OK: "ok", LOST: "unknown"}.get(how, "failed"), (0, 0)
-        if rows:  # of a check
+        outcome, totals = {OK: "ok", LOST: "unknown"}.get(status, "failed"), (0, 0)
+        if rows:  # of a check: count and checksum
             try:
-                figures = int(rows[0][0]), int(rows[0][1])
+                totals = int(rows[0][0]), int(rows[0][1])
             except (IndexError, ValueError):
                 outcome = "failed"
-        self.hands.post(api.Ended(action.token, outcome, *figures))
+        self.work.post(api.Ended(action.token, outcome, *totals))
 
-    def _send(self, statement: _Long, action: api.Run) -> str:
-        """Send a statement once there is a place; one without an answer keeps it as long as its act."""
-        self.starts.put(None)
-        after = 0.0
+    def _send(self, statement: _AsyncStatement, action: api.Run) -> str:
+        """Send a statement once a slot is free; if unanswered, it occupies the slot until its timeout."""
+        self.send_slots.put(None)
+        release_after_ms = 0.0
         try:
-            with self.held.operation(SHORT_STATEMENT_TIMEOUT_MS) as act:
-                how = statement.send(action.statement, action.overlay, SHORT_STATEMENT_TIMEOUT_MS)
-                act.is_outcome_unknown = how == LOST
-                after = SHORT_STATEMENT_TIMEOUT_MS if act.is_outcome_unknown else 0.0
+            with self.held.operation(SHORT_STATEMENT_TIMEOUT_MS) as operation:
+                status = statement.send(action.statement, action.overlay, SHORT_STATEMENT_TIMEOUT_MS)
+                operation.is_outcome_unknown = status == LOST
+                release_after_ms = SHORT_STATEMENT_TIMEOUT_MS if operation.is_outcome_unknown else 0.0
         finally:
-            self.loop.after(after, self.starts.get)
-        return how
+            self.loop.after(release_after_ms, self.send_slots.get)
+        return status
 
-    def _news(self) -> None:
-        """Tell of engines that come and go, each with its disk's mark once that is known."""
+    def _observe_engines(self) -> None:
+        """Report new, changed and removed engines, each with its disk's mark once that is known."""
         while True:
-            homes = {home.name: home for home in self.moves.homes()}
-            known, shards = self.machine.homes, frozenset(self.machine.shards)
+            homes = {home.name: home for home in self.migrations.homes()}
+            known, declared = self.machine.homes, frozenset(self.machine.shards)
             for name in [name for name in known if name not in homes]:
                 homes[name] = replace(known[name], life="gone", mark="")
             for name, home in homes.items():
                 if home.life == "gone":
                     self.marks.pop(name, None)
-                    self.list_at.pop(name, None)
-                elif self.lives.get(name, "gone") == "gone" or shards != self.shards:
-                    self.list_at[name] = self.loop.now()
-                self.lives[name] = home.life
-            launched = self.moves.engine_start_times()
-            for name in self.list_at:
-                if launched.get(name) != self.launched.get(name):  # it may have come back with another disk
-                    self.list_at[name] = self.loop.now()
+                    self.next_listing_ms.pop(name, None)
+                elif self.engine_states.get(name, "gone") == "gone" or declared != self.listed_shards:
+                    self.next_listing_ms[name] = self.loop.now()
+                self.engine_states[name] = home.life
+            start_times = self.migrations.engine_start_times()
+            for name in self.next_listing_ms:
+                if start_times.get(name) != self.engine_start_times.get(
+                    name
+                ):  # it may have restarted with another disk
+                    self.next_listing_ms[name] = self.loop.now()
                     self.marks.pop(name, None)
-            self.launched = launched
-            self.shards = shards
-            told = [replace(home, mark=self.marks.get(name, "")) for name, home in sorted(homes.items())]
-            # One that is back is not told of before its mark is known: it may have another disk.
-            self.hands.post(api.Heard(tuple(home for home in told if home.mark or home.life == "gone")))
+            self.engine_start_times = start_times
+            self.listed_shards = declared
+            reported = [replace(home, mark=self.marks.get(name, "")) for name, home in sorted(homes.items())]
+            # A returned engine is not reported before its mark is known: it may have another disk.
+            self.work.post(api.Heard(tuple(home for home in reported if home.mark or home.life == "gone")))
             self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
 
-    def _list(self) -> None:
-        """Read marks, and what engines hold: of each engine for itself, of some of them side by side."""
+    def _list_engines(self) -> None:
+        """List engines that are due, one after another: the mark of each and the shards it holds."""
         while True:
             now = self.loop.now()
-            due = ((at, name) for name, at in self.list_at.items() if name not in self.listing)
-            at, name = min(due, default=(now + ENGINE_CHECK_INTERVAL_MS, ""))
-            if at > now:
-                self.loop.sleep(min(at - now, ENGINE_CHECK_INTERVAL_MS))
+            candidates = (
+                (due_ms, name)
+                for name, due_ms in self.next_listing_ms.items()
+                if name not in self.engines_in_listing
+            )
+            due_ms, name = min(candidates, default=(now + ENGINE_CHECK_INTERVAL_MS, ""))
+            if due_ms > now:
+                self.loop.sleep(min(due_ms - now, ENGINE_CHECK_INTERVAL_MS))
                 continue
-            self.listing.add(name)
+            self.engines_in_listing.add(name)
             try:
-                mark = self._mark(name)
-                held = self._held(name) if mark else None
+                mark = self._read_or_write_mark(name)
+                held = self._list_shards(name) if mark else None
             finally:
-                self.listing.discard(name)
-            if name not in self.list_at:
-                continue  # it went meanwhile
+                self.engines_in_listing.discard(name)
+            if name not in self.next_listing_ms:
+                continue  # it was removed meanwhile
             known = {shard for shard, copies in self.machine.copies.items() if name in copies}
-            # What is not as the record has it is believed when a second list says the same.
-            self.list_at[name] = self.loop.now() + (LIST_MS if held == known else LIST_RETRY_MS)
+            # A listing that differs from the replicated state is trusted once a second one confirms it.
+            self.next_listing_ms[name] = self.loop.now() + (
+                LIST_INTERVAL_MS if held == known else LIST_RETRY_MS
+            )
             if held is not None:
                 self.marks[name] = mark
-                self.hands.post(api.Heard((), {name: held}))
+                self.work.post(api.Heard((), {name: held}))
 
-    def _mark(self, engine: str) -> str:
-        """Return the mark on an engine's disk; one without gets one. "": it can't be read."""
-        how, rows, state = self._asked(engine, migration_statements.mark_read())
-        if how == OK and rows:
+    def _read_or_write_mark(self, engine: str) -> str:
+        """Return the mark on an engine's disk, writing a new one if it has none; "" if that fails."""
+        status, rows, sql_state = self._run_short(engine, migration_statements.mark_read())
+        if status == OK and rows:
             return rows[0][0]
-        if how != OK and state != NO_TABLE:
+        if status != OK and sql_state != NO_TABLE:
             return ""
         mark = self.loop.token(MARK_BYTES).hex()
         for text in migration_statements.mark_write(mark):
-            if self._asked(engine, text)[0] != OK:
+            if self._run_short(engine, text)[0] != OK:
                 return ""
         return mark
 
-    def _held(self, engine: str) -> frozenset[str] | None:
-        """Return the declared shards whose partitions an engine lists; None: it can't be asked now."""
+    def _list_shards(self, engine: str) -> frozenset[str] | None:
+        """Return the declared shards whose partitions an engine lists; None if a listing fails."""
         tables = sorted(
             {(s.table, not migration_statements.partition(s.name)) for s in self.machine.shards.values()}
         )
         held: set[str] = set()
-        for table, whole in tables:
-            how, rows, state = self._asked(engine, migration_statements.listing(table, whole))
-            if how != OK and state != NO_TABLE:
+        for table, is_unpartitioned in tables:
+            status, rows, sql_state = self._run_short(
+                engine, migration_statements.listing(table, is_unpartitioned)
+            )
+            if status != OK and sql_state != NO_TABLE:
                 return None
-            held |= {f"{table}/" if whole else f"{table}/{row[0]}" for row in rows}
+            held |= {f"{table}/" if is_unpartitioned else f"{table}/{row[0]}" for row in rows}
         return frozenset(held)
 
-    def _asked(self, engine: str, text: str) -> tuple[str, list[tuple[str, ...]], str]:
-        statement: Statement = self.moves.statements.to(engine)
+    def _run_short(self, engine: str, text: str) -> tuple[str, list[tuple[str, ...]], str]:
+        """Run a short statement as one leased operation; return its status, rows and SQLSTATE."""
+        statement: Statement = self.migrations.statements.create(engine)
         with self.held.operation(SHORT_STATEMENT_TIMEOUT_MS):
-            how, rows = statement.run(
+            status, rows = statement.run(
                 text,
                 migration_statements.overlay(self.held.fencing_token, SHORT_STATEMENT_TIMEOUT_MS),
                 SHORT_STATEMENT_TIMEOUT_MS,
-                rows=True,
+                fetch_rows=True,
             )
-        return how, rows, statement.state
+        return status, rows, statement.sql_state
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -1,9 +1,9 @@
-"""The machines of this version on the record, and what each may be asked."""
+"""The state machines that this version replicates, and how each answers queries."""
 
 from google.protobuf.message import DecodeError
 
 from fennelwind.cluster.applied_state import complete_state
-from fennelwind.cluster.schema_queries import asked
+from fennelwind.cluster.schema_queries import answer_change_query
 from fennelwind.leases import leases_pb2
 from fennelwind.leases.model import ControllerIncarnation
 from fennelwind.leases.state_machine import LeaseStateMachine
@@ -16,29 +16,30 @@
 
 
 def machines() -> list[StateMachine]:
-    """Return the machines, empty."""
+    """Return a new, empty instance of each state machine."""
     return [LeaseStateMachine(), ContractMachine(), ShardMachine(), ControllerRegistry()]
 
 
-def answer(machine: StateMachine, query: bytes) -> bytes:
-    """Answer a query; without one, with all that the machine keeps.
+def answer_query(machine: StateMachine, query: bytes) -> bytes:
+    """Return a state machine's answer to a query, or its complete state if the query is empty.
 
-    `leases`: by a `Who`, which tasks are offered to it. `contracts`: by a `ChangeQuery`, which changes are
-    under way and what became of one. A machine with a method `asked` answers itself.
+    `leases` answers a `Who` with the leases offered to that controller. `contracts` answers a `ChangeQuery`
+    with the schema changes in progress, or the outcome of one. A state machine with a method `asked` answers
+    its queries itself. A query that can't be decoded is answered with no bytes.
     """
     if query and hasattr(machine, "asked"):
         return machine.asked(query)
     if machine.name == LEASES and query:
         try:
-            who = leases_pb2.Who.FromString(query)
+            controller = leases_pb2.Who.FromString(query)
         except DecodeError:
             return b""
         return leases_pb2.LeaseAnswer(
-            offers=machine.offers(ControllerIncarnation(who.name, who.life))
+            offers=machine.offers(ControllerIncarnation(controller.name, controller.life))
         ).SerializeToString()
     if machine.name == CONTRACTS and query:
         try:
-            return asked(machine, query)
+            return answer_change_query(machine, query)
         except DecodeError:
             return b""
     return complete_state(machine, query)
--- a/fennelwind/cluster/wakeup.py
+++ b/fennelwind/cluster/wakeup.py
@@ -1,11 +1,11 @@
-"""Wakes the one task that serves a queue: a condition that remembers one notification."""
+"""Wakes the one task that serves a queue: a condition variable that remembers a notification."""
 
 from fennelwind.loop import Loop
 from fennelwind.loop.scheduler import Waiter
 
 
 class Wakeup:
-    """May be notified any number of times; a wait ends at once if it was notified since the last wait."""
+    """A notification for one waiting task; `wait` returns at once if there was one since the last wait."""
 
     __slots__ = ("loop", "_is_notified", "_waiter")
 
@@ -15,7 +15,7 @@
         self._waiter: Waiter | None = None
 
     def notify(self) -> None:
-        """Wake the task that waits, or that waits next."""
+        """Wake the waiting task, or the next one to wait."""
         self._is_notified = True
         if self._waiter is not None:
             self._waiter.wake()
--- a/tests/cluster/test_gate.py
+++ b/tests/cluster/test_gate.py
@@ -7,7 +7,7 @@
 from fennelwind import config, policy
 from fennelwind.cli.program import Program
 from fennelwind.cluster import schema_gate as gate_module
-from fennelwind.cluster.schema_rollout import shape
+from fennelwind.cluster.schema_rollout import parse_description
 from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.thrift import hints
@@ -152,11 +152,11 @@
         assert refused.value.status.sqlState == "53000" and again > 0
         before = scene.host.now()
         scene.session(READS | {"fennelwind.subscriber": "other"})  # it is known to be away by now
-        assert scene.host.now() - before < gate_module.TOLD_MS
+        assert scene.host.now() - before < gate_module.REGISTRATION_WAIT_MS
         for name in scene.council.names:
             scene.council.start(name)
         gate = scene.fleet.program.keeper.gate
-        while not all(s.number for s in gate.subscribers.values()):
+        while not all(s.registration_number for s in gate.subscribers.values()):
             scene.host.sleep(200.0)
         assert len(gate.subscribers) == 2
 
@@ -294,4 +294,4 @@
         ("# col_name", "data_type", "comment"),
         ("day", "date", ""),
     ]
-    assert shape(rows) == (("id", "bigint"), ("day", "date"))
+    assert parse_description(rows) == (("id", "bigint"), ("day", "date"))
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -237,20 +237,20 @@
 
 
 def test_watches_of_askers_that_have_gone_take_nobodys_place(monkeypatch):
-    monkeypatch.setattr("fennelwind.cluster.applied_state.MAX_WATCHERS", 3)
+    monkeypatch.setattr("fennelwind.cluster.applied_state.MAX_WATCHES", 3)
 
     def main(loop):
         host = member(loop)
         lost, ours = asker(loop, name="lost"), asker(loop, seed="2")
         tasks = [loop.spawn(lambda: lost.watch("sum", 9, wait_ms=50_000)) for _ in range(3)]
         loop.sleep(100.0)
-        assert host.state.watchers == 3
+        assert host.state.watch_count == 3
         for task in tasks:
             task.cancel()
         lost.close()
         loop.sleep(100.0)
         loop.after(300.0, lambda: loop.spawn(ours.propose, "sum", b"4", 1000))
-        assert ours.watch("sum", 0, wait_ms=5000).state == b"4" and host.state.watchers == 0
+        assert ours.watch("sum", 0, wait_ms=5000).state == b"4" and host.state.watch_count == 0
 
     play(main)
 
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -96,7 +96,7 @@
             "/staging",
             lambda what, facts: self.council.said.append((what, facts)),
             timing=TIMING,
-            record=record,
+            replicated_state=record,
         )
         host.start(moves.start)
 
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -104,7 +104,8 @@
             Line(
                 AppliedState._apply,
                 "changed = [",
-                "if self.applied % 40 == 39:\n            self.applied += 1; record.index = entry.index\n"
+                "if self.applied_entries % 40 == 39:\n"
+                "            self.applied_entries += 1; state.index = entry.index\n"
                 "            continue\n        changed = [",
             )
         ],
