--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -166,7 +166,8 @@
             self._migrations_task = self.loop.spawn(self._start_migrations, name="keeper: moves")
         if self.locations is not None and not self.locations.wait():
             self._log(
-                "replica locations unknown", {"advice": "Queries go to any engine until the council answers."}
+                "replica locations unknown",
+                {"advice": "Queries go to any engine until the Raft group answers."},
             )
 
     def _start_migrations(self) -> None:
--- a/tests/cluster/test_council_processes.py
+++ b/tests/cluster/test_council_processes.py
@@ -1,7 +1,7 @@
-"""The council by real processes with faults between them, judged by events.
+"""The Raft group as real processes with injected faults, checked by events.
 
-What is required is that something happens, with waits a hundred times as long as it takes; never that it is
-quick. Clients use registers all the while, and their history has to be linearizable.
+The tests require that events happen, with timeouts a hundred times as long as they usually take; never that
+they are fast. Clients use registers throughout, and their history must be linearizable.
 """
 
 from pathlib import Path
@@ -11,46 +11,50 @@
 from fennelwind.audit.linearizability import Broken, Linearizable, Operation, check
 from fennelwind.testbed.councilrig import ACT, CouncilRig, Seen, overlaps
 
-LONG_ACT = ACT | {"act_ms": 600.0}  # long enough to be met in its middle
+LONG_ACT = ACT | {"act_ms": 600.0}  # long enough to be interrupted halfway
 
 
 def operations(history):
-    """Return what clients asked and got; what was refused for certain has not been done, and is left out."""
-    asked, done = {}, []
+    """Return the clients' operations; those certainly rejected had no effect and are left out."""
+    pending, collected = {}, []
     for at, who, ask, what, value in sorted(history, key=lambda line: line[0]):
         if what == "asked":
-            asked[who, ask] = at, value
+            pending[who, ask] = at, value
             continue
-        began, (verb, key, *rest) = asked.pop((who, ask))
+        began, (verb, key, *rest) = pending.pop((who, ask))
         if what == "refused" or what == "unknown" and verb == "get":
             continue
         argument = None if verb == "get" else rest[0] if verb == "put" else tuple(rest)
         result = None if verb == "put" else value
-        done.append(Operation(who, key, began, None if what == "unknown" else at, verb, argument, result))
-    for (who, _), (began, (verb, key, *rest)) in asked.items():
-        if verb != "get":  # its client was killed
-            done.append(Operation(who, key, began, None, verb, rest[0] if verb == "put" else tuple(rest)))
-    return done
+        collected.append(
+            Operation(who, key, began, None if what == "unknown" else at, verb, argument, result)
+        )
+    for (who, _), (began, (verb, key, *rest)) in pending.items():
+        if verb != "get":  # the client was killed
+            collected.append(
+                Operation(who, key, began, None, verb, rest[0] if verb == "put" else tuple(rest))
+            )
+    return collected
 
 
-def judge(rig, acts=5, asks=50):
-    """Two never acted at once, fences rose, and the history is that of one register after the other."""
+def check_run(rig, acts=5, asks=50):
+    """Check that operations never overlapped, tokens increased, and the history is linearizable."""
     taken = rig.resource.taken()
     assert not overlaps(taken)
     assert len([seen for seen in taken if seen.what == "end"]) >= acts
-    done = operations(rig.history)
-    assert len(done) >= asks
-    verdict = check(done, start=0)
+    collected = operations(rig.history)
+    assert len(collected) >= asks
+    verdict = check(collected, start=0)
     assert isinstance(verdict, Linearizable), verdict
 
 
-def answered(rig, more=20):
-    """Wait until clients got so many more answers."""
+def wait_for_answers(rig, more=20):
+    """Wait until clients have received `more` answers."""
     before = sum(line[3] == "got" for line in rig.history)
     rig.until(lambda: sum(line[3] == "got" for line in rig.history) >= before + more, "answers")
 
 
-def test_kill_of_the_holder_and_of_the_leader_and_a_restart_of_all(tmp_path):
+def test_kill_of_lease_holder_and_leader_and_restart_of_all(tmp_path):
     rig = CouncilRig(tmp_path, task=ACT, clients=2)
 
     def script(rig):
@@ -63,21 +67,21 @@
         leader = rig.leader()
         rig.kill(leader)
         rig.until(lambda: rig.leader() != leader, "another leader")
-        answered(rig)
+        wait_for_answers(rig)
         for name in [n for n in rig.members if n in rig.parts]:
             rig.kill(name)
         for name in rig.members:
             rig.start(name)
         rig.acts(5)
-        answered(rig)
+        wait_for_answers(rig)
         assert {rig.state(name)["members"] for name in rig.members} == {3}
 
     rig.play(script)
-    judge(rig)
+    check_run(rig)
     assert len({seen.fence for seen in rig.resource.taken()}) >= 2
 
 
-def test_a_holder_that_stands_still_for_longer_than_its_term_and_clocks_apart(tmp_path):
+def test_lease_holder_stopped_beyond_its_term_and_drifting_clocks(tmp_path):
     rig = CouncilRig(tmp_path, task=LONG_ACT, clients=1, more={"m0": {"pace": 0.9}, "m2": {"pace": 1.1}})
 
     def script(rig):
@@ -93,33 +97,33 @@
         rig.stop(leader)
         rig.until(lambda: rig.leader([n for n in rig.members if n != leader]), "another leader")
         rig.go_on(leader)
-        answered(rig)
+        wait_for_answers(rig)
         rig.acts(2)
 
     rig.play(script)
-    judge(rig)
+    check_run(rig)
     cut_off = [
         one
         for one, other in zip(rig.resource.taken(), rig.resource.taken()[1:], strict=False)
         if one.fence != other.fence and one.what != "end"
     ]
-    assert cut_off  # it was in the middle of an act
+    assert cut_off  # it was interrupted during an operation
 
 
-def test_cuts_of_the_leader_one_way_and_both_ways(tmp_path):
+def test_leader_cut_off_in_one_and_both_directions(tmp_path):
     rig = CouncilRig(tmp_path, task=ACT, clients=2, followers=1)
 
     def script(rig):
         rig.slow(rig.names, rig.members, 40.0)
         rig.acts(2)
-        answered(rig)
+        wait_for_answers(rig)
         for both in (True, False):
             rig.acts(3)
             leader = rig.leader()
             others = [name for name in rig.members if name != leader]
             rig.cut([leader], others, both)
             rig.until(lambda: rig.leader(others), "another leader")  # noqa: B023 - called at once
-            answered(rig)
+            wait_for_answers(rig)
             rig.acts(3)
             rig.heal()
             term = rig.state(rig.leader(others))["term"]
@@ -128,22 +132,22 @@
         rig.end(leader)  # as by SIGTERM
         rig.until(lambda: rig.leader() != leader, "another leader")
         rig.acts(3)
-        answered(rig)
+        wait_for_answers(rig)
 
     rig.play(script)
-    judge(rig)
+    check_run(rig)
 
 
-def test_disks_that_fill_slow_down_fail_a_sync_and_lose_what_was_not_synced(tmp_path):
+def test_full_slow_and_failing_disks_and_loss_of_unsynced_data(tmp_path):
     rig = CouncilRig(tmp_path, task=ACT, clients=2, disk={"loses": True})
 
     def script(rig):
         rig.acts(3)
         leader = rig.leader()
-        rig.parts[leader].say({"fsize": 1})  # a limit of the system's, beneath what the files hold
+        rig.parts[leader].say({"fsize": 1})  # an operating system limit below the size of the files
         rig.until(lambda: any(who == leader and what == "cannot write" for who, what, _ in rig.said), "full")
         rig.until(lambda: rig.leader() != leader, "another leader")
-        answered(rig)
+        wait_for_answers(rig)
         rig.parts[leader].say({"fsize": None})
         rig.until(
             lambda: any(who == leader and what == "can write again" for who, what, _ in rig.said),
@@ -162,53 +166,55 @@
         slow = rig.leader()
         rig.parts[slow].say({"disk": {"slow_ms": 40.0}})
         rig.acts(3)
-        answered(rig)
-        for name in rig.members:  # all at once, with whatever they had not synced
+        wait_for_answers(rig)
+        for name in rig.members:  # all at once, losing unsynced data
             rig.kill(name)
         for name in rig.members:
             rig.start(name)
         rig.acts(3)
-        answered(rig)
+        wait_for_answers(rig)
 
     rig.play(script)
-    judge(rig)
+    check_run(rig)
 
 
-def test_a_flipped_bit_and_a_lost_folder(tmp_path):
+def test_corrupted_log_and_lost_folder(tmp_path):
     rig = CouncilRig(tmp_path, task=ACT, clients=1)
 
     def script(rig):
         rig.acts(3)
-        hurt = next(name for name in rig.members if name != rig.leader())
-        rig.kill(hurt)
-        answered(rig)
-        logs = sorted((rig.folder / hurt).glob("log-*"), key=lambda path: path.stat().st_size)
+        damaged = next(name for name in rig.members if name != rig.leader())
+        rig.kill(damaged)
+        wait_for_answers(rig)
+        logs = sorted((rig.folder / damaged).glob("log-*"), key=lambda path: path.stat().st_size)
         flip(logs[-1], logs[-1].stat().st_size // 2)
-        rig.start(hurt)
-        rig.until(lambda: any(who == hurt and what == "cannot open" for who, what, _ in rig.said), "damage")
+        rig.start(damaged)
+        rig.until(
+            lambda: any(who == damaged and what == "cannot open" for who, what, _ in rig.said), "damage"
+        )
         rig.acts(3)
-        rig.kill(hurt)
-        rig.lose(hurt)  # as an operator does with what is damaged
-        rig.start(hurt)
-        rig.until(lambda: (rig.state(hurt) or {}).get("part") == "follower", "a vote for its new life")
+        rig.kill(damaged)
+        rig.lose(damaged)  # as an operator does with a damaged folder
+        rig.start(damaged)
+        rig.until(lambda: (rig.state(damaged) or {}).get("part") == "follower", "a vote for its new life")
         lives = {
             facts["incarnation"]
             for who, what, facts in rig.said
-            if (who, what) == (hurt, "raft member started")
+            if (who, what) == (damaged, "raft member started")
         }
         assert len(lives) == 2
-        other = next(name for name in rig.members if name != hurt)
-        rig.kill(other)  # a majority rests on the new life now
+        other = next(name for name in rig.members if name != damaged)
+        rig.kill(other)  # the majority now depends on the new incarnation
         rig.acts(3)
-        answered(rig)
+        wait_for_answers(rig)
 
     rig.play(script)
-    judge(rig)
+    check_run(rig)
 
 
-def flip(path: Path, place: int):
+def flip(path: Path, offset: int):
     data = bytearray(path.read_bytes())
-    data[place] ^= 1
+    data[offset] ^= 1
     path.write_bytes(data)
 
 
@@ -223,13 +229,13 @@
         ("a1e", 1),
     ],
 )
-def test_the_verdict_on_acts_can_fail(seen, wrong):
+def test_overlap_check_detects_overlapping_operations(seen, wrong):
     what = {"b": "begin", "e": "end"}
-    told = overlaps(Seen("t", one[0], 1, what[one[2]], 0, int(one[1]), True) for one in seen.split())
-    assert len(told) == wrong
+    overlapping = overlaps(Seen("t", one[0], 1, what[one[2]], 0, int(one[1]), True) for one in seen.split())
+    assert len(overlapping) == wrong
 
 
-def test_the_verdict_on_histories_can_fail():
+def test_history_check_detects_a_stale_read():
     lines = [
         [0, "c", 0, "asked", ["put", "a", 3]],
         [1, "c", 0, "got", True],
--- a/tests/cluster/test_council_program.py
+++ b/tests/cluster/test_council_program.py
@@ -1,4 +1,4 @@
-"""The section `council` of the settings: what is wrong in it, nothing loaded without it, no query lost."""
+"""The `council` section of the settings: its errors, no modules loaded without it, no effect on queries."""
 
 import json
 import os
@@ -37,10 +37,10 @@
 """
 FOLLOWER = COUNCIL.replace(' me: "m0" folder: "record"', ' me: "c7"')
 GOOD = SETTINGS % {"engines": 'engines { address: "127.0.0.1:5000" kind: "k" }', "note": 0, "open": 9}
-DAY_MS, ASKS = 86_400_000.0, 200
+DAY_MS, QUERIES = 86_400_000.0, 200
 
 
-def test_members_and_followers_are_told_apart(tmp_path):
+def test_settings_of_members_and_clients(tmp_path):
     assert config.read(GOOD).council is None
     member = config.read(GOOD + COUNCIL, folder=tmp_path).council
     assert (member.folder, str(member.listen), len(member.members)) == (
@@ -75,7 +75,7 @@
         ("reserve_bytes: 1048576", "reserve_bytes: -1", "reserve_bytes"),
     ],
 )
-def test_what_is_wrong_in_the_section_has_its_place(old, new, label):
+def test_settings_errors_name_field_and_position(old, new, label):
     text = GOOD + COUNCIL
     assert old in text
     with pytest.raises(config.SettingsError) as exc:
@@ -88,14 +88,14 @@
 SHIM = """import atexit, os, sys
 atexit.register(lambda: open(os.environ["MODULES"], "w").write(" ".join(sys.modules)))
 """
-COUNCILS = re.compile(
+RAFT_MODULES = re.compile(
     r"fennelwind\.(quiescence|raft|raft_storage|leases|shards|schema_compatibility|cluster)\b|^(crc32c|highspy)\b"
 )
 
 
 @pytest.fixture
 def loaded(tmp_path, monkeypatch):
-    """Return a call that tells which modules of the council's a program had loaded when it ended."""
+    """Return a function that lists the Raft group's modules loaded by a program until its end."""
     (tmp_path / "shim").mkdir()
     (tmp_path / "shim" / "sitecustomize.py").write_text(SHIM, encoding="utf-8")
     monkeypatch.setenv("PYTHONPATH", f"{tmp_path / 'shim'}:{ROOT}")
@@ -104,13 +104,13 @@
     def found():
         modules = (tmp_path / "modules").read_text("utf-8").split()
         assert "fennelwind.dispatch.driver" in modules
-        return sorted(filter(COUNCILS.search, modules))
+        return sorted(filter(RAFT_MODULES.search, modules))
 
     return found
 
 
 def serve(path):
-    """Run a controller with these settings until it listens, then end it by SIGTERM; return its log."""
+    """Run a controller until it listens, then end it by SIGTERM; return its log."""
     command = [sys.executable, "-m", "fennelwind.cli.main", "serve", str(path), "--log", "json"]
     child = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=subprocess.PIPE, text=True, cwd=ROOT)
     try:
@@ -124,19 +124,19 @@
     return [json.loads(line) for line in log.splitlines()]
 
 
-def test_without_the_section_nothing_of_the_council_is_loaded(tmp_path, loaded):
+def test_without_the_section_no_raft_modules_are_loaded(tmp_path, loaded):
     path = tmp_path / "s.txtpb"
     path.write_text(GOOD, encoding="utf-8")
     serve(path)
     assert loaded() == []
     path.write_text(GOOD + FOLLOWER, encoding="utf-8")
     serve(path)
-    assert "fennelwind.cluster.runtime" in loaded()  # the test can fail
+    assert "fennelwind.cluster.runtime" in loaded()  # shows that the check detects loaded modules
 
 
-def test_three_programs_found_a_record_and_hand_over_at_sigterm(tmp_path):
-    """As an operator does it: three files of settings, three `serve`; the leader is ended."""
-    # An address of its own, where no other test's sockets are; time-outs that a busy machine keeps.
+def test_three_processes_elect_a_leader_and_hand_over_at_sigterm(tmp_path):
+    """Set up as an operator does: three settings files, three `serve` processes; the leader is terminated."""
+    # An address not used by other tests; timeouts long enough for a busy machine.
     host = f"127.{100 + os.getpid() % 100}.{os.getpid() // 100 % 250}.1"
     council = COUNCIL.replace("127.0.0.1", host).replace("election_ms: 300", "election_ms: 2000")
     council = council.replace("heartbeat_ms: 50", "heartbeat_ms: 200").replace(
@@ -163,24 +163,24 @@
         loop = RealLoop()
 
         def play():
-            asker = RaftClient(loop, "north", "c7", members, "1")
-            first = asker.read("leases", within_ms=60_000.0)
-            until(lambda: len(voters()) == 2)  # with a leader of two, nobody could lead without it
-            leader = said(tmp_path, "leader")[-1]["who"]
+            client = RaftClient(loop, "north", "c7", members, "1")
+            first = client.read("leases", within_ms=60_000.0)
+            until(lambda: len(voters()) == 2)  # if only two members were voters, neither could lead alone
+            leader = role_changes(tmp_path, "leader")[-1]["who"]
             running[leader].send_signal(signal.SIGTERM)
             assert running[leader].wait(60) == 0
-            again = asker.read("leases", within_ms=60_000.0)
-            assert again.index > first.index
-            parts = [line for line in said(tmp_path, "leader") if line["who"] != leader]
-            assert parts  # another leads, and did before the first one was gone
-            return asker.close()
+            later_read = client.read("leases", within_ms=60_000.0)
+            assert later_read.index > first.index
+            other_leaders = [line for line in role_changes(tmp_path, "leader") if line["who"] != leader]
+            assert other_leaders  # another member leads, elected before the first one exited
+            return client.close()
 
         def voters():
-            return {line["who"] for line in said(tmp_path, "follower") if line["leader"]}
+            return {line["who"] for line in role_changes(tmp_path, "follower") if line["leader"]}
 
-        def until(true):
+        def until(condition):
             with loop.deadline(60_000.0):
-                while not true():
+                while not condition():
                     loop.sleep(20.0)
 
         loop.run(play)
@@ -190,18 +190,18 @@
             child.wait()
 
 
-def said(folder, role):
-    """Return the role changes that members logged, with their names."""
+def role_changes(folder, role):
+    """Return the changes to a role that members logged, with their names."""
     lines = []
     for path in sorted(folder.glob("*.log")):
         for line in path.read_text("utf-8").splitlines():
-            told = json.loads(line)
-            if told.get("what") == "role changed" and told["role"] == role:
-                lines.append(told | {"who": path.stem})
+            record = json.loads(line)
+            if record.get("what") == "role changed" and record["role"] == role:
+                lines.append(record | {"who": path.stem})
     return sorted(lines, key=lambda line: line["timestamp"])
 
 
-def test_on_the_platform_nothing_of_the_council_is_loaded(tmp_path, loaded):
+def test_on_the_platform_no_raft_modules_are_loaded(tmp_path, loaded):
     node = Node(tmp_path)
     try:
         node.process.send_signal(signal.SIGTERM)
@@ -214,7 +214,7 @@
     assert loaded() == []
 
 
-def test_the_last_resort_tells_what_a_folder_holds_and_does_it_when_asked(tmp_path):
+def test_disaster_recovery_command_describes_a_folder_and_restarts_it_alone(tmp_path):
     path = tmp_path / "s.txtpb"
     path.write_text(GOOD + COUNCIL, encoding="utf-8")
 
@@ -242,21 +242,21 @@
                 )
             ]
         )
-        again = command()  # the folder is held
+        result = command()  # the folder is locked
         folder.close()
-        return again
+        return result
 
     held = loop.run(fill)
     assert held.exit_code == 1 and "another process" in held.output
-    told = command()
-    assert told.exit_code == 0 and "last entry 2 of term 4, members m0, m1, m2" in told.output
+    summary = command()
+    assert summary.exit_code == 0 and "last entry 2 of term 4, members m0, m1, m2" in summary.output
     assert "only member now" in command("--yes").output
     assert "of term 5, members m0;" in command().output
     path.write_text(GOOD + FOLLOWER, encoding="utf-8")
     assert command().exit_code == 2 and "no settings of a member" in command().output
 
 
-def one(fleet):
+def run_query(fleet):
     client = fleet.client()
     try:
         return fetch(client, execute(client, "select 1", work=40.0))
@@ -265,17 +265,17 @@
 
 
 def day(council):
-    """Play a day of queries; return what became of each and when, and the changes that were refused."""
+    """Play a day of queries; return outcomes with times, answers, and the count of rejected commands."""
     loop = SimLoop(3, jitter=0.0)
 
     def play():
         fleet = Fleet(loop, change=lambda text: text + council)
-        keeper, ends, refused = fleet.program.keeper, [], []
-        for number in range(ASKS):
-            loop.sleep(DAY_MS / ASKS * (number + 1) - loop.now())
-            if keeper is not None and not number % 20:
-                refused.append(loop.spawn(keeper.client.propose, "leases", b"", 3000.0))
-            ends.append((outcome(lambda: one(fleet)), loop.now()))
+        runtime, ends, refused = fleet.program.keeper, [], []
+        for number in range(QUERIES):
+            loop.sleep(DAY_MS / QUERIES * (number + 1) - loop.now())
+            if runtime is not None and not number % 20:
+                refused.append(loop.spawn(runtime.client.propose, "leases", b"", 3000.0))
+            ends.append((outcome(lambda: run_query(fleet)), loop.now()))
         for task in refused:
             with pytest.raises(ClusterUnavailableError) as exc:
                 task.join()
@@ -286,12 +286,14 @@
     return loop.run(play)
 
 
-def test_a_day_without_any_member_costs_no_query(monkeypatch):
+def test_day_without_any_member_affects_no_query(monkeypatch):
     monkeypatch.setattr(
         raft_client, "MAX_CONNECT_BACKOFF_MS", 60_000.0
-    )  # a day of dials each 5 s takes 20 s to play
+    )  # a day of connects every 5 s takes 20 s to play
     without, answers, _ = day("")
-    ends, told, refused = day(FOLLOWER)
-    assert len(ends) == ASKS and {what for what, _ in ends} == {"served"}
-    assert ends == without and told == answers  # each at the same moment as without a council
-    assert refused == ASKS // 20
+    ends, answers_with_council, refused = day(FOLLOWER)
+    assert len(ends) == QUERIES and {what for what, _ in ends} == {"served"}
+    assert (
+        ends == without and answers_with_council == answers
+    )  # each at the same time as without a Raft group
+    assert refused == QUERIES // 20
--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_council_world.py
@@ -1,10 +1,10 @@
-"""Whole members with their folders and streams, their clients and tasks, in virtual time."""
+"""Complete members with folders and streams, their clients and leased tasks, in virtual time."""
 
 from types import SimpleNamespace
 
 import pytest
+from cluster_world import Cluster
 from council_chaos import Chaos
-from council_world import Council
 from sums import Sum
 
 from fennelwind.cluster import disaster_recovery
@@ -17,201 +17,206 @@
 from fennelwind.testbed.registers import Registers
 
 
-def test_a_members_figures_are_told_to_scrapers():
-    def main(council):
-        council.until(
+def test_members_export_their_metrics():
+    def main(cluster):
+        cluster.until(
             lambda: (
-                council.leader()
-                and len(council.keepers[council.leader()].member.core.log.configuration.members.members) == 3
+                cluster.leader()
+                and len(cluster.runtimes[cluster.leader()].member.core.log.configuration.members.members) == 3
             )
         )
-        council.world.rig.sleep(2000.0)
-        told = {}
-        for name, keeper in council.keepers.items():
-            program = SimpleNamespace(keeper=keeper)
-            told[name] = {
+        cluster.world.rig.sleep(2000.0)
+        values_by_member = {}
+        for name, runtime in cluster.runtimes.items():
+            program = SimpleNamespace(keeper=runtime)
+            values_by_member[name] = {
                 (s.name.removeprefix("fennelwind_council_"), *s.labels.values()): s.value
                 for metric in Collector(program)._council()
                 for s in metric.samples
             }
-        assert sum(values[("leads",)] for values in told.values()) == 1
-        assert all(values[("votes",)] == 1 and values[("members_reached",)] == 2 for values in told.values())
-        assert all(values[("events_total", "peers", "sent")] > 1 for values in told.values())
-        assert len({values[("term",)] for values in told.values()}) == 1
+        assert sum(values[("leads",)] for values in values_by_member.values()) == 1
+        assert all(
+            values[("votes",)] == 1 and values[("members_reached",)] == 2
+            for values in values_by_member.values()
+        )
+        assert all(values[("events_total", "peers", "sent")] > 1 for values in values_by_member.values())
+        assert len({values[("term",)] for values in values_by_member.values()}) == 1
 
-    Council(7).play(main)
+    Cluster(7).play(main)
 
 
 @pytest.mark.parametrize("members", [3, 5])
-def test_commands_go_on_while_a_majority_is_there_and_come_back_with_it(members):
-    def main(council):
-        follower = council.start("f0", "10.0.1.1")
-        read = council.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
+def test_reads_fail_without_a_majority_and_resume_with_it(members):
+    def main(cluster):
+        follower = cluster.start("f0", "10.0.1.1")
+        read = cluster.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
         assert read.index > 0
-        for name in council.names[: members // 2 + 1]:
-            council.kill(name)
+        for name in cluster.names[: members // 2 + 1]:
+            cluster.kill(name)
         with pytest.raises(ClusterError):
-            council.on("f0", lambda: follower.client.read("leases", within_ms=5000))
-        for name in council.names[: members // 2 + 1]:
-            council.start(name)
-        again = council.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
-        assert again.index >= read.index
+            cluster.on("f0", lambda: follower.client.read("leases", within_ms=5000))
+        for name in cluster.names[: members // 2 + 1]:
+            cluster.start(name)
+        later_read = cluster.on("f0", lambda: follower.client.read("leases", within_ms=30_000))
+        assert later_read.index >= read.index
 
-    Council(2, members).play(main)
+    Cluster(2, members).play(main)
 
 
 class Tally(Sum):
-    """A machine that a later version brings."""
+    """A state machine that exists only from level 2 on."""
 
     name, kinds, since = "tally", (), 2
 
 
-def test_a_fleet_of_two_versions_takes_up_the_new_only_when_all_members_know_it():
-    def main(council):
+def test_level_is_raised_only_when_all_members_support_it():
+    def main(cluster):
         newer = {"more": (Tally(),), "level": 2}
-        asker = council.start("f0", "10.0.1.1").client
+        client = cluster.start("f0", "10.0.1.1").client
 
-        def ask():
-            return asker.propose("tally", b"1", 10_000)
+        def propose():
+            return client.propose("tally", b"1", 10_000)
 
-        for name in council.names[:2]:  # a rolling upgrade: two of three
-            council.kill(name)
-            council.start(name, **newer | {"more": (Tally(),)})
-            council.until(lambda: council.leader())
+        for name in cluster.names[:2]:  # a rolling upgrade that has reached two of three members
+            cluster.kill(name)
+            cluster.start(name, **newer | {"more": (Tally(),)})
+            cluster.until(lambda: cluster.leader())
         with pytest.raises(CommandRejectedError, match="NO_MACHINE"):
-            council.on("f0", ask)
-        council.world.rig.sleep(10_000.0)
-        assert {k.member.state.replicated_state.level for n, k in council.keepers.items() if k.member} == {1}
-        council.kill("m2")
-        council.start("m2", **newer | {"more": (Tally(),)})
-        council.until(
+            cluster.on("f0", propose)
+        cluster.world.rig.sleep(10_000.0)
+        assert {k.member.state.replicated_state.level for n, k in cluster.runtimes.items() if k.member} == {1}
+        cluster.kill("m2")
+        cluster.start("m2", **newer | {"more": (Tally(),)})
+        cluster.until(
             lambda: all(
-                k.member.state.replicated_state.level == 2 for n, k in council.keepers.items() if k.member
+                k.member.state.replicated_state.level == 2 for n, k in cluster.runtimes.items() if k.member
             )
         )
-        assert council.on("f0", ask) == b"1"
-        council.kill("m0")
-        council.start("m0")  # back to the older version: it must not go on
-        council.until(
+        assert cluster.on("f0", propose) == b"1"
+        cluster.kill("m0")
+        cluster.start("m0")  # downgraded: it must stop
+        cluster.until(
             lambda: any(
                 what == "raft member stopped" and facts["code"] == "council-record-too-new"
-                for _, _, what, facts in council.said
+                for _, _, what, facts in cluster.log_lines
             )
         )
-        assert council.on("f0", ask) == b"2"
-        council.kill("m0")
-        council.start("m0", **newer | {"more": (Tally(),)})
-        council.until(lambda: council.keepers["m0"].member.role in ("follower", "leader"))
-        records = [k.member.state.replicated_state for k in council.keepers.values() if k.member]
-        council.until(lambda: len({r.index for r in records}) == 1)
+        assert cluster.on("f0", propose) == b"2"
+        cluster.kill("m0")
+        cluster.start("m0", **newer | {"more": (Tally(),)})
+        cluster.until(lambda: cluster.runtimes["m0"].member.role in ("follower", "leader"))
+        records = [k.member.state.replicated_state for k in cluster.runtimes.values() if k.member]
+        cluster.until(lambda: len({r.index for r in records}) == 1)
         assert len({r.snapshot() for r in records}) == 1
-        # What the log's own fields are called is no fact's name: it would be written over.
-        assert not [facts for *_, facts in council.said if {"event", "level", "timestamp"} & set(facts)]
+        # No fact may have the name of one of the log's own fields, which would overwrite it.
+        assert not [facts for *_, facts in cluster.log_lines if {"event", "level", "timestamp"} & set(facts)]
 
-    Council(3).play(main)
+    Cluster(3).play(main)
 
 
 @pytest.mark.parametrize("seed", [2, 4, 8, 11])
-def test_two_never_act_at_once_and_histories_are_linearizable_whatever_breaks(seed):
+def test_leases_exclude_each_other_and_histories_are_linearizable_under_faults(seed):
     chaos = Chaos(seed, members=3 if seed % 4 else 5)
     assert chaos.play() == []
     assert chaos.counts["acts"] > 20 and chaos.counts["operations"] > 100 and chaos.counts["fences"] > 1
 
 
-def test_three_of_five_lost_for_good_and_the_way_back(monkeypatch):
-    monkeypatch.setattr(disaster_recovery, "SKIPPED_ENTRIES", 2000)  # the whole jump takes 5 s to play
+def test_recovery_after_three_of_five_members_are_lost(monkeypatch):
+    monkeypatch.setattr(disaster_recovery, "SKIPPED_ENTRIES", 2000)  # the full jump takes 5 s to play
     fences = []
 
-    def main(council):
-        for name in council.names:
-            council.kill(name)
-            council.platters[name] = Platter()
-            council.start(name, more=(Registers(),))
-        asker = council.start("f0", "10.0.1.1").client
+    def main(cluster):
+        for name in cluster.names:
+            cluster.kill(name)
+            cluster.platters[name] = Platter()
+            cluster.start(name, more=(Registers(),))
+        client = cluster.start("f0", "10.0.1.1").client
 
         def put(number):
-            asker.propose("registers", b'["put", "a", %d]' % number, 20_000)
+            client.propose("registers", b'["put", "a", %d]' % number, 20_000)
 
         for number in range(30):
-            council.on("f0", put, number)
-        read = council.on("f0", lambda: asker.read("registers", b"a", within_ms=20_000))
-        council.until(
+            cluster.on("f0", put, number)
+        read = cluster.on("f0", lambda: client.read("registers", b"a", within_ms=20_000))
+        cluster.until(
             lambda: all(
                 k.member.state.replicated_state.index >= read.index
-                for k in council.keepers.values()
+                for k in cluster.runtimes.values()
                 if k.member
             )
         )
-        for name in council.names:
-            council.kill(name)
-        council.platters = {n: p if n in ("m3", "m4") else Platter() for n, p in council.platters.items()}
-        left = {}
+        for name in cluster.names:
+            cluster.kill(name)
+        cluster.platters = {n: p if n in ("m3", "m4") else Platter() for n, p in cluster.platters.items()}
+        survivors = {}
         for name in ("m3", "m4"):
             folder = MemberFolder(
-                lambda name=name: SimDisk(None, council.platters[name]),
+                lambda name=name: SimDisk(None, cluster.platters[name]),
                 "f",
                 name,
                 lambda size: b"x" * size,
                 StoreLimits(reserve_bytes=1 << 20, min_free_bytes=2 << 20),
             )
             durable = folder.open()
-            left[summarize(durable).last_term, summarize(durable).last, name] = folder, durable
-        heir, (folder, durable) = max(left)[2], left[max(left)]
+            survivors[summarize(durable).last_term, summarize(durable).last, name] = folder, durable
+        survivor, (folder, durable) = max(survivors)[2], survivors[max(survivors)]
         before = summarize(durable)
-        after = restart_alone(folder, durable, str(council.addresses[heir]))
-        for folder, _ in left.values():
+        after = restart_alone(folder, durable, str(cluster.addresses[survivor]))
+        for folder, _ in survivors.values():
             folder.close()
-        assert before.members == tuple(council.names) and after.members == (heir,)
+        assert before.members == tuple(cluster.names) and after.members == (survivor,)
         fences.append((before.last, after.last))
-        for name in council.names:
-            if name != heir:
-                council.platters[name] = Platter()
-            council.start(name, more=(Registers(),))
-        assert council.on("f0", lambda: asker.read("registers", b"a", within_ms=60_000)).state == b"29"
-        council.on("f0", put, 7)
-        log = council.keepers[heir].member.core.log
-        council.until(lambda: sum(member.votes for member in log.configuration.members.members) == 5)
-        council.kill(heir)
-        assert council.on("f0", lambda: asker.read("registers", b"a", within_ms=60_000)).state == b"7"
-
-    Council(5, 5).play(main)
+        for name in cluster.names:
+            if name != survivor:
+                cluster.platters[name] = Platter()
+            cluster.start(name, more=(Registers(),))
+        assert cluster.on("f0", lambda: client.read("registers", b"a", within_ms=60_000)).state == b"29"
+        cluster.on("f0", put, 7)
+        log = cluster.runtimes[survivor].member.core.log
+        cluster.until(lambda: sum(member.votes for member in log.configuration.members.members) == 5)
+        cluster.kill(survivor)
+        assert cluster.on("f0", lambda: client.read("registers", b"a", within_ms=60_000)).state == b"7"
+
+    Cluster(5, 5).play(main)
     assert fences[0][1] - fences[0][0] >= 2000
 
 
-def test_a_member_that_is_needed_catches_up_over_a_slow_way_and_hears_its_leader_meanwhile():
-    def main(council):
-        follower = council.start("f0", "10.0.1.1", (Registers(),))
-        council.until(
+def test_lagging_member_catches_up_over_slow_path_without_elections():
+    def main(cluster):
+        follower = cluster.start("f0", "10.0.1.1", (Registers(),))
+        cluster.until(
             lambda: (
-                council.leader()
-                and len(council.keepers[council.leader()].member.core.log.configuration.voters) == 3
+                cluster.leader()
+                and len(cluster.runtimes[cluster.leader()].member.core.log.configuration.voters) == 3
             )
         )
-        leader = council.leader()
-        behind, other = (name for name in council.names if name != leader)
-        council.kill(behind)
+        leader = cluster.leader()
+        behind, other = (name for name in cluster.names if name != leader)
+        cluster.kill(behind)
         for _ in range(150):
-            with pytest.raises(CommandRejectedError):  # nobody of that name: it is in the log all the same
-                council.on("f0", lambda: follower.client.propose("none", bytes(10_000), 5000))
-        council.kill(other)  # from here on the one that is behind is needed for each majority
-        path = council.ways.path
-        council.ways.path = lambda *way: path(*way)._replace(bytes_per_ms=500.0)
-        began = council.world.time
-        council.start(behind)
-        last = council.keepers[leader].member.core.log.last_index
-        council.until(lambda: (core := council.keepers[behind].member.core) and core.commit_index >= last)
-        assert council.world.time - began < 6000.0  # the bytes alone take 3 s
-        asked = [
+            with pytest.raises(
+                CommandRejectedError
+            ):  # no such state machine; the command is in the log nevertheless
+                cluster.on("f0", lambda: follower.client.propose("none", bytes(10_000), 5000))
+        cluster.kill(other)  # from here on every majority needs the lagging member
+        path = cluster.paths.path
+        cluster.paths.path = lambda *way: path(*way)._replace(bytes_per_ms=500.0)
+        started_ms = cluster.world.time
+        cluster.start(behind)
+        last = cluster.runtimes[leader].member.core.log.last_index
+        cluster.until(lambda: (core := cluster.runtimes[behind].member.core) and core.commit_index >= last)
+        assert cluster.world.time - started_ms < 6000.0  # the bytes alone take 3 s
+        campaigns = [
             name
-            for at, name, what, facts in council.said
-            if at > began and what == "role changed" and facts["role"] == "asking"
+            for at, name, what, facts in cluster.log_lines
+            if at > started_ms and what == "role changed" and facts["role"] == "asking"
         ]
-        assert len(asked) < 8, asked
+        assert len(campaigns) < 8, campaigns
 
-    Council(5).play(main)
+    Cluster(5).play(main)
 
 
-def test_a_task_whose_function_breaks_goes_to_another_controller():
+def test_task_whose_function_raises_moves_to_another_controller():
     acts = []
 
     def sweep(name):
@@ -224,11 +229,11 @@
 
         return run
 
-    def main(council):
-        for name in council.names:
-            council.keepers[name].tasks.add("sweep", sweep(name), term_ms=2000)
-        council.until(lambda: len(set(acts)) > 1)
-        assert "a defect" in str(council.world.errors)
-        council.world.errors.clear()
+    def main(cluster):
+        for name in cluster.names:
+            cluster.runtimes[name].tasks.add("sweep", sweep(name), term_ms=2000)
+        cluster.until(lambda: len(set(acts)) > 1)
+        assert "a defect" in str(cluster.world.errors)
+        cluster.world.errors.clear()
 
-    Council(3).play(main)
+    Cluster(3).play(main)
--- a/tests/cluster/test_gate.py
+++ b/tests/cluster/test_gate.py
@@ -1,7 +1,7 @@
-"""The gate for schema changes on whole controllers: subscribers' sessions, publishers, engines."""
+"""The schema gate on complete controllers: subscribers' sessions, publishers, engines."""
 
 import pytest
-from council_world import Council
+from cluster_world import Cluster
 from fleet import Fleet, Seen, execute
 
 from fennelwind import config, policy
@@ -31,18 +31,18 @@
 
 
 class Scene:
-    """Three members, a controller with two engines, and perhaps a second controller."""
+    """Three members, a controller with two engines, and further controllers if requested."""
 
     def __init__(self, seed, controllers=1):
-        self.council = Council(seed)
-        self.world = self.council.world
+        self.cluster = Cluster(seed)
+        self.world = self.cluster.world
         self.host = self.world.host("c0", "127.0.0.1")
         self.others = [self.world.host(f"c{n}", f"127.0.0.{n + 1}") for n in range(1, controllers)]
 
     def play(self, call):
         def main():
-            for name in self.council.names:
-                self.council.start(name)
+            for name in self.cluster.names:
+                self.cluster.start(name)
             task = self.host.start(self._main, call)
             while not task.done:
                 self.world.rig.sleep(20.0)
@@ -63,7 +63,7 @@
         return call()
 
     def session(self, configuration=None):
-        """Open a session; return its link and what it was told."""
+        """Open a session; return its connection and the configuration of the reply."""
         link = EngineConnection(self.host, self.fleet.program.address, "sasl", "ann")
         link.stream = self.host.connect(link.address)
         link.stream.write(bytes(link.protocol.outgoing))
@@ -93,8 +93,8 @@
         )
 
     def version(self):
-        """Return the table's version, as a publisher learns it from a refusal."""
-        record = next(k.member.state.replicated_state for k in self.council.keepers.values())
+        """Return the table's version from the replicated state."""
+        record = next(k.member.state.replicated_state for k in self.cluster.runtimes.values())
         return record.machines["contracts"].tables["sales.orders"].version
 
     def columns(self):
@@ -102,8 +102,8 @@
 
 
 @pytest.fixture(autouse=True)
-def class_of_alter(monkeypatch):
-    """Let the settings' selectors find a class for the publishers' statements."""
+def alter_selector(monkeypatch):
+    """Extend the settings' selectors to the publishers' ALTER statements."""
     plain = Fleet.text
 
     def text(engines, note=0, max_open=1000):
@@ -112,13 +112,13 @@
     monkeypatch.setattr(Fleet, "text", staticmethod(text))
 
 
-def test_what_breaks_a_subscriber_is_refused_with_its_name_and_what_does_not_is_made_everywhere():
+def test_breaking_change_is_rejected_by_name_and_compatible_one_reaches_all_engines():
     scene = Scene(1)
 
     def call():
         scene.change(scene.session()[0], OLD, statement=alter(OLD))
-        reader, told = scene.session(READS)
-        assert told == {"fennelwind.subscribed": "registered"}
+        reader, configuration = scene.session(READS)
+        assert configuration == {"fennelwind.subscribed": "registered"}
         link, nothing = scene.session()
         assert nothing == {}
         with pytest.raises(RemoteError) as refused:
@@ -128,7 +128,7 @@
         assert scene.columns() == [["id", "total"]] * 2  # nothing was changed
         scene.change(link, WIDER, scene.version(), statement=alter(WIDER))
         assert scene.columns() == [["id", "total", "note"]] * 2
-        execute(reader, "select 1")  # it goes on
+        execute(reader, "select 1")  # the session still works
         reader.call("CloseSession", hs2.TCloseSessionReq(reader.session))
         assert not scene.fleet.program.keeper.gate.subscribers
         assert scene.fleet.seen.failures == []
@@ -136,25 +136,27 @@
     scene.play(call)
 
 
-def test_without_the_council_sessions_open_and_changes_are_refused_with_a_time_to_come_back():
+def test_without_raft_group_sessions_open_and_changes_are_rejected_with_retry_time():
     scene = Scene(2)
 
     def call():
         scene.change(scene.session()[0], OLD, statement=alter(OLD))
-        for name in scene.council.names:
-            scene.council.kill(name)
-        reader, told = scene.session(READS)
-        assert told == {"fennelwind.subscribed": "later"}
+        for name in scene.cluster.names:
+            scene.cluster.kill(name)
+        reader, configuration = scene.session(READS)
+        assert configuration == {"fennelwind.subscribed": "later"}
         execute(reader, "select 1")
         with pytest.raises(RemoteError) as refused:
             scene.change(reader, WIDER, 1, statement=alter(WIDER))
         again = hints.read(refused.value.status.infoMessages)[hints.REFUSED]["retry_after_ms"]
         assert refused.value.status.sqlState == "53000" and again > 0
         before = scene.host.now()
-        scene.session(READS | {"fennelwind.subscriber": "other"})  # it is known to be away by now
+        scene.session(
+            READS | {"fennelwind.subscriber": "other"}
+        )  # the group is known to be unavailable by now
         assert scene.host.now() - before < gate_module.REGISTRATION_WAIT_MS
-        for name in scene.council.names:
-            scene.council.start(name)
+        for name in scene.cluster.names:
+            scene.cluster.start(name)
         gate = scene.fleet.program.keeper.gate
         while not all(s.registration_number for s in gate.subscribers.values()):
             scene.host.sleep(200.0)
@@ -163,7 +165,7 @@
     scene.play(call)
 
 
-def test_a_controller_that_dies_half_way_is_followed_by_another():
+def test_another_controller_continues_a_rollout():
     scene = Scene(3, controllers=2)
 
     def call():
@@ -177,7 +179,7 @@
         holder = [k for k in (scene.fleet.program.keeper,) if k.tasks._running]
         for task in list(scene.fleet.program.keeper.tasks._tasks):
             task.cancel()
-        scene.fleet.program.keeper.close()  # as if its process had ended; its leases lapse
+        scene.fleet.program.keeper.close()  # as if its process had ended; its leases expire
         slow.faults.hang = False
         while len(slow.schemas.tables["sales.orders"]) < 3:
             scene.host.sleep(500.0)
@@ -189,15 +191,15 @@
     scene.play(call)
 
 
-def test_an_engine_that_the_last_holder_noted_as_gone_and_is_back_is_changed_as_well():
+def test_engine_recorded_as_removed_and_back_is_changed_too():
     scene = Scene(8, controllers=2)
 
     def call():
         scene.change(scene.session()[0], OLD, statement=alter(OLD))
-        version, keeper = scene.version(), scene.fleet.program.keeper
+        version, runtime = scene.version(), scene.fleet.program.keeper
         scene.engines[0].faults.hang = True
         scene.host.spawn(lambda: scene.change(scene.session()[0], WIDER, version, statement=alter(WIDER)))
-        record = next(k.member.state.replicated_state for k in scene.council.keepers.values())
+        record = next(k.member.state.replicated_state for k in scene.cluster.runtimes.values())
         changes = record.machines["contracts"].changes
         while not changes or not next(iter(changes.values())).fence:
             scene.host.sleep(20.0)
@@ -206,9 +208,9 @@
         )
         while pb.Change.GONE_AWAY not in next(iter(changes.values())).engines.values():
             scene.host.sleep(20.0)
-        for task in list(keeper.tasks._tasks):
+        for task in list(runtime.tasks._tasks):
             task.cancel()
-        keeper.close()
+        runtime.close()
         scene.engines[0].faults.hang = False
         while record.machines["contracts"].changes:
             scene.host.sleep(500.0)
@@ -217,7 +219,7 @@
     scene.play(call)
 
 
-def test_an_engine_that_refuses_has_the_change_taken_back():
+def test_change_is_reverted_when_an_engine_rejects_it():
     scene = Scene(4)
 
     def call():
@@ -233,7 +235,7 @@
     scene.play(call)
 
 
-def test_a_statement_whose_answer_is_lost_is_stopped_and_looked_at():
+def test_statement_with_lost_answer_is_stopped_and_its_table_described():
     scene = Scene(5)
 
     def call():
@@ -243,18 +245,20 @@
         scene.host.after(25_000.0, lambda: setattr(engine.faults, "lose", False))
         scene.change(scene.session()[0], WIDER, scene.version(), seconds=300, statement=alter(WIDER))
         assert scene.columns() == [["id", "total", "note"]] * 2
-        assert sum("note" in s for s in engine.schemas.changes) == 1  # the look showed that it was made
+        assert (
+            sum("note" in s for s in engine.schemas.changes) == 1
+        )  # DESCRIBE showed that the change had been made
 
     scene.play(call)
 
 
-def test_a_subscription_is_kept_while_a_session_is_open_and_lapses_behind_it():
+def test_subscription_is_renewed_while_a_session_is_open_and_then_expires():
     scene = Scene(6)
 
     def call():
         scene.change(scene.session()[0], OLD, statement=alter(OLD))
         reader, _ = scene.session(READS | {"fennelwind.subscriber.term_s": "10"})
-        record = next(k.member.state.replicated_state for k in scene.council.keepers.values())
+        record = next(k.member.state.replicated_state for k in scene.cluster.runtimes.values())
         machine = record.machines["contracts"]
         scene.host.sleep(40_000.0)
         assert len(machine.subscriptions) == 1
@@ -272,7 +276,7 @@
         {"fennelwind.subscriber": "x", "fennelwind.reads.sales.orders": "id bigint,,"},
     ],
 )
-def test_what_a_session_says_wrongly_is_told_and_leaves_nothing(said):
+def test_invalid_subscription_is_rejected_and_leaves_no_session(said):
     scene = Scene(7)
 
     def call():
@@ -280,12 +284,12 @@
         with pytest.raises(RemoteError, match="contracts-said"):
             scene.session(said)
         assert len(scene.fleet.program.service.sessions) == before
-        scene.session()  # and its place is free again
+        scene.session()  # and its session slot is free again
 
     scene.play(call)
 
 
-def test_a_description_ends_where_its_other_parts_begin():
+def test_description_ends_at_the_first_empty_row():
     rows = [
         ("ID", "bigint", ""),
         ("day", "DATE", ""),
--- a/tests/cluster/test_keeper.py
+++ b/tests/cluster/test_keeper.py
@@ -1,4 +1,4 @@
-"""What carries the council out, in virtual time: frames, askers, members with a core that is alone."""
+"""Raft host, server and client in virtual time: frames, clients, and members with a single-member core."""
 
 from contextlib import suppress
 from random import Random
@@ -42,22 +42,22 @@
 HERE = {name: Address("127.0.0.1", 7000 + n) for n, name in enumerate("abc")}
 
 
-class Alone:
-    """A core that agrees with itself at once; `way` makes it refuse, forget to answer, or send elsewhere."""
+class SingleMemberCore:
+    """A core that commits at once; `mode` makes it refuse, leave unanswered, or name another leader."""
 
     def __init__(self, log):
-        self.entries, self.way, self.leader, self.asked = log, "", "", 0
+        self.entries, self.mode, self.leader, self.proposals = log, "", "", 0
         self.log = Log(None, ())
 
     def step(self, now, events):
         actions = [] if events else [RoleChanged("leader", 1, "a")]
         for event in events:
             if isinstance(event, Propose):
-                self.asked += 1
-                if self.way == "refuses":
+                self.proposals += 1
+                if self.mode == "refuses":
                     actions.append(ProposalOutcome(event.token, Result.NO_LEADER))
                     continue
-                if self.way == "elsewhere":
+                if self.mode == "elsewhere":
                     actions.append(ProposalOutcome(event.token, Result.NOT_LEADER, leader=self.leader))
                     continue
                 entry = cpb.Entry(
@@ -65,7 +65,7 @@
                 )
                 self.entries.append(entry)
                 actions.append(Apply((entry,)))
-                if self.way != "silent":
+                if self.mode != "silent":
                     actions.append(ProposalOutcome(event.token, index=entry.index))
             elif isinstance(event, ReadRequested):
                 actions.append(ReadOutcome(event.token, index=len(self.entries)))
@@ -74,8 +74,8 @@
         return actions
 
 
-class Folder:
-    """A store that holds nothing."""
+class EmptyStorage:
+    """Storage that keeps nothing."""
 
     def __init__(self, me):
         self.me = me
@@ -93,32 +93,32 @@
         pass
 
 
-def member(loop, name="a", log=None, fleet="f", said=lambda *_: None):
+def start_member(loop, name="a", log=None, fleet="f", log_lines=lambda *_: None):
     place = ClusterIdentity(fleet, name, HERE, listen=HERE[name], timing=Timing())
-    core = Alone([] if log is None else log)
-    folder = Folder(Incarnation(name, name.encode()))
-    made = RaftHost(loop, place, ReplicatedState([Sum()]), folder, lambda _: core, "1", said)
+    core = SingleMemberCore([] if log is None else log)
+    folder = EmptyStorage(Incarnation(name, name.encode()))
+    made = RaftHost(loop, place, ReplicatedState([Sum()]), folder, lambda _: core, "1", log_lines)
     made.start()
     loop.sleep(5.0)
     return made
 
 
-def asker(loop, names="a", fleet="f", name="me", seed="1"):
+def make_client(loop, names="a", fleet="f", name="me", seed="1"):
     return RaftClient(loop, fleet, name, {n: HERE[n] for n in names}, seed)
 
 
 def play(main, seed=1):
-    """Run `main(loop)`; a task that broke is a failure."""
-    loop, broke = SimLoop(seed), []
-    loop.on_error = lambda task, exc: broke.append((task.name, exc))
+    """Run `main(loop)`; fail if any task raised an exception."""
+    loop, errors = SimLoop(seed), []
+    loop.on_error = lambda task, exc: errors.append((task.name, exc))
     value = loop.run(lambda: main(loop))
-    assert not broke
+    assert not errors
     return value
 
 
-def test_commands_are_numbered_done_once_and_read_back():
+def test_commands_are_applied_once_and_read_back():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         assert [ours.propose("sum", b"%d" % n, 1000) for n in (1, 2, 3)] == [b"1", b"3", b"6"]
         seen = ours.read("sum", within_ms=1000)
         assert (seen.state, seen.index, seen.revision) == (b"6", 4, 4)
@@ -132,35 +132,35 @@
     play(main)
 
 
-def test_a_command_whose_answer_was_lost_is_asked_again_and_done_once():
+def test_command_with_lost_answer_is_retried_and_applied_once():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         ours.propose("sum", b"1", 1000)
-        there.core.way = "silent"
-        loop.after(1500.0, lambda: setattr(there.core, "way", ""))
+        there.core.mode = "silent"
+        loop.after(1500.0, lambda: setattr(there.core, "mode", ""))
         assert ours.propose("sum", b"5", 9000) == b"6"
-        assert there.core.asked > 3 and there.state.replicated_state.machines["sum"].sum == 6
+        assert there.core.proposals > 3 and there.state.replicated_state.machines["sum"].sum == 6
 
     play(main)
 
 
-def test_a_command_that_nobody_tells_of_ends_unknown_and_its_number_is_not_used_again():
+def test_unanswered_command_ends_unknown_and_its_number_is_not_reused():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         ours.propose("sum", b"1", 1000)
-        there.core.way = "silent"
+        there.core.mode = "silent"
         with pytest.raises(OutcomeUnknownError):
             ours.propose("sum", b"5", 1200)
-        there.core.way = ""
-        assert ours.propose("sum", b"1", 3000) == b"7"  # done, though nobody could tell
+        there.core.mode = ""
+        assert ours.propose("sum", b"1", 3000) == b"7"  # applied, though its outcome was unknown
         assert ours.read("sum", within_ms=1000).state == b"7"
 
     play(main)
 
 
-def test_many_commands_at_once_stay_within_what_the_record_keeps():
+def test_concurrent_commands_stay_within_retained_results():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         tasks = [loop.spawn(ours.propose, "sum", b"1", 5000) for _ in range(300)]
         answers = sorted(int(task.join()) for task in tasks)
         assert answers == list(range(1, 301))
@@ -170,15 +170,15 @@
     play(main)
 
 
-def test_a_forgotten_client_opens_anew_unless_something_may_have_been_done():
+def test_expired_client_reopens_unless_a_command_may_have_been_applied():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         ours.propose("sum", b"1", 1000)
         there.state.replicated_state._clients.clear()
         assert ours.propose("sum", b"1", 1000) == b"2"
-        there.core.way = "silent"
+        there.core.mode = "silent"
         loop.after(500.0, there.state.replicated_state._clients.clear)
-        loop.after(900.0, lambda: setattr(there.core, "way", ""))
+        loop.after(900.0, lambda: setattr(there.core, "mode", ""))
         with pytest.raises(OutcomeUnknownError):
             ours.propose("sum", b"1", 9000)
         assert ours.propose("sum", b"1", 1000) == b"4"
@@ -186,18 +186,18 @@
     play(main)
 
 
-def test_whoever_does_not_lead_names_who_does():
+def test_followers_name_the_leader():
     def main(loop):
         log = []
-        members = [member(loop, name, log) for name in "abc"]
+        members = [start_member(loop, name, log) for name in "abc"]
         for there in members[1:]:
-            there.core.way, there.core.leader = "elsewhere", "a"
+            there.core.mode, there.core.leader = "elsewhere", "a"
         for seed in "1234":
-            ours = asker(loop, "abc", seed=seed)
+            ours = make_client(loop, "abc", seed=seed)
             began = loop.now()
             ours.propose("sum", b"1", 5000)
-            assert loop.now() - began < 50.0  # no wait where somebody knew
-        members[0].core.way = "refuses"
+            assert loop.now() - began < 50.0  # no backoff once the leader is known
+        members[0].core.mode = "refuses"
         with pytest.raises(NoLeaderError) as exc:
             ours.propose("sum", b"1", 3000)
         assert exc.value.facts["again_ms"] > 0 and exc.value.advice
@@ -205,24 +205,24 @@
     play(main)
 
 
-def test_no_member_at_all_is_told_in_time():
+def test_unavailable_group_is_reported_within_the_deadline():
     def main(loop):
-        ours = asker(loop, "abc")
+        ours = make_client(loop, "abc")
         began = loop.now()
         with pytest.raises(ClusterUnavailableError) as exc:
             ours.propose("sum", b"1", 2000)
         assert type(exc.value) is ClusterUnavailableError and exc.value.facts["again_ms"] > 0
         assert loop.now() - began <= 2001.0
-        member(loop, "b")
+        start_member(loop, "b")
         assert ours.propose("sum", b"1", 5000) == b"1"
 
     play(main)
 
 
-def test_a_watch_ends_with_a_change_or_with_its_time():
+def test_watch_ends_with_a_change_or_its_timeout():
     def main(loop):
-        member(loop)
-        ours, other = asker(loop), asker(loop, name="other", seed="2")
+        start_member(loop)
+        ours, other = make_client(loop), make_client(loop, name="other", seed="2")
         ours.propose("sum", b"1", 1000)
         seen = ours.read("sum", within_ms=1000)
         loop.after(700.0, lambda: loop.spawn(other.propose, "sum", b"4", 1000))
@@ -236,12 +236,12 @@
     play(main)
 
 
-def test_watches_of_askers_that_have_gone_take_nobodys_place(monkeypatch):
+def test_watches_of_disconnected_clients_are_removed_when_full(monkeypatch):
     monkeypatch.setattr("fennelwind.cluster.applied_state.MAX_WATCHES", 3)
 
     def main(loop):
-        host = member(loop)
-        lost, ours = asker(loop, name="lost"), asker(loop, seed="2")
+        host = start_member(loop)
+        lost, ours = make_client(loop, name="lost"), make_client(loop, seed="2")
         tasks = [loop.spawn(lambda: lost.watch("sum", 9, wait_ms=50_000)) for _ in range(3)]
         loop.sleep(100.0)
         assert host.state.watch_count == 3
@@ -255,23 +255,23 @@
     play(main)
 
 
-def test_another_fleet_and_another_name_are_refused_and_told():
+def test_wrong_fleet_and_wrong_member_name_are_rejected_and_reported():
     def main(loop):
-        said = []
-        there = member(loop, said=lambda what, facts: said.append(facts.get("code")))
+        log_lines = []
+        there = start_member(loop, log_lines=lambda what, facts: log_lines.append(facts.get("code")))
         with pytest.raises(FleetMismatchError):
-            asker(loop, fleet="g").propose("sum", b"1", 1500)
-        assert "council-fleet-mismatch" in said and there.server.counts["refused"] >= 1
+            make_client(loop, fleet="g").propose("sum", b"1", 1500)
+        assert "council-fleet-mismatch" in log_lines and there.server.counts["refused"] >= 1
         with pytest.raises(MemberNameMismatchError):
             RaftClient(loop, "f", "me", {"b": HERE["a"]}, "1").propose("sum", b"1", 1500)
-        assert there.core.asked == 0
+        assert there.core.proposals == 0
 
     play(main)
 
 
-def test_bytes_of_strangers_are_bounded_dropped_and_counted():
+def test_invalid_frames_and_silent_connections_are_dropped_and_counted():
     def main(loop):
-        there = member(loop)
+        there = start_member(loop)
         for data in (b"GET / HTTP/1.1\r\n\r\n", LENGTH.pack(5) + b"\xff" * 5, LENGTH.pack(1 << 31)):
             stream = loop.connect(HERE["a"])
             stream.write(data)
@@ -284,14 +284,14 @@
         assert there.server.counts["too many"] == 5
         loop.sleep(5000.0)
         assert there.server.counts["silent"] == MAX_UNIDENTIFIED and there.server.unidentified == 0
-        assert asker(loop).propose("sum", b"1", 1000) == b"1" and silent
+        assert make_client(loop).propose("sum", b"1", 1000) == b"1" and silent
 
     play(main)
 
 
-def test_who_asks_nothing_for_long_is_let_go_and_comes_back():
+def test_idle_client_is_disconnected_and_reconnects():
     def main(loop):
-        there, ours = member(loop), asker(loop)
+        there, ours = start_member(loop), make_client(loop)
         ours.propose("sum", b"1", 1000)
         loop.sleep(300_000.0)
         assert not there.server.clients and there.server.counts["idle"] == 1
@@ -303,9 +303,9 @@
 @pytest.mark.parametrize(
     "frame", [pb.Frame(pulse=True), pb.Frame(told=pb.Told()), pb.Frame(council=b"\xff"), pb.Frame()]
 )
-def test_what_an_asker_may_not_say_ends_its_connection(frame):
+def test_disallowed_frames_close_the_connection(frame):
     def main(loop):
-        there = member(loop)
+        there = start_member(loop)
         for life in (b"", b"x"):
             stream = loop.connect(HERE["a"])
             stream.write(
@@ -321,8 +321,8 @@
 
 
 @pytest.mark.parametrize("life", [b"", b"x"])
-def test_whatever_bytes_come_the_member_goes_on(life):
-    """Sessions with flipped, cut, doubled and drawn bytes: each ends or is answered, and breaks nothing."""
+def test_member_survives_corrupted_input(life):
+    """Guard against crashes by flipped, cut, repeated and random bytes: each session ends or is answered."""
     random = Random(11)
     message = cpb.Message(term=1, append=cpb.Append(entries=[cpb.Entry(term=1, index=1, nothing=True)]))
     frames = (
@@ -338,7 +338,7 @@
     good = hello + b"".join(map(encode_frame, frames))
 
     def main(loop):
-        there = member(loop)
+        there = start_member(loop)
         for _ in range(150):
             data = bytearray(good)
             for _ in range(random.randrange(1, 4)):
@@ -362,14 +362,14 @@
         counts = there.server.counts
         assert counts["dropped"] > 20 and counts["taken"] > 20 and not there.server.unidentified
         assert not there.server.clients and not there.server.members
-        assert asker(loop).propose("sum", b"5", 1000)
+        assert make_client(loop).propose("sum", b"5", 1000)
 
     play(main)
 
 
-def test_asks_that_cannot_be_read_are_refused_one_by_one():
+def test_unreadable_requests_are_rejected_individually():
     def main(loop):
-        member(loop)
+        start_member(loop)
         stream = loop.connect(HERE["a"])
         stream.write(encode_frame(pb.Hello(protocol=PROTOCOL, fleet="f", name="s")))
         reader = FrameReader(stream)
@@ -386,10 +386,10 @@
     play(main)
 
 
-def test_members_that_meet_hear_one_another_and_meet_again():
+def test_members_exchange_messages_and_reconnect():
     def main(loop):
         heard = []
-        one, two = member(loop, "a"), member(loop, "b")
+        one, two = start_member(loop, "a"), start_member(loop, "b")
         two.message_received = lambda sender, message: heard.append((sender, message.term))
         loop.sleep(3000.0)
         one.peers.send(Incarnation("b", b"b"), cpb.Message(term=3))
@@ -399,9 +399,9 @@
         two.close()
         loop.sleep(6000.0)
         assert not one.peers.by_name["b"].is_connected
-        again = member(loop, "b")
+        again = start_member(loop, "b")
         again.message_received = lambda sender, message: heard.append((sender, message.term))
-        loop.sleep(20.0)  # it has opened its way here, so the way there is tried at once
+        loop.sleep(20.0)  # its connection here triggers a reconnect to it at once
         one.peers.send(Incarnation("b", b""), cpb.Message(term=5))
         loop.sleep(50.0)
         assert heard[1:] == [(Incarnation("a", b"a"), 5)]
@@ -409,18 +409,18 @@
     play(main)
 
 
-def test_an_outbox_drops_the_oldest_that_may_be_lost_first():
+def test_outbox_drops_oldest_droppable_frames_first():
     def main(loop):
         box = Outbox(loop, max_bytes=100)
         assert box.put(b"a" * 40, True) and box.put(b"b" * 40) and box.put(b"c" * 40, True)
         assert (len(box), box.queued_bytes, box.dropped) == (2, 80, 1)
         assert not box.put(b"d" * 70)
-        assert (len(box), box.dropped) == (1, 3)  # what could be lost made room, though not enough
+        assert (len(box), box.dropped) == (1, 3)  # droppable frames were dropped, though that was not enough
 
     play(main)
 
 
-def test_frames_come_out_as_they_went_in_however_they_are_cut():
+def test_frames_are_read_back_however_the_bytes_are_split():
     def main(loop):
         listener = loop.listen(HERE["a"])
         near = loop.connect(HERE["a"])
@@ -438,13 +438,13 @@
     play(main)
 
 
-def test_a_member_that_broke_is_gone_and_the_loop_goes_on():
-    loop, broke, said = SimLoop(1), [], []
-    loop.on_error = lambda task, exc: broke.append((task.name, type(exc).__name__))
+def test_member_with_a_defect_closes_and_the_loop_continues():
+    loop, errors, log_lines = SimLoop(1), [], []
+    loop.on_error = lambda task, exc: errors.append((task.name, type(exc).__name__))
 
     def main():
-        there = member(loop, said=lambda what, facts: said.append(what))
-        ours = asker(loop)
+        there = start_member(loop, log_lines=lambda what, facts: log_lines.append(what))
+        ours = make_client(loop)
         ours.propose("sum", b"1", 1000)
         there.state.replicated_state.machines["sum"].apply = lambda *_: 1 / 0
         with pytest.raises(OutcomeUnknownError):
@@ -452,14 +452,14 @@
         assert there.role == "closed" and not loop.listeners
 
     loop.run(main)
-    assert broke == [("keeper: member", "ZeroDivisionError")] and "raft host failed" in said
+    assert errors == [("keeper: member", "ZeroDivisionError")] and "raft host failed" in log_lines
 
 
-def test_a_door_that_closes_lets_all_go():
+def test_closed_member_disconnects_its_clients():
     def main(loop):
-        there = member(loop)
+        there = start_member(loop)
         assert isinstance(there.server, ClusterServer)
-        ours = asker(loop)
+        ours = make_client(loop)
         ours.propose("sum", b"1", 1000)
         there.close()
         with pytest.raises(ClusterUnavailableError):
--- a/tests/cluster/test_quiescence_program.py
+++ b/tests/cluster/test_quiescence_program.py
@@ -1,9 +1,9 @@
-"""Clearances on whole controllers in virtual time: copies that leave go as soon as all have said so."""
+"""Quiescence on complete controllers in virtual time: draining replicas are dropped once all acknowledge."""
 
 import pytest
-import test_moves_program as moves
+import test_shard_migrations_program as moves
 from fleet import Fleet, Seen, execute, outcome, status
-from test_gate import FOLLOWER, OLD, WIDER, alter, class_of_alter  # noqa: F401 - a fixture
+from test_gate import FOLLOWER, OLD, WIDER, alter, alter_selector  # noqa: F401 - a fixture
 
 from fennelwind import config, policy
 from fennelwind.cli.program import Program
@@ -15,19 +15,19 @@
 
 
 class Scene(moves.Scene):
-    """Three members of the record's level 2, and controllers: c0 with the engines, others by its list."""
+    """Three members at log level 2, and controllers: c0 with the engines, others with c0's engine list."""
 
     def __init__(self, seed, controllers=2, level=2):
         super().__init__(seed)
         self.level = level
         self.others = {
-            f"c{n}": self.council.world.host(f"c{n}", f"127.0.0.{n + 1}") for n in range(1, controllers)
+            f"c{n}": self.cluster.world.host(f"c{n}", f"127.0.0.{n + 1}") for n in range(1, controllers)
         }
         self.programs = {}
 
     def play(self, call):
-        plain = self.council.start
-        self.council.start = lambda name: plain(name, level=self.level)
+        plain = self.cluster.start
+        self.cluster.start = lambda name: plain(name, level=self.level)
         super().play(call)
 
     def _main(self, call):
@@ -45,16 +45,16 @@
         return super()._main(main)
 
     def record(self):
-        return next(k.member.state.replicated_state for k in self.council.keepers.values())
+        return next(k.member.state.replicated_state for k in self.cluster.runtimes.values())
 
     def drain(self, engine):
-        """Let every controller hear that an engine drains; it has to be emptied then."""
+        """Report an engine as draining to every controller, which starts its migrations."""
         event = policy.EngineListUpdate("delta", (policy.EngineEndpoint(engine.name, "draining"),))
         for program in [self.fleet.program, *self.programs.values()]:
             program.driver.post(event)
 
-    def gone_after(self):
-        """Wait until a copy that leaves has gone; return the ms since the switch."""
+    def drop_delay_ms(self):
+        """Wait until a draining replica is dropped; return the ms since the switch."""
         machine = self.record().machines["shards"]
         self.until(lambda: machine.waiting())
         began = self.host.now()
@@ -85,11 +85,11 @@
     monkeypatch.setattr(moves, "MOVES", MOVES)
     monkeypatch.setattr(
         ControllerRegistry, "silence_timeout_ms", 40_000
-    )  # else two minutes pass ahead of each test
+    )  # otherwise each test starts with a wait of two minutes
     monkeypatch.setattr(quiescence, "RENEWAL_MS", 10_000.0)
 
 
-def test_replicas_are_dropped_once_all_acknowledge_and_not_while_one_has_queries_there_or_is_silent():
+def test_replica_drop_waits_for_running_queries_and_silent_controllers():
     scene = Scene(1)
 
     def call():
@@ -104,19 +104,19 @@
         )
         scene.host.sleep(100.0)
         scene.drain(first)
-        took = scene.gone_after()
-        assert status(scene.link, handle).operationState == hs2.FINISHED and 2_000.0 < took < 15_000.0
+        delay_ms = scene.drop_delay_ms()
+        assert status(scene.link, handle).operationState == hs2.FINISHED and 2_000.0 < delay_ms < 15_000.0
         scene.link = scene.fleet.client()
         assert outcome(lambda: scene.ran_at(NAMES[0])) == "served"
-        scene.others["c1"].kill()  # it stays on the roll until it is forgotten
+        scene.others["c1"].kill()  # it stays registered until its registration times out
         scene.drain(second)
-        assert 15_000.0 < scene.gone_after() < 50_000.0
+        assert 15_000.0 < scene.drop_delay_ms() < 50_000.0
         assert scene.fleet.seen.failures == []
 
     scene.play(call)
 
 
-def test_an_engine_is_altered_once_the_queries_of_its_table_have_ended_and_new_ones_go_elsewhere():
+def test_engine_is_altered_after_its_queries_end_and_new_ones_go_elsewhere():
     scene = Scene(2)
 
     def call():
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_shard_migrations.py
@@ -1,9 +1,9 @@
-"""Moves on the whole path in virtual time: members, leases, two controllers, statements, engines' disks."""
+"""Shard migrations end to end in virtual time: members, leases, two controllers, statements, disks."""
 
 from unittest import mock
 
 import pytest
-from council_world import Council
+from cluster_world import Cluster
 from move_play import QuickMachine
 
 from fennelwind.cluster.access_load import AccessLoadReporter
@@ -36,33 +36,33 @@
     """Three members, two controllers that may hold the lease, four engines with disks."""
 
     def __init__(self, seed, members=False):
-        self.council, self.members = Council(seed), members
-        self.staging, self.engines, self.lives = {}, {}, {}
+        self.cluster, self.members = Cluster(seed), members
+        self.staging, self.engines, self.engine_states = {}, {}, {}
 
     def play(self, call):
-        def main(council):
-            world = council.world
-            for name in council.names:
-                council.kill(name)  # they begin anew with the machine of shards
-                council.start(name, more=[QuickMachine()], level=2)
+        def main(cluster):
+            world = cluster.world
+            for name in cluster.names:
+                cluster.kill(name)  # restarted with the state machine of shards
+                cluster.start(name, more=[QuickMachine()], level=2)
             for n in range(4):
                 host = world.host(f"e{n}", f"10.0.1.{n + 1}")
                 engine = Engine(host, Address(host.address, 10_000), Machine(cores=8))
                 engine.shelf = Shelf(1_000, self.staging, ms_per_byte=20.0)
                 self.engines[f"10.0.1.{n + 1}:10000"] = engine
                 host.start(engine.start, False)
-            self.lives = dict.fromkeys(self.engines, "ready")
+            self.engine_states = dict.fromkeys(self.engines, "ready")
             for n, name in enumerate(NAMES):
                 for engine in list(self.engines.values())[n % 2 : n % 2 + 1]:
                     engine.shelf.held[name] = Content(10 + n, 77 + n, 100)
             for name in ("c0", "c1"):
-                self.begin(name)
+                self.start_controller(name)
             if self.members:
-                for name in council.names:
-                    self.begin_moves(name, council.keepers[name].member.state.replicated_state)
-            council.on(
+                for name in cluster.names:
+                    self.start_migrations(name, cluster.runtimes[name].member.state.replicated_state)
+            cluster.on(
                 "c0",
-                lambda: council.keepers["c0"].client.propose(
+                lambda: cluster.runtimes["c0"].client.propose(
                     SHARDS,
                     pb.Command(
                         declare=pb.Declare(
@@ -74,42 +74,43 @@
                     5_000.0,
                 ),
             )
-            council.until(lambda: all(self.machine().good(name) for name in NAMES), 120_000.0)
+            cluster.until(lambda: all(self.machine().good(name) for name in NAMES), 120_000.0)
             call()
-            council.until(self.settled, 300_000.0)
+            cluster.until(self.settled, 300_000.0)
 
-        self.council.play(main)
+        self.cluster.play(main)
 
-    def begin(self, name):
-        self.council.start(name, f"10.0.2.{name[1]}", more=[QuickMachine()], level=2)
+    def start_controller(self, name):
+        self.cluster.start(name, f"10.0.2.{name[1]}", more=[QuickMachine()], level=2)
         if not self.members:
-            self.begin_moves(name)
+            self.start_migrations(name)
 
-    def begin_moves(self, name, record=None):
-        keeper, host = self.council.keepers[name], self.council.hosts[name]
-        moves = ShardMigrations(
+    def start_migrations(self, name, record=None):
+        runtime, host = self.cluster.runtimes[name], self.cluster.hosts[name]
+        migrations = ShardMigrations(
             host,
-            keeper.client,
-            keeper.tasks,
+            runtime.client,
+            runtime.tasks,
             EngineStatements(host, LINKS),
             self.homes,
             "/staging",
-            lambda what, facts: self.council.said.append((what, facts)),
+            lambda what, facts: self.cluster.log_lines.append((what, facts)),
             timing=TIMING,
             replicated_state=record,
         )
-        host.start(moves.start)
+        host.start(migrations.start)
 
     def homes(self):
         return [
-            Home(name, f"z{n % 2}", "", 1_000, 200, self.lives[name]) for n, name in enumerate(self.engines)
+            Home(name, f"z{n % 2}", "", 1_000, 200, self.engine_states[name])
+            for n, name in enumerate(self.engines)
         ]
 
     def record(self):
         return next(
-            self.council.keepers[name].member.state.replicated_state
-            for name in self.council.names
-            if not self.council.hosts[name].dead
+            self.cluster.runtimes[name].member.state.replicated_state
+            for name in self.cluster.names
+            if not self.cluster.hosts[name].dead
         )
 
     def machine(self):
@@ -117,14 +118,14 @@
 
     def settled(self):
         machine = self.machine()
-        for name in NAMES:  # at every instant that is looked at, a good copy is where the record says
+        for name in NAMES:  # at every check, good replicas are where the replicated state says
             truth = Content(10 + NAMES.index(name), 77 + NAMES.index(name), 100)
             holders = [e for e, engine in self.engines.items() if engine.shelf.held.get(name) == truth]
             assert set(machine.good(name)) <= set(holders) and holders, (name, machine.good(name), holders)
         good = {name: machine.good(name) for name in NAMES}
         return (
             not machine.moves
-            and all(len(g) == 1 and self.lives[g[0]] == "ready" for g in good.values())
+            and all(len(g) == 1 and self.engine_states[g[0]] == "ready" for g in good.values())
             and all(
                 set(e.shelf.held) == {n for n in NAMES if name in good[n]} for name, e in self.engines.items()
             )
@@ -132,7 +133,7 @@
 
     def drain(self, number=0):
         engine = list(self.engines)[number]
-        self.lives[engine] = "draining"
+        self.engine_states[engine] = "draining"
         return self.engines[engine]
 
     def holder(self):
@@ -141,7 +142,7 @@
 
 
 @pytest.mark.parametrize("members", [False, True])
-def test_copies_are_found_and_an_engine_that_drains_is_emptied(members):
+def test_replicas_are_discovered_and_a_draining_engine_is_emptied(members):
     scene = Scene(1, members)
     drained = []
     scene.play(lambda: drained.append(scene.drain()))
@@ -149,76 +150,76 @@
 
 
 @pytest.mark.parametrize("members", [False, True])
-def test_a_controller_that_dies_in_the_middle_of_a_copy_is_followed_by_the_other(members):
+def test_other_controller_continues_after_the_holder_dies_during_a_copy(members):
     scene = Scene(2, members)
 
     def call():
         scene.drain()
-        scene.council.until(lambda: any(m.step == "copying" for m in scene.machine().moves.values()))
+        scene.cluster.until(lambda: any(m.step == "copying" for m in scene.machine().moves.values()))
         dead = scene.holder()
-        scene.council.kill(dead)
-        scene.council.until(lambda: scene.holder() not in ("", dead), 60_000.0)
+        scene.cluster.kill(dead)
+        scene.cluster.until(lambda: scene.holder() not in ("", dead), 60_000.0)
 
     scene.play(call)
     assert sum(e.shelf.loads for e in scene.engines.values()) >= 2
 
 
-def test_a_holder_whose_own_record_stands_goes_on_by_what_the_others_say():
+def test_holder_with_stalled_local_state_continues_over_the_raft_client():
     scene = Scene(2, True)
 
     def call():
         holder = scene.holder()
-        platter = scene.council.platters[holder]
+        platter = scene.cluster.platters[holder]
         platter.fails = True
-        scene.council.until(lambda: scene.council.keepers[holder].member.role == "mute")
-        scene.council.keepers[holder].member.server.close()  # and it hears nothing any more
-        stands = scene.council.keepers[holder].member.state.replicated_state.index
+        scene.cluster.until(lambda: scene.cluster.runtimes[holder].member.role == "mute")
+        scene.cluster.runtimes[holder].member.server.close()  # and it receives nothing any more
+        stalled_index = scene.cluster.runtimes[holder].member.state.replicated_state.index
         scene.drain()
-        scene.council.until(lambda: scene.settled(), 120_000.0)
+        scene.cluster.until(lambda: scene.settled(), 120_000.0)
         assert scene.holder() == holder
-        assert scene.council.keepers[holder].member.state.replicated_state.index <= stands + 5
+        assert scene.cluster.runtimes[holder].member.state.replicated_state.index <= stalled_index + 5
 
     scene.play(call)
 
 
-def test_an_engine_that_comes_back_with_an_empty_disk_counts_as_another():
+def test_engine_that_returns_with_an_empty_disk_is_a_new_generation():
     scene = Scene(3)
 
     def call():
         name, engine = list(scene.engines.items())[0]
         scene.drain()
-        scene.council.until(lambda: scene.settled(), 120_000.0)
+        scene.cluster.until(lambda: scene.settled(), 120_000.0)
         target = next(e for e in scene.engines if scene.machine().good(NAMES[0]) == (e,))
-        scene.lives[name] = "ready"
-        scene.council.until(lambda: scene.machine().homes[name].life == "ready")
+        scene.engine_states[name] = "ready"
+        scene.cluster.until(lambda: scene.machine().homes[name].life == "ready")
         engine.crash()
         engine.shelf = Shelf(1_000, scene.staging, ms_per_byte=20.0)
-        scene.lives[name] = "gone"
-        scene.council.until(lambda: scene.machine().homes[name].life == "gone")
+        scene.engine_states[name] = "gone"
+        scene.cluster.until(lambda: scene.machine().homes[name].life == "gone")
         engine.loop.start(engine.start, False)
-        scene.lives[name] = "ready"
-        scene.council.until(lambda: scene.machine().homes[name].generation == 1)
+        scene.engine_states[name] = "ready"
+        scene.cluster.until(lambda: scene.machine().homes[name].generation == 1)
         assert target
 
     scene.play(call)
 
 
-def test_controllers_tell_what_queries_named_and_nothing_twice():
+def test_controllers_report_access_load_once():
     scene, named = Scene(4), [Named(), Named()]
 
-    def told(shard):
+    def reported_count(shard):
         return scene.machine()._faded.get(shard, (0, 0))[0]
 
     def call():
         for number, name in enumerate(("c0", "c1")):
-            asker = scene.council.keepers[name].client
-            told_by = AccessLoadReporter(scene.council.hosts[name], asker, named[number], number)
-            scene.council.hosts[name].start(told_by.start)
+            client = scene.cluster.runtimes[name].client
+            reporter = AccessLoadReporter(scene.cluster.hosts[name], client, named[number], number)
+            scene.cluster.hosts[name].start(reporter.start)
             named[number].count(NAMES[:2])
-        scene.council.until(lambda: told(NAMES[0]) > 1.9 * UNIT)
+        scene.cluster.until(lambda: reported_count(NAMES[0]) > 1.9 * UNIT)
         named[0].count(NAMES[2:])
-        scene.council.until(lambda: told(NAMES[2]))
-        assert told(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
+        scene.cluster.until(lambda: reported_count(NAMES[2]))
+        assert reported_count(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
 
     with mock.patch("fennelwind.cluster.access_load.REPORT_INTERVAL_MS", 2_000.0):
         scene.play(call)
--- a/tests/cluster/test_moves_program.py
+++ b/tests/cluster/test_shard_migrations_program.py
@@ -1,7 +1,7 @@
-"""Moves on whole controllers: shards from settings, queries that go by copies, an engine that is emptied."""
+"""Shard migrations on complete controllers: shards from settings, query routing, a draining engine."""
 
 import pytest
-from council_world import Council
+from cluster_world import Cluster
 from fleet import Fleet, Seen, execute, outcome
 from test_gate import FOLLOWER
 
@@ -32,20 +32,20 @@
 
     def __init__(self, seed, change=settings):
         self.change = change
-        self.council = Council(seed)
-        self.host = self.council.world.host("c0", "127.0.0.1")
+        self.cluster = Cluster(seed)
+        self.host = self.cluster.world.host("c0", "127.0.0.1")
 
     def play(self, call):
         def main():
-            for name in self.council.names:
-                self.council.start(name)
+            for name in self.cluster.names:
+                self.cluster.start(name)
             task = self.host.start(self._main, call)
             while not task.done:
-                self.council.world.rig.sleep(20.0)
+                self.cluster.world.rig.sleep(20.0)
             if task.error is not None:
                 raise task.error
 
-        self.council.world.run(main)
+        self.cluster.world.run(main)
 
     def _main(self, call):
         self.fleet = Fleet(self.host, engines=3, change=self.change)
@@ -58,9 +58,9 @@
         self.until(lambda: all(self.good(name) for name in NAMES))
         return call()
 
-    def until(self, true, within_ms=900_000.0):
+    def until(self, condition, within_ms=900_000.0):
         end = self.host.now() + within_ms
-        while not true():
+        while not condition():
             assert self.host.now() < end
             self.host.sleep(200.0)
 
@@ -68,20 +68,20 @@
         return self.fleet.program.driver.router.places.get(name, ())
 
     def ran_at(self, shard):
-        """Run a query of a shard; return the engine that had it."""
+        """Run a query that names a shard; return the engine that it was sent to."""
         execute(self.link, "select 1", **{"fennelwind.shards": shard})
         return self.fleet.seen.attempts[-1][2]
 
 
-def test_queries_go_where_good_copies_are_and_follow_them_when_an_engine_is_emptied():
+def test_queries_follow_good_replicas_when_an_engine_drains():
     scene = Scene(1)
 
     def call():
         engines = scene.fleet.engines
         for n, name in enumerate(NAMES):
             assert {scene.ran_at(name) for _ in range(6)} == {engines[n].name}
-        execute(scene.link, "select 1")  # one that names none goes anywhere
-        assert outcome(lambda: scene.ran_at("sales/day=9")) == "served"  # the record knows no such shard
+        execute(scene.link, "select 1")  # one that names no shard may go anywhere
+        assert outcome(lambda: scene.ran_at("sales/day=9")) == "served"  # no such shard is declared
         scene.fleet.program.driver.post(
             policy.EngineListUpdate("delta", (policy.EngineEndpoint(engines[0].name, "draining"),))
         )
@@ -89,28 +89,30 @@
         assert {scene.ran_at(NAMES[0]) for _ in range(4)} == set(scene.good(NAMES[0]))
         scene.until(lambda: not engines[0].shelf.held)
         assert scene.fleet.seen.failures == []
-        told = exposition(scene.fleet.program).decode()  # by the classes of the settings, not the module's
-        assert 'queries_total{class="lookup",end="served"}' in told
-        assert "council_shards_readable 2.0" in told
+        metrics = exposition(
+            scene.fleet.program
+        ).decode()  # with the classes of the settings, not those of the policy
+        assert 'queries_total{class="lookup",end="served"}' in metrics
+        assert "council_shards_readable 2.0" in metrics
         assert {kind for _, kind in scene.fleet.seen.answers} == {"served"}
 
     scene.play(call)
 
 
-def test_without_the_council_queries_go_on_by_the_last_view():
+def test_without_raft_group_queries_use_the_last_view():
     scene = Scene(2)
 
     def call():
-        for name in scene.council.names:
-            scene.council.kill(name)
+        for name in scene.cluster.names:
+            scene.cluster.kill(name)
         scene.host.sleep(60_000.0)
-        scene.link = scene.fleet.client()  # the one before was idle for too long
+        scene.link = scene.fleet.client()  # the previous one was closed as idle
         assert scene.ran_at(NAMES[1]) == scene.fleet.engines[1].name
 
     scene.play(call)
 
 
-def test_an_engine_that_restarts_with_an_empty_disk_before_anybody_missed_it_counts_as_another():
+def test_engine_restarted_unnoticed_with_an_empty_disk_is_detected():
     scene = Scene(5, lambda text: settings(text).replace("size_bytes: 100", "size_bytes: 100 copies: 2", 1))
 
     def call():
@@ -131,26 +133,28 @@
     scene.play(call)
 
 
-def test_a_controller_that_knows_no_engine_yet_takes_no_task_and_one_that_starts_knows_the_copies():
+def test_controller_without_engines_takes_no_task_and_starts_with_a_view():
     scene = Scene(4)
 
     def call():
-        host = scene.council.world.host("c1", "127.0.0.2")
+        host = scene.cluster.world.host("c1", "127.0.0.2")
         text = settings(Fleet.text('discovery { address: "127.0.0.9:1" mode: PUSHED }'))
-        blind = Program(host, config.read(text.replace('me: "c0"', 'me: "c1"')), Seen(), 2)
-        started = host.start(blind.start)
+        program_without_engines = Program(host, config.read(text.replace('me: "c0"', 'me: "c1"')), Seen(), 2)
+        started = host.start(program_without_engines.start)
         scene.until(lambda: started.done)
-        assert blind.driver.router.places == scene.fleet.program.driver.router.places  # ahead of any client
-        scene.fleet.program.keeper.close()  # its leases lapse
+        assert (
+            program_without_engines.driver.router.places == scene.fleet.program.driver.router.places
+        )  # before it accepts clients
+        scene.fleet.program.keeper.close()  # its leases expire
         scene.host.sleep(90_000.0)
-        machine = next(iter(scene.council.keepers.values())).member.state.replicated_state.machines["shards"]
+        machine = next(iter(scene.cluster.runtimes.values())).member.state.replicated_state.machines["shards"]
         assert {home.life for home in machine.homes.values()} == {"ready"}
         assert all(machine.good(name) for name in NAMES)
 
     scene.play(call)
 
 
-def test_too_many_shards_are_refused_by_name():
+def test_too_many_named_shards_are_rejected():
     scene = Scene(3)
     named = {"fennelwind.shards": ",".join(f"sales/day={n}" for n in range(65))}
 
@@ -173,7 +177,7 @@
         (FOLLOWER % "c0", "", "moves"),
     ],
 )
-def test_what_is_wrong_in_the_section_has_its_place(old, new, label):
+def test_settings_errors_name_field_and_position(old, new, label):
     text = settings(Fleet.text('engines { address: "127.0.0.1:5000" kind: "k" }'))
     config.read(text)
     assert old in text
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -12,7 +12,7 @@
 import time
 
 import test_quiescence_program as program
-from council_world import Council
+from cluster_world import Cluster
 from fleet import Fleet
 from test_quiescence_program import OLD, WIDER, Scene, publish
 from test_shard_routing import ENGINES, SETTINGS
@@ -36,7 +36,9 @@
     took = []
     for seed in range(seeds):
         scene = Scene(seed, controllers=3)
-        scene.play(lambda scene=scene: (scene.drain(scene.fleet.engines[0]), took.append(scene.gone_after())))
+        scene.play(
+            lambda scene=scene: (scene.drain(scene.fleet.engines[0]), took.append(scene.drop_delay_ms()))
+        )
     told("switch to drop, " + ("cleared" if on else "without"), took)
 
 
@@ -69,26 +71,26 @@
 
 def messages(controllers=200):
     """Commands and words a second at the leader, by so many controllers."""
-    council = Council(1)
+    cluster = Cluster(1)
 
-    def main(council):
-        for name in council.names:
-            council.kill(name)
-            council.start(name, level=2)
+    def main(cluster):
+        for name in cluster.names:
+            cluster.kill(name)
+            cluster.start(name, level=2)
         parts = []
         for n in range(controllers):
-            keeper = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
-            keeper.quiescence = QuiescenceClient(keeper.loop, keeper.client, f"c{n}", InFlightTracker())
-            parts.append(keeper.quiescence)
-        council.until(
+            runtime = cluster.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
+            runtime.quiescence = QuiescenceClient(runtime.loop, runtime.client, f"c{n}", InFlightTracker())
+            parts.append(runtime.quiescence)
+        cluster.until(
             lambda: sum(p.in_flight.registration_number > 0 for p in parts) == controllers, 300_000.0
         )
-        rig = council.world.rig
+        rig = cluster.world.rig
         for wishes in (0, 1, 20):
             for part in parts:
                 part.update_replicas(wishes + 1, {}, [(f"t/d={n}", "e") for n in range(wishes)], True)
             rig.sleep(5_000.0)
-            record = council.keepers[council.leader()].member.state.replicated_state
+            record = cluster.runtimes[cluster.leader()].member.state.replicated_state
             index, words = record.index, sum(p.counts["told"] for p in parts)
             rig.sleep(60_000.0)
             words = sum(p.counts["told"] for p in parts) - words
@@ -99,7 +101,7 @@
                 flush=True,
             )
 
-    council.play(main)
+    cluster.play(main)
 
 
 def check(times=5_000, runs=40):
--- a/tests/support/council_storm.py
+++ b/tests/support/council_storm.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from random import Random
 
-from test_council_processes import answered, flip, judge
+from test_council_processes import check_run, flip, wait_for_answers
 
 from fennelwind.testbed.councilrig import ACT, CouncilRig
 from fennelwind.testbed.processes import RigFailed
@@ -60,7 +60,7 @@
     def play(self):
         """Play and judge. Raises `AssertionError` and `RigFailed`."""
         self.rig.play(self._script)
-        judge(self.rig, acts=10, asks=100)
+        check_run(self.rig, acts=10, asks=100)
 
     def _script(self, rig):
         random, loop = self.random, rig.loop
@@ -75,7 +75,7 @@
         for name in rig.names:
             rig.parts[name].go_on()
             self._mend(name)
-        answered(rig, 40)
+        wait_for_answers(rig, 40)
         rig.acts(5)
         rig.until(
             lambda: all((rig.state(name) or {}).get("votes") == len(rig.members) for name in rig.members),
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -22,7 +22,7 @@
 
 import click
 import msgpack
-from council_world import Council
+from cluster_world import Cluster
 from fleet import Fleet, execute, fetch, outcome, status
 from nodes import CHANNEL, Client, Executor, instance, nodes_event, query_id, start_node
 from prometheus_client.parser import text_string_to_metric_families
@@ -214,36 +214,36 @@
 def members_scene():
     """Three members and a follower: elections, commands and a lost leader."""
 
-    def main(council):
-        for member in council.names:  # they begin anew, knowing the level that has the roll of controllers
-            council.kill(member)
-            council.start(member, level=2)
-        council.until(council.leader)
-        council.start("c0", "10.0.2.0", level=2)
-        record = council.keepers[council.leader()].member.state.replicated_state
-        council.until(lambda: record.level == 2)
-        client = council.keepers["c0"].client
+    def main(cluster):
+        for member in cluster.names:  # they begin anew, knowing the level that has the roll of controllers
+            cluster.kill(member)
+            cluster.start(member, level=2)
+        cluster.until(cluster.leader)
+        cluster.start("c0", "10.0.2.0", level=2)
+        record = cluster.runtimes[cluster.leader()].member.state.replicated_state
+        cluster.until(lambda: record.level == 2)
+        client = cluster.runtimes["c0"].client
         for index, (machine, body) in enumerate(commands(30)):
             try:
-                answer = council.on("c0", client.propose, machine, body, 5_000.0)
+                answer = cluster.on("c0", client.propose, machine, body, 5_000.0)
                 seen.append(base64.b64encode(answer).decode())
             except FennelwindError:  # a command of the next level is refused, which has its bytes as well
                 seen.append("refused")
             if index == 10:
-                council.kill(council.leader())
-                council.until(council.leader)
+                cluster.kill(cluster.leader())
+                cluster.until(cluster.leader)
         for machine in (LEASES, CONTRACTS, SHARDS, ROLL):
-            read = council.on("c0", lambda machine=machine: client.read(machine, within_ms=5_000.0))
+            read = cluster.on("c0", lambda machine=machine: client.read(machine, within_ms=5_000.0))
             seen.append(hashlib.sha256(read.state).hexdigest())
 
-        leader = council.keepers[council.leader()]
+        leader = cluster.runtimes[cluster.leader()]
         metrics["gauges"] = [name for name, _, _ in leader.gauges()]
         metrics["events"] = sorted({f"{where} {event}" for where, event, _ in leader.events()})
 
     seen, metrics = [], {}
-    council = Council(13)
+    cluster = Cluster(13)
     with Transcript().recording() as transcript:
-        council.play(main)
+        cluster.play(main)
     return {"answers": seen, "metrics": metrics, "connections": transcript.listed()}
 
 
--- a/tests/support/keeper_defects.py
+++ b/tests/support/keeper_defects.py
@@ -1,9 +1,9 @@
-"""Defects planted into what carries the council out, and after how many seeds of chaos each is found.
+"""Defects planted in fennelwind/cluster, and the seed of `council_chaos` that detects each.
 
-`python tests/support/keeper_defects.py 60` plants each in turn and plays up to so many seeds.
+`python tests/support/keeper_defects.py 60` plants each in turn and plays up to 60 seeds.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for runs from the command line
 
 # isort: split
 
@@ -27,19 +27,19 @@
 
 
 class Defect(NamedTuple):
-    """What is planted, and the faults among which it shows."""
+    """A planted defect, and the faults under which it shows."""
 
     title: str
     changes: list[AbstractContextManager]
     faults: tuple[str, ...] = FAULTS
 
 
-ANY_FENCE = patch.object(FencedResource, "check", lambda self, task, fencing_token: None)
+ACCEPT_ANY_TOKEN = patch.object(FencedResource, "check", lambda self, task, fencing_token: None)
 LOSSES = ("lost", "cut", "stop", "power")
 DEFECTS = [
-    # It shows where a majority loses power together.
+    # Shows only when a majority loses power at once.
     Defect(
-        "a write is told as done before it is made",
+        "a write is reported as completed before it is made",
         [
             Line(
                 RaftHost._write,
@@ -51,7 +51,7 @@
     ),
     Defect("syncs do nothing", [patch.object(SimDisk, "sync", lambda self, name: None)]),
     Defect(
-        "a write that failed is told as done",
+        "a failed write is reported as completed",
         [
             Line(
                 RaftHost._write,
@@ -64,11 +64,11 @@
         ("sync", "full", "sync", "full", "all"),
     ),
     Defect(
-        "a read is answered from what the member has, whoever leads",
+        "a linearizable read is answered from the local state",
         [Line(RaftHost._read, "if view.fresh:", "if False:")],
     ),
     Defect(
-        "answers are not kept: what is asked again is done again",
+        "results are not retained: a repeated command is applied again",
         [
             Line(
                 ReplicatedState._command,
@@ -79,11 +79,11 @@
         ("stop", "cut", "kill"),
     ),
     Defect(
-        "a command whose outcome nobody told is said to be refused",
+        "a command with an unknown outcome is reported as rejected",
         [Line(RaftClient.propose_with_index, "may_be_applied or outcome.may_be_applied", "False")],
     ),
     Defect(
-        "what a deposed leader can't tell is answered as refused",
+        "a deposed leader answers an unknown outcome as rejected",
         [
             Line(
                 RaftHost._propose,
@@ -95,11 +95,11 @@
         ],
     ),
     Defect(
-        "a snapshot forgets what clients have done",
+        "a snapshot loses the retained results of clients",
         [Line(ReplicatedState.restore, "{kept.number: kept.result for kept in told.kept}", "{}")],
     ),
     Defect(
-        "one entry in forty is left out",
+        "one entry in forty is not applied",
         [
             Line(
                 AppliedState._apply,
@@ -111,7 +111,7 @@
         ],
     ),
     Defect(
-        "a folder made anew gets the life of the lost one",
+        "a new folder gets the incarnation of the lost one",
         [
             Line(
                 MemberFolder.open,
@@ -122,7 +122,7 @@
         LOSSES,
     ),
     Defect(
-        "a message counts as its name's latest life's",
+        "a message counts as sent by the name's latest incarnation",
         [
             Line(
                 RaftHost.message_received,
@@ -134,13 +134,13 @@
         ],
         LOSSES,
     ),
-    Defect("an older fence is not refused", [ANY_FENCE], ("stop",)),
+    Defect("a stale fencing token is not rejected", [ACCEPT_ANY_TOKEN], ("stop",)),
     Defect(
-        "neither the guard nor the fence is looked at",
+        "neither the guard nor the fencing token is checked",
         [
             patch.object(FencingGuard, "may_continue", lambda self, now, act: True),
             patch.object(LeasedOperation, "check", lambda self: None),
-            ANY_FENCE,
+            ACCEPT_ANY_TOKEN,
         ],
         ("stop",),
     ),
@@ -148,22 +148,22 @@
 
 
 def play(seed, faults):
-    """Play a seed; what is wrong is raised."""
-    wrong = Chaos(seed, 3 if seed % 4 else 5, faults=faults).play()
-    assert not wrong, wrong[0]
+    """Play a seed; raise its first error."""
+    errors = Chaos(seed, 3 if seed % 4 else 5, faults=faults).play()
+    assert not errors, errors[0]
 
 
 def main():
-    """Plant each, or those that are named; print the table."""
-    most = int(sys.argv[1])
+    """Plant each defect, or those named in the arguments; print the table."""
+    max_seeds = int(sys.argv[1])
     row("planted", "found by seed", "how")
     row(*["---"] * 3)
-    for title, changes, faults in [one for one in DEFECTS if one.title in sys.argv[2:]] or DEFECTS:
+    for title, changes, faults in [defect for defect in DEFECTS if defect.title in sys.argv[2:]] or DEFECTS:
         with planted(changes):
-            found = broken(partial(play, seed, faults) for seed in range(most))
+            found = broken(partial(play, seed, faults) for seed in range(max_seeds))
         row(
             title,
-            found[0] - 1 if found else f"none of {most}",
+            found[0] - 1 if found else f"none of {max_seeds}",
             found[1].removeprefix("AssertionError: ").split("(")[0][:60] if found else "not found",
         )
 
