--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -12,7 +12,7 @@
 import time
 
 import test_quiescence_program as program
-from council_world import Council
+from cluster_world import Cluster
 from fleet import Fleet
 from test_quiescence_program import OLD, WIDER, Scene, publish
 from test_shard_routing import ENGINES, SETTINGS
@@ -40,7 +40,7 @@
     for seed in range(seeds):
         scene = Scene(seed, controllers=3)
         scene.play(
-            lambda scene=scene: (scene.drain(scene.fleet.engines[0]), times_ms.append(scene.gone_after()))
+            lambda scene=scene: (scene.drain(scene.fleet.engines[0]), times_ms.append(scene.drop_delay_ms()))
         )
     print_times("switch to drop, " + ("cleared" if is_on else "without"), times_ms)
 
@@ -76,29 +76,29 @@
 
 def messages(controllers=200):
     """Measure log entries and acknowledgements per second at the leader, by number of barrier requests."""
-    council = Council(1)
+    cluster = Cluster(1)
 
-    def main(council):
-        for name in council.names:
-            council.kill(name)
-            council.start(name, level=2)
+    def main(cluster):
+        for name in cluster.names:
+            cluster.kill(name)
+            cluster.start(name, level=2)
         quiescence_clients = []
         for n in range(controllers):
-            host = council.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
+            host = cluster.start(f"c{n}", f"10.1.{n // 250}.{n % 250 + 1}")
             host.quiescence = QuiescenceClient(host.loop, host.client, f"c{n}", InFlightTracker())
             quiescence_clients.append(host.quiescence)
-        council.until(
+        cluster.until(
             lambda: (
                 sum(client.in_flight.registration_number > 0 for client in quiescence_clients) == controllers
             ),
             300_000.0,
         )
-        simulator = council.world.rig
+        simulator = cluster.world.rig
         for requests in (0, 1, 20):
             for client in quiescence_clients:
                 client.update_replicas(requests + 1, {}, [(f"t/d={n}", "e") for n in range(requests)], True)
             simulator.sleep(5_000.0)
-            record = council.keepers[council.leader()].member.state.record
+            record = cluster.runtimes[cluster.leader()].member.state.replicated_state
             index, acknowledgements = (
                 record.index,
                 sum(client.counts["told"] for client in quiescence_clients),
@@ -112,7 +112,7 @@
                 flush=True,
             )
 
-    council.play(main)
+    cluster.play(main)
 
 
 def check(queries=5_000, runs=40):
