--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -45,7 +45,7 @@
 HEAR_MS = 500.0  # ms between two questions whether an engine is cleared
 NO_TABLE = "42S02"  # SQLSTATE of a look at a table that is not there
 
-Carrier = rollout.Carrier
+Rollout = rollout.Rollout
 Kept = dict[str, frozenset[str]]  # by table: engines to which no new query of it is to go
 # Takes the entry that a view is of, what is kept away, the pairs that are asked for, whether these are all.
 Quieted = Callable[[int, Kept, list[tuple[str, str]], bool], None]
@@ -187,14 +187,14 @@
         self._quiet_since = dict.fromkeys(change.quiet, seen)
         self._drains: dict[str, int] = {}  # by engine: the token of what it is to be cleared for
         self.changes, self.loop, self.held, self.change = changes, changes.loop, held, change
-        patience = rollout.Patience(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
-        self.carrier = Carrier(change, old, held.fencing_token, patience)
+        patience = rollout.RolloutTimeouts(answer_ms=STATEMENT_MS + STOP_MS, record_ms=ASK_MS + AGAIN_MS)
+        self.carrier = Rollout(change, old, held.fencing_token, patience)
         self.hands: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
         self._running: dict[str, Statement] = {}  # the last statement for each engine
         # One that the last holder noted as gone may be back: then it is told of as returned.
         self._there = {name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY}
 
-    def run(self) -> rollout.Over:
+    def run(self) -> rollout.RolloutEnded:
         """Carry it out to its end here. Raises `LeaseNotHeldError` where too little of the lease is left."""
         try:
             while True:
@@ -214,41 +214,41 @@
         for engine in sorted(self.change.engines):
             if engine in self._there and engine not in known:
                 self._there.discard(engine)
-                self.hands.post(rollout.Left(engine))
+                self.hands.post(rollout.EngineLeft(engine))
             elif engine not in self._there and engine in known:
                 self._there.add(engine)
-                self.hands.post(rollout.Returned(engine))
+                self.hands.post(rollout.EngineReturned(engine))
 
     def _carry(self, action: rollout.Action) -> None:
         match action:
-            case rollout.Tell():
+            case rollout.ProposeCommand():
                 self.hands.spawn(self._tell, action)
-            case rollout.Quiet(token, engine) if self.changes.quiescence is None:
+            case rollout.AwaitDrain(token, engine) if self.changes.quiescence is None:
                 self.hands.post(rollout.Drained(token, engine))  # the engine's own lock keeps them apart
-            case rollout.Quiet(token, engine):
+            case rollout.AwaitDrain(token, engine):
                 self._drains[engine] = token
                 self.hands.spawn(self._drain, token, engine)
-            case rollout.Run():
+            case rollout.RunStatement():
                 self.hands.spawn(self._statement, action)
-            case rollout.Stop():
+            case rollout.StopStatement():
                 self.hands.spawn(self._stop, action)
-            case rollout.Look():
+            case rollout.DescribeTable():
                 self.hands.spawn(self._look, action)
 
-    def _tell(self, action: rollout.Tell) -> None:
+    def _tell(self, action: rollout.ProposeCommand) -> None:
         try:
             command = action.command.SerializeToString(deterministic=True)
             result = self.changes.client.propose_with_index(CONTRACTS, command, ASK_MS)
         except ClusterError as exc:
             self.changes.counts[exc.code] += 1
-            self.hands.post(rollout.Recorded(action.token, None))
+            self.hands.post(rollout.CommandCompleted(action.token, None))
         else:
             answer, mark = pb.ContractAnswer.FromString(result.body), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
                 self._quiet_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
                 self._quiet_since.setdefault(mark.engine, result.index)
-            self.hands.post(rollout.Recorded(action.token, answer))
+            self.hands.post(rollout.CommandCompleted(action.token, answer))
 
     def _drain(self, token: int, engine: str) -> None:
         """Wait until no controller has a query of the table on an engine, for as long as it is asked for."""
@@ -269,7 +269,7 @@
                 return
             self.loop.sleep(HEAR_MS)
 
-    def _statement(self, action: rollout.Run) -> None:
+    def _statement(self, action: rollout.RunStatement) -> None:
         with self.held.operation(STATEMENT_MS) as act:
             statement = self._running[action.engine] = self.changes.statements.to(action.engine)
             how, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_MS)
@@ -279,29 +279,29 @@
                 "statement " + how,
                 {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]},
             )
-        self.hands.post(rollout.Ran(action.token, action.engine, how))
+        self.hands.post(rollout.StatementEnded(action.token, action.engine, how))
 
-    def _stop(self, action: rollout.Stop) -> None:
+    def _stop(self, action: rollout.StopStatement) -> None:
         statement = self._running[action.engine]
         while not statement.stop(STOP_MS):
             self.loop.sleep(AGAIN_MS)  # until the carrier's own time is up
-        self.hands.post(rollout.Stopped(action.token, action.engine))
+        self.hands.post(rollout.StatementStopped(action.token, action.engine))
 
-    def _look(self, action: rollout.Look) -> None:
+    def _look(self, action: rollout.DescribeTable) -> None:
         parts = ".".join(quoted(part) for part in self.change.table.split("."))
         with self.held.operation(STATEMENT_MS):
             statement = self.changes.statements.to(action.engine)
             how, rows = statement.run(f"DESCRIBE {parts}", dict(action.overlay), STATEMENT_MS, rows=True)
         if how == OK:
             try:
-                self.hands.post(rollout.Looked(action.token, action.engine, shape(rows)))
+                self.hands.post(rollout.TableDescribed(action.token, action.engine, shape(rows)))
                 return
             except (SchemaTextError, SchemaError) as exc:
                 statement.text = f"a description that can't be read: {exc}"
         elif statement.state == NO_TABLE:
-            self.hands.post(rollout.Looked(action.token, action.engine, None))
+            self.hands.post(rollout.TableDescribed(action.token, action.engine, None))
             return
         self.changes.said(
             "look " + how, {"engine": action.engine, "table": self.change.table, "text": statement.text[:300]}
         )
-        self.hands.post(rollout.LookFailed(action.token, action.engine, how == FENCED))
+        self.hands.post(rollout.DescribeFailed(action.token, action.engine, how == FENCED))
--- a/fennelwind/schema_compatibility/rollout.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -25,7 +25,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Patience:
+class RolloutTimeouts:
     """How long a change waits, in ms, and how often it tries."""
 
     drain_ms: float = 120_000.0  # for queries that have begun on an engine; then it is another engine's turn
@@ -38,8 +38,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Recorded:
-    """What became of a `Tell`; None: nobody knows."""
+class CommandCompleted:
+    """What became of a `ProposeCommand`; None: nobody knows."""
 
     token: int
     answer: pb.ContractAnswer | None
@@ -54,7 +54,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ran:
+class StatementEnded:
     """A statement has come to its end: `ok`, `failed` (the engine says no), `lost` (who knows), `fenced`."""
 
     token: int
@@ -63,15 +63,15 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stopped:
-    """Nothing that `Run` sent is under way on an engine any more."""
+class StatementStopped:
+    """Nothing that `RunStatement` sent is under way on an engine any more."""
 
     token: int
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
-class Looked:
+class TableDescribed:
     """An engine's columns of the table, their names and types; None: it has no such table."""
 
     token: int
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class LookFailed:
+class DescribeFailed:
     """An engine did not show its columns; `fenced`: for it has seen a newer fence."""
 
     token: int
@@ -89,14 +89,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Left:
+class EngineLeft:
     """An engine has left the fleet."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
-class Returned:
+class EngineReturned:
     """An engine that had left is there again."""
 
     engine: str
@@ -107,22 +107,32 @@
     """The lease is lost: nothing more is to be done here."""
 
 
-Event = Recorded | Drained | Ran | Stopped | Looked | LookFailed | Left | Returned | Superseded
+Event = (
+    CommandCompleted
+    | Drained
+    | StatementEnded
+    | StatementStopped
+    | TableDescribed
+    | DescribeFailed
+    | EngineLeft
+    | EngineReturned
+    | Superseded
+)
 
 
 # What is to be done.
 
 
 @dataclass(slots=True, frozen=True)
-class Tell:
-    """A command for the record; one at a time, and `Recorded` answers it."""
+class ProposeCommand:
+    """A command for the record; one at a time, and `CommandCompleted` answers it."""
 
     token: int
     command: pb.ContractCommand
 
 
 @dataclass(slots=True, frozen=True)
-class Quiet:
+class AwaitDrain:
     """The record has told all controllers; `Drained` when the queries that have begun there are over."""
 
     token: int
@@ -137,8 +147,8 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
-    """A statement for an engine, with settings for its overlay; `Ran` answers it."""
+class RunStatement:
+    """A statement for an engine, with settings for its overlay; `StatementEnded` answers it."""
 
     token: int
     engine: str
@@ -147,16 +157,16 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stop:
-    """End what `Run` sent to the engine, by closing its session there; `Stopped` answers it."""
+class StopStatement:
+    """End what `RunStatement` sent, by closing the session on the engine; `StatementStopped` answers it."""
 
     token: int
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
-class Look:
-    """A look at an engine's columns of the table, with the fence as well; `Looked` or `LookFailed`."""
+class DescribeTable:
+    """Read an engine's columns of the table, fenced too; answered by `TableDescribed` or `DescribeFailed`."""
 
     token: int
     engine: str
@@ -164,14 +174,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Over:
+class RolloutEnded:
     """Nothing more comes: `finished`, `undone`, `superseded`, or `given-up`: somebody else may try."""
 
     how: str
     reason: str = ""
 
 
-Action = Tell | Quiet | Release | Run | Stop | Look | Over
+Action = ProposeCommand | AwaitDrain | Release | RunStatement | StopStatement | DescribeTable | RolloutEnded
 
 
 def shape(schema: Schema | None) -> tuple[tuple[str, str], ...] | None:
@@ -210,10 +220,10 @@
         self.unsure = False  # it left with a statement of this holder under way, which may run on
 
 
-class Carrier:
+class Rollout:
     """Carries one change out, under one fence."""
 
-    def __init__(self, change: Underway, old: Schema | None, fence: int, patience: Patience) -> None:
+    def __init__(self, change: Underway, old: Schema | None, fence: int, patience: RolloutTimeouts) -> None:
         self.number, self.fence, self.patience = change.number, fence, patience
         self.table, self.step_name = change.table, change.step
         self.forward, self.back, self.at_once = change.forward, change.back, change.at_once
@@ -225,7 +235,7 @@
         self._token = 0  # of the last action
         self._began = False
         self._turning = ""  # why the change goes back, once nothing runs on any engine
-        self.over: Over | None = None
+        self.over: RolloutEnded | None = None
 
     @property
     def due(self) -> float | None:
@@ -258,7 +268,7 @@
     def _take(self, now: float, event: Event, actions: list[Action]) -> None:
         if isinstance(event, Superseded):
             self._end(actions, "superseded", "the lease is lost")
-        elif isinstance(event, Recorded):
+        elif isinstance(event, CommandCompleted):
             if self._asked and event.token == self._told:
                 self._recorded(now, event.answer, actions)
         else:
@@ -267,8 +277,8 @@
                 self._of_engine(now, part, event, actions)
 
     def _of_engine(self, now: float, part: _Part, event: Event, actions: list[Action]) -> None:
-        if isinstance(event, Left | Returned):
-            part.there = isinstance(event, Returned)
+        if isinstance(event, EngineLeft | EngineReturned):
+            part.there = isinstance(event, EngineReturned)
             part.unsure = part.unsure or (not part.there and part.phase in ("run", "stop"))
         elif event.token != part.token:
             return
@@ -281,13 +291,13 @@
                 self._stop(now, part, actions)
             else:  # it was asked before, by this holder or another: the look comes first
                 self._look(now, part, actions)
-        elif isinstance(event, Ran) and part.phase == "run":
+        elif isinstance(event, StatementEnded) and part.phase == "run":
             self._ran(now, part, event.how, actions)
-        elif isinstance(event, Stopped) and part.phase == "stop":
+        elif isinstance(event, StatementStopped) and part.phase == "stop":
             self._stopped(now, part, actions)
-        elif isinstance(event, Looked) and part.phase == "look":
+        elif isinstance(event, TableDescribed) and part.phase == "look":
             self._looked(now, part, event.shape, actions)
-        elif isinstance(event, LookFailed) and part.phase == "look":
+        elif isinstance(event, DescribeFailed) and part.phase == "look":
             if event.fenced:
                 self._end(actions, "superseded", f"{part.name} has seen a newer fence")
             else:
@@ -390,7 +400,7 @@
             self._again(now, part, actions, "a statement failed")
 
     def _stop(self, now: float, part: _Part, actions: list[Action]) -> None:
-        actions.append(Stop(self._phase(now, part, "stop", self.patience.answer_ms), part.name))
+        actions.append(StopStatement(self._phase(now, part, "stop", self.patience.answer_ms), part.name))
 
     def _stopped(self, now: float, part: _Part, actions: list[Action]) -> None:
         part.unsure = False
@@ -482,14 +492,14 @@
         if not part.next:
             part.tries += 1
         token = self._phase(now, part, "run", self.patience.answer_ms)
-        actions.append(Run(token, part.name, self._statements[part.next], self._overlay))
+        actions.append(RunStatement(token, part.name, self._statements[part.next], self._overlay))
 
     def _look(self, now: float, part: _Part, actions: list[Action]) -> None:
         token = self._phase(now, part, "look", self.patience.answer_ms)
-        actions.append(Look(token, part.name, self._overlay))
+        actions.append(DescribeTable(token, part.name, self._overlay))
 
     def _drain(self, now: float, part: _Part, actions: list[Action]) -> None:
-        actions.append(Quiet(self._phase(now, part, "drain", self.patience.drain_ms), part.name))
+        actions.append(AwaitDrain(self._phase(now, part, "drain", self.patience.drain_ms), part.name))
 
     def _settle(
         self, now: float, part: _Part, state: int, actions: list[Action], *, quiet: bool = False
@@ -509,7 +519,7 @@
 
     def _tell_first(self, now: float, actions: list[Action]) -> None:
         self._told, self._asked_until = self._next_token(), now + self.patience.record_ms
-        actions.append(Tell(self._told, self._asked[0]))
+        actions.append(ProposeCommand(self._told, self._asked[0]))
 
     def _next_token(self) -> int:
         self._token += 1
@@ -528,5 +538,5 @@
     def _end(self, actions: list[Action], how: str, reason: str = "") -> None:
         for part in self._parts.values():
             self._release(part, actions)
-        self.over = Over(how, reason)
+        self.over = RolloutEnded(how, reason)
         actions.append(self.over)
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -419,22 +419,22 @@
         return world.carrier.step(0.0, events)
 
     def told(action):
-        return go.Recorded(action.token, world.apply(action.command))
+        return go.CommandCompleted(action.token, world.apply(action.command))
 
     (mark,) = step(told(*step()))
     (quiet,) = step(told(mark))
     (mark,) = step(go.Drained(quiet.token, "e0"))
     (run,) = step(told(mark))
-    assert isinstance(run, go.Run)
-    (mark,) = step(go.Left("e0"))
-    step(go.Returned("e0"))
+    assert isinstance(run, go.RunStatement)
+    (mark,) = step(go.EngineLeft("e0"))
+    step(go.EngineReturned("e0"))
     release, mark = step(told(mark))
     (mark,) = step(told(mark))
     (quiet,) = step(told(mark))
     (stop,) = step(go.Drained(quiet.token, "e0"))
-    assert isinstance(stop, go.Stop)
-    (look,) = step(go.Stopped(stop.token, "e0"))
-    assert isinstance(look, go.Look)
+    assert isinstance(stop, go.StopStatement)
+    (look,) = step(go.StatementStopped(stop.token, "e0"))
+    assert isinstance(look, go.DescribeTable)
 
 
 def test_an_engine_that_returns_half_way_is_not_taken_for_untouched(gate):
--- a/tests/support/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -20,7 +20,7 @@
 from fennelwind.benchmarks import contract_rows
 from fennelwind.schema_compatibility import checker, messages, rules, session_options, state_machine
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility.rollout import Carrier
+from fennelwind.schema_compatibility.rollout import Rollout
 from fennelwind.schema_compatibility.state_machine import ContractMachine
 
 CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client hands out as text all the same
@@ -253,26 +253,26 @@
         "a late answer is taken for the present question's",
         "world",
         [
-            Line(Carrier._take, "event.token == self._told", "True"),
-            Line(Carrier._of_engine, "event.token != part.token", "False"),
+            Line(Rollout._take, "event.token == self._told", "True"),
+            Line(Rollout._of_engine, "event.token != part.token", "False"),
         ],
     ),
     Defect(
         "a lost answer is taken for success",
         "world",
-        [Line(Carrier._ran, 'part.unsure and how == "lost"', 'False; how = "ok" if how == "lost" else how')],
+        [Line(Rollout._ran, 'part.unsure and how == "lost"', 'False; how = "ok" if how == "lost" else how')],
     ),
     Defect(
         "what was lost is not stopped before the look",
         "world",
-        [Line(Carrier._ran, "self._stop(", "(self._stop if self._turning else self._look)(")],
+        [Line(Rollout._ran, "self._stop(", "(self._stop if self._turning else self._look)(")],
     ),
     Defect(
         "answers count, no look",
         "world",
         [
             Line(
-                Carrier._ran,
+                Rollout._ran,
                 "elif self._old != self._new:\n        self._look(now, part, actions)",
                 "elif how in ('ok', 'failed'):\n        self._settle(now, part, self._aim, actions)",
             )
@@ -283,7 +283,7 @@
         "world",
         [
             Line(
-                Carrier._of_engine,
+                Rollout._of_engine,
                 "self._settle(now, part, state, actions, quiet=True)",
                 "self._run(now, part, actions)",
             )
@@ -294,7 +294,7 @@
         "world",
         [
             Line(
-                Carrier._settle,
+                Rollout._settle,
                 "self._phase(",
                 "if part.state == Change.GONE_AWAY and state == Change.ASKED:\n"
                 "        state = Change.WAITING\n    self._phase(",
@@ -310,7 +310,7 @@
         "world",
         [
             Line(
-                Carrier._looked,
+                Rollout._looked,
                 "wanted = self._new",
                 "seen = self._old if part.state == Change.BEHIND else seen\n    wanted = self._new",
             )
--- a/tests/support/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -10,14 +10,14 @@
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout as go
 from fennelwind.schema_compatibility.messages import schema_message
-from fennelwind.schema_compatibility.rollout import Carrier, Patience, shape
+from fennelwind.schema_compatibility.rollout import Rollout, RolloutTimeouts, shape
 from fennelwind.schema_compatibility.rules import NUMBER
 from fennelwind.schema_compatibility.state_machine import ContractMachine, read_change
 from fennelwind.schema_compatibility.types import parse_schema
 
 OLD, NEW = parse_schema("a int, b string"), parse_schema("a int, b string, c int")
 ANCIENT = parse_schema("a int")  # of an engine that missed the change before
-PATIENCE = Patience(drain_ms=100.0, answer_ms=50.0, record_ms=20.0)
+PATIENCE = RolloutTimeouts(drain_ms=100.0, answer_ms=50.0, record_ms=20.0)
 
 
 class Engine:
@@ -93,7 +93,7 @@
         self.holders += 1
         told = self.machine.changes[self.number]
         copy = read_change(pb.Change.FromString(self._snapshot(told)))
-        self.carrier = Carrier(copy, self.machine.tables["t"].schema, self.fence, PATIENCE)
+        self.carrier = Rollout(copy, self.machine.tables["t"].schema, self.fence, PATIENCE)
         self.events = []
 
     def _snapshot(self, told):
@@ -116,13 +116,13 @@
         for name, engine in self.engines.items():
             if self.chance(0.02):
                 engine.there = not engine.there
-                self.events.append(go.Returned(name) if engine.there else go.Left(name))
+                self.events.append(go.EngineReturned(name) if engine.there else go.EngineLeft(name))
         if self.faults <= 0:
             states = self.machine.changes[self.number].engines
             for name, engine in self.engines.items():
                 if not engine.there or (states[name] == pb.Change.GONE_AWAY and not self.events):
                     engine.there = True
-                    self.events.append(go.Returned(name))
+                    self.events.append(go.EngineReturned(name))
 
     def turn(self):
         given = []
@@ -138,35 +138,35 @@
             self.carry(action)
 
     def carry(self, action):
-        if isinstance(action, go.Tell):
+        if isinstance(action, go.ProposeCommand):
             lost = self.chance(0.1)
             if lost and self.random.random() < 0.5:
                 return  # it never came
             answer = self.apply(action.command)
-            self.events.append(go.Recorded(action.token, None if lost else answer))
+            self.events.append(go.CommandCompleted(action.token, None if lost else answer))
             return
-        if isinstance(action, go.Over | go.Release):
+        if isinstance(action, go.RolloutEnded | go.Release):
             return
         engine = self.engines[action.engine]
-        if isinstance(action, go.Quiet):
+        if isinstance(action, go.AwaitDrain):
             assert action.engine in self.machine.quiet("t")
             if not self.chance(0.1):
                 self.events.append(go.Drained(action.token, action.engine))
-        elif isinstance(action, go.Stop):
+        elif isinstance(action, go.StopStatement):
             if engine.there:
                 engine.running = None
-                self.events.append(go.Stopped(action.token, action.engine))
+                self.events.append(go.StatementStopped(action.token, action.engine))
         elif not engine.there:
-            lost = isinstance(action, go.Run)
+            lost = isinstance(action, go.RunStatement)
             about = (action.token, action.engine)
-            self.events.append(go.Ran(*about, "lost") if lost else go.LookFailed(*about))
-        elif isinstance(action, go.Look):
+            self.events.append(go.StatementEnded(*about, "lost") if lost else go.DescribeFailed(*about))
+        elif isinstance(action, go.DescribeTable):
             if not engine.admits(action.overlay):
-                self.events.append(go.LookFailed(action.token, action.engine, fenced=True))
+                self.events.append(go.DescribeFailed(action.token, action.engine, fenced=True))
             elif self.chance(0.1):
-                self.events.append(go.LookFailed(action.token, action.engine))
+                self.events.append(go.DescribeFailed(action.token, action.engine))
             else:
-                self.events.append(go.Looked(action.token, action.engine, engine.shape))
+                self.events.append(go.TableDescribed(action.token, action.engine, engine.shape))
         else:
             self.run(action, engine)
 
@@ -177,18 +177,18 @@
         assert engine.running is None, "two statements at once"
         self.acted += 1
         if not engine.admits(action.overlay):
-            self.events.append(go.Ran(action.token, action.engine, "fenced"))
+            self.events.append(go.StatementEnded(action.token, action.engine, "fenced"))
         elif self.chance(0.15):
             how = self.random.randrange(3)
             if how == 1:
                 engine.run(action.statement)
             elif how == 2:
                 engine.running = action.statement
-            self.events.append(go.Ran(action.token, action.engine, "lost"))
+            self.events.append(go.StatementEnded(action.token, action.engine, "lost"))
         elif self.chance(0.1):
-            self.events.append(go.Ran(action.token, action.engine, "failed"))
+            self.events.append(go.StatementEnded(action.token, action.engine, "failed"))
         else:
-            self.events.append(go.Ran(action.token, action.engine, engine.run(action.statement)))
+            self.events.append(go.StatementEnded(action.token, action.engine, engine.run(action.statement)))
 
     def settle(self):
         """Hold that all engines stand where the record says."""
