--- a/fennelwind/benchmarks/contract_rows.py
+++ b/fennelwind/benchmarks/contract_rows.py
@@ -20,8 +20,8 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
-from fennelwind.schema_compatibility.rules import NUMBER, RULES, Read, Reads
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION, Read, Reads
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 from fennelwind.schema_compatibility.types import Column, Schema, Type, parse_type
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
@@ -413,7 +413,7 @@
     """The machine on a record of its own."""
 
     def __init__(self) -> None:
-        self.machine, self.index = ContractMachine(), 0
+        self.machine, self.index = SchemaStateMachine(), 0
 
     def fact(self, kind: str, key: str) -> int:
         """Nothing moves, nobody holds anything."""
@@ -422,7 +422,7 @@
     def do(self, **what: Any) -> pb.ContractAnswer:
         """Have a command carried out."""
         self.index += 1
-        command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
+        command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         return pb.ContractAnswer.FromString(self.machine.apply(LogPosition(self.index, 0), command, self))
 
     def propose(self, schema: Schema) -> pb.ContractAnswer:
--- a/fennelwind/benchmarks/contracts.py
+++ b/fennelwind/benchmarks/contracts.py
@@ -14,9 +14,9 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
-from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.rules import RULES_VERSION
 from fennelwind.schema_compatibility.session_options import parse_reads
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 from fennelwind.schema_compatibility.types import parse_schema
 
 SUBSCRIBERS, TABLES, COLUMNS = 10_000, 1000, 40  # columns of a table
@@ -29,7 +29,7 @@
     """The machine on a record of its own."""
 
     def __init__(self) -> None:
-        self.machine, self.index = ContractMachine(), 0
+        self.machine, self.index = SchemaStateMachine(), 0
 
     def fact(self, kind: str, key: str) -> int:
         """Nothing moves, nobody holds anything."""
@@ -38,7 +38,7 @@
     def do(self, **what: object) -> tuple[pb.ContractAnswer, float, int]:
         """Have a command carried out; return its answer, the ms that it took, and the answer's bytes."""
         self.index += 1
-        command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
+        command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         began = time.perf_counter()
         raw = self.machine.apply(LogPosition(self.index, 0), command, self)
         return pb.ContractAnswer.FromString(raw), (time.perf_counter() - began) * 1000.0, len(raw)
@@ -137,7 +137,7 @@
         state = gate.machine.snapshot()
         took = (time.perf_counter() - began) * 1000.0
         began = time.perf_counter()
-        ContractMachine().restore(state)
+        SchemaStateMachine().restore(state)
         back = (time.perf_counter() - began) * 1000.0
         print(
             f"{title}: set up in {registered:.1f} s; snapshot of {len(state)} bytes in {took:.0f} ms, "
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -22,12 +22,12 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Loop, Once
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility.rules import NUMBER, RULES
+from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION
 from fennelwind.schema_compatibility.session_options import (
     Publication,
     Subscription,
-    publication,
-    subscription,
+    parse_publication,
+    parse_subscription,
 )
 from fennelwind.schema_compatibility.state_machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
 
@@ -140,8 +140,8 @@
     # Subscribers.
 
     def subscribe(self, configuration: dict[str, str], protocol: int, database: str) -> Subscriber | None:
-        """Take what a session says it reads; None if it says nothing. Raises `SaidError`."""
-        said = subscription(configuration, protocol, database)
+        """Take what a session says it reads; None if it says nothing. Raises `SessionOptionError`."""
+        said = parse_subscription(configuration, protocol, database)
         if said is None:
             return None
         known = self.subscribers.get(said)
@@ -230,7 +230,7 @@
                 continue
             # Whatever falls due soon goes along.
             due = [s for s in registered if s.renew_at <= now + self._renew_ms(s) / 4.0][:NUMBERS_MOST]
-            command = pb.ContractCommand(rules=NUMBER, renew=pb.Renew(numbers=[s.number for s in due]))
+            command = pb.ContractCommand(rules=RULES_VERSION, renew=pb.Renew(numbers=[s.number for s in due]))
             try:
                 answer = self._ask(command)
             except ClusterError as exc:
@@ -247,8 +247,8 @@
     # Publishers.
 
     def publication(self, overlay: dict[str, str], database: str) -> Publication | None:
-        """Return the change that a statement brings along; None if it brings none. Raises `SaidError`."""
-        return publication(overlay, database)
+        """Return the schema change that a statement carries, or None. Raises `SessionOptionError`."""
+        return parse_publication(overlay, database)
 
     def publish(self, change: Publication, statement: str, until: float) -> list[str]:
         """Have a change judged and made; return what is to be known of it. Raises `GateError`."""
@@ -328,7 +328,7 @@
     about = f" ({found.what})" if found.what else ""
     if rule is None:
         return f"{column}{found.rule}{about}"
-    return f"{column}{rule.says}{about}. {rule.instead}".rstrip()
+    return f"{column}{rule.description}{about}. {rule.remedy}".rstrip()
 
 
 def verdict_lines(answer: pb.ContractAnswer) -> list[str]:
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -2,12 +2,12 @@
 
 from fennelwind.cluster import gate_pb2
 from fennelwind.schema_compatibility.messages import schema_message
-from fennelwind.schema_compatibility.state_machine import ContractMachine, change_message
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine, change_message
 
 NAMED_MOST = 10_000  # engines that are told as quiet or behind; with long addresses a quarter of a frame
 
 
-def asked(machine: ContractMachine, raw: bytes) -> bytes:
+def asked(machine: SchemaStateMachine, raw: bytes) -> bytes:
     """Answer a `ChangeQuery` from the machine's state."""
     query, told = gate_pb2.ChangeQuery.FromString(raw), gate_pb2.ChangeTold()
     if query.open:
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -29,7 +29,7 @@
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout
 from fennelwind.schema_compatibility.messages import read_schema
-from fennelwind.schema_compatibility.state_machine import Underway, read_change
+from fennelwind.schema_compatibility.state_machine import SchemaChange, read_change
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
 TASK = "table:"  # and the table's name: the lease under which its changes are carried out
@@ -180,7 +180,7 @@
     """One change, under one fence."""
 
     def __init__(
-        self, changes: SchemaRollouts, held: HeldLease, change: Underway, old: Schema | None, seen: int
+        self, changes: SchemaRollouts, held: HeldLease, change: SchemaChange, old: Schema | None, seen: int
     ) -> None:
         # By engine: an entry at which it was quiet, and has been since. What was so at `seen` is, as only
         # the holder of the lease can let queries go there again.
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -9,7 +9,7 @@
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.quiescence.registered_controllers import ControllerRegistry
 from fennelwind.raft.state_machine import StateMachine
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 from fennelwind.shards.state_machine import ShardMachine
 
 LEASES, CONTRACTS, SHARDS, ROLL = "leases", "contracts", "shards", ControllerRegistry.name
@@ -17,7 +17,7 @@
 
 def machines() -> list[StateMachine]:
     """Return the machines, empty."""
-    return [LeaseStateMachine(), ContractMachine(), ShardMachine(), ControllerRegistry()]
+    return [LeaseStateMachine(), SchemaStateMachine(), ShardMachine(), ControllerRegistry()]
 
 
 def answer(machine: StateMachine, query: bytes) -> bytes:
--- a/fennelwind/schema_compatibility/message_compatibility.py
+++ b/fennelwind/schema_compatibility/message_compatibility.py
@@ -26,9 +26,9 @@
     """One rule: whether a change breaks, what it means, where it stands, what to do instead."""
 
     breaks: bool
-    says: str
+    description: str
     source: str
-    instead: str
+    remedy: str
 
 
 _NEW = "Give the new field a number that was never used; leave the old one where it is, or reserve it."
@@ -128,7 +128,7 @@
 
     def __str__(self) -> str:
         rule = RULES[self.rule]
-        return f"{self.place}: {rule.says}. {rule.instead}"
+        return f"{self.place}: {rule.description}. {rule.remedy}"
 
 
 def compare(old: FileDescriptorSet, new: FileDescriptorSet) -> list[Found]:
--- a/fennelwind/schema_compatibility/rollout.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -16,8 +16,8 @@
 from math import inf
 
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility.rules import NUMBER
-from fennelwind.schema_compatibility.state_machine import Underway
+from fennelwind.schema_compatibility.rules import RULES_VERSION
+from fennelwind.schema_compatibility.state_machine import SchemaChange
 from fennelwind.schema_compatibility.types import Schema
 
 FENCE = "fennelwind.fence"  # setting in the overlay of a task's statements: TASK:NUMBER
@@ -223,7 +223,9 @@
 class Rollout:
     """Carries one change out, under one fence."""
 
-    def __init__(self, change: Underway, old: Schema | None, fence: int, patience: RolloutTimeouts) -> None:
+    def __init__(
+        self, change: SchemaChange, old: Schema | None, fence: int, patience: RolloutTimeouts
+    ) -> None:
         self.number, self.fence, self.patience = change.number, fence, patience
         self.table, self.step_name = change.table, change.step
         self.forward, self.back, self.at_once = change.forward, change.back, change.at_once
@@ -512,7 +514,7 @@
     def _tell(
         self, now: float, actions: list[Action], **what: pb.Begin | pb.Mark | pb.Turn | pb.Finish
     ) -> None:
-        command = pb.ContractCommand(rules=NUMBER, **what)
+        command = pb.ContractCommand(rules=RULES_VERSION, **what)
         self._asked.append(command)
         if len(self._asked) == 1:
             self._tell_first(now, actions)
--- a/fennelwind/schema_compatibility/rules.py
+++ b/fennelwind/schema_compatibility/rules.py
@@ -3,8 +3,8 @@
 A subscriber's reads are held against a schema as it will be, not against the step before: what it registered
 is what it expects. Three levels: accepted, a warning (it goes on, and something is to be known), broken.
 
-`NUMBER` names this set of rules. Verdicts are part of what the record decides, so a change of a rule needs a
-new number, and members use it only when all of them know it.
+`RULES_VERSION` identifies this set of rules. Verdicts are replicated results, so changing a rule requires a
+new version, which members may use only once all of them know it.
 """
 
 from collections.abc import Iterable
@@ -15,7 +15,7 @@
 
 from fennelwind.schema_compatibility.types import Column, Schema, Type
 
-NUMBER = 1  # of this set of rules
+RULES_VERSION = 1  # of this set of rules
 FIRST, NEWEST = 1, 11  # HIVE_CLI_SERVICE_PROTOCOL_V1 and V11
 
 
@@ -32,9 +32,9 @@
 
     code: str
     level: Level
-    says: str
+    description: str
     source: str
-    instead: str
+    remedy: str
 
 
 TYPES = "Hive, LanguageManual Types"
@@ -303,9 +303,9 @@
         return RULES[self.rule].level
 
     @property
-    def instead(self) -> str:
+    def remedy(self) -> str:
         """What the publisher can do."""
-        return RULES[self.rule].instead
+        return RULES[self.rule].remedy
 
 
 def worst(findings: Iterable[Finding]) -> Level:
--- a/fennelwind/schema_compatibility/session_options.py
+++ b/fennelwind/schema_compatibility/session_options.py
@@ -25,7 +25,7 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import READS_MOST, reads_message, schema_message
-from fennelwind.schema_compatibility.rules import FIRST, NEWEST, NUMBER, Read, Reads
+from fennelwind.schema_compatibility.rules import FIRST, NEWEST, RULES_VERSION, Read, Reads
 from fennelwind.schema_compatibility.types import (
     READS_GRAMMAR,
     SchemaError,
@@ -47,7 +47,7 @@
 PLACE_MOST = 2000  # as many as there may be columns
 
 
-class SaidError(FennelwindError):
+class SessionOptionError(FennelwindError):
     """What a session says of itself can't be taken."""
 
     code = "contracts-said"
@@ -74,7 +74,7 @@
             term_ms=int(self.term_s * 1000),
             reads=map(reads_message, self.reads),
         )
-        return pb.ContractCommand(rules=NUMBER, register=told)
+        return pb.ContractCommand(rules=RULES_VERSION, register=told)
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,7 +90,7 @@
         told.CopyFrom(self.proposal)
         told.engines.extend(engines)
         told.forward.extend(forward)
-        return pb.ContractCommand(rules=NUMBER, propose=told)
+        return pb.ContractCommand(rules=RULES_VERSION, propose=told)
 
 
 @lru_cache(maxsize=1024)
@@ -125,24 +125,26 @@
     return f"{'*' if reads.star else columns} by {'place' if reads.by_place else 'name'}"
 
 
-def subscription(configuration: Mapping[str, str], protocol: int, database: str = "") -> Subscription | None:
+def parse_subscription(
+    configuration: Mapping[str, str], protocol: int, database: str = ""
+) -> Subscription | None:
     """Return what a session subscribes to; None if it says nothing.
 
-    `protocol`: the number that it opened with (`client_protocol`, 0 for V1). Raises `SaidError`.
+    `protocol`: the number that it opened with (`client_protocol`, 0 for V1). Raises `SessionOptionError`.
     """
     said = {key: text for key, text in configuration.items() if key.lower().startswith(READS)}
     name = configuration.get(SUBSCRIBER)
     if name is None and not said:
         return None
     if name is None:
-        raise SaidError(f"{READS}... without {SUBSCRIBER}", setting=SUBSCRIBER)
+        raise SessionOptionError(f"{READS}... without {SUBSCRIBER}", setting=SUBSCRIBER)
     if not said or len(said) > READS_MOST:
-        raise SaidError(f"{len(said)} tables are read, of 1 to {READS_MOST}", setting=READS)
+        raise SessionOptionError(f"{len(said)} tables are read, of 1 to {READS_MOST}", setting=READS)
     reads: dict[str, Reads] = {}
     for key, text in sorted(said.items()):
         table = _told(key, table_name, key[len(READS) :], database)
         if table in reads:
-            raise SaidError(f"{key}: {table} is named twice", setting=key)
+            raise SessionOptionError(f"{key}: {table} is named twice", setting=key)
         reads[table] = _told(key, parse_reads, table, text)
     version = min(max(protocol + 1, FIRST), NEWEST)
     return Subscription(_told(SUBSCRIBER, fold, name), version, tuple(reads.values()), _term(configuration))
@@ -157,21 +159,21 @@
     except ValueError:
         term = 0.0
     if not 0.0 < term < 1e9:
-        raise SaidError(f"{TERM}: {text[:40]!r} is no number of seconds", setting=TERM)
+        raise SessionOptionError(f"{TERM}: {text[:40]!r} is no number of seconds", setting=TERM)
     return term
 
 
-def publication(overlay: Mapping[str, str], database: str = "") -> Publication | None:
+def parse_publication(overlay: Mapping[str, str], database: str = "") -> Publication | None:
     """Return the change of a table that a statement brings along; None if it says nothing.
 
-    Raises `SaidError`.
+    Raises `SessionOptionError`.
     """
     said = [key for key in overlay if key.lower().startswith(SCHEMA)]
     if not said:
         return None
     publisher = overlay.get(PUBLISHER)
     if len(said) > 1 or publisher is None:
-        raise SaidError(f"{len(said)} schemas, of one, by {PUBLISHER}", setting=sorted(said)[0])
+        raise SessionOptionError(f"{len(said)} schemas, of one, by {PUBLISHER}", setting=sorted(said)[0])
     key, text = said[0], overlay[said[0]]
     table = _told(key, table_name, key[len(SCHEMA) :], database)
     told = {each.lower(): text for each, text in overlay.items()}
@@ -181,7 +183,7 @@
         schema = schema_message(_told(key, parse_schema, text))
     version = told.get(VERSION + named, "0")
     if not version.isascii() or not version.isdigit() or len(version) > 18:
-        raise SaidError(f"{VERSION}{named}: {version[:40]!r} is no version", setting=VERSION + named)
+        raise SessionOptionError(f"{VERSION}{named}: {version[:40]!r} is no version", setting=VERSION + named)
     back = overlay.get(BACK)
     return Publication(
         table,
@@ -202,4 +204,4 @@
     try:
         return read(*what)
     except (SchemaTextError, SchemaError) as exc:
-        raise SaidError(f"{setting}: {exc}", setting=setting, **exc.facts) from None
+        raise SessionOptionError(f"{setting}: {exc}", setting=setting, **exc.facts) from None
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -39,7 +39,7 @@
 from fennelwind.schema_compatibility.rules import (
     FIRST,
     NEWEST,
-    NUMBER,
+    RULES_VERSION,
     Finding,
     Form,
     Level,
@@ -124,7 +124,7 @@
 
 
 @dataclass(slots=True)
-class Underway:
+class SchemaChange:
     """A change that was admitted. `schema` None: the table goes."""
 
     number: int
@@ -144,7 +144,7 @@
     form: Form | None = field(default=None, repr=False)
 
 
-class ContractMachine:
+class SchemaStateMachine:
     """Who reads what, and which change may pass."""
 
     name = "contracts"
@@ -156,7 +156,7 @@
     def _clear(self) -> None:
         self.tables: dict[str, Table] = {}
         self.subscriptions: dict[int, Subscription] = {}
-        self.changes: dict[int, Underway] = {}
+        self.changes: dict[int, SchemaChange] = {}
         self.by_table: dict[str, int] = {}  # table -> its change
         self.lagging: set[str] = set()  # tables with engines that are behind
         self.lapsed: OrderedDict[int, Subscription] = OrderedDict()
@@ -177,9 +177,9 @@
         except DecodeError:
             raise UnreadableCommandError("no ContractCommand") from None
         kind = told.WhichOneof("what")
-        if kind is None or told.rules != NUMBER:
+        if kind is None or told.rules != RULES_VERSION:
             raise UnreadableCommandError(
-                f"{kind or 'nothing'} under the rules {told.rules}, here are {NUMBER}"
+                f"{kind or 'nothing'} under the rules {told.rules}, here are {RULES_VERSION}"
             )
         answer = pb.ContractAnswer()
         try:
@@ -402,7 +402,7 @@
                 engines[engine] = Change.BEHIND
         self.next_column = following
         self.wanted.pop(name, None)
-        change = Underway(
+        change = SchemaChange(
             at.index,
             name,
             publisher,
@@ -445,7 +445,7 @@
 
     # What the holder of the table's lease asks.
 
-    def _held(self, number: int, fence: int, facts: Facts, answer: pb.ContractAnswer) -> Underway | None:
+    def _held(self, number: int, fence: int, facts: Facts, answer: pb.ContractAnswer) -> SchemaChange | None:
         """Return a change if who asks holds its table's lease now; else refuse."""
         change = self.changes.get(number)
         if change is None:
@@ -465,7 +465,7 @@
 
     def _acting(
         self, told: pb.Mark | pb.Turn | pb.Finish, facts: Facts, answer: pb.ContractAnswer
-    ) -> Underway | None:
+    ) -> SchemaChange | None:
         change = self._held(told.number, told.fence, facts, answer)
         if change is not None and change.fence != told.fence:  # it has not begun here, or another has since
             answer.refusal = Refused.FENCE
@@ -511,7 +511,7 @@
         else:
             answer.refusal = Refused.STEP
 
-    def _finished(self, at: LogPosition, change: Underway, answer: pb.ContractAnswer) -> None:
+    def _finished(self, at: LogPosition, change: SchemaChange, answer: pb.ContractAnswer) -> None:
         """Let a change's schema stand; what its publisher itself read, and can't any more, ends."""
         if change.schema is None:
             self.tables.pop(change.table, None)
@@ -552,7 +552,7 @@
                 subscription.raw = all_reads_message(subscription.reads)
                 self._list(subscription)
 
-    def _end(self, change: Underway, outcome: int) -> None:
+    def _end(self, change: SchemaChange, outcome: int) -> None:
         del self.changes[change.number]
         del self.by_table[change.table]
         table = self.tables.get(change.table)
@@ -653,7 +653,7 @@
         self.ended = OrderedDict((told.number, told.outcome) for told in state.ended)
 
 
-def change_message(change: Underway) -> pb.Change:
+def change_message(change: SchemaChange) -> pb.Change:
     """Return a change's message, for snapshots and for who carries it out."""
     engines = [
         Change.Engine(name=name, state=state, quiet=name in change.quiet)
@@ -677,10 +677,10 @@
     )
 
 
-def read_change(told: pb.Change) -> Underway:
+def read_change(told: pb.Change) -> SchemaChange:
     """Return the change of a message. Raises `SchemaError`."""
     schema = read_schema(told.schema) if told.HasField("schema") else None
-    return Underway(
+    return SchemaChange(
         told.number,
         told.table,
         told.publisher,
--- a/fennelwind/testbed/wholerig.py
+++ b/fennelwind/testbed/wholerig.py
@@ -27,7 +27,7 @@
 from fennelwind.engines.connection import EngineConnection, RemoteError
 from fennelwind.leases.state_machine import LeaseStateMachine
 from fennelwind.loop import Address, DeadlineExceeded, Stream, StreamReset, Task
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 from fennelwind.shards.state_machine import ShardMachine
 from fennelwind.testbed.councilrig import LOOK_MS, CouncilRig
 from fennelwind.testbed.relay import Row
@@ -423,9 +423,9 @@
         """Return the record's shards and moves as of now."""
         return self._machine(ShardMachine())
 
-    def contracts(self) -> ContractMachine:
+    def contracts(self) -> SchemaStateMachine:
         """Return the record's schemas and changes as of now."""
-        return self._machine(ContractMachine())
+        return self._machine(SchemaStateMachine())
 
     def holder_of(self, task: str) -> str:
         """Return who holds a lease now; "": nobody."""
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -26,13 +26,13 @@
     schema_message,
     type_message,
 )
-from fennelwind.schema_compatibility.rules import NUMBER, RULES, Level, Read, Reads, type_rules
+from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION, Level, Read, Reads, type_rules
 from fennelwind.schema_compatibility.session_options import (
-    SaidError,
+    SessionOptionError,
+    parse_publication,
     parse_reads,
-    publication,
+    parse_subscription,
     reads_text,
-    subscription,
 )
 from fennelwind.schema_compatibility.state_machine import (
     BEGIN_MS,
@@ -40,7 +40,7 @@
     REST_MS,
     TERM_LEAST_MS,
     WANTED_MS,
-    ContractMachine,
+    SchemaStateMachine,
 )
 from fennelwind.schema_compatibility.types import (
     Column,
@@ -69,14 +69,14 @@
     """A machine with the record's place and clock, and words for its commands."""
 
     def __init__(self):
-        self.machine, self.facts, self.index, self.clock = ContractMachine(), Facts(), 0, 0
+        self.machine, self.facts, self.index, self.clock = SchemaStateMachine(), Facts(), 0, 0
 
     def do(self, **what):
         self.index += 1
         at = LogPosition(self.index, self.clock)
         if (due := self.machine.next_expiry_clock_ms()) is not None and due <= self.clock:
             self.machine.expire_due(at)
-        command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
+        command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         return pb.ContractAnswer.FromString(self.machine.apply(at, command, self.facts))
 
     def register(self, name, version=11, term_ms=TERM_LEAST_MS, **reads):
@@ -318,7 +318,7 @@
 )
 def test_bytes_that_are_no_command_are_told_and_change_nothing(command):
     with pytest.raises(UnreadableCommandError):
-        ContractMachine().apply(LogPosition(1, 0), command, Facts())
+        SchemaStateMachine().apply(LogPosition(1, 0), command, Facts())
 
 
 # Cases written from the public rules.
@@ -370,7 +370,9 @@
         met |= set(rule.split())
     untold = {"place-renamed", "column-other", "own"}  # accepted in silence; need a history, tested above
     assert RULES.keys() - met == untold
-    assert all(rule.source and rule.says and (rule.instead or not rule.level) for rule in RULES.values())
+    assert all(
+        rule.source and rule.description and (rule.remedy or not rule.level) for rule in RULES.values()
+    )
 
 
 def test_another_member_goes_on_where_the_first_one_stopped(gate):
@@ -378,7 +380,7 @@
     gate.facts.fence["table:t"] = 7
     number = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
     gate.do(begin=pb.Begin(number=number, fence=7))
-    data, gate.machine = gate.machine.snapshot(), ContractMachine()
+    data, gate.machine = gate.machine.snapshot(), SchemaStateMachine()
     gate.machine.restore(data)
     assert gate.machine.snapshot() == data
     states = pb.Change
@@ -493,7 +495,7 @@
 
 
 def test_a_session_says_who_it_is_and_what_it_reads():
-    told = subscription(
+    told = parse_subscription(
         {
             "fennelwind.subscriber": "Nightly",
             "fennelwind.subscriber.term_s": "60",
@@ -511,12 +513,12 @@
         "other.items": "* by place",
         "s.x": "1 a int, 4 `by` string by place",
     }
-    assert subscription({"fennelwind.key": "x"}, 10) is None
+    assert parse_subscription({"fennelwind.key": "x"}, 10) is None
     assert pb.ContractCommand.FromString(told.command().SerializeToString()).register.term_ms == 60_000
 
 
 def test_a_statement_brings_its_new_schema_along():
-    told = publication(
+    told = parse_publication(
         {
             "fennelwind.publisher": "load",
             "fennelwind.schema.Sales.Orders": "id bigint, note string default ''",
@@ -531,10 +533,10 @@
         ["e1"],
         ["ALTER ..."],
     )
-    assert not publication({"fennelwind.publisher": "x", "fennelwind.schema.t": "dropped"}).proposal.HasField(
-        "schema"
-    )
-    assert publication({"fennelwind.tables": "1"}) is None
+    assert not parse_publication(
+        {"fennelwind.publisher": "x", "fennelwind.schema.t": "dropped"}
+    ).proposal.HasField("schema")
+    assert parse_publication({"fennelwind.tables": "1"}) is None
 
 
 @pytest.mark.parametrize(
@@ -558,9 +560,9 @@
     ],
 )
 def test_what_a_session_or_a_publisher_says_wrongly_is_told_with_the_setting(said):
-    with pytest.raises(SaidError) as caught:
-        subscription(said, 10)
-        publication(said)
+    with pytest.raises(SessionOptionError) as caught:
+        parse_subscription(said, 10)
+        parse_publication(said)
     assert caught.value.facts["setting"] and caught.value.advice
 
 
@@ -628,7 +630,7 @@
     assert search.stuck() == (set(), set()) and search.admissions
 
 
-@pytest.mark.parametrize("machine, kind", [(ContractMachine, "moving"), (ShardMachine, "changing")])
+@pytest.mark.parametrize("machine, kind", [(SchemaStateMachine, "moving"), (ShardMachine, "changing")])
 def test_a_machine_that_does_not_ask_the_other_is_found(machine, kind, monkeypatch):
     real = machine.apply
 
@@ -653,7 +655,7 @@
 def strange(random):
     """Return a command filled by chance, some of its bytes changed."""
     kind = random.choice(pb.ContractCommand.DESCRIPTOR.oneofs_by_name["what"].fields).name
-    told = pb.ContractCommand(rules=NUMBER)
+    told = pb.ContractCommand(rules=RULES_VERSION)
     made = fill(getattr(told, kind), random)
     if random.random() < 0.7:
         typed(made, random)
@@ -698,7 +700,7 @@
             )
         except UnreadableCommandError:
             continue
-        data, other = gate.machine.snapshot(), ContractMachine()
+        data, other = gate.machine.snapshot(), SchemaStateMachine()
     other.restore(data)
     assert other.snapshot() == data
 
--- a/tests/support/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -21,7 +21,7 @@
 from fennelwind.schema_compatibility import checker, messages, rules, session_options, state_machine
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.rollout import Rollout
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 
 CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client hands out as text all the same
 
@@ -105,20 +105,20 @@
     Defect(
         "admission from an old copy of the record",
         "model",
-        [Line(ContractMachine._barred, "told.version != answer.version", "False")],
+        [Line(SchemaStateMachine._barred, "told.version != answer.version", "False")],
         "test_two_publishers_at_once_and_one_with_an_old_copy",
     ),
     Defect(
         "a lapsed subscriber still counts",
         "model",
-        [patch.object(ContractMachine, "_lapse", lambda self, subscription: None)],
+        [patch.object(SchemaStateMachine, "_lapse", lambda self, subscription: None)],
     ),
     Defect(
         "a renewal does not lengthen the term",
         "model",
         [
             Line(
-                ContractMachine._renew,
+                SchemaStateMachine._renew,
                 "known.until_ms = max(known.until_ms, at.clock_ms + known.term_ms)",
                 "pass",
             )
@@ -154,13 +154,13 @@
     Defect(
         "each step is held against the one before alone",
         "model",
-        [patch.object(ContractMachine, "_finished", last_step_only(ContractMachine._finished))],
+        [patch.object(SchemaStateMachine, "_finished", last_step_only(SchemaStateMachine._finished))],
         "test_steps_that_are_each_harmless_and_together_break",
     ),
     Defect(
         "`*` means what is there at the check",
         "model",
-        [Line(ContractMachine._resolved, "return replace(reads, columns=columns)", "return reads")],
+        [Line(SchemaStateMachine._resolved, "return replace(reads, columns=columns)", "return reads")],
         "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
     ),
     Defect(
@@ -184,7 +184,7 @@
         "model",
         [
             patch.object(
-                ContractMachine, "_acting", lambda self, told, facts, answer: self.changes.get(told.number)
+                SchemaStateMachine, "_acting", lambda self, told, facts, answer: self.changes.get(told.number)
             )
         ],
     ),
@@ -197,25 +197,25 @@
     Defect(
         "finished before all engines are",
         "model",
-        [Line(ContractMachine._finish, "Change.DONE in states <= {Change.DONE, *rest}", "True")],
+        [Line(SchemaStateMachine._finish, "Change.DONE in states <= {Change.DONE, *rest}", "True")],
         "test_only_the_holder_of_the_tables_lease_carries_out_and_a_later_one_goes_on",
     ),
     Defect(
         "who registers meanwhile is held against the old schema alone",
         "model",
-        [Line(ContractMachine._forms, "forms + [change.form] if change is not None else forms", "forms")],
+        [Line(SchemaStateMachine._forms, "forms + [change.form] if change is not None else forms", "forms")],
     ),
     Defect(
         "shards under way are not asked for",
         "model",
-        [Line(ContractMachine._propose, 'facts.fact("moving", name) > 0', "False")],
+        [Line(SchemaStateMachine._propose, 'facts.fact("moving", name) > 0', "False")],
     ),
     Defect(
         "moves see a change once it has begun",
         "model",
         [
             Line(
-                ContractMachine.fact,
+                SchemaStateMachine.fact,
                 "key in self.by_table",
                 "key in self.by_table and self.changes[self.by_table[key]].step > 0",
             )
--- a/tests/support/contracts_model.py
+++ b/tests/support/contracts_model.py
@@ -9,7 +9,7 @@
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import state_machine as under_test
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
-from fennelwind.schema_compatibility.rules import NUMBER, RULES, Form, Level, Read, judge, worst
+from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION, Form, Level, Read, judge, worst
 from fennelwind.schema_compatibility.session_options import parse_reads, reads_text
 from fennelwind.schema_compatibility.types import parse_schema, table_name
 
@@ -56,7 +56,7 @@
     @initialize()
     def begin_empty(self):
         """Begin with nothing."""
-        self.machine, self.index, self.clock = under_test.ContractMachine(), 0, 0
+        self.machine, self.index, self.clock = under_test.SchemaStateMachine(), 0, 0
         self.living = {}  # number -> name, version, reads as they were when it registered, until, term
         self.change = {}  # table -> number, publisher, schema's text, engines' states, step
         self.moving, self.fence, self.numbers = set(), {}, {}
@@ -75,7 +75,7 @@
         due = self.machine.next_expiry_clock_ms()
         if due is not None and due <= self.clock:
             self.machine.expire_due(at)
-        command = pb.ContractCommand(rules=NUMBER, **what).SerializeToString()
+        command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         answer = pb.ContractAnswer.FromString(self.machine.apply(at, command, self))
         self.living = {n: each for n, each in self.living.items() if each["until"] > self.clock}
         for table, change in list(self.change.items()):
@@ -407,7 +407,7 @@
     def another_member(self):
         """Another member goes on from a snapshot."""
         data = self.machine.snapshot()
-        self.machine = under_test.ContractMachine()
+        self.machine = under_test.SchemaStateMachine()
         self.machine.restore(data)
         assert self.machine.snapshot() == data
 
--- a/tests/support/contracts_search.py
+++ b/tests/support/contracts_search.py
@@ -15,8 +15,8 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility.messages import schema_message
-from fennelwind.schema_compatibility.rules import NUMBER
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.rules import RULES_VERSION
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 from fennelwind.schema_compatibility.types import parse_schema
 from fennelwind.shards import shards_pb2 as moves
 from fennelwind.shards.state_machine import UNDER_WAY, ShardMachine
@@ -45,7 +45,7 @@
     """Goes through all states that can be reached from the first one."""
 
     def __init__(self, shards=1, engines=("e1",), publishers=("p",)):
-        self.contracts, self.shards = ContractMachine(), ShardMachine()
+        self.contracts, self.shards = SchemaStateMachine(), ShardMachine()
         self.shards.rest_ms = REST_MS
         self.engines, self.publishers, self.names = engines, publishers, [f"t/{n}" for n in range(shards)]
         self.index = self.clock = self.fence = 0
@@ -83,7 +83,7 @@
 
     def contract(self, **what):
         """Ask the gate."""
-        raw = self.do(self.contracts, pb.ContractCommand(rules=NUMBER, **what))
+        raw = self.do(self.contracts, pb.ContractCommand(rules=RULES_VERSION, **what))
         return pb.ContractAnswer.FromString(raw)
 
     def shard(self, **what):
--- a/tests/support/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -11,8 +11,8 @@
 from fennelwind.schema_compatibility import rollout as go
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.rollout import Rollout, RolloutTimeouts, shape
-from fennelwind.schema_compatibility.rules import NUMBER
-from fennelwind.schema_compatibility.state_machine import ContractMachine, read_change
+from fennelwind.schema_compatibility.rules import RULES_VERSION
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine, read_change
 from fennelwind.schema_compatibility.types import parse_schema
 
 OLD, NEW = parse_schema("a int, b string"), parse_schema("a int, b string, c int")
@@ -46,7 +46,7 @@
     """Plays one change to its end under faults; asserts what has to hold at every moment."""
 
     def __init__(self, seed, engines=3, at_once=False, back=True, faults=12, behind=False):
-        self.random, self.machine, self.index, self.now = Random(seed), ContractMachine(), 0, 0.0
+        self.random, self.machine, self.index, self.now = Random(seed), SchemaStateMachine(), 0, 0.0
         self.engines = {f"e{n}": Engine() for n in range(engines)}
         self.faults, self.fence, self.acted = faults, 0, 0
         self.do(propose=pb.Propose(table="t", publisher="p", schema=schema_message(OLD)))
@@ -73,7 +73,7 @@
         return self.fence if (kind, key) == ("fence", "table:t") else 0
 
     def do(self, **what):
-        command = pb.ContractCommand(rules=NUMBER, **what)
+        command = pb.ContractCommand(rules=RULES_VERSION, **what)
         return self.apply(command)
 
     def apply(self, command):
--- a/tests/support/golden.py
+++ b/tests/support/golden.py
@@ -46,7 +46,7 @@
 from fennelwind.raft_storage.store import StoreLimits
 from fennelwind.schema_compatibility import contracts_pb2
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
-from fennelwind.schema_compatibility.rules import NUMBER
+from fennelwind.schema_compatibility.rules import RULES_VERSION
 from fennelwind.schema_compatibility.session_options import parse_reads
 from fennelwind.schema_compatibility.types import parse_schema
 from fennelwind.shards import shards_pb2
@@ -264,13 +264,13 @@
         schema = schema_message(parse_schema("id bigint not null, note string, total decimal(10,2)"))
         contract = [
             contracts_pb2.ContractCommand(
-                rules=NUMBER,
+                rules=RULES_VERSION,
                 register=contracts_pb2.Register(
                     name=f"reader-{number}", version=11, term_ms=90_000, reads=[reads]
                 ),
             ),
             contracts_pb2.ContractCommand(
-                rules=NUMBER,
+                rules=RULES_VERSION,
                 propose=contracts_pb2.Propose(
                     table=table, publisher="load", schema=schema, engines=["e0", "e1"], back=["undo"]
                 ),
