--- a/fennelwind/schema_compatibility/__init__.py
+++ b/fennelwind/schema_compatibility/__init__.py
@@ -1,1 +1,1 @@
-"""Who reads what, and which schema change may pass: a machine on the record and its checker. Free of I/O."""
+"""Schema compatibility: replicated subscriptions and schemas, their checker and rollouts. No I/O."""
--- a/fennelwind/schema_compatibility/checker.py
+++ b/fennelwind/schema_compatibility/checker.py
@@ -1,81 +1,85 @@
-"""Living subscribers of a table against a change of its schema: who would break, by what, what instead.
+"""Checks a proposed schema against the active subscriptions of its table.
 
-Subscriptions are kept by table, and equal ones together: a program that runs two hundred times is looked at
-once. A check costs as much as there are different forms of reading the one table.
+Subscriptions are indexed by table and equal ones are grouped, so a program that runs two hundred times is
+checked once: the cost of a check grows with the number of distinct subscriptions of the table.
 """
 
 from typing import NamedTuple
 
 from fennelwind.schema_compatibility.rules import (
     Finding,
-    Form,
+    FindingCache,
+    IndexedSchema,
     Level,
-    Memo,
     Reads,
-    altered,
-    judge,
+    check_alteration,
+    check_reads,
+    highest_level,
     takes_whole_rows,
-    worst,
 )
 from fennelwind.schema_compatibility.types import Schema
 
-FormKey = tuple[Reads, int]  # what is read, and the version of the protocol
+SubscriptionKey = tuple[Reads, int]  # the reader schema and the protocol version
 
 
 class Affected(NamedTuple):
-    """Subscribers that read alike, and what a change means for them."""
+    """Subscribers with equal reads and protocol version, and the findings of a change for them."""
 
-    names: tuple[str, ...]  # sorted, each once
+    names: tuple[str, ...]  # sorted, without duplicates
     version: int
-    findings: tuple[Finding, ...]  # warnings and breaks only, gravest first
+    findings: tuple[Finding, ...]  # warnings and breaks only, most severe first
 
     @property
     def level(self) -> Level:
-        """That of the gravest, which is the first."""
+        """Severity of the most severe finding, which is the first."""
         return self.findings[0].level
 
 
 class Verdict(NamedTuple):
-    """What becomes of a proposed schema."""
+    """The result of checking a proposed schema."""
 
-    own: tuple[Finding, ...]  # of the change itself
-    affected: tuple[Affected, ...]  # those that break first
+    own: tuple[Finding, ...]  # findings of the change itself
+    affected: tuple[Affected, ...]  # broken subscribers first
 
     @property
     def level(self) -> Level:
-        """Broken if any subscriber breaks; a warning if there is anything to be known."""
-        return max(worst(self.own), max((each.level for each in self.affected), default=Level.ACCEPTED))
+        """Highest level among the findings of the change and of the subscribers."""
+        return max(
+            highest_level(self.own), max((each.level for each in self.affected), default=Level.ACCEPTED)
+        )
 
 
 class Subscriptions:
-    """Who reads which table in which form."""
+    """Index of subscriptions by table, reads and protocol version."""
 
     def __init__(self) -> None:
-        self._tables: dict[str, dict[FormKey, dict[str, int]]] = {}  # names with how often each is there
+        self._tables: dict[
+            str, dict[SubscriptionKey, dict[str, int]]
+        ] = {}  # with a count per subscriber name
 
     def add(self, name: str, version: int, reads: Reads) -> None:
-        """Count a subscriber's reads of one table."""
+        """Add a subscriber's reads of one table."""
         names = self._tables.setdefault(reads.table, {}).setdefault((reads, version), {})
         names[name] = names.get(name, 0) + 1
 
     def remove(self, name: str, version: int, reads: Reads) -> None:
-        """Count them no longer."""
-        forms = self._tables[reads.table]
-        names = forms[reads, version]
+        """Remove a subscriber's reads of one table, added before."""
+        subscriptions = self._tables[reads.table]
+        names = subscriptions[reads, version]
         names[name] -= 1
         if not names[name]:
             del names[name]
         if not names:
-            del forms[reads, version]
-        if not forms:
+            del subscriptions[reads, version]
+        if not subscriptions:
             del self._tables[reads.table]
 
-    def forms(self, table: str) -> dict[FormKey, dict[str, int]]:
-        """Return the forms in which a table is read, each with its readers' names."""
+    def subscribers(self, table: str) -> dict[SubscriptionKey, dict[str, int]]:
+        """Return the distinct subscriptions of a table, each with a count per subscriber name."""
         return self._tables.get(table, {})
 
 
-def check(
+def check_change(
     subscriptions: Subscriptions,
     table: str,
     old: Schema | None,
@@ -84,17 +88,17 @@
     anew: bool = False,
     publisher: str = "",
 ) -> Verdict:
-    """Hold a change against all subscribers of its table; None: there is no table, or it goes.
+    """Check a change against all subscribers of its table. `old` None: a new table; `new` None: a drop.
 
-    What the publisher itself reads warns it and stops nothing: it knows of the change.
+    Breaks of the publisher's own subscriptions become warnings, since it knows of the change.
     """
-    form = Form(new) if new is not None else None
-    own = altered(old, new, anew) if old is not None and new is not None else ()
+    indexed = IndexedSchema(new) if new is not None else None
+    own = check_alteration(old, new, anew) if old is not None and new is not None else ()
     affected = []
-    memos: dict[tuple[int, bool], Memo] = {}  # many forms read some columns alike
-    for (reads, version), names in subscriptions.forms(table).items():
-        memo = memos.setdefault((version, takes_whole_rows(reads)), {})
-        findings = judge(reads, version, form, memo)
+    caches: dict[tuple[int, bool], FindingCache] = {}  # shared, as many subscriptions have columns in common
+    for (reads, version), names in subscriptions.subscribers(table).items():
+        cache = caches.setdefault((version, takes_whole_rows(reads)), {})
+        findings = check_reads(reads, version, indexed, cache)
         if findings:
             findings = tuple(sorted((f for f in findings if f.level), key=lambda f: (-f.level, f)))
         if not findings:
@@ -103,7 +107,9 @@
         if others:
             affected.append(Affected(others, version, findings))
         if len(others) < len(names):
-            mine = tuple(Finding("own", f.column, f.what) if f.level == Level.BROKEN else f for f in findings)
-            affected.append(Affected((publisher,), version, mine))
+            own_findings = tuple(
+                Finding("own", f.column, f.what) if f.level == Level.BROKEN else f for f in findings
+            )
+            affected.append(Affected((publisher,), version, own_findings))
     affected.sort(key=lambda each: (-each.level, each))
     return Verdict(own, tuple(affected))
--- a/fennelwind/schema_compatibility/message_compatibility.py
+++ b/fennelwind/schema_compatibility/message_compatibility.py
@@ -1,8 +1,8 @@
-"""Which changes of the project's own messages an older controller of the same fleet can live with.
+"""Checks changes of this project's Protocol Buffers messages for backward and forward compatibility.
 
-The rules are those of the Protocol Buffers language guide ("Updating A Message Type") and of its encoding, in
-their strict form: what loses or mixes up a value in either direction, or a field's name in a settings file,
-is broken. Older members of the record and newer ones read the same log, so both directions count.
+The rules are those of the Protocol Buffers language guide ("Updating A Message Type") and of the encoding,
+applied strictly: a change breaks if it loses or misreads a value in either direction, or a field name in a
+settings file. Both directions count, as older and newer Raft members read the same log.
 """
 
 from collections.abc import Iterable, Iterator
@@ -19,11 +19,11 @@
 GUIDE = "Protocol Buffers language guide: Updating A Message Type"
 ENCODING = "Protocol Buffers encoding"
 ENUMS = "Protocol Buffers language guide: Enumerations"
-_MOST = 1 << 29  # field numbers end below
+_END_OF_FIELD_NUMBERS = 1 << 29  # exclusive
 
 
 class Rule(NamedTuple):
-    """One rule: whether a change breaks, what it means, where it stands, what to do instead."""
+    """A compatibility rule. `remedy`: what to do instead."""
 
     breaks: bool
     description: str
@@ -31,32 +31,39 @@
     remedy: str
 
 
-_NEW = "Give the new field a number that was never used; leave the old one where it is, or reserve it."
+_NEW_NUMBER = "Give the new field a number that was never used; leave the old one where it is, or reserve it."
 _RESERVE = "Reserve its number and its name."
-_STAY = "Leave it as it is, and add another beside it."
+_KEEP_AND_ADD = "Leave it as it is, and add another beside it."
 RULES = {
-    "file-removed": Rule(True, "a file is gone, and its messages with it", GUIDE, _STAY),
+    "file-removed": Rule(True, "a file was removed, with its messages", GUIDE, _KEEP_AND_ADD),
     "syntax": Rule(
-        True, "the syntax is another: absent fields and unknown values are read otherwise", GUIDE, _STAY
+        True,
+        "the syntax differs: absent fields and unknown values are handled differently",
+        GUIDE,
+        _KEEP_AND_ADD,
     ),
     "message-removed": Rule(
-        True, "a message is gone", GUIDE, "Keep it as long as an older version may send it."
-    ),
-    "field-removed": Rule(
-        True, "a field is gone without its number and name being reserved", GUIDE, _RESERVE
+        True, "a message was removed", GUIDE, "Keep it as long as an older version may send it."
     ),
+    "field-removed": Rule(True, "a field was removed without reserving its number and name", GUIDE, _RESERVE),
     "number-reused": Rule(
-        True, "the number bears another field: older versions read one for the other", GUIDE, _NEW
+        True,
+        "the number belongs to another field: older versions mistake one for the other",
+        GUIDE,
+        _NEW_NUMBER,
     ),
-    "reserved-used": Rule(True, "a number or name that was reserved is used", GUIDE, _NEW),
+    "reserved-used": Rule(True, "a number or name that was reserved is used", GUIDE, _NEW_NUMBER),
     "reserve-dropped": Rule(
-        True, "a number or name is no longer reserved, and may be used anew", GUIDE, _RESERVE
+        True, "a number or name is no longer reserved and may be reused", GUIDE, _RESERVE
     ),
     "type-changed": Rule(
-        True, "values of this type are not read, or cut off, by the other version", ENCODING, _NEW
+        True, "values of this type are not read or are truncated by the other version", ENCODING, _NEW_NUMBER
     ),
     "label-changed": Rule(
-        True, "one value against many: the other version reads none, or the last", ENCODING, _NEW
+        True,
+        "a single field became repeated or the reverse: the other version reads none or only the last value",
+        ENCODING,
+        _NEW_NUMBER,
     ),
     "required": Rule(
         True,
@@ -64,23 +71,25 @@
         GUIDE,
         "Make it optional, and check for it where it is used.",
     ),
-    "default-changed": Rule(True, "an absent value means one thing here and another there", GUIDE, _STAY),
+    "default-changed": Rule(
+        True, "an absent value has different meanings in the two versions", GUIDE, _KEEP_AND_ADD
+    ),
     "oneof-moved": Rule(
         True,
-        "a field moved into or out of a oneof: setting one clears others in one version only",
+        "a field moved into or out of a oneof: setting it clears others in one version only",
         GUIDE,
-        _NEW,
+        _NEW_NUMBER,
     ),
     "enum-removed": Rule(
-        True, "an enumeration is gone", ENUMS, "Keep it as long as a field of an older version has it."
+        True, "an enumeration was removed", ENUMS, "Keep it as long as a field of an older version has it."
     ),
     "enum-zero": Rule(
         True,
-        "the value 0 is what an absent field means, and it means another thing now",
+        "the value 0 stands for an absent field and has another meaning now",
         ENUMS,
         "Leave the value 0 as it was.",
     ),
-    "value-removed": Rule(True, "a value is gone without its number being reserved", ENUMS, _RESERVE),
+    "value-removed": Rule(True, "a value was removed without reserving its number", ENUMS, _RESERVE),
     "value-reused": Rule(
         True,
         "the number has another name: settings and the other version mean something else",
@@ -89,41 +98,41 @@
     ),
     "oneof-grown": Rule(
         False,
-        "a oneof has a further field: an older version sees that none is set",
+        "a oneof has an additional field: an older version sees none set",
         GUIDE,
         "Send it only when all members know it.",
     ),
     "value-added": Rule(
         False,
-        "an enumeration has a further value: an older version knows its number alone",
+        "an enumeration has an additional value: an older version knows only its number",
         ENUMS,
         "Send it only when all members know it.",
     ),
     "field-retired": Rule(
         False,
-        "a field is gone and reserved: what an older version says in it is passed over",
+        "a field was removed and reserved: values sent by an older version are ignored",
         GUIDE,
-        "Let it go when no version in a fleet still sends it.",
+        "Remove it only when no version in a fleet sends it any more.",
     ),
     "value-retired": Rule(
         False,
-        "a value is gone and reserved: an older version may still send its number",
+        "a value was removed and reserved: an older version may still send its number",
         ENUMS,
-        "Let it go when no version in a fleet still sends it.",
+        "Remove it only when no version in a fleet sends it any more.",
     ),
-    "presence": Rule(False, "whether a field was set is told by one version only", GUIDE, _STAY),
+    "presence": Rule(False, "only one version records whether the field was set", GUIDE, _KEEP_AND_ADD),
 }
 
 
 class Found(NamedTuple):
-    """What a rule says of a place: `package.Message.field`."""
+    """A rule that applies at a place: `package.Message.field`."""
 
     rule: str
     place: str
 
     @property
     def breaks(self) -> bool:
-        """Whether an older version could not live with it."""
+        """Whether the change is incompatible."""
         return RULES[self.rule].breaks
 
     def __str__(self) -> str:
@@ -132,25 +141,25 @@
 
 
 def compare(old: FileDescriptorSet, new: FileDescriptorSet) -> list[Found]:
-    """Return all that a new set of descriptors changes for who has the old one, in order of places."""
-    found: list[Found] = []
-    there = {file.name: file for file in new.file}
-    messages, enums = dict(_messages(new.file)), dict(_enums(new.file))
+    """Return the findings of a new set of descriptors against an old one, ordered by place."""
+    findings: list[Found] = []
+    new_files = {file.name: file for file in new.file}
+    messages, enums = dict(_iterate_messages(new.file)), dict(_iterate_enums(new.file))
     for file in old.file:
-        now = there.get(file.name)
-        if now is None:
-            found.append(Found("file-removed", file.name))
+        current = new_files.get(file.name)
+        if current is None:
+            findings.append(Found("file-removed", file.name))
             continue
-        if (now.syntax or "proto2", now.edition) != (file.syntax or "proto2", file.edition):
-            found.append(Found("syntax", file.name))
-        for name, message in _messages([file]):
-            _message(name, message, messages.get(name), found)
-        for name, enum in _enums([file]):
-            _enum(name, enum, enums.get(name), found)
-    return sorted(found, key=lambda each: (each.place, each.rule))
+        if (current.syntax or "proto2", current.edition) != (file.syntax or "proto2", file.edition):
+            findings.append(Found("syntax", file.name))
+        for name, message in _iterate_messages([file]):
+            _compare_message(name, message, messages.get(name), findings)
+        for name, enum in _iterate_enums([file]):
+            _compare_enum(name, enum, enums.get(name), findings)
+    return sorted(findings, key=lambda each: (each.place, each.rule))
 
 
-def _messages(files: Iterable[FileDescriptorProto]) -> Iterator[tuple[str, DescriptorProto]]:
+def _iterate_messages(files: Iterable[FileDescriptorProto]) -> Iterator[tuple[str, DescriptorProto]]:
     def within(prefix: str, message: DescriptorProto) -> Iterator[tuple[str, DescriptorProto]]:
         name = f"{prefix}.{message.name}"
         yield name, message
@@ -162,123 +171,129 @@
             yield from within(file.package, message)
 
 
-def _enums(files: Iterable[FileDescriptorProto]) -> Iterator[tuple[str, EnumDescriptorProto]]:
+def _iterate_enums(files: Iterable[FileDescriptorProto]) -> Iterator[tuple[str, EnumDescriptorProto]]:
     files = list(files)
     for file in files:
         for enum in file.enum_type:
             yield f"{file.package}.{enum.name}", enum
-    for name, message in _messages(files):
+    for name, message in _iterate_messages(files):
         for enum in message.enum_type:
             yield f"{name}.{enum.name}", enum
 
 
-def _reserved(message: DescriptorProto | EnumDescriptorProto) -> list[tuple[int, int]]:
-    """Return reserved numbers as pairs, the second one past the end (enumerations give the last one)."""
-    more = 1 if isinstance(message, EnumDescriptorProto) else 0
-    return [(each.start, each.end + more) for each in message.reserved_range]
+def _reserved_ranges(message: DescriptorProto | EnumDescriptorProto) -> list[tuple[int, int]]:
+    """Return reserved numbers as half-open ranges; descriptors of enumerations have inclusive ends."""
+    end_offset = 1 if isinstance(message, EnumDescriptorProto) else 0
+    return [(each.start, each.end + end_offset) for each in message.reserved_range]
 
 
-def _covered(ranges: list[tuple[int, int]], first: int, end: int) -> bool:
-    """Tell whether each number from `first` to before `end` lies in one of the ranges."""
+def _is_covered(ranges: list[tuple[int, int]], first: int, end: int) -> bool:
+    """Return whether the ranges cover all numbers from `first` up to but excluding `end`."""
     for start, stop in sorted(ranges):
         if start <= first < stop:
             first = stop
     return first >= end
 
 
-def _message(name: str, old: DescriptorProto, new: DescriptorProto | None, found: list[Found]) -> None:
+def _compare_message(
+    name: str, old: DescriptorProto, new: DescriptorProto | None, findings: list[Found]
+) -> None:
     if new is None:
-        found.append(Found("message-removed", name))
+        findings.append(Found("message-removed", name))
         return
-    ranges, names = _reserved(new), set(new.reserved_name)
+    ranges, names = _reserved_ranges(new), set(new.reserved_name)
     fields, by_name = {field.number: field for field in new.field}, {field.name for field in new.field}
-    for start, end in _reserved(old):
+    for start, end in _reserved_ranges(old):
         if any(start <= number < end for number in fields):
-            found.append(Found("reserved-used", name))
-        elif not _covered(ranges, start, min(end, _MOST)):
-            found.append(Found("reserve-dropped", name))
+            findings.append(Found("reserved-used", name))
+        elif not _is_covered(ranges, start, min(end, _END_OF_FIELD_NUMBERS)):
+            findings.append(Found("reserve-dropped", name))
     if set(old.reserved_name) & by_name:
-        found.append(Found("reserved-used", name))
+        findings.append(Found("reserved-used", name))
     elif set(old.reserved_name) - names:
-        found.append(Found("reserve-dropped", name))
+        findings.append(Found("reserve-dropped", name))
     for field in old.field:
         place = f"{name}.{field.name}"
-        now = fields.get(field.number)
-        if now is None:
-            kept = _covered(ranges, field.number, field.number + 1) and field.name in names
-            found.append(Found("field-retired" if kept else "field-removed", place))
-        elif now.name != field.name:
-            found.append(Found("number-reused", place))
+        current = fields.get(field.number)
+        if current is None:
+            is_reserved = _is_covered(ranges, field.number, field.number + 1) and field.name in names
+            findings.append(Found("field-retired" if is_reserved else "field-removed", place))
+        elif current.name != field.name:
+            findings.append(Found("number-reused", place))
         else:
-            _field(place, field, _oneof(old, field), now, _oneof(new, now), found)
-    known = {field.number for field in old.field}
-    before = {each.name for each in old.oneof_decl}
+            _compare_field(
+                place, field, _oneof_name(old, field), current, _oneof_name(new, current), findings
+            )
+    old_numbers = {field.number for field in old.field}
+    old_oneofs = {each.name for each in old.oneof_decl}
     for field in new.field:
-        if field.number not in known:
+        if field.number not in old_numbers:
             place = f"{name}.{field.name}"
             if field.label == FieldDescriptorProto.LABEL_REQUIRED:
-                found.append(Found("required", place))
-            if _oneof(new, field) in before:
-                found.append(Found("oneof-grown", place))
+                findings.append(Found("required", place))
+            if _oneof_name(new, field) in old_oneofs:
+                findings.append(Found("oneof-grown", place))
 
 
-def _oneof(message: DescriptorProto, field: FieldDescriptorProto) -> str:
-    """Return the name of a field's oneof; "": it is in none, but that which only tells its presence."""
+def _oneof_name(message: DescriptorProto, field: FieldDescriptorProto) -> str:
+    """Return the name of a field's oneof; "" for none or for the synthetic oneof of an optional field."""
     if not field.HasField("oneof_index") or field.proto3_optional:
         return ""
     return message.oneof_decl[field.oneof_index].name
 
 
-def _field(
+def _compare_field(
     place: str,
     old: FieldDescriptorProto,
-    was_in: str,
+    old_oneof: str,
     new: FieldDescriptorProto,
-    is_in: str,
-    found: list[Found],
+    new_oneof: str,
+    findings: list[Found],
 ) -> None:
     required = FieldDescriptorProto.LABEL_REQUIRED
     if (old.type, old.type_name) != (new.type, new.type_name):
-        found.append(Found("type-changed", place))
+        findings.append(Found("type-changed", place))
     if (old.label == required) != (new.label == required):
-        found.append(Found("required", place))
+        findings.append(Found("required", place))
     elif old.label != new.label:
-        found.append(Found("label-changed", place))
+        findings.append(Found("label-changed", place))
     if old.default_value != new.default_value:
-        found.append(Found("default-changed", place))
-    if was_in != is_in:
-        found.append(Found("oneof-moved", place))
+        findings.append(Found("default-changed", place))
+    if old_oneof != new_oneof:
+        findings.append(Found("oneof-moved", place))
     elif old.proto3_optional != new.proto3_optional:
-        found.append(Found("presence", place))
+        findings.append(Found("presence", place))
 
 
-def _enum(name: str, old: EnumDescriptorProto, new: EnumDescriptorProto | None, found: list[Found]) -> None:
+def _compare_enum(
+    name: str, old: EnumDescriptorProto, new: EnumDescriptorProto | None, findings: list[Found]
+) -> None:
     if new is None:
-        found.append(Found("enum-removed", name))
+        findings.append(Found("enum-removed", name))
         return
-    ranges = _reserved(new)
+    ranges = _reserved_ranges(new)
     values: dict[int, set[str]] = {}
     for value in new.value:
         values.setdefault(value.number, set()).add(value.name)
-    known = {value.number for value in old.value}
-    if old.value[0].number != new.value[0].number:  # what an absent field means where it is not 0
-        found.append(Found("enum-zero", name))
-    for start, end in _reserved(old):
+    old_numbers = {value.number for value in old.value}
+    if old.value[0].number != new.value[0].number:  # the first value is the default in proto2
+        findings.append(Found("enum-zero", name))
+    for start, end in _reserved_ranges(old):
         if any(start <= number < end for number in values):
-            found.append(Found("reserved-used", name))
-        elif not _covered(ranges, start, end):
-            found.append(Found("reserve-dropped", name))
+            findings.append(Found("reserved-used", name))
+        elif not _is_covered(ranges, start, end):
+            findings.append(Found("reserve-dropped", name))
     for value in old.value:
-        now, place = values.get(value.number), f"{name}.{value.name}"
-        if now is not None and value.name in now:
+        current, place = values.get(value.number), f"{name}.{value.name}"
+        if current is not None and value.name in current:
             continue
         if value.number == 0:
-            found.append(Found("enum-zero", place))
-        elif now is not None:
-            found.append(Found("value-reused", place))
+            findings.append(Found("enum-zero", place))
+        elif current is not None:
+            findings.append(Found("value-reused", place))
         else:
-            kept = _covered(ranges, value.number, value.number + 1)
-            found.append(Found("value-retired" if kept else "value-removed", place))
-    found.extend(
-        Found("value-added", f"{name}.{value.name}") for value in new.value if value.number not in known
+            is_reserved = _is_covered(ranges, value.number, value.number + 1)
+            findings.append(Found("value-retired" if is_reserved else "value-removed", place))
+    findings.extend(
+        Found("value-added", f"{name}.{value.name}") for value in new.value if value.number not in old_numbers
     )
--- a/fennelwind/schema_compatibility/messages.py
+++ b/fennelwind/schema_compatibility/messages.py
@@ -1,4 +1,4 @@
-"""Between the messages of `contracts.proto` and the values of `types` and `rules`."""
+"""Conversions between the messages of `contracts.proto` and the values of `types` and `rules`."""
 
 from collections.abc import Iterable
 from functools import lru_cache
@@ -11,37 +11,44 @@
     Schema,
     SchemaError,
     Type,
-    check,
+    check_schema,
     check_type,
-    fold,
-    table_name,
+    normalize_name,
+    normalize_table_name,
 )
 
-READS_MOST = 64  # tables of one subscription
-NAMED_MOST = 1000  # subscribers named in one answer, of some 30 letters each; the rest are counted
-FOUND_MOST = 20  # findings told of one group of subscribers, gravest first
+MAX_TABLES_PER_SUBSCRIPTION = 64
+MAX_NAMED_SUBSCRIBERS = 1000  # per answer, about 30 characters each; further ones are only counted
+MAX_FINDINGS = 20  # per group of equal subscriptions, most severe first
 
 
-def type_message(given: Type) -> pb.Type:
-    """Return a type's message."""
-    return pb.Type(kind=given.kind, size=given.size, names=given.names, parts=map(type_message, given.parts))
+def type_message(schema_type: Type) -> pb.Type:
+    """Return the message of a type."""
+    return pb.Type(
+        kind=schema_type.kind,
+        size=schema_type.size,
+        names=schema_type.names,
+        parts=map(type_message, schema_type.parts),
+    )
 
 
-def read_type(told: pb.Type) -> Type:
-    """Return the type of a message, one value for equal ones. Raises `SchemaError`."""
-    return _type(told.SerializeToString(deterministic=True))
+def read_type(message: pb.Type) -> Type:
+    """Return the type of a message; equal messages share one value. Raises `SchemaError`."""
+    return _cached_type(message.SerializeToString(deterministic=True))
 
 
 @lru_cache(maxsize=65536)
-def _type(raw: bytes) -> Type:
-    told = pb.Type.FromString(raw)
-    made = Type(told.kind, tuple(told.size), tuple(told.names), tuple(map(read_type, told.parts)))
-    check_type(made)
-    return made
+def _cached_type(raw: bytes) -> Type:
+    message = pb.Type.FromString(raw)
+    parsed_type = Type(
+        message.kind, tuple(message.size), tuple(message.names), tuple(map(read_type, message.parts))
+    )
+    check_type(parsed_type)
+    return parsed_type
 
 
 def schema_message(schema: Schema) -> pb.Schema:
-    """Return a schema's message."""
+    """Return the message of a schema."""
     return pb.Schema(
         columns=map(_column_message, schema.columns), partitions=map(_column_message, schema.partitions)
     )
@@ -58,18 +65,22 @@
     )
 
 
-def read_schema(told: pb.Schema) -> Schema:
+def read_schema(message: pb.Schema) -> Schema:
     """Return the schema of a message. Raises `SchemaError`."""
-    return check(Schema(tuple(map(_column, told.columns)), tuple(map(_column, told.partitions))))
+    return check_schema(
+        Schema(tuple(map(_read_column, message.columns)), tuple(map(_read_column, message.partitions)))
+    )
 
 
-def _column(told: pb.Column) -> Column:
-    default = told.default if told.HasField("default") else None
-    return Column(told.name, read_type(told.type), not told.fixed, default, told.number, told.was)
+def _read_column(message: pb.Column) -> Column:
+    default = message.default if message.HasField("default") else None
+    return Column(
+        message.name, read_type(message.type), not message.fixed, default, message.number, message.was
+    )
 
 
 def reads_message(reads: Reads) -> pb.Reads:
-    """Return the message of what is read of one table."""
+    """Return the message of a subscriber's reads of one table."""
     columns = [
         pb.Reads.Read(
             name=r.name,
@@ -84,54 +95,61 @@
     return pb.Reads(table=reads.table, star=reads.star, by_place=reads.by_place, columns=columns)
 
 
-def read_reads(told: pb.Reads) -> Reads:
-    """Return what is read of one table. Raises `SchemaError`."""
-    columns = tuple(_read(column.SerializeToString(deterministic=True)) for column in told.columns)
-    if table_name(told.table) != told.table:
-        raise SchemaError(f"the table {told.table!r} is not in lower case", table=told.table)
-    return Reads(told.table, columns, told.star, told.by_place)
+def read_reads(message: pb.Reads) -> Reads:
+    """Return a subscriber's reads of one table. Raises `SchemaError`."""
+    columns = tuple(_cached_read(column.SerializeToString(deterministic=True)) for column in message.columns)
+    if normalize_table_name(message.table) != message.table:
+        raise SchemaError(f"the table {message.table!r} is not in lower case", table=message.table)
+    return Reads(message.table, columns, message.star, message.by_place)
 
 
 @lru_cache(maxsize=65536)
-def _read(raw: bytes) -> Read:
-    told = pb.Reads.Read.FromString(raw)
-    if fold(told.name) != told.name:
-        raise SchemaError(f"the name {told.name!r} is not in lower case", column=told.name)
-    return shared(
-        Read(told.name, read_type(told.type), not told.fixed, told.place, told.number, told.partition)
+def _cached_read(raw: bytes) -> Read:
+    message = pb.Reads.Read.FromString(raw)
+    if normalize_name(message.name) != message.name:
+        raise SchemaError(f"the name {message.name!r} is not in lower case", column=message.name)
+    return intern_read(
+        Read(
+            message.name,
+            read_type(message.type),
+            not message.fixed,
+            message.place,
+            message.number,
+            message.partition,
+        )
     )
 
 
 @lru_cache(maxsize=65536)
-def shared(read: Read) -> Read:
-    """Return one and the same value for equal ones: checks look at it once for all who have it."""
+def intern_read(read: Read) -> Read:
+    """Return one shared value for equal reads, so that a check evaluates it once for all subscribers."""
     return read
 
 
 def all_reads_message(reads: Iterable[Reads]) -> bytes:
-    """Return the bytes in which a subscription's reads are kept."""
+    """Return the serialized reads of a subscription, as stored."""
     return pb.AllReads(reads=map(reads_message, reads)).SerializeToString(deterministic=True)
 
 
 @lru_cache(maxsize=4096)
 def read_all_reads(raw: bytes) -> tuple[Reads, ...]:
-    """Return a subscription's reads. Raises `SchemaError`."""
+    """Return the reads of a subscription from their stored bytes. Raises `SchemaError`."""
     return tuple(map(read_reads, pb.AllReads.FromString(raw).reads))
 
 
-def found_messages(findings: Iterable[Finding]) -> list[pb.Found]:
-    """Return the messages of findings, accepted ones left out, gravest first and no more than are read."""
-    grave = sorted((f for f in findings if f.level), key=lambda f: -f.level)
-    return [pb.Found(rule=f.rule, column=f.column, what=f.what) for f in grave[:FOUND_MOST]]
+def finding_messages(findings: Iterable[Finding]) -> list[pb.Found]:
+    """Return the messages of at most `MAX_FINDINGS` warnings and breaks, most severe first."""
+    severe = sorted((f for f in findings if f.level), key=lambda f: -f.level)
+    return [pb.Found(rule=f.rule, column=f.column, what=f.what) for f in severe[:MAX_FINDINGS]]
 
 
-def verdict_message(verdict: Verdict, answer: pb.ContractAnswer) -> None:
-    """Put a verdict into an answer: as many readers by name as there is room for."""
-    answer.found.extend(found_messages(verdict.own))
-    room = NAMED_MOST
+def fill_verdict(verdict: Verdict, answer: pb.ContractAnswer) -> None:
+    """Write a verdict into an answer; names beyond `MAX_NAMED_SUBSCRIBERS` are only counted."""
+    answer.found.extend(finding_messages(verdict.own))
+    remaining = MAX_NAMED_SUBSCRIBERS
     for each in verdict.affected:
-        names = each.names[:room]
-        room -= len(names)
+        names = each.names[:remaining]
+        remaining -= len(names)
         answer.more += len(each.names) - len(names)
         if names:
-            answer.readers.add(names=names, version=each.version, found=found_messages(each.findings))
+            answer.readers.add(names=names, version=each.version, found=finding_messages(each.findings))
--- a/fennelwind/schema_compatibility/rollout.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -1,14 +1,16 @@
-"""Carrying an admitted change out over the engines, step by step: events in, actions out, no I/O.
-
-For each engine: the record notes that it is quiet, so that controllers send it no new query of the table, and
-those that have begun finish; the record notes that it is asked; the publisher's statements run; a look at its
-schema says what came of them, whatever their answers were; the record notes it, and queries go there again.
-Back in the same way. All that counts is on the record, so another holder begins where this one ended: an
-engine that was asked is looked at first.
-
-Every statement and look carries the fence, `table:NAME:NUMBER`. An engine that has seen a newer one refuses
-it and ends what still runs under an older one, so that what an earlier holder sent does nothing after a look
-of the later one. A statement whose answer is lost is stopped before the look, and does nothing after it.
+"""Rolls an admitted schema change out over the engines: events in, actions out, no I/O.
+
+Each engine goes through these steps. The replicated state marks it quiet, so that controllers send it no
+new queries of the table, and running ones drain. The state marks it ASKED and the publisher's statements
+run. The table's columns are then described: they, not the statements' answers, decide the outcome. The
+state records the outcome and releases the engine for queries. A revert goes through the same steps. All
+progress is replicated, so another lease holder continues where this one stopped; an engine already marked
+ASKED is described first.
+
+Every statement and describe carries the fencing token `table:NAME:NUMBER`. An engine that has seen a newer
+token refuses it and ends what still runs under an older one, so statements of an earlier holder have no
+effect after a describe by a later one. A statement whose answer is lost is stopped before the describe, for
+the same reason.
 """
 
 from collections.abc import Iterable
@@ -20,26 +22,26 @@
 from fennelwind.schema_compatibility.state_machine import SchemaChange
 from fennelwind.schema_compatibility.types import Schema
 
-FENCE = "fennelwind.fence"  # setting in the overlay of a task's statements: TASK:NUMBER
+FENCE = "fennelwind.fence"  # overlay setting of a task's statements: TASK:NUMBER
 Change = pb.Change
 
 
 @dataclass(slots=True, frozen=True)
 class RolloutTimeouts:
-    """How long a change waits, in ms, and how often it tries."""
+    """Timeouts in ms, and the number of attempts."""
 
-    drain_ms: float = 120_000.0  # for queries that have begun on an engine; then it is another engine's turn
-    answer_ms: float = 60_000.0  # for a statement, a stop or a look: an ALTER touches the metastore, no rows
-    record_ms: float = 5000.0  # for the record; then it is told again
-    tries: int = 3  # statements' runs on one engine, and times that it is waited for to drain
+    drain_ms: float = 120_000.0  # for running queries of an engine; then other engines go first
+    answer_ms: float = 60_000.0  # for a statement, stop or describe: ALTER changes the metastore, not rows
+    record_ms: float = 5000.0  # for a replicated command; then it is sent again
+    max_attempts: int = 3  # per engine: to run the statements, and to drain
 
 
-# What happens. `token` is that of the action which it answers; what answers an earlier one is passed over.
+# Events. `token` is that of the action that the event answers; answers to earlier actions are ignored.
 
 
 @dataclass(slots=True, frozen=True)
 class CommandCompleted:
-    """What became of a `ProposeCommand`; None: nobody knows."""
+    """The answer to a `ProposeCommand`; None: the outcome is unknown."""
 
     token: int
     answer: pb.ContractAnswer | None
@@ -47,7 +49,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Drained:
-    """No query of the table is under way on an engine, and none is sent there."""
+    """No query of the table runs on the engine, and none is sent to it."""
 
     token: int
     engine: str
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementEnded:
-    """A statement has come to its end: `ok`, `failed` (the engine says no), `lost` (who knows), `fenced`."""
+    """A statement ended: `ok`, `failed` (rejected by the engine), `lost` (outcome unknown) or `fenced`."""
 
     token: int
     engine: str
@@ -64,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementStopped:
-    """Nothing that `RunStatement` sent is under way on an engine any more."""
+    """No statement sent by `RunStatement` runs on the engine any more."""
 
     token: int
     engine: str
@@ -72,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TableDescribed:
-    """An engine's columns of the table, their names and types; None: it has no such table."""
+    """Names and types of the table's columns on an engine; None: it has no such table."""
 
     token: int
     engine: str
@@ -81,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DescribeFailed:
-    """An engine did not show its columns; `fenced`: for it has seen a newer fence."""
+    """An engine did not describe the table; `fenced`: it has seen a newer fencing token."""
 
     token: int
     engine: str
@@ -97,14 +99,14 @@
 
 @dataclass(slots=True, frozen=True)
 class EngineReturned:
-    """An engine that had left is there again."""
+    """An engine that had left is back in the fleet."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
 class Superseded:
-    """The lease is lost: nothing more is to be done here."""
+    """The lease is lost; this rollout must stop."""
 
 
 Event = (
@@ -120,12 +122,12 @@
 )
 
 
-# What is to be done.
+# Actions.
 
 
 @dataclass(slots=True, frozen=True)
 class ProposeCommand:
-    """A command for the record; one at a time, and `CommandCompleted` answers it."""
+    """Propose a replicated command, one at a time; `CommandCompleted` answers it."""
 
     token: int
     command: pb.ContractCommand
@@ -133,7 +135,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AwaitDrain:
-    """The record has told all controllers; `Drained` when the queries that have begun there are over."""
+    """Wait until the running queries of a quiet engine have ended; `Drained` answers it."""
 
     token: int
     engine: str
@@ -141,14 +143,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Release:
-    """Queries of the table may go to the engine."""
+    """Allow queries of the table on the engine again."""
 
     engine: str
 
 
 @dataclass(slots=True, frozen=True)
 class RunStatement:
-    """A statement for an engine, with settings for its overlay; `StatementEnded` answers it."""
+    """Run a statement on an engine with overlay settings; `StatementEnded` answers it."""
 
     token: int
     engine: str
@@ -175,7 +177,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RolloutEnded:
-    """Nothing more comes: `finished`, `undone`, `superseded`, or `given-up`: somebody else may try."""
+    """The last action: `finished`, `undone`, `superseded`, or `given-up` (another holder may try)."""
 
     how: str
     reason: str = ""
@@ -185,360 +187,394 @@
 
 
 def shape(schema: Schema | None) -> tuple[tuple[str, str], ...] | None:
-    """Return what a look at an engine shows of a schema: names and types in order."""
+    """Return a schema as `TableDescribed` reports it: column names and types in order."""
     return tuple((column.name, str(column.type)) for column in schema.row) if schema is not None else None
 
 
-_UNDO = (Change.ASKED, Change.DONE, Change.ASKED_BACK)  # on the way back: engines that are not as they were
+# States of engines that a revert still has to change back.
+_UNDO_STATES = (Change.ASKED, Change.DONE, Change.ASKED_BACK)
 
 
-class _Part:
-    """One engine's part."""
+class _EngineState:
+    """Progress of the rollout on one engine."""
 
     __slots__ = (
         "name",
         "state",
         "phase",
-        "until",
+        "deadline_ms",
         "token",
-        "tries",
-        "next",
-        "quiet",
-        "there",
-        "unsure",
-        "out",
+        "attempts",
+        "next_statement",
+        "is_quiet",
+        "is_present",
+        "may_still_run",
+        "is_left_behind",
     )
 
     def __init__(self, name: str, state: int) -> None:
         self.name, self.state = name, state
-        self.phase = ""  # "": at rest; drain, run, stop, look, tell; wait: others first, as it did not drain
-        self.until, self.token = 0.0, 0
-        self.tries = self.next = 0  # runs so far; statements of this run that have gone through
-        self.quiet = False
-        self.there = state != Change.GONE_AWAY
-        self.out = False  # it missed an earlier change, and has neither schema: it stays behind
-        self.unsure = False  # it left with a statement of this holder under way, which may run on
+        # "" (idle), "drain", "run", "stop", "describe", "mark", or "wait" (not drained; other engines first).
+        self.phase = ""
+        self.deadline_ms, self.token = 0.0, 0
+        self.attempts = self.next_statement = 0  # statement index within the current attempt
+        self.is_quiet = False
+        self.is_present = state != Change.GONE_AWAY
+        self.is_left_behind = False  # has neither schema, having missed an earlier change; left as it is
+        self.may_still_run = False  # it left while running a statement of this holder
 
 
 class Rollout:
-    """Carries one change out, under one fence."""
+    """Rolls out one change under one fencing token."""
 
     def __init__(
-        self, change: SchemaChange, old: Schema | None, fence: int, patience: RolloutTimeouts
+        self, change: SchemaChange, old: Schema | None, fence: int, timeouts: RolloutTimeouts
     ) -> None:
-        self.number, self.fence, self.patience = change.number, fence, patience
-        self.table, self.step_name = change.table, change.step
+        self.number, self.fence, self.timeouts = change.number, fence, timeouts
+        self.table, self.change_step = change.table, change.step
         self.forward, self.back, self.at_once = change.forward, change.back, change.at_once
-        self._old, self._new = shape(old), shape(change.schema)
-        self._parts = {name: _Part(name, state) for name, state in change.engines.items()}
+        self._old_shape, self._new_shape = shape(old), shape(change.schema)
+        self._engines = {name: _EngineState(name, state) for name, state in change.engines.items()}
         self._overlay = ((FENCE, f"table:{change.table}:{fence}"),)
-        self._asked: list[pb.ContractCommand] = []  # for the record, in order; the first has been told
-        self._asked_until, self._told = 0.0, 0  # when it is told again; its token
-        self._token = 0  # of the last action
-        self._began = False
-        self._turning = ""  # why the change goes back, once nothing runs on any engine
+        # Commands to propose, in order; the first one has been sent.
+        self._pending_commands: list[pb.ContractCommand] = []
+        self._resend_at_ms, self._command_token = 0.0, 0  # of the first pending command
+        self._token = 0  # of the latest action
+        self._has_begun = False
+        self._revert_reason = ""  # set when a revert is to start, once no statement runs
         self.over: RolloutEnded | None = None
 
     @property
     def due(self) -> float | None:
-        """When `step` has to be called though nothing happens; None: nothing is waited for."""
-        times = [part.until for part in self._parts.values() if part.phase and part.there]
-        return min([*times, *([self._asked_until] if self._asked else [])], default=None)
-
-    def step(self, now: float, events: Iterable[Event] = ()) -> list[Action]:
-        """Take what happened; return what is to be done."""
+        """Time in ms by which `step` must be called even without events; None: no timeout is pending."""
+        times = [
+            engine.deadline_ms for engine in self._engines.values() if engine.phase and engine.is_present
+        ]
+        return min([*times, *([self._resend_at_ms] if self._pending_commands else [])], default=None)
+
+    def step(self, now_ms: float, events: Iterable[Event] = ()) -> list[Action]:
+        """Handle events and timeouts; return the actions to take."""
         actions: list[Action] = []
         if self.over is not None:
             return actions
-        if not self._began:
-            self._began = True
-            self._tell(now, actions, begin=pb.Begin(number=self.number, fence=self.fence))
+        if not self._has_begun:
+            self._has_begun = True
+            self._propose(now_ms, actions, begin=pb.Begin(number=self.number, fence=self.fence))
         for event in events:
             if self.over is None:
-                self._take(now, event, actions)
+                self._handle(now_ms, event, actions)
         if self.over is None:
-            self._times(now, actions)
-        if self.over is None and not self._asked:
-            if self._turning:
-                self._turn_when_still(now, actions)
+            self._check_timeouts(now_ms, actions)
+        if self.over is None and not self._pending_commands:
+            if self._revert_reason:
+                self._revert_when_idle(now_ms, actions)
             else:
-                self._go_on(now, actions)
+                self._advance(now_ms, actions)
         return actions
 
     # Events.
 
-    def _take(self, now: float, event: Event, actions: list[Action]) -> None:
+    def _handle(self, now_ms: float, event: Event, actions: list[Action]) -> None:
         if isinstance(event, Superseded):
             self._end(actions, "superseded", "the lease is lost")
         elif isinstance(event, CommandCompleted):
-            if self._asked and event.token == self._told:
-                self._recorded(now, event.answer, actions)
+            if self._pending_commands and event.token == self._command_token:
+                self._on_command_completed(now_ms, event.answer, actions)
         else:
-            part = self._parts.get(event.engine)
-            if part is not None:
-                self._of_engine(now, part, event, actions)
+            engine = self._engines.get(event.engine)
+            if engine is not None:
+                self._handle_engine_event(now_ms, engine, event, actions)
 
-    def _of_engine(self, now: float, part: _Part, event: Event, actions: list[Action]) -> None:
+    def _handle_engine_event(
+        self, now_ms: float, engine: _EngineState, event: Event, actions: list[Action]
+    ) -> None:
         if isinstance(event, EngineLeft | EngineReturned):
-            part.there = isinstance(event, EngineReturned)
-            part.unsure = part.unsure or (not part.there and part.phase in ("run", "stop"))
-        elif event.token != part.token:
+            engine.is_present = isinstance(event, EngineReturned)
+            engine.may_still_run = engine.may_still_run or (
+                not engine.is_present and engine.phase in ("run", "stop")
+            )
+        elif event.token != engine.token:
             return
-        elif isinstance(event, Drained) and part.phase in ("drain", "wait"):
-            part.phase, part.tries = "", 0
-            state = Change.ASKED if self.step_name == Change.FORWARD else Change.ASKED_BACK
-            if part.state != state:
-                self._settle(now, part, state, actions, quiet=True)
-            elif part.unsure:
-                self._stop(now, part, actions)
-            else:  # it was asked before, by this holder or another: the look comes first
-                self._look(now, part, actions)
-        elif isinstance(event, StatementEnded) and part.phase == "run":
-            self._ran(now, part, event.how, actions)
-        elif isinstance(event, StatementStopped) and part.phase == "stop":
-            self._stopped(now, part, actions)
-        elif isinstance(event, TableDescribed) and part.phase == "look":
-            self._looked(now, part, event.shape, actions)
-        elif isinstance(event, DescribeFailed) and part.phase == "look":
+        elif isinstance(event, Drained) and engine.phase in ("drain", "wait"):
+            engine.phase, engine.attempts = "", 0
+            state = Change.ASKED if self.change_step == Change.FORWARD else Change.ASKED_BACK
+            if engine.state != state:
+                self._mark(now_ms, engine, state, actions, quiet=True)
+            elif engine.may_still_run:
+                self._stop_statement(now_ms, engine, actions)
+            else:  # marked before, by this or an earlier holder: describe before running statements
+                self._describe(now_ms, engine, actions)
+        elif isinstance(event, StatementEnded) and engine.phase == "run":
+            self._on_statement_ended(now_ms, engine, event.how, actions)
+        elif isinstance(event, StatementStopped) and engine.phase == "stop":
+            self._on_statement_stopped(now_ms, engine, actions)
+        elif isinstance(event, TableDescribed) and engine.phase == "describe":
+            self._on_table_described(now_ms, engine, event.shape, actions)
+        elif isinstance(event, DescribeFailed) and engine.phase == "describe":
             if event.fenced:
-                self._end(actions, "superseded", f"{part.name} has seen a newer fence")
+                self._end(actions, "superseded", f"{engine.name} has seen a newer fence")
             else:
-                self._look_again(now, part, actions)
+                self._retry_describe(now_ms, engine, actions)
 
-    def _recorded(self, now: float, answer: pb.ContractAnswer | None, actions: list[Action]) -> None:
-        command = self._asked[0]
-        if answer is None:  # done or not: the same again does no harm
-            self._tell_first(now, actions)
+    def _on_command_completed(
+        self, now_ms: float, answer: pb.ContractAnswer | None, actions: list[Action]
+    ) -> None:
+        command = self._pending_commands[0]
+        if answer is None:  # applied or not: the commands are idempotent
+            self._send_command(now_ms, actions)
             return
-        del self._asked[0]
+        del self._pending_commands[0]
         kind = command.WhichOneof("what")
         if kind == "finish" and answer.refusal in (pb.NONE, pb.GONE):
-            self._end(actions, "finished" if self.step_name == Change.FORWARD else "undone")
+            self._end(actions, "finished" if self.change_step == Change.FORWARD else "undone")
         elif answer.refusal == pb.FENCE:
             self._end(actions, "superseded", "the record has a newer fence")
         elif answer.refusal:
             self._end(actions, "given-up", f"{kind}: {pb.Refusal.Name(answer.refusal)}")
         elif kind == "begin":
-            self.step_name = max(self.step_name, Change.FORWARD)
+            self.change_step = max(self.change_step, Change.FORWARD)
         elif kind == "turn":
-            self.step_name, self._turning = Change.BACK, ""
-            for part in self._parts.values():
-                part.phase, part.tries, part.next = "", 0, 0
+            self.change_step, self._revert_reason = Change.BACK, ""
+            for engine in self._engines.values():
+                engine.phase, engine.attempts, engine.next_statement = "", 0, 0
         elif kind == "mark":
-            self._marked(now, self._parts[command.mark.engine], command.mark, actions)
-        if self._asked and self.over is None:
-            self._tell_first(now, actions)
+            self._on_marked(now_ms, self._engines[command.mark.engine], command.mark, actions)
+        if self._pending_commands and self.over is None:
+            self._send_command(now_ms, actions)
 
-    def _marked(self, now: float, part: _Part, mark: pb.Mark, actions: list[Action]) -> None:
-        part.state, part.phase = mark.state, ""
+    def _on_marked(self, now_ms: float, engine: _EngineState, mark: pb.Mark, actions: list[Action]) -> None:
+        engine.state, engine.phase = mark.state, ""
         if not mark.quiet:
-            self._release(part, actions)
-        elif not part.quiet:
-            part.quiet = True
-            self._drain(now, part, actions)
-        elif part.there and part.unsure:
-            self._stop(now, part, actions)
-        elif part.there:
-            part.next = 0
-            self._run(now, part, actions)
-
-    # What comes next.
-
-    def _go_on(self, now: float, actions: list[Action]) -> None:
-        """Note who has left or returned, begin with the next engine, or end."""
-        forward = self.step_name == Change.FORWARD
-        if self.step_name == Change.ADMITTED:
+            self._release(engine, actions)
+        elif not engine.is_quiet:
+            engine.is_quiet = True
+            self._await_drain(now_ms, engine, actions)
+        elif engine.is_present and engine.may_still_run:
+            self._stop_statement(now_ms, engine, actions)
+        elif engine.is_present:
+            engine.next_statement = 0
+            self._run_statement(now_ms, engine, actions)
+
+    # Progress.
+
+    def _advance(self, now_ms: float, actions: list[Action]) -> None:
+        """Mark engines that left or returned, start the next engine, or finish."""
+        is_forward = self.change_step == Change.FORWARD
+        if self.change_step == Change.ADMITTED:
             return
-        open_states = (Change.WAITING, Change.ASKED) if forward else _UNDO
-        for part in self._parts.values():
-            if not part.there and part.state in (*open_states, Change.DONE):
-                self._settle(now, part, Change.GONE_AWAY, actions)
-            elif part.there and part.state == Change.GONE_AWAY and (forward or self.back):
-                # What it had been asked before it left may have been done.
-                self._settle(now, part, Change.ASKED if forward else Change.ASKED_BACK, actions)
-        if self._asked:
+        open_states = (Change.WAITING, Change.ASKED) if is_forward else _UNDO_STATES
+        for engine in self._engines.values():
+            if not engine.is_present and engine.state in (*open_states, Change.DONE):
+                self._mark(now_ms, engine, Change.GONE_AWAY, actions)
+            elif engine.is_present and engine.state == Change.GONE_AWAY and (is_forward or self.back):
+                # Statements sent before it left may have been executed.
+                self._mark(now_ms, engine, Change.ASKED if is_forward else Change.ASKED_BACK, actions)
+        if self._pending_commands:
             return
-        left = [part for part in self._parts.values() if part.state in open_states]
-        if forward:
-            left += [
-                part
-                for part in self._parts.values()
-                if part.state == Change.BEHIND and part.there and not part.out
+        unfinished = [engine for engine in self._engines.values() if engine.state in open_states]
+        if is_forward:
+            unfinished += [
+                engine
+                for engine in self._engines.values()
+                if engine.state == Change.BEHIND and engine.is_present and not engine.is_left_behind
             ]
-        if not left:
-            if forward and all(part.state != Change.DONE for part in self._parts.values()):
-                self._turn(now, actions, "no engine is there to be changed")
+        if not unfinished:
+            if is_forward and all(engine.state != Change.DONE for engine in self._engines.values()):
+                self._start_revert(now_ms, actions, "no engine is there to be changed")
             else:
-                self._tell(now, actions, finish=pb.Finish(number=self.number, fence=self.fence))
+                self._propose(now_ms, actions, finish=pb.Finish(number=self.number, fence=self.fence))
             return
-        busy = [part for part in left if part.phase and part.phase != "wait"]
+        busy = [engine for engine in unfinished if engine.phase and engine.phase != "wait"]
         if busy and not self.at_once:
             return
-        idle = [part for part in left if not part.phase]
-        for part in idle if self.at_once else idle[:1]:
-            if part.state == Change.BEHIND:
-                self._look(now, part, actions)
-            elif part.quiet:  # since before the change turned back
-                self._drain(now, part, actions)
+        idle = [engine for engine in unfinished if not engine.phase]
+        for engine in idle if self.at_once else idle[:1]:
+            if engine.state == Change.BEHIND:
+                self._describe(now_ms, engine, actions)
+            elif engine.is_quiet:  # since before the revert started
+                self._await_drain(now_ms, engine, actions)
             else:
-                self._settle(now, part, part.state, actions, quiet=True)
+                self._mark(now_ms, engine, engine.state, actions, quiet=True)
 
-    def _ran(self, now: float, part: _Part, how: str, actions: list[Action]) -> None:
-        part.unsure = part.unsure and how == "lost"
+    def _on_statement_ended(
+        self, now_ms: float, engine: _EngineState, how: str, actions: list[Action]
+    ) -> None:
+        engine.may_still_run = engine.may_still_run and how == "lost"
         if how == "fenced":
-            self._end(actions, "superseded", f"{part.name} has seen a newer fence")
+            self._end(actions, "superseded", f"{engine.name} has seen a newer fence")
         elif how == "lost":
-            self._stop(now, part, actions)
-        elif self._turning:
-            part.phase = ""
-        elif how == "ok" and part.next + 1 < len(self._statements):
-            part.next += 1
-            self._run(now, part, actions)
-        elif self._old != self._new:
-            self._look(now, part, actions)
-        elif how == "ok":  # a look can't tell the versions apart, so the answer has to
-            self._settle(now, part, self._aim, actions)
+            self._stop_statement(now_ms, engine, actions)
+        elif self._revert_reason:
+            engine.phase = ""
+        elif how == "ok" and engine.next_statement + 1 < len(self._statements):
+            engine.next_statement += 1
+            self._run_statement(now_ms, engine, actions)
+        elif self._old_shape != self._new_shape:
+            self._describe(now_ms, engine, actions)
+        elif how == "ok":  # equal columns in both versions: the statements' answers decide
+            self._mark(now_ms, engine, self._target_state, actions)
         else:
-            self._again(now, part, actions, "a statement failed")
+            self._retry_statements(now_ms, engine, actions, "a statement failed")
 
-    def _stop(self, now: float, part: _Part, actions: list[Action]) -> None:
-        actions.append(StopStatement(self._phase(now, part, "stop", self.patience.answer_ms), part.name))
+    def _stop_statement(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        actions.append(
+            StopStatement(self._enter_phase(now_ms, engine, "stop", self.timeouts.answer_ms), engine.name)
+        )
 
-    def _stopped(self, now: float, part: _Part, actions: list[Action]) -> None:
-        part.unsure = False
-        if self._turning:
-            part.phase = ""
+    def _on_statement_stopped(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        engine.may_still_run = False
+        if self._revert_reason:
+            engine.phase = ""
         else:
-            self._look(now, part, actions)
+            self._describe(now_ms, engine, actions)
 
     @property
     def _statements(self) -> tuple[str, ...]:
-        return self.forward if self.step_name == Change.FORWARD else self.back
+        return self.forward if self.change_step == Change.FORWARD else self.back
 
     @property
-    def _aim(self) -> int:
-        return Change.DONE if self.step_name == Change.FORWARD else Change.UNDONE
-
-    def _looked(
-        self, now: float, part: _Part, seen: tuple[tuple[str, str], ...] | None, actions: list[Action]
+    def _target_state(self) -> int:
+        return Change.DONE if self.change_step == Change.FORWARD else Change.UNDONE
+
+    def _on_table_described(
+        self,
+        now_ms: float,
+        engine: _EngineState,
+        described: tuple[tuple[str, str], ...] | None,
+        actions: list[Action],
     ) -> None:
-        wanted = self._new if self.step_name == Change.FORWARD else self._old
-        if part.state == Change.BEHIND and seen != wanted:
-            part.phase, part.out = "", seen != self._old
-            if not part.out:
-                self._settle(now, part, Change.WAITING, actions)
-        elif part.state == Change.BEHIND and self._old == self._new:
-            self._settle(now, part, Change.WAITING, actions)
-        elif seen == wanted and self._old != self._new:
-            self._settle(now, part, self._aim, actions)
+        expected = self._new_shape if self.change_step == Change.FORWARD else self._old_shape
+        if engine.state == Change.BEHIND and described != expected:
+            engine.phase, engine.is_left_behind = "", described != self._old_shape
+            if not engine.is_left_behind:
+                self._mark(now_ms, engine, Change.WAITING, actions)
+        elif engine.state == Change.BEHIND and self._old_shape == self._new_shape:
+            self._mark(now_ms, engine, Change.WAITING, actions)
+        elif described == expected and self._old_shape != self._new_shape:
+            self._mark(now_ms, engine, self._target_state, actions)
         else:
-            self._again(now, part, actions, "its columns are not as they should be")
+            self._retry_statements(now_ms, engine, actions, "its columns are not as they should be")
 
-    def _again(self, now: float, part: _Part, actions: list[Action], why: str) -> None:
-        """Run an engine's statements once more, turn back, or give up."""
-        if part.tries < self.patience.tries and not self._turning:
-            part.next = 0
-            self._run(now, part, actions)
+    def _retry_statements(
+        self, now_ms: float, engine: _EngineState, actions: list[Action], reason: str
+    ) -> None:
+        """Run an engine's statements again, start a revert, or give up."""
+        if engine.attempts < self.timeouts.max_attempts and not self._revert_reason:
+            engine.next_statement = 0
+            self._run_statement(now_ms, engine, actions)
         else:
-            part.phase = ""
-            self._turn(now, actions, f"{part.name}: {why}")
-
-    def _look_again(self, now: float, part: _Part, actions: list[Action]) -> None:
-        """Look once more, turn back, or give up: what was run may have gone through, and is not run anew."""
-        if part.tries < self.patience.tries and not self._turning:
-            part.tries += 1
-            self._look(now, part, actions)
-        elif part.state == Change.BEHIND:
-            part.phase, part.out = "", True
+            engine.phase = ""
+            self._start_revert(now_ms, actions, f"{engine.name}: {reason}")
+
+    def _retry_describe(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        """Describe again, start a revert, or give up; statements may have succeeded and are not repeated."""
+        if engine.attempts < self.timeouts.max_attempts and not self._revert_reason:
+            engine.attempts += 1
+            self._describe(now_ms, engine, actions)
+        elif engine.state == Change.BEHIND:
+            engine.phase, engine.is_left_behind = "", True
         else:
-            part.phase = ""
-            self._turn(now, actions, f"{part.name}: it does not show its columns")
-
-    def _turn(self, now: float, actions: list[Action], why: str) -> None:
-        touched = any(part.state in (Change.ASKED, Change.DONE) for part in self._parts.values())
-        if self.step_name == Change.FORWARD and (self.back or not touched):
-            self._turning = self._turning or why
+            engine.phase = ""
+            self._start_revert(now_ms, actions, f"{engine.name}: it does not show its columns")
+
+    def _start_revert(self, now_ms: float, actions: list[Action], reason: str) -> None:
+        has_changed_engine = any(
+            engine.state in (Change.ASKED, Change.DONE) for engine in self._engines.values()
+        )
+        if self.change_step == Change.FORWARD and (self.back or not has_changed_engine):
+            self._revert_reason = self._revert_reason or reason
         else:
-            self._end(actions, "given-up", why)
-
-    def _turn_when_still(self, now: float, actions: list[Action]) -> None:
-        """Turn back; a statement that still runs could else undo what goes back."""
-        if not any(part.there and part.phase in ("run", "stop") for part in self._parts.values()):
-            self._tell(now, actions, turn=pb.Turn(number=self.number, fence=self.fence))
-
-    def _times(self, now: float, actions: list[Action]) -> None:
-        if self._asked and self._asked_until <= now:
-            self._recorded(now, None, actions)
-        for part in self._parts.values():
-            if self.over is not None or not part.phase or part.until > now or not part.there:
+            self._end(actions, "given-up", reason)
+
+    def _revert_when_idle(self, now_ms: float, actions: list[Action]) -> None:
+        """Start the revert once no statement runs, as a running one could overwrite reverted columns."""
+        if not any(
+            engine.is_present and engine.phase in ("run", "stop") for engine in self._engines.values()
+        ):
+            self._propose(now_ms, actions, turn=pb.Turn(number=self.number, fence=self.fence))
+
+    def _check_timeouts(self, now_ms: float, actions: list[Action]) -> None:
+        if self._pending_commands and self._resend_at_ms <= now_ms:
+            self._on_command_completed(now_ms, None, actions)
+        for engine in self._engines.values():
+            if (
+                self.over is not None
+                or not engine.phase
+                or engine.deadline_ms > now_ms
+                or not engine.is_present
+            ):
                 continue
-            if part.phase == "run":
-                self._ran(now, part, "lost", actions)
-            elif part.phase == "stop":  # who can't be reached is not known to have stopped
-                self._end(actions, "given-up", f"{part.name} does not stop")
-            elif part.phase == "look":
-                self._look_again(now, part, actions)
-            elif part.phase == "drain":  # others first; it stays quiet, so that it drains meanwhile
-                part.tries += 1
-                if part.tries >= self.patience.tries:
-                    part.tries = 0
-                    self._turn(now, actions, f"{part.name}: queries that have begun do not end")
+            if engine.phase == "run":
+                self._on_statement_ended(now_ms, engine, "lost", actions)
+            elif engine.phase == "stop":  # an unreachable engine may still be running the statement
+                self._end(actions, "given-up", f"{engine.name} does not stop")
+            elif engine.phase == "describe":
+                self._retry_describe(now_ms, engine, actions)
+            elif engine.phase == "drain":  # other engines go first; it stays quiet and drains meanwhile
+                engine.attempts += 1
+                if engine.attempts >= self.timeouts.max_attempts:
+                    engine.attempts = 0
+                    self._start_revert(now_ms, actions, f"{engine.name}: queries that have begun do not end")
                 else:
-                    part.phase, part.until = "wait", now + self.patience.drain_ms
-            elif part.phase == "wait":
-                part.phase, part.until = "drain", now + self.patience.drain_ms
+                    engine.phase, engine.deadline_ms = "wait", now_ms + self.timeouts.drain_ms
+            elif engine.phase == "wait":
+                engine.phase, engine.deadline_ms = "drain", now_ms + self.timeouts.drain_ms
 
     # Actions.
 
-    def _run(self, now: float, part: _Part, actions: list[Action]) -> None:
-        if not part.next:
-            part.tries += 1
-        token = self._phase(now, part, "run", self.patience.answer_ms)
-        actions.append(RunStatement(token, part.name, self._statements[part.next], self._overlay))
-
-    def _look(self, now: float, part: _Part, actions: list[Action]) -> None:
-        token = self._phase(now, part, "look", self.patience.answer_ms)
-        actions.append(DescribeTable(token, part.name, self._overlay))
-
-    def _drain(self, now: float, part: _Part, actions: list[Action]) -> None:
-        actions.append(AwaitDrain(self._phase(now, part, "drain", self.patience.drain_ms), part.name))
-
-    def _settle(
-        self, now: float, part: _Part, state: int, actions: list[Action], *, quiet: bool = False
+    def _run_statement(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        if not engine.next_statement:
+            engine.attempts += 1
+        token = self._enter_phase(now_ms, engine, "run", self.timeouts.answer_ms)
+        actions.append(
+            RunStatement(token, engine.name, self._statements[engine.next_statement], self._overlay)
+        )
+
+    def _describe(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        token = self._enter_phase(now_ms, engine, "describe", self.timeouts.answer_ms)
+        actions.append(DescribeTable(token, engine.name, self._overlay))
+
+    def _await_drain(self, now_ms: float, engine: _EngineState, actions: list[Action]) -> None:
+        actions.append(
+            AwaitDrain(self._enter_phase(now_ms, engine, "drain", self.timeouts.drain_ms), engine.name)
+        )
+
+    def _mark(
+        self, now_ms: float, engine: _EngineState, state: int, actions: list[Action], *, quiet: bool = False
     ) -> None:
-        """Have the record note an engine's state."""
-        self._phase(now, part, "tell", inf)
-        mark = pb.Mark(number=self.number, fence=self.fence, engine=part.name, state=state, quiet=quiet)
-        self._tell(now, actions, mark=mark)
+        """Propose to mark an engine's state."""
+        self._enter_phase(now_ms, engine, "mark", inf)
+        mark = pb.Mark(number=self.number, fence=self.fence, engine=engine.name, state=state, quiet=quiet)
+        self._propose(now_ms, actions, mark=mark)
 
-    def _tell(
-        self, now: float, actions: list[Action], **what: pb.Begin | pb.Mark | pb.Turn | pb.Finish
+    def _propose(
+        self, now_ms: float, actions: list[Action], **fields: pb.Begin | pb.Mark | pb.Turn | pb.Finish
     ) -> None:
-        command = pb.ContractCommand(rules=RULES_VERSION, **what)
-        self._asked.append(command)
-        if len(self._asked) == 1:
-            self._tell_first(now, actions)
+        command = pb.ContractCommand(rules=RULES_VERSION, **fields)
+        self._pending_commands.append(command)
+        if len(self._pending_commands) == 1:
+            self._send_command(now_ms, actions)
 
-    def _tell_first(self, now: float, actions: list[Action]) -> None:
-        self._told, self._asked_until = self._next_token(), now + self.patience.record_ms
-        actions.append(ProposeCommand(self._told, self._asked[0]))
+    def _send_command(self, now_ms: float, actions: list[Action]) -> None:
+        self._command_token, self._resend_at_ms = self._next_token(), now_ms + self.timeouts.record_ms
+        actions.append(ProposeCommand(self._command_token, self._pending_commands[0]))
 
     def _next_token(self) -> int:
         self._token += 1
         return self._token
 
-    def _phase(self, now: float, part: _Part, phase: str, wait_ms: float) -> int:
-        """Put an engine into a phase; return the token of its action."""
-        part.phase, part.until, part.token = phase, now + wait_ms, self._next_token()
-        return part.token
+    def _enter_phase(self, now_ms: float, engine: _EngineState, phase: str, timeout_ms: float) -> int:
+        """Put an engine into a phase with a deadline; return the token of its action."""
+        engine.phase, engine.deadline_ms, engine.token = phase, now_ms + timeout_ms, self._next_token()
+        return engine.token
 
-    def _release(self, part: _Part, actions: list[Action]) -> None:
-        if part.quiet:
-            part.quiet = False
-            actions.append(Release(part.name))
+    def _release(self, engine: _EngineState, actions: list[Action]) -> None:
+        if engine.is_quiet:
+            engine.is_quiet = False
+            actions.append(Release(engine.name))
 
     def _end(self, actions: list[Action], how: str, reason: str = "") -> None:
-        for part in self._parts.values():
-            self._release(part, actions)
+        for engine in self._engines.values():
+            self._release(engine, actions)
         self.over = RolloutEnded(how, reason)
         actions.append(self.over)
--- a/fennelwind/schema_compatibility/types.py
+++ b/fennelwind/schema_compatibility/types.py
@@ -1,7 +1,8 @@
-"""Schemas of tables as Hive names them: types, columns, partition columns, and their reading from text.
+"""Table schemas in Hive's terms (types, columns, partition columns), and parsers for their text form.
 
-Names and the fields of structures are folded to lower case, as Hive treats them (LanguageManual DDL: "table
-names and column names are case insensitive"). A schema is a value; nothing here knows who reads it.
+Names, struct fields included, are converted to lower case, since Hive ignores case (LanguageManual DDL:
+"table names and column names are case insensitive"). A schema is an immutable value that knows nothing of
+subscribers.
 """
 
 import re
@@ -13,16 +14,18 @@
 
 from fennelwind.errors import FennelwindError
 
-TEXT_MOST = 64 * 1024  # letters of a schema's or a subscription's text: some 2000 columns of usual types
-NAME_MOST = 128  # letters of a name, as Hive's metastore holds them (COLUMN_NAME, TBL_NAME)
-TABLE_MOST = 200  # letters of a table's name with its database's: it is a part of a lease's name
-COLUMNS_MOST = 2000  # of a table, partition columns included; wider ones are not seen in practice
-DEPTH_MOST = 8  # types inside one another; the deepest that Hive's own serialization tests use is 7
-NODES_MOST = 4000  # types of a schema, those inside others counted: what a check may cost
-DEFAULT_MOST = 256  # letters of a default's literal
-
-# Primitive types (LanguageManual Types). Those with a size are spelled with it.
-PLAIN = (
+MAX_TEXT_LENGTH = (
+    64 * 1024
+)  # characters of a schema's or a subscription's text; enough for about 2000 columns of common types
+MAX_NAME_LENGTH = 128  # characters of a name, the limit of Hive's metastore (COLUMN_NAME, TBL_NAME)
+MAX_TABLE_NAME_LENGTH = 200  # characters of a table name with its database, as it is part of a lease name
+MAX_COLUMNS = 2000  # per table, partition columns included; wider tables do not occur in practice
+MAX_TYPE_DEPTH = 8  # nesting levels; Hive's own serialization tests use at most 7
+MAX_TYPES = 4000  # types per schema, nested ones included; bounds the cost of a check
+MAX_DEFAULT_LENGTH = 256  # characters of a default's literal
+
+# Primitive types (LanguageManual Types). The text of a sized type includes its size.
+UNSIZED = (
     "boolean",
     "tinyint",
     "smallint",
@@ -41,17 +44,17 @@
 )
 SIZED = ("decimal", "char", "varchar")
 NESTED = ("array", "map", "struct", "uniontype")
-KINDS = frozenset(PLAIN + SIZED + NESTED)
+KINDS = frozenset(UNSIZED + SIZED + NESTED)
 ALIASES = {"integer": "int", "dec": "decimal", "numeric": "decimal", "real": "double"}
-DECIMAL_MOST, CHAR_MOST, VARCHAR_MOST = 38, 255, 65535  # LanguageManual Types: the largest of each
-DECIMAL_PLAIN = (10, 0)  # what DECIMAL without sizes means since Hive 0.13
+MAX_DECIMAL_PRECISION, MAX_CHAR_LENGTH, MAX_VARCHAR_LENGTH = 38, 255, 65535  # LanguageManual Types
+DEFAULT_DECIMAL_SIZE = (10, 0)  # precision and scale of a bare DECIMAL since Hive 0.13
 
 _CONTROLS = re.compile(r"[\x00-\x1f]")
-_PLAIN_NAME = re.compile(r"\w+(\.\w+)?", re.A)
+_TABLE_NAME = re.compile(r"\w+(\.\w+)?", re.A)
 
 
 class SchemaTextError(FennelwindError):
-    """A schema, a subscription or a type whose text can't be read, or is over a bound."""
+    """The text of a schema, a subscription or a type can't be parsed or exceeds a limit."""
 
     code = "contracts-text"
     advice = (
@@ -61,7 +64,7 @@
 
 
 class SchemaError(FennelwindError):
-    """A schema that no table can have."""
+    """The schema is not valid for any Hive table."""
 
     code = "contracts-schema"
     advice = "Give every column a name of its own and at least one column; sizes within Hive's limits."
@@ -69,19 +72,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """A type of Hive. `size`: (precision, scale) of a decimal, (length,) of a char or varchar."""
+    """A Hive type. `size`: (precision, scale) of a decimal, (length,) of a char or varchar."""
 
     kind: str
     size: tuple[int, ...] = ()
-    names: tuple[str, ...] = ()  # of a struct's fields
-    parts: tuple["Type", ...] = ()  # what is inside: of a map its key and value
+    names: tuple[str, ...] = ()  # field names of a struct
+    parts: tuple["Type", ...] = ()  # nested types; for a map its key and value type
 
     def __hash__(self) -> int:
-        return hash((self.kind, self.size, len(self.parts)))  # types are looked up by the hundred thousand
+        return hash(
+            (self.kind, self.size, len(self.parts))
+        )  # cheap, since types are cache keys hashed very often
 
     def __str__(self) -> str:
         if self.kind == "struct":
-            pairs = zip(self.names, self.parts, strict=False)  # it may be none of Hive's, and be told so
+            pairs = zip(
+                self.names, self.parts, strict=False
+            )  # lengths differ in an invalid type, printed in its error
             inside = ",".join(f"{quoted(name)}:{part}" for name, part in pairs)
             return f"struct<{inside}>"
         if self.parts:
@@ -93,26 +100,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column. `number` is its identity on the record: it outlives a new name or place; 0: none yet."""
+    """A column. `number`: its replicated identity, kept when it is renamed or moved; 0: none yet."""
 
     name: str
     type: Type
     nullable: bool = True
-    default: str | None = None  # a literal as it stands in a statement
+    default: str | None = None  # a literal as written in a statement
     number: int = 0
-    was: str = ""  # its name in the version before, where the publisher says that it is renamed
+    was: str = ""  # its name in the previous version, if the publisher declares a rename
 
 
 @dataclass(frozen=True, slots=True)
 class Schema:
-    """A table's columns and its partition columns, each in order."""
+    """The ordered columns and partition columns of a table."""
 
     columns: tuple[Column, ...]
     partitions: tuple[Column, ...] = ()
 
     @property
     def row(self) -> tuple[Column, ...]:
-        """All columns as `SELECT *` gives them: partition columns come last (LanguageManual DDL)."""
+        """All columns in the order of `SELECT *`: partition columns come last (LanguageManual DDL)."""
         return self.columns + self.partitions
 
     def __str__(self) -> str:
@@ -123,14 +130,14 @@
 
 
 def quoted(name: str) -> str:
-    """Return a name as it stands in text, in backticks where it has to."""
-    if re.fullmatch(r"[a-z_]\w*", name, re.A) and name not in WORDS:
+    """Return a name as written in text, with backticks where they are required."""
+    if re.fullmatch(r"[a-z_]\w*", name, re.A) and name not in RESERVED_WORDS:
         return name
     return "`" + name.replace("`", "``") + "`"
 
 
 def column_text(column: Column) -> str:
-    """Return a column as it stands in a schema's text."""
+    """Return the text of a column within a schema's text."""
     text = f"{quoted(column.name)} {column.type}"
     if not column.nullable:
         text += " not null"
@@ -140,123 +147,133 @@
 
 
 @lru_cache(maxsize=65536)
-def fold(name: str) -> str:
-    """Return a name as it is compared. Raises `SchemaError` for one that Hive could not hold."""
+def normalize_name(name: str) -> str:
+    """Return a name in its comparable form. Raises `SchemaError` for a name that Hive can't store."""
     name = name.strip().lower()
-    if not 0 < len(name) <= NAME_MOST or _CONTROLS.search(name):
+    if not 0 < len(name) <= MAX_NAME_LENGTH or _CONTROLS.search(name):
         raise SchemaError(
-            f"a name of {len(name)} letters, where 1 to {NAME_MOST} can be held", name=name[:NAME_MOST]
+            f"a name of {len(name)} letters, where 1 to {MAX_NAME_LENGTH} can be held",
+            name=name[:MAX_NAME_LENGTH],
         )
     return name
 
 
-def table_name(name: str, database: str = "") -> str:
-    """Return a table's name as the record knows it: lower case, with its database where one is known.
+def normalize_table_name(name: str, database: str = "") -> str:
+    """Return a table's name as replicated: lower case, qualified by its database if known.
 
     Raises `SchemaError`.
     """
-    name = fold(name.replace("`", ""))
+    name = normalize_name(name.replace("`", ""))
     if "." not in name and database:
-        name = f"{fold(database)}.{name}"
-    if not _PLAIN_NAME.fullmatch(name) or len(name) > TABLE_MOST:
-        raise SchemaError(f"{name[:NAME_MOST]!r} names no table", name=name[:NAME_MOST])
+        name = f"{normalize_name(database)}.{name}"
+    if not _TABLE_NAME.fullmatch(name) or len(name) > MAX_TABLE_NAME_LENGTH:
+        raise SchemaError(f"{name[:MAX_NAME_LENGTH]!r} names no table", name=name[:MAX_NAME_LENGTH])
     return name
 
 
-def check_type(given: Type, depth: int = 0) -> int:
-    """Return how many types a type is made of. Raises `SchemaError` for one that Hive does not have."""
-    if depth >= DEPTH_MOST:
-        raise SchemaError(f"types over {DEPTH_MOST} deep", depth=depth)
-    kind, size, parts = given.kind, given.size, given.parts
-    wrong = kind not in KINDS or (given.names and kind != "struct")
-    wrong = wrong or (kind in PLAIN and (size or parts)) or (kind in NESTED and (size or not parts))
+def check_type(checked: Type, depth: int = 0) -> int:
+    """Return the number of types in a type, itself included. Raises `SchemaError` if Hive lacks it."""
+    if depth >= MAX_TYPE_DEPTH:
+        raise SchemaError(f"types over {MAX_TYPE_DEPTH} deep", depth=depth)
+    kind, size, parts = checked.kind, checked.size, checked.parts
+    invalid = kind not in KINDS or (checked.names and kind != "struct")
+    invalid = invalid or (kind in UNSIZED and (size or parts)) or (kind in NESTED and (size or not parts))
     if kind == "decimal":
-        wrong = wrong or len(size) != 2 or not (1 <= size[0] <= DECIMAL_MOST and 0 <= size[1] <= size[0])
+        invalid = (
+            invalid
+            or len(size) != 2
+            or not (1 <= size[0] <= MAX_DECIMAL_PRECISION and 0 <= size[1] <= size[0])
+        )
     elif kind in SIZED:
-        most = CHAR_MOST if kind == "char" else VARCHAR_MOST
-        wrong = wrong or len(size) != 1 or not 1 <= size[0] <= most
+        max_length = MAX_CHAR_LENGTH if kind == "char" else MAX_VARCHAR_LENGTH
+        invalid = invalid or len(size) != 1 or not 1 <= size[0] <= max_length
     elif kind == "array":
-        wrong = wrong or len(parts) != 1
+        invalid = invalid or len(parts) != 1
     elif kind == "map":  # LanguageManual Types: maps have primitive keys
-        wrong = wrong or len(parts) != 2 or parts[0].kind in NESTED
+        invalid = invalid or len(parts) != 2 or parts[0].kind in NESTED
     elif kind == "struct":
-        wrong = wrong or len(given.names) != len(parts) or len(set(given.names)) != len(parts)
-        wrong = wrong or any(fold(name) != name for name in given.names)
-    if wrong:
-        raise SchemaError(f"{str(given)[:80]} is no type of Hive", type=str(given)[:80])
+        invalid = invalid or len(checked.names) != len(parts) or len(set(checked.names)) != len(parts)
+        invalid = invalid or any(normalize_name(name) != name for name in checked.names)
+    if invalid:
+        raise SchemaError(f"{str(checked)[:80]} is no type of Hive", type=str(checked)[:80])
     return 1 + sum(check_type(part, depth + 1) for part in parts)
 
 
-def check(schema: Schema) -> Schema:
-    """Return a schema that a table can have. Raises `SchemaError`."""
+def check_schema(schema: Schema) -> Schema:
+    """Return the schema if it is valid. Raises `SchemaError`."""
     names = [column.name for column in schema.row]
     if not schema.columns:
         raise SchemaError("a table without columns", columns=0)
-    if len(names) > COLUMNS_MOST:
-        raise SchemaError(f"{len(names)} columns, where {COLUMNS_MOST} are taken", columns=len(names))
+    if len(names) > MAX_COLUMNS:
+        raise SchemaError(f"{len(names)} columns, where {MAX_COLUMNS} are taken", columns=len(names))
     seen: set[str] = set()
     for name in names:
-        if fold(name) != name:
-            raise SchemaError(f"the name {name[:NAME_MOST]!r} is not in lower case", column=name[:NAME_MOST])
+        if normalize_name(name) != name:
+            raise SchemaError(
+                f"the name {name[:MAX_NAME_LENGTH]!r} is not in lower case", column=name[:MAX_NAME_LENGTH]
+            )
         if name in seen:
             raise SchemaError(f"two columns of the name {name}", column=name)
         seen.add(name)
     for column in schema.row:
-        if column.default is not None and len(column.default) > DEFAULT_MOST:
+        if column.default is not None and len(column.default) > MAX_DEFAULT_LENGTH:
             raise SchemaError(
-                f"a default of {len(column.default)} letters, where {DEFAULT_MOST} are taken",
+                f"a default of {len(column.default)} letters, where {MAX_DEFAULT_LENGTH} are taken",
                 column=column.name,
             )
     for column in schema.partitions:  # LanguageManual DDL: partition columns are primitive
         if column.type.kind in NESTED:
             raise SchemaError(f"the partition column {column.name} is of a nested type", column=column.name)
-    if sum(check_type(column.type) for column in schema.row) > NODES_MOST:
-        raise SchemaError(f"more than {NODES_MOST} types inside one another", columns=len(names))
+    if sum(check_type(column.type) for column in schema.row) > MAX_TYPES:
+        raise SchemaError(f"more than {MAX_TYPES} types inside one another", columns=len(names))
     was = [column.was for column in schema.row if column.was]
     if len(set(was)) != len(was):
         raise SchemaError("two columns are said to have been the same one", columns=len(names))
     return schema
 
 
-WORDS = KINDS | ALIASES.keys() | {"not", "null", "default", "was", "partitioned", "by", "name", "place"}
+RESERVED_WORDS = (
+    KINDS | ALIASES.keys() | {"not", "null", "default", "was", "partitioned", "by", "name", "place"}
+)
 _QUOTED = re.compile(r"'(?:[^'\\]|\\.)*'|`(?:[^`]|``)+`")
 
 
-def _simple(tokens: pp.ParseResults) -> Type:
+def _make_unsized(tokens: pp.ParseResults) -> Type:
     words = tokens[0].lower().split()
     kind = "timestamplocaltz" if len(words) > 2 else ALIASES.get(words[0], words[0])
     return Type(kind)
 
 
-def _sized(tokens: pp.ParseResults) -> Type:
-    kind, *said = re.findall(r"\w+", tokens[0].lower())
-    kind, size = ALIASES.get(kind, kind), tuple(int(each) for each in said)
+def _make_sized(tokens: pp.ParseResults) -> Type:
+    kind, *sizes = re.findall(r"\w+", tokens[0].lower())
+    kind, size = ALIASES.get(kind, kind), tuple(int(each) for each in sizes)
     if kind == "decimal":
-        size = {0: DECIMAL_PLAIN, 1: (*size, 0)}.get(len(size), size)
+        size = {0: DEFAULT_DECIMAL_SIZE, 1: (*size, 0)}.get(len(size), size)
     return Type(kind, size)
 
 
-def _nested(called: str) -> Callable[[pp.ParseResults], Type]:
+def _make_nested(kind: str) -> Callable[[pp.ParseResults], Type]:
     def make(tokens: pp.ParseResults) -> Type:
-        return Type(called, parts=tuple(tokens))
+        return Type(kind, parts=tuple(tokens))
 
     return make
 
 
-def _struct(tokens: pp.ParseResults) -> Type:
+def _make_struct(tokens: pp.ParseResults) -> Type:
     return Type("struct", names=tuple(tokens[::2]), parts=tuple(tokens[1::2]))
 
 
-def _build() -> tuple[pp.ParserElement, pp.ParserElement, pp.ParserElement]:
+def _build_grammars() -> tuple[pp.ParserElement, pp.ParserElement, pp.ParserElement]:
     """Return the grammars of a type, of a table's columns and of a subscription.
 
-    What is of one word or of a word with sizes is one expression: a parser by parts takes five times as long.
+    Primitive types, with or without sizes, are single regular expressions: composed parsers take five times
+    as long.
     """
 
-    def word(text: str) -> pp.ParserElement:
+    def keyword(text: str) -> pp.ParserElement:
         return pp.CaselessKeyword(text).suppress()
 
-    def mark(text: str) -> pp.ParserElement:
+    def punctuation(text: str) -> pp.ParserElement:
         return pp.Literal(text).suppress()
 
     name = (
@@ -265,59 +282,66 @@
         .set_parse_action(lambda t: (t[0][1:-1].replace("``", "`") if t[0][0] == "`" else t[0]).lower())
     )
     kind = pp.Forward().set_name("a type of Hive")
-    simple = pp.Regex(
+    unsized = pp.Regex(
         r"(?i)(?:timestamp\s+with\s+local\s+time\s+zone|double\s+precision|"
-        rf"{'|'.join(PLAIN)}|integer|real)\b"
-    ).set_parse_action(_simple)
+        rf"{'|'.join(UNSIZED)}|integer|real)\b"
+    ).set_parse_action(_make_unsized)
     sized = pp.Regex(
         r"(?i)(?:decimal|dec|numeric|char|varchar)\b(?:\s*\(\s*\d{1,6}(?:\s*,\s*\d{1,6})?\s*\))?"
-    ).set_parse_action(_sized)
-    array = (word("array") + mark("<") + kind + mark(">")).set_parse_action(_nested("array"))
-    mapped = word("map") + mark("<") + kind + mark(",") + kind + mark(">")
-    mapped = mapped.set_parse_action(_nested("map"))
-    union = word("uniontype") + mark("<") + pp.DelimitedList(kind) + mark(">")
-    union = union.set_parse_action(_nested("uniontype"))
-    struct = word("struct") + mark("<") + pp.DelimitedList(name + mark(":") + kind) + mark(">")
-    struct = struct.set_parse_action(_struct)
-    kind <<= simple | sized | array | mapped | struct | union
+    ).set_parse_action(_make_sized)
+    array = (keyword("array") + punctuation("<") + kind + punctuation(">")).set_parse_action(
+        _make_nested("array")
+    )
+    mapped = keyword("map") + punctuation("<") + kind + punctuation(",") + kind + punctuation(">")
+    mapped = mapped.set_parse_action(_make_nested("map"))
+    union = keyword("uniontype") + punctuation("<") + pp.DelimitedList(kind) + punctuation(">")
+    union = union.set_parse_action(_make_nested("uniontype"))
+    struct = (
+        keyword("struct")
+        + punctuation("<")
+        + pp.DelimitedList(name + punctuation(":") + kind)
+        + punctuation(">")
+    )
+    struct = struct.set_parse_action(_make_struct)
+    kind <<= unsized | sized | array | mapped | struct | union
 
     literal = pp.Regex(
         r"'(?:[^'\\]|\\.)*'|-?\d+(?:\.\d+)?(?:[eE][-+]?\d+)?|(?i:null|true|false|current_date"
         r"|current_timestamp)"
     ).set_name("a literal")
-    null = (word("not") + word("null")).set_parse_action(lambda: ("nullable", False))
-    default = (word("default") + literal).set_parse_action(lambda t: ("default", t[0]))
-    was = (word("was") + name).set_parse_action(lambda t: ("was", t[0]))
+    null = (keyword("not") + keyword("null")).set_parse_action(lambda: ("nullable", False))
+    default = (keyword("default") + literal).set_parse_action(lambda t: ("default", t[0]))
+    was = (keyword("was") + name).set_parse_action(lambda t: ("was", t[0]))
     column = (name + kind + pp.ZeroOrMore(null | default | was)).set_parse_action(
         lambda t: Column(t[0], t[1], **dict(t[2:]))
     )
     columns = pp.DelimitedList(column)
-    parted = word("partitioned") + word("by") + mark("(") + columns + mark(")")
-    schema = (pp.Group(columns) + pp.Group(pp.Optional(parted))).set_parse_action(
+    partition_clause = keyword("partitioned") + keyword("by") + punctuation("(") + columns + punctuation(")")
+    schema = (pp.Group(columns) + pp.Group(pp.Optional(partition_clause))).set_parse_action(
         lambda t: Schema(tuple(t[0]), tuple(t[1]))
     )
 
     place = pp.Optional(pp.Regex(r"\d{1,6}").set_parse_action(lambda t: int(t[0])), default=0)
-    fixed = pp.Optional((word("not") + word("null")).set_parse_action(lambda: False), default=True)
-    how = word("by") + (pp.CaselessKeyword("name") | pp.CaselessKeyword("place"))
-    reads = pp.Group(mark("*") | pp.DelimitedList(pp.Group(place + name + kind + fixed))) + pp.Optional(
-        how, default="name"
-    )
+    fixed = pp.Optional((keyword("not") + keyword("null")).set_parse_action(lambda: False), default=True)
+    access = keyword("by") + (pp.CaselessKeyword("name") | pp.CaselessKeyword("place"))
+    reads = pp.Group(
+        punctuation("*") | pp.DelimitedList(pp.Group(place + name + kind + fixed))
+    ) + pp.Optional(access, default="name")
     return kind, schema, reads
 
 
-TYPE_GRAMMAR, SCHEMA_GRAMMAR, READS_GRAMMAR = _build()
+TYPE_GRAMMAR, SCHEMA_GRAMMAR, READS_GRAMMAR = _build_grammars()
 
 
-def parsed(grammar: pp.ParserElement, text: str) -> pp.ParseResults:
-    """Return what a grammar makes of a text, bounded before it is looked at. Raises `SchemaTextError`."""
-    if len(text) > TEXT_MOST:
-        raise SchemaTextError(f"{len(text)} letters, where {TEXT_MOST} are taken", letters=len(text))
+def parse_text(grammar: pp.ParserElement, text: str) -> pp.ParseResults:
+    """Parse a text, whose length and nesting are limited before parsing. Raises `SchemaTextError`."""
+    if len(text) > MAX_TEXT_LENGTH:
+        raise SchemaTextError(f"{len(text)} letters, where {MAX_TEXT_LENGTH} are taken", letters=len(text))
     depth = 0
     for letter in _QUOTED.sub("", text):
         depth += (letter == "<") - (letter == ">")
-        if depth > DEPTH_MOST:
-            raise SchemaTextError(f"types over {DEPTH_MOST} deep", depth=depth)
+        if depth > MAX_TYPE_DEPTH:
+            raise SchemaTextError(f"types over {MAX_TYPE_DEPTH} deep", depth=depth)
     try:
         return grammar.parse_string(text, parse_all=True)
     except pp.ParseBaseException as exc:
@@ -328,36 +352,37 @@
 
 @lru_cache(maxsize=4096)
 def parse_type(text: str) -> Type:
-    """Read a type as Hive writes it. Raises `SchemaTextError` or `SchemaError`."""
-    made = parsed(TYPE_GRAMMAR, text)[0]
-    check_type(made)
-    return made
+    """Parse a type in Hive's notation. Raises `SchemaTextError`, `SchemaError`."""
+    parsed = parse_text(TYPE_GRAMMAR, text)[0]
+    check_type(parsed)
+    return parsed
 
 
 def parse_schema(text: str) -> Schema:
-    """Read `a int not null, b string default 'x' was c partitioned by (day date)`.
+    """Parse a schema such as `a int not null, b string default 'x' was c partitioned by (day date)`.
 
-    `was c` says that the column is the former `c` under a new name. Raises `SchemaTextError`, `SchemaError`.
+    `was c` declares that the column is the former `c`, renamed. Raises `SchemaTextError`, `SchemaError`.
     """
-    return check(parsed(SCHEMA_GRAMMAR, text)[0])
+    return check_schema(parse_text(SCHEMA_GRAMMAR, text)[0])
 
 
-def numbered(new: Schema, old: Schema | None, following: int) -> tuple[Schema, int]:
-    """Give each column its identity: that of the column it was, or the next free number.
+def assign_column_numbers(new: Schema, old: Schema | None, next_number: int) -> tuple[Schema, int]:
+    """Give each column the number of the old column that it continues, or the next free number.
 
-    Returns the schema, without `was`, and the next free number. Raises `SchemaError` where `was` names none.
+    Returns the schema without `was`, and the next free number. Raises `SchemaError` if a `was` names no old
+    column.
     """
     known = {column.name: column.number for column in old.row} if old is not None else {}
-    taken = {column.was for column in new.row if column.was}
-    if strange := sorted(taken - known.keys()):
-        raise SchemaError(f"no column {strange[0]} to have been renamed", column=strange[0])
-    made = []
+    renamed = {column.was for column in new.row if column.was}
+    if unknown := sorted(renamed - known.keys()):
+        raise SchemaError(f"no column {unknown[0]} to have been renamed", column=unknown[0])
+    columns = []
     for column in new.row:
         number = known.get(column.was or column.name, 0)
-        if not column.was and column.name in taken:
-            number = 0  # its name's former owner bears another name now
+        if not column.was and column.name in renamed:
+            number = 0  # the column that had this name has been renamed
         if not number:
-            number, following = following, following + 1
-        made.append(replace(column, number=number, was=""))
-    cut = len(new.columns)
-    return Schema(tuple(made[:cut]), tuple(made[cut:])), following
+            number, next_number = next_number, next_number + 1
+        columns.append(replace(column, number=number, was=""))
+    split = len(new.columns)
+    return Schema(tuple(columns[:split]), tuple(columns[split:])), next_number
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -35,11 +35,11 @@
     reads_text,
 )
 from fennelwind.schema_compatibility.state_machine import (
-    BEGIN_MS,
+    BEGIN_TIMEOUT_MS,
     FINISHED,
-    REST_MS,
-    TERM_LEAST_MS,
-    WANTED_MS,
+    MIN_TERM_MS,
+    MOVE_BLOCK_MS,
+    MOVE_GRACE_MS,
     SchemaStateMachine,
 )
 from fennelwind.schema_compatibility.types import (
@@ -47,7 +47,7 @@
     Schema,
     SchemaError,
     SchemaTextError,
-    fold,
+    normalize_name,
     parse_schema,
     parse_type,
 )
@@ -79,7 +79,7 @@
         command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         return pb.ContractAnswer.FromString(self.machine.apply(at, command, self.facts))
 
-    def register(self, name, version=11, term_ms=TERM_LEAST_MS, **reads):
+    def register(self, name, version=11, term_ms=MIN_TERM_MS, **reads):
         told = [reads_message(parse_reads(table, text)) for table, text in reads.items()]
         return self.do(register=pb.Register(name=name, version=version, term_ms=term_ms, reads=told))
 
@@ -192,10 +192,10 @@
 
 def test_a_lapsed_subscriber_stops_nothing_and_is_told_what_came_when_it_returns(gate):
     number = gate.register("report", t="a int").number
-    gate.clock += TERM_LEAST_MS - 1
+    gate.clock += MIN_TERM_MS - 1
     assert gate.propose("t", "a bigint, b string").refusal == pb.BROKEN
     gate.do(renew=pb.Renew(numbers=[number]))
-    gate.clock += TERM_LEAST_MS - 1
+    gate.clock += MIN_TERM_MS - 1
     assert gate.propose("t", "a bigint, b string").refusal == pb.BROKEN
     gate.clock += 1
     assert not gate.propose("t", "a bigint, b string").refusal
@@ -209,12 +209,12 @@
     gate.facts.moving["t"] = 2
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
     assert gate.machine.fact("wanted", "T") == 1
-    gate.clock += WANTED_MS
+    gate.clock += MOVE_BLOCK_MS
     gate.do(renew=pb.Renew())
     assert gate.machine.fact("wanted", "t") == 0
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
     assert gate.machine.fact("wanted", "t") == 0  # moves have their turn
-    gate.clock += REST_MS
+    gate.clock += MOVE_GRACE_MS
     gate.do(renew=pb.Renew())
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
     gate.facts.moving["t"] = 0
@@ -242,13 +242,13 @@
 
 def test_a_change_that_nobody_begins_lapses_and_one_that_was_begun_does_not(gate):
     first = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
-    gate.clock += BEGIN_MS
+    gate.clock += BEGIN_TIMEOUT_MS
     gate.do(renew=pb.Renew())
     assert first not in gate.machine.changes
     gate.facts.fence["table:t"] = 3
     second = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
     gate.do(begin=pb.Begin(number=second, fence=3))
-    gate.clock += 10 * BEGIN_MS
+    gate.clock += 10 * BEGIN_TIMEOUT_MS
     gate.do(renew=pb.Renew())
     assert second in gate.machine.changes
 
@@ -293,13 +293,13 @@
 def test_a_table_dropped_and_made_anew_has_other_columns_under_the_same_names(gate):
     gate.register("report", t="a int")
     assert rules(gate.propose("t", "").readers[0].found) == ["table-dropped"]
-    gate.clock += TERM_LEAST_MS
+    gate.clock += MIN_TERM_MS
     assert not gate.propose("t", "").refusal
     gone = gate.register("report", u="a int")
     assert rules(gone.since) == ["table-dropped"] and not gone.refusal
     gate.register("other", v="a int")
     assert not gate.propose("v", "a int").refusal
-    gate.clock += TERM_LEAST_MS
+    gate.clock += MIN_TERM_MS
     assert not gate.propose("v", "").refusal and not gate.propose("v", "a int").refusal
     back = gate.register("other", v="a int")
     assert rules(back.since) == ["column-other"] and not back.refusal
@@ -387,7 +387,7 @@
     assert [a.refusal for a in gate.carry(number, 7, ("e1", states.ASKED), ("e1", states.DONE))] == [0, 0]
     assert not gate.do(finish=pb.Finish(number=number, fence=7)).refusal
     assert gate.propose("t", "a bigint, b string, c int").refusal == pb.BROKEN
-    gate.clock += TERM_LEAST_MS
+    gate.clock += MIN_TERM_MS
     assert not gate.propose("t", "a bigint, b string, c int").refusal
 
 
@@ -718,7 +718,7 @@
     ),
 )
 def test_schemas_and_reads_are_written_so_that_they_are_read_back(random, names):
-    names = list(dict.fromkeys(fold(name) for name in names if name.strip()))
+    names = list(dict.fromkeys(normalize_name(name) for name in names if name.strip()))
     columns = tuple(
         Column(
             name,
--- a/tests/support/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -82,9 +82,9 @@
 
     def finished(self, at, change, answer):
         real(self, at, change, answer)
-        now = change.form.by_number if change.form is not None else {}
+        now = change.indexed.by_number if change.indexed is not None else {}
         for subscription in list(self.subscriptions.values()):
-            self._unlist(subscription)
+            self._unindex_reads(subscription)
             subscription.reads = tuple(
                 replace(
                     reads,
@@ -96,7 +96,7 @@
                 else reads
                 for reads in subscription.reads
             )
-            self._list(subscription)
+            self._index_reads(subscription)
 
     return finished
 
@@ -105,13 +105,13 @@
     Defect(
         "admission from an old copy of the record",
         "model",
-        [Line(SchemaStateMachine._barred, "told.version != answer.version", "False")],
+        [Line(SchemaStateMachine._is_blocked, "command.version != answer.version", "False")],
         "test_two_publishers_at_once_and_one_with_an_old_copy",
     ),
     Defect(
         "a lapsed subscriber still counts",
         "model",
-        [patch.object(SchemaStateMachine, "_lapse", lambda self, subscription: None)],
+        [patch.object(SchemaStateMachine, "_expire", lambda self, subscription: None)],
     ),
     Defect(
         "a renewal does not lengthen the term",
@@ -119,7 +119,7 @@
         [
             Line(
                 SchemaStateMachine._renew,
-                "known.until_ms = max(known.until_ms, at.clock_ms + known.term_ms)",
+                "subscription.until_ms = max(subscription.until_ms, at.clock_ms + subscription.term_ms)",
                 "pass",
             )
         ],
@@ -131,8 +131,8 @@
         [
             Line(
                 session_options.parse_reads,
-                "columns, how = parsed(READS_GRAMMAR, text)",
-                "columns, how = parsed(READS_GRAMMAR, text)\n"
+                "columns, access = parse_text(READS_GRAMMAR, text)",
+                "columns, access = parse_text(READS_GRAMMAR, text)\n"
                 "    for c in columns:\n"
                 "        c[1] = c[1].upper() if f'{c[1].upper()} ' in text else c[1]",
             )
@@ -143,9 +143,9 @@
         "model",
         [
             Line(
-                checker.check,
-                "forms(table).items():",
-                "forms(table).items():\n        if any(r.place for r in reads.columns):\n"
+                checker.check_change,
+                "subscribers(table).items():",
+                "subscribers(table).items():\n        if any(r.place for r in reads.columns):\n"
                 "            continue",
             )
         ],
@@ -154,13 +154,13 @@
     Defect(
         "each step is held against the one before alone",
         "model",
-        [patch.object(SchemaStateMachine, "_finished", last_step_only(SchemaStateMachine._finished))],
+        [patch.object(SchemaStateMachine, "_apply_schema", last_step_only(SchemaStateMachine._apply_schema))],
         "test_steps_that_are_each_harmless_and_together_break",
     ),
     Defect(
         "`*` means what is there at the check",
         "model",
-        [Line(SchemaStateMachine._resolved, "return replace(reads, columns=columns)", "return reads")],
+        [Line(SchemaStateMachine._resolve, "return replace(reads, columns=columns)", "return reads")],
         "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
     ),
     Defect(
@@ -168,7 +168,7 @@
         "rows",
         [
             Line(
-                rules._by_name,
+                rules._find_by_name,
                 "(not read.number or not column.number or column.number == read.number)",
                 "True",
             )
@@ -177,14 +177,22 @@
     Defect(
         "a place is a column, whichever stands there",
         "rows",
-        [Line(rules._at_place, "if read.number and column.number else column.name == read.name", "or True")],
+        [
+            Line(
+                rules._find_at_place,
+                "if read.number and column.number else column.name == read.name",
+                "or True",
+            )
+        ],
     ),
     Defect(
         "whoever asks may act, without a fence",
         "model",
         [
             patch.object(
-                SchemaStateMachine, "_acting", lambda self, told, facts, answer: self.changes.get(told.number)
+                SchemaStateMachine,
+                "_begun_change",
+                lambda self, command, facts, answer: self.changes.get(command.number),
             )
         ],
     ),
@@ -197,13 +205,19 @@
     Defect(
         "finished before all engines are",
         "model",
-        [Line(SchemaStateMachine._finish, "Change.DONE in states <= {Change.DONE, *rest}", "True")],
+        [Line(SchemaStateMachine._finish, "Change.DONE in states <= {Change.DONE, *not_required}", "True")],
         "test_only_the_holder_of_the_tables_lease_carries_out_and_a_later_one_goes_on",
     ),
     Defect(
         "who registers meanwhile is held against the old schema alone",
         "model",
-        [Line(SchemaStateMachine._forms, "forms + [change.form] if change is not None else forms", "forms")],
+        [
+            Line(
+                SchemaStateMachine._schemas_to_check,
+                "schemas + [change.indexed] if change is not None else schemas",
+                "schemas",
+            )
+        ],
     ),
     Defect(
         "shards under way are not asked for",
@@ -224,57 +238,80 @@
     Defect(
         "nobody breaks for a publisher",
         "model",
-        [Line(checker.check, "if others:", "if others and all(f.level < Level.BROKEN for f in findings):")],
+        [
+            Line(
+                checker.check_change,
+                "if others:",
+                "if others and all(f.level < Level.BROKEN for f in findings):",
+            )
+        ],
         "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
     ),
     Defect(
         "nulls are not looked at",
         "rows",
-        [Line(rules._of_column, "column.nullable and not read.nullable", "False")],
+        [Line(rules._column_findings, "column.nullable and not read.nullable", "False")],
     ),
     Defect(
         "decimals by precision alone",
         "rows",
         [
             Line(
-                rules._plain,
-                "behind <= scale and digits - behind <= precision - scale",
-                "digits <= precision",
+                rules._plain_type_rule,
+                "given_scale <= scale and given_precision - given_scale <= precision - scale",
+                "given_precision <= precision",
             )
         ],
     ),
-    Defect("keys of maps are not looked at", "rows", [Line(rules._nested, "RULES[key].level", "False")]),
+    Defect(
+        "keys of maps are not looked at",
+        "rows",
+        [Line(rules._nested_type_rules, "RULES[key_rule].level", "False")],
+    ),
     Defect(
         "all versions of the protocol carry all",
         "rows",
-        [patch.object(rules, "carried", lambda given, version: ())],
+        [patch.object(rules, "protocol_rules", lambda given, version: ())],
     ),
     Defect(
         "a late answer is taken for the present question's",
         "world",
         [
-            Line(Rollout._take, "event.token == self._told", "True"),
-            Line(Rollout._of_engine, "event.token != part.token", "False"),
+            Line(Rollout._handle, "event.token == self._command_token", "True"),
+            Line(Rollout._handle_engine_event, "event.token != engine.token", "False"),
         ],
     ),
     Defect(
         "a lost answer is taken for success",
         "world",
-        [Line(Rollout._ran, 'part.unsure and how == "lost"', 'False; how = "ok" if how == "lost" else how')],
+        [
+            Line(
+                Rollout._on_statement_ended,
+                'engine.may_still_run and how == "lost"',
+                'False; how = "ok" if how == "lost" else how',
+            )
+        ],
     ),
     Defect(
         "what was lost is not stopped before the look",
         "world",
-        [Line(Rollout._ran, "self._stop(", "(self._stop if self._turning else self._look)(")],
+        [
+            Line(
+                Rollout._on_statement_ended,
+                "self._stop_statement(",
+                "(self._stop_statement if self._revert_reason else self._describe)(",
+            )
+        ],
     ),
     Defect(
         "answers count, no look",
         "world",
         [
             Line(
-                Rollout._ran,
-                "elif self._old != self._new:\n        self._look(now, part, actions)",
-                "elif how in ('ok', 'failed'):\n        self._settle(now, part, self._aim, actions)",
+                Rollout._on_statement_ended,
+                "elif self._old_shape != self._new_shape:\n        self._describe(now_ms, engine, actions)",
+                "elif how in ('ok', 'failed'):\n"
+                "        self._mark(now_ms, engine, self._target_state, actions)",
             )
         ],
     ),
@@ -283,9 +320,9 @@
         "world",
         [
             Line(
-                Rollout._of_engine,
-                "self._settle(now, part, state, actions, quiet=True)",
-                "self._run(now, part, actions)",
+                Rollout._handle_engine_event,
+                "self._mark(now_ms, engine, state, actions, quiet=True)",
+                "self._run_statement(now_ms, engine, actions)",
             )
         ],
     ),
@@ -294,13 +331,15 @@
         "world",
         [
             Line(
-                Rollout._settle,
-                "self._phase(",
-                "if part.state == Change.GONE_AWAY and state == Change.ASKED:\n"
-                "        state = Change.WAITING\n    self._phase(",
+                Rollout._mark,
+                "self._enter_phase(",
+                "if engine.state == Change.GONE_AWAY and state == Change.ASKED:\n"
+                "        state = Change.WAITING\n    self._enter_phase(",
             ),
             patch.object(
-                state_machine, "_FORWARD", state_machine._FORWARD | {(pb.Change.GONE_AWAY, pb.Change.WAITING)}
+                state_machine,
+                "_FORWARD_TRANSITIONS",
+                state_machine._FORWARD_TRANSITIONS | {(pb.Change.GONE_AWAY, pb.Change.WAITING)},
             ),
         ],
         "test_an_engine_that_returns_half_way_is_not_taken_for_untouched",
@@ -310,9 +349,10 @@
         "world",
         [
             Line(
-                Rollout._looked,
-                "wanted = self._new",
-                "seen = self._old if part.state == Change.BEHIND else seen\n    wanted = self._new",
+                Rollout._on_table_described,
+                "expected = self._new_shape",
+                "described = self._old_shape if engine.state == Change.BEHIND else described\n"
+                "    expected = self._new_shape",
             )
         ],
     ),
@@ -335,7 +375,12 @@
 
 
 def _forget() -> None:
-    for cached in (rules.type_rules, rules.carried, messages.read_all_reads, session_options.parse_reads):
+    for cached in (
+        rules.type_rules,
+        rules.protocol_rules,
+        messages.read_all_reads,
+        session_options.parse_reads,
+    ):
         getattr(cached, "cache_clear", int)()
 
 
--- a/tests/support/contracts_model.py
+++ b/tests/support/contracts_model.py
@@ -9,9 +9,17 @@
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import state_machine as under_test
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
-from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION, Form, Level, Read, judge, worst
+from fennelwind.schema_compatibility.rules import (
+    RULES,
+    RULES_VERSION,
+    IndexedSchema,
+    Level,
+    Read,
+    check_reads,
+    highest_level,
+)
 from fennelwind.schema_compatibility.session_options import parse_reads, reads_text
-from fennelwind.schema_compatibility.types import parse_schema, table_name
+from fennelwind.schema_compatibility.types import normalize_table_name, parse_schema
 
 SCHEMAS = (
     "a int, b string",
@@ -90,12 +98,12 @@
 
     def forms(self, table):
         """Return what a subscriber has to be able to read."""
-        forms = [Form(self.schema(table))] if self.schema(table) is not None else []
+        forms = [IndexedSchema(self.schema(table))] if self.schema(table) is not None else []
         number = self.machine.by_table.get(table)
         if number is not None:
             assert table in self.change
             made = self.machine.changes[number].schema
-            forms.append(Form(made) if made is not None else None)
+            forms.append(IndexedSchema(made) if made is not None else None)
         return forms
 
     def resolved(self, table, text):
@@ -135,10 +143,12 @@
     )
     def register(self, name, table, text, version, term):
         """Register, or renew by registering the same again."""
-        table = table_name(table)
+        table = normalize_table_name(table)
         self.do(renew=pb.Renew())  # lets lapse what is due, so that the model looks at the same state
         reads = self.resolved(table, text)
-        broken = any(worst(judge(reads, version, form)) == Level.BROKEN for form in self.forms(table))
+        broken = any(
+            highest_level(check_reads(reads, version, form)) == Level.BROKEN for form in self.forms(table)
+        )
         answer = self.do(
             register=pb.Register(
                 name=name, version=version, term_ms=term, reads=[reads_message(parse_reads(table, text))]
@@ -183,7 +193,7 @@
     )
     def propose(self, table, text, engines, publisher, old, goes):
         """Propose; what may be is told by looking at each living subscription as it registered."""
-        table = table_name(table)
+        table = normalize_table_name(table)
         self.do(renew=pb.Renew())
         known = self.machine.tables.get(table)
         version = known.version if known is not None else 0
@@ -245,13 +255,13 @@
 
     def broken(self, table, made, publisher):
         """Return who of the living would break."""
-        form = Form(made) if made is not None else None
+        form = IndexedSchema(made) if made is not None else None
         return {
             each["name"]
             for each in self.living.values()
             if each["reads"].table == table
             and each["name"] != publisher
-            and worst(judge(each["reads"], each["version"], form)) == Level.BROKEN
+            and highest_level(check_reads(each["reads"], each["version"], form)) == Level.BROKEN
         }
 
     def admitted(self, table, publisher, made, engines, number):
@@ -268,7 +278,7 @@
                 step=0,
                 fence=0,
                 states=states,
-                begin_by=self.clock + under_test.BEGIN_MS,
+                begin_by=self.clock + under_test.BEGIN_TIMEOUT_MS,
             )
         else:
             self.stands(table, publisher, made)
@@ -287,13 +297,13 @@
                 else:
                     assert there.number not in self.numbers
             self.numbers.update({c.number: None for c in schema.row})
-        form = Form(schema) if schema is not None else None
+        form = IndexedSchema(schema) if schema is not None else None
         for number, each in list(self.living.items()):
             reads = each["reads"]
             if (
                 reads.table == table
                 and each["name"] == publisher
-                and worst(judge(reads, each["version"], form)) == Level.BROKEN
+                and highest_level(check_reads(reads, each["version"], form)) == Level.BROKEN
             ):
                 del self.living[number]
             elif reads.table == table and schema is not None and all(not r.number for r in reads.columns):
@@ -420,7 +430,10 @@
             schema = self.schema(each["reads"].table)
             known = schema is not None and any(read.number for read in each["reads"].columns)
             if each["until"] > self.clock and known:
-                assert worst(judge(each["reads"], each["version"], Form(schema))) < Level.BROKEN, each
+                assert (
+                    highest_level(check_reads(each["reads"], each["version"], IndexedSchema(schema)))
+                    < Level.BROKEN
+                ), each
         for table, engines in self.behind.items():
             assert table not in self.machine.tables or self.machine.tables[table].behind == engines
         assert not self.moving & self.change.keys()
