--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -539,7 +539,7 @@
             answer.refusal = Refusal.STEP
 
     def _apply_schema(self, at: LogPosition, change: SchemaChange, answer: pb.ContractAnswer) -> None:
-        """Let a change's schema stand; what its publisher itself table_reads, and can't any more, ends."""
+        """Make a change's schema current and end the publisher's own subscriptions that it breaks."""
         if change.schema is None:
             self.tables.pop(change.table, None)
         else:
--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -1,4 +1,4 @@
-"""The gate for schema changes: types, rules, the checker, the machine on the record."""
+"""Schema compatibility: types, rules, checker, state machine, rollouts and session options."""
 
 from itertools import product
 from pathlib import Path
@@ -8,7 +8,7 @@
 from contracts_defects import DEFECTS, search
 from contracts_model import GateModel
 from contracts_search import Broken, Search
-from contracts_world import ANCIENT, BACK, FORWARD, NEW, OLD, World, standing
+from contracts_world import ANCIENT, BACK, FORWARD, NEW, OLD, World, world_with_states
 from hypothesis import HealthCheck, given, settings
 from hypothesis import strategies as st
 from hypothesis.stateful import run_state_machine_as_test
@@ -18,7 +18,7 @@
 from fennelwind.client.cursor import Cursor
 from fennelwind.raft.state_machine import LogPosition, UnreadableCommandError
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility import rollout as go
+from fennelwind.schema_compatibility import rollout
 from fennelwind.schema_compatibility.messages import (
     read_reads,
     read_schema,
@@ -56,7 +56,7 @@
 
 
 class Facts:
-    """What other machines would say."""
+    """Facts of other state machines."""
 
     def __init__(self):
         self.fence, self.moving = {}, {}
@@ -66,7 +66,7 @@
 
 
 class Gate:
-    """A machine with the record's place and clock, and words for its commands."""
+    """A state machine with log index and clock, and helpers that send its commands."""
 
     def __init__(self):
         self.machine, self.facts, self.index, self.clock = SchemaStateMachine(), Facts(), 0, 0
@@ -85,8 +85,8 @@
 
     def propose(self, table, text, publisher="load", engines=(), back=("undo",), **more):
         schema = schema_message(parse_schema(text)) if text else None
-        standing = self.machine.tables.get(table)
-        more.setdefault("version", standing.version if standing else 0)
+        current = self.machine.tables.get(table)
+        more.setdefault("version", current.version if current else 0)
         return self.do(
             propose=pb.Propose(
                 table=table,
@@ -99,7 +99,7 @@
             )
         )
 
-    def carry(self, number, fence, *states):
+    def mark_states(self, number, fence, *states):
         for engine, state in states:
             yield self.do(mark=pb.Mark(number=number, fence=fence, engine=engine, state=state))
 
@@ -129,7 +129,7 @@
         ("interval_day_time", "interval_day_time"),
     ],
 )
-def test_types_are_read_as_hive_writes_them_and_written_so_that_they_can_be_read(text, canonical):
+def test_type_text_round_trips_through_its_canonical_form(text, canonical):
     assert str(parse_type(text)) == canonical and parse_type(canonical) == parse_type(text)
 
 
@@ -151,13 +151,13 @@
         "int, b int",
     ],
 )
-def test_what_is_no_type_is_refused_with_a_typed_error(text):
+def test_invalid_type_text_is_rejected_with_a_typed_error(text):
     with pytest.raises((SchemaTextError, SchemaError)) as caught:
         parse_type(text)
     assert caught.value.advice and caught.value.code
 
 
-def test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what(gate):
+def test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules(gate):
     gate.register("report", t="a int by name")
     gate.register("export", t="* by place")
     assert not gate.propose("t", "a int, b varchar(20)").refusal
@@ -169,12 +169,12 @@
     ]
 
 
-def test_a_column_that_nobody_has_is_told_at_registration(gate):
+def test_registration_with_a_missing_column_is_refused(gate):
     refused = gate.register("report", t="a int, zz int")
     assert refused.refusal == pb.BROKEN and rules(refused.found) == ["column-missing"]
 
 
-def test_two_publishers_at_once_and_one_with_an_old_copy(gate):
+def test_concurrent_and_stale_proposals_are_refused(gate):
     first = gate.propose("t", "a int, b string, c int", engines=["e1"])
     assert gate.propose("t", "a int, b string, d int").refusal == pb.CHANGING
     gate.do(withdraw=pb.Withdraw(number=first.number, publisher="load"))
@@ -183,14 +183,14 @@
     assert gate.propose("t", "a int, b string, e int", version=version).refusal == pb.VERSION
 
 
-def test_who_registers_between_check_and_change_is_held_against_both_versions(gate):
+def test_registration_during_a_change_is_checked_against_both_schemas(gate):
     gate.propose("t", "a bigint, b string", engines=["e1"])
     assert rules(gate.register("old", t="a int").found) == ["too-wide"]
     assert not gate.register("both", t="a bigint").refusal
     assert rules(gate.register("whole", t="* by place").found) == ["too-wide"]
 
 
-def test_a_lapsed_subscriber_stops_nothing_and_is_told_what_came_when_it_returns(gate):
+def test_lapsed_subscription_blocks_no_change_and_its_return_reports_breaks(gate):
     number = gate.register("report", t="a int").number
     gate.clock += MIN_TERM_MS - 1
     assert gate.propose("t", "a bigint, b string").refusal == pb.BROKEN
@@ -205,7 +205,7 @@
     assert not gate.register("report", t="a bigint").refusal
 
 
-def test_a_change_waits_for_moves_which_do_not_begin_anew_meanwhile(gate):
+def test_change_waits_for_moves_and_blocks_new_ones(gate):
     gate.facts.moving["t"] = 2
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
     assert gate.machine.fact("wanted", "T") == 1
@@ -213,7 +213,7 @@
     gate.do(renew=pb.Renew())
     assert gate.machine.fact("wanted", "t") == 0
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
-    assert gate.machine.fact("wanted", "t") == 0  # moves have their turn
+    assert gate.machine.fact("wanted", "t") == 0  # the grace period lets moves progress
     gate.clock += MOVE_GRACE_MS
     gate.do(renew=pb.Renew())
     assert gate.propose("t", "a int, b string, c int").refusal == pb.MOVING
@@ -222,25 +222,25 @@
     assert not admitted.refusal and gate.machine.fact("changing", "t") == 1
 
 
-def test_only_the_holder_of_the_tables_lease_carries_out_and_a_later_one_goes_on(gate):
+def test_only_the_lease_holder_advances_a_change_and_a_later_holder_continues(gate):
     number = gate.propose("t", "a int, b string, c int", engines=["e1", "e2"]).number
     assert gate.do(begin=pb.Begin(number=number, fence=7)).refusal == pb.FENCE
     gate.facts.fence["table:t"] = 7
     assert not gate.do(begin=pb.Begin(number=number, fence=7)).refusal
     states = pb.Change
-    assert not any(a.refusal for a in gate.carry(number, 7, ("e1", states.ASKED), ("e1", states.DONE)))
+    assert not any(a.refusal for a in gate.mark_states(number, 7, ("e1", states.ASKED), ("e1", states.DONE)))
     assert gate.do(finish=pb.Finish(number=number, fence=7)).refusal == pb.STEP
     gate.facts.fence["table:t"] = 9
-    assert [a.refusal for a in gate.carry(number, 7, ("e2", states.ASKED))] == [pb.FENCE]
-    assert [a.refusal for a in gate.carry(number, 9, ("e2", states.ASKED))] == [pb.FENCE]  # not begun
+    assert [a.refusal for a in gate.mark_states(number, 7, ("e2", states.ASKED))] == [pb.FENCE]
+    assert [a.refusal for a in gate.mark_states(number, 9, ("e2", states.ASKED))] == [pb.FENCE]  # not begun
     assert not gate.do(begin=pb.Begin(number=number, fence=9)).refusal
-    assert not any(a.refusal for a in gate.carry(number, 9, ("e2", states.ASKED), ("e2", states.DONE)))
+    assert not any(a.refusal for a in gate.mark_states(number, 9, ("e2", states.ASKED), ("e2", states.DONE)))
     done = gate.do(finish=pb.Finish(number=number, fence=9))
     assert gate.machine.tables["t"].version == done.version == gate.index
     assert gate.machine.fact("changing", "t") == 0
 
 
-def test_a_change_that_nobody_begins_lapses_and_one_that_was_begun_does_not(gate):
+def test_change_that_is_not_begun_lapses_and_a_begun_one_does_not(gate):
     first = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
     gate.clock += BEGIN_TIMEOUT_MS
     gate.do(renew=pb.Renew())
@@ -253,44 +253,46 @@
     assert second in gate.machine.changes
 
 
-def test_back_from_half_way_leaves_the_old_version(gate):
+def test_revert_of_a_partial_rollout_keeps_the_old_schema(gate):
     number = gate.propose("t", "a int, b string, c int", engines=["e1", "e2"]).number
     gate.facts.fence["table:t"] = 7
     gate.do(begin=pb.Begin(number=number, fence=7))
     states = pb.Change
-    list(gate.carry(number, 7, ("e1", states.ASKED), ("e1", states.DONE), ("e2", states.ASKED)))
+    list(gate.mark_states(number, 7, ("e1", states.ASKED), ("e1", states.DONE), ("e2", states.ASKED)))
     assert not gate.do(turn=pb.Turn(number=number, fence=7)).refusal
     assert gate.do(finish=pb.Finish(number=number, fence=7)).refusal == pb.STEP
-    list(gate.carry(number, 7, ("e1", states.ASKED_BACK), ("e1", states.UNDONE), ("e2", states.UNDONE)))
+    list(gate.mark_states(number, 7, ("e1", states.ASKED_BACK), ("e1", states.UNDONE), ("e2", states.UNDONE)))
     assert not gate.do(finish=pb.Finish(number=number, fence=7)).refusal
     assert str(gate.machine.tables["t"].schema) == "a int, b string" and not gate.machine.changes
 
 
-def test_a_publisher_that_reads_what_it_changes_is_warned_and_registers_anew(gate):
+def test_publisher_is_only_warned_when_it_breaks_its_own_subscription(gate):
     gate.register("load", t="a int")
     told = gate.propose("t", "a bigint, b string")
     assert not told.refusal and rules(told.readers[0].found) == ["own"]
     assert not gate.machine.subscriptions
 
 
-def test_steps_that_are_each_harmless_and_together_break(gate):
+def test_compatible_steps_that_break_in_sum_are_refused(gate):
     gate.register("report", t="a int")
     assert not gate.propose("t", "a smallint, b string").refusal
-    assert not gate.propose("t", "a int, b string").refusal  # wider than the step before alone
+    assert not gate.propose("t", "a int, b string").refusal  # wider only than the previous version
     assert gate.propose("t", "a bigint, b string").refusal == pb.BROKEN
 
 
-def test_a_name_that_another_column_bears_now_is_another_column(gate):
+def test_reused_column_name_is_a_different_column(gate):
     number = gate.register("report", t="a int").number
     assert gate.propose("t", "x int was a, b string").refusal == pb.BROKEN
     gate.do(leave=pb.Leave(number=number))
     gate.register("place", t="a int, b string by place")
     assert not gate.propose("t", "x int was a, b string").refusal
     assert gate.propose("t", "b string, x int").refusal == pb.BROKEN
-    assert gate.propose("t", "a int, b string").refusal == pb.BROKEN  # not said to be x: it is another
+    assert (
+        gate.propose("t", "a int, b string").refusal == pb.BROKEN
+    )  # not declared as renamed, so it is a new column
 
 
-def test_a_table_dropped_and_made_anew_has_other_columns_under_the_same_names(gate):
+def test_recreated_table_has_new_columns_under_the_same_names(gate):
     gate.register("report", t="a int")
     assert rules(gate.propose("t", "").readers[0].found) == ["table-dropped"]
     gate.clock += MIN_TERM_MS
@@ -305,18 +307,20 @@
     assert rules(back.since) == ["column-other"] and not back.refusal
 
 
-def test_a_subscriber_ahead_of_the_table_is_held_against_its_first_schema(gate):
+def test_subscription_registered_before_the_table_is_checked_against_its_first_schema(gate):
     gate.register("early", new="a int by name")
     gate.register("whole", new="* by place")
     assert gate.propose("new", "a string").refusal == pb.BROKEN
     assert not gate.propose("new", "a int").refusal
-    assert gate.propose("new", "a int, b int").refusal == pb.BROKEN  # `*` is what stood when it was made
+    assert (
+        gate.propose("new", "a int, b int").refusal == pb.BROKEN
+    )  # `*` covers the columns of the first schema
 
 
 @pytest.mark.parametrize(
     "command", [b"\xff", b"", pb.ContractCommand(rules=99, leave=pb.Leave()).SerializeToString()]
 )
-def test_bytes_that_are_no_command_are_told_and_change_nothing(command):
+def test_unreadable_command_bytes_raise(command):
     with pytest.raises(UnreadableCommandError):
         SchemaStateMachine().apply(LogPosition(1, 0), command, Facts())
 
@@ -332,8 +336,8 @@
             yield tuple(part.strip() for part in line.split("|"))
 
 
-def told_verdict(reads, old, new):
-    """Return what a publisher gets for a change with one subscriber: the verdict and its rules."""
+def verdict_of_change(reads, old, new):
+    """Return the verdict on a change with one subscriber, and its rules."""
     gate = Gate()
     assert not gate.propose("t", old).refusal
     text, _, version = reads.partition("@")
@@ -346,36 +350,40 @@
     return ("broken" if answer.refusal else "warning" if found else "accepted"), sorted(rules(found))
 
 
-def test_types_against_the_written_cases():
-    wrong = []
+def test_type_rules_match_the_written_cases():
+    mismatches = []
     for expected, comes, verdict, rule in cases("contract_types.txt"):
-        met = type_rules(parse_type(expected), parse_type(comes))
-        if (RULES[met[0]].level.name.lower(), rule) != (verdict, met[0]):
-            wrong.append((expected, comes, verdict, rule, met))
-    assert not wrong
+        applied = type_rules(parse_type(expected), parse_type(comes))
+        if (RULES[applied[0]].level.name.lower(), rule) != (verdict, applied[0]):
+            mismatches.append((expected, comes, verdict, rule, applied))
+    assert not mismatches
 
 
-def test_tables_against_the_written_cases():
-    wrong = []
+def test_table_verdicts_match_the_written_cases():
+    mismatches = []
     for reads, old, new, verdict, rule in cases("contract_tables.txt"):
-        met = told_verdict(reads, old, new)
-        if met != (verdict, sorted(rule.split())):
-            wrong.append((reads, old, new, verdict, rule, met))
-    assert not wrong
+        applied = verdict_of_change(reads, old, new)
+        if applied != (verdict, sorted(rule.split())):
+            mismatches.append((reads, old, new, verdict, rule, applied))
+    assert not mismatches
 
 
 def test_every_rule_has_a_written_case_a_source_and_advice():
-    met = {rule for *_, rule in cases("contract_types.txt")}
+    applied = {rule for *_, rule in cases("contract_types.txt")}
     for *_, rule in cases("contract_tables.txt"):
-        met |= set(rule.split())
-    untold = {"place-renamed", "column-other", "own"}  # accepted in silence; need a history, tested above
-    assert RULES.keys() - met == untold
+        applied |= set(rule.split())
+    without_case = {
+        "place-renamed",
+        "column-other",
+        "own",
+    }  # not reported, or in need of a history; tested above
+    assert RULES.keys() - applied == without_case
     assert all(
         rule.source and rule.description and (rule.remedy or not rule.level) for rule in RULES.values()
     )
 
 
-def test_another_member_goes_on_where_the_first_one_stopped(gate):
+def test_change_continues_from_a_snapshot(gate):
     gate.register("report", t="a int by name")
     gate.facts.fence["table:t"] = 7
     number = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
@@ -384,68 +392,71 @@
     gate.machine.restore(data)
     assert gate.machine.snapshot() == data
     states = pb.Change
-    assert [a.refusal for a in gate.carry(number, 7, ("e1", states.ASKED), ("e1", states.DONE))] == [0, 0]
+    assert [a.refusal for a in gate.mark_states(number, 7, ("e1", states.ASKED), ("e1", states.DONE))] == [
+        0,
+        0,
+    ]
     assert not gate.do(finish=pb.Finish(number=number, fence=7)).refusal
     assert gate.propose("t", "a bigint, b string, c int").refusal == pb.BROKEN
     gate.clock += MIN_TERM_MS
     assert not gate.propose("t", "a bigint, b string, c int").refusal
 
 
-# Carrying out.
+# Rollouts.
 
 
 @pytest.mark.parametrize("seed", range(150))
-def test_a_change_ends_on_all_engines_alike_whatever_fails_on_the_way(seed):
+def test_rollout_ends_with_equal_schemas_on_all_engines_despite_faults(seed):
     world = World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0)
-    world.play()
-    assert world.holders
+    world.run_to_end()
+    assert world.holder_count
 
 
 @pytest.mark.parametrize(
     "step, states, back",
     [(pb.Change.FORWARD, FORWARD, True), (pb.Change.FORWARD, FORWARD, False), (pb.Change.BACK, BACK, True)],
 )
-def test_from_each_state_that_a_dead_holder_leaves_the_next_goes_on_or_back(step, states, back):
+def test_next_holder_completes_or_reverts_from_each_state_of_a_dead_holder(step, states, back):
     for both in product(states, states):
-        world = standing(step, both, 3, back)
-        world.play()
+        world = world_with_states(step, both, 3, back)
+        world.run_to_end()
         forward = world.machine.ended[world.number] == FINISHED
-        assert forward == (step == pb.Change.FORWARD) and world.holders == 1
+        assert forward == (step == pb.Change.FORWARD) and world.holder_count == 1
 
 
-def test_what_ran_on_an_engine_that_left_is_stopped_before_anything_else_runs_there():
+def test_statement_running_on_an_engine_that_left_is_stopped_when_it_returns():
     world = World(1, engines=1, faults=0)
-    world.hire()
+    world.start_holder()
 
     def step(*events):
-        return world.carrier.step(0.0, events)
+        return world.rollout.step(0.0, events)
 
     def told(action):
-        return go.CommandCompleted(action.token, world.apply(action.command))
+        return rollout.CommandCompleted(action.token, world.apply(action.command))
 
     (mark,) = step(told(*step()))
     (quiet,) = step(told(mark))
-    (mark,) = step(go.Drained(quiet.token, "e0"))
+    (mark,) = step(rollout.Drained(quiet.token, "e0"))
     (run,) = step(told(mark))
-    assert isinstance(run, go.RunStatement)
-    (mark,) = step(go.EngineLeft("e0"))
-    step(go.EngineReturned("e0"))
+    assert isinstance(run, rollout.RunStatement)
+    (mark,) = step(rollout.EngineLeft("e0"))
+    step(rollout.EngineReturned("e0"))
     release, mark = step(told(mark))
     (mark,) = step(told(mark))
     (quiet,) = step(told(mark))
-    (stop,) = step(go.Drained(quiet.token, "e0"))
-    assert isinstance(stop, go.StopStatement)
-    (look,) = step(go.StatementStopped(stop.token, "e0"))
-    assert isinstance(look, go.DescribeTable)
+    (stop,) = step(rollout.Drained(quiet.token, "e0"))
+    assert isinstance(stop, rollout.StopStatement)
+    (look,) = step(rollout.StatementStopped(stop.token, "e0"))
+    assert isinstance(look, rollout.DescribeTable)
 
 
-def test_an_engine_that_returns_half_way_is_not_taken_for_untouched(gate):
+def test_engine_returning_during_a_rollout_is_not_treated_as_unchanged(gate):
     number = gate.propose("t", "a int, b string, c int", engines=["e1"]).number
     gate.facts.fence["table:t"] = 7
     gate.do(begin=pb.Begin(number=number, fence=7))
     states = pb.Change
-    seen = list(
-        gate.carry(
+    answers = list(
+        gate.mark_states(
             number,
             7,
             ("e1", states.ASKED),
@@ -455,23 +466,23 @@
             ("e1", states.ASKED),
         )
     )
-    assert [each.refusal for each in seen] == [0, 0, 0, pb.STEP, 0]
+    assert [each.refusal for each in answers] == [0, 0, 0, pb.STEP, 0]
 
 
-def test_an_engine_that_was_away_gets_no_query_of_the_table_until_somebody_has_looked(gate):
+def test_engine_absent_during_a_change_stays_quiet_until_described(gate):
     number = gate.propose("t", "a int, b string, c int", engines=["e1", "e2"]).number
     gate.facts.fence["table:t"] = 7
     gate.do(begin=pb.Begin(number=number, fence=7))
     states = pb.Change
-    list(gate.carry(number, 7, ("e1", states.ASKED), ("e1", states.DONE), ("e2", states.GONE_AWAY)))
+    list(gate.mark_states(number, 7, ("e1", states.ASKED), ("e1", states.DONE), ("e2", states.GONE_AWAY)))
     assert not gate.do(finish=pb.Finish(number=number, fence=7)).refusal
     assert gate.machine.quiet("T") == {"e2"}
     number = gate.propose("t", "a int, b string, c int, d int", engines=["e1", "e2"]).number
     assert gate.machine.changes[number].engines == {"e1": states.WAITING, "e2": states.BEHIND}
     gate.do(begin=pb.Begin(number=number, fence=7))
-    seen = gate.carry(number, 7, ("e2", states.ASKED), ("e2", states.WAITING))
-    assert [each.refusal for each in seen] == [pb.STEP, 0]
-    assert not gate.machine.quiet("t")  # it was seen to have the schema that stands
+    answers = gate.mark_states(number, 7, ("e2", states.ASKED), ("e2", states.WAITING))
+    assert [each.refusal for each in answers] == [pb.STEP, 0]
+    assert not gate.machine.quiet("t")  # described with the current schema
 
 
 @pytest.mark.parametrize(
@@ -482,19 +493,19 @@
         (ANCIENT, {"e0": 6, "e1": 2}, {"e0"}),
     ],
 )
-def test_an_engine_that_missed_a_change_is_looked_at_before_the_next_one(has, ends, behind):
+def test_engine_that_missed_a_change_is_described_before_the_next_one(has, ends, behind):
     world = World(1, engines=2, faults=0, behind=True)
-    world.engines["e0"].shape = go.shape(has)
+    world.engines["e0"].shape = rollout.shape(has)
     change = world.machine.changes[world.number]
-    world.play()
+    world.run_to_end()
     assert change.engines == ends and world.machine.quiet("t") == behind
     assert world.machine.ended[world.number] == FINISHED
 
 
-# What sessions say.
+# Session options.
 
 
-def test_a_session_says_who_it_is_and_what_it_reads():
+def test_subscription_is_parsed_from_session_options():
     told = parse_subscription(
         {
             "fennelwind.subscriber": "Nightly",
@@ -517,7 +528,7 @@
     assert pb.ContractCommand.FromString(told.command().SerializeToString()).register.term_ms == 60_000
 
 
-def test_a_statement_brings_its_new_schema_along():
+def test_publication_is_parsed_from_a_statements_overlay():
     told = parse_publication(
         {
             "fennelwind.publisher": "load",
@@ -559,28 +570,28 @@
         {"fennelwind.schema.t": "a int", "fennelwind.publisher": "x", "fennelwind.schema_version.t": "-1"},
     ],
 )
-def test_what_a_session_or_a_publisher_says_wrongly_is_told_with_the_setting(said):
+def test_error_of_an_invalid_option_names_the_setting(said):
     with pytest.raises(SessionOptionError) as caught:
         parse_subscription(said, 10)
         parse_publication(said)
     assert caught.value.facts["setting"] and caught.value.advice
 
 
-# Verdicts against rows that are written under the new schema and read through codec and client.
+# Verdicts compared with rows written under the new schema and read through codec and client.
 
 
-def test_no_change_that_is_let_pass_breaks_a_row():
+def test_no_admitted_change_breaks_reading_rows():
     together, cautious, missed = contract_rows.measure(150)
     assert not missed
     assert together[True, contract_rows.BROKEN] > 100 and together[False, contract_rows.FINE] > 100
-    # Text that a client hands out for other types as well: rejected by the kind of the column.
+    # A client returns text for other types too; these are rejected because the column kind differs.
     assert set(cautious) <= {"other-kind", "key-other"} and sum(cautious.values()) < 10
 
 
-# Beside a plain model.
+# Comparison with the model.
 
 
-def test_the_machine_beside_a_plain_model():
+def test_state_machine_matches_the_model():
     run_state_machine_as_test(
         GateModel,
         settings=settings(
@@ -597,7 +608,7 @@
 # The project's own client as a publisher.
 
 
-def test_the_client_puts_a_changed_table_in_one_call_and_keeps_what_it_was_told():
+def test_client_sends_a_schema_change_in_one_call_and_keeps_its_warnings():
     class Connection:
         timeout_s, tries, chance, lost, closed, lives, session, sent = 5.0, 1, None, False, False, 1, None, []
 
@@ -624,17 +635,17 @@
 # Changes and moves together.
 
 
-def test_no_interleaving_of_changes_and_moves_meets_or_sticks():
+def test_no_interleaving_of_changes_and_moves_overlaps_or_deadlocks():
     search = Search()
     assert search.run() > 200
     assert search.stuck() == (set(), set()) and search.admissions
 
 
 @pytest.mark.parametrize("machine, kind", [(SchemaStateMachine, "moving"), (ShardMachine, "changing")])
-def test_a_machine_that_does_not_ask_the_other_is_found(machine, kind, monkeypatch):
+def test_search_finds_a_machine_that_ignores_the_other(machine, kind, monkeypatch):
     real = machine.apply
 
-    class Deaf:
+    class FactsWithoutOne:
         def __init__(self, facts):
             self.facts = facts
 
@@ -642,23 +653,23 @@
             return 0 if asked == kind else self.facts.fact(asked, key)
 
     def apply(self, at, command, facts):
-        return real(self, at, command, Deaf(facts))
+        return real(self, at, command, FactsWithoutOne(facts))
 
     monkeypatch.setattr(machine, "apply", apply)
     with pytest.raises(Broken):
         Search().run()
 
 
-# Bytes of any kind.
+# Arbitrary bytes.
 
 
-def strange(random):
-    """Return a command filled by chance, some of its bytes changed."""
+def random_command(random):
+    """Return a command with random fields, some of its bytes changed."""
     kind = random.choice(pb.ContractCommand.DESCRIPTOR.oneofs_by_name["what"].fields).name
     told = pb.ContractCommand(rules=RULES_VERSION)
     made = fill(getattr(told, kind), random)
     if random.random() < 0.7:
-        typed(made, random)
+        set_valid_values(made, random)
     getattr(told, kind).SetInParent()
     for name in ("table", "name", "publisher"):
         if hasattr(made, name) and random.random() < 0.8:
@@ -669,8 +680,8 @@
     return bytes(raw)
 
 
-def typed(message, random):
-    """Put what can be right in place of some of it, so that more than names is looked at."""
+def set_valid_values(message, random):
+    """Replace some fields by valid values, so that checks beyond those of names are reached."""
     for name, right in (
         ("was", ""),
         ("star", False),
@@ -686,14 +697,14 @@
             what.CopyFrom(type_message(parse_type(random.choice(("int", "string", "decimal(5,2)", "date")))))
         elif field.message_type is not None:
             for each in what if field.is_repeated else (what,):
-                typed(each, random)
+                set_valid_values(each, random)
 
 
-def test_no_bytes_raise_anything_but_that_they_cannot_be_read(gate):
+def test_arbitrary_bytes_raise_only_unreadable_command_errors(gate):
     random = Random(5)
     for index in range(2, 1500):
         gate.machine.expire_due(LogPosition(index, index * 100))
-        command = strange(random)
+        command = random_command(random)
         try:
             pb.ContractAnswer.FromString(
                 gate.machine.apply(LogPosition(index, index * 100), command, gate.facts)
@@ -705,7 +716,7 @@
     assert other.snapshot() == data
 
 
-# Texts that are written are read back as what they were.
+# Round trips of texts.
 
 
 @settings(max_examples=60, deadline=None, derandomize=True)
@@ -717,7 +728,7 @@
         max_size=5,
     ),
 )
-def test_schemas_and_reads_are_written_so_that_they_are_read_back(random, names):
+def test_schema_and_reads_text_round_trips(random, names):
     names = list(dict.fromkeys(normalize_name(name) for name in names if name.strip()))
     columns = tuple(
         Column(
--- a/tests/schema_compatibility/test_descriptors.py
+++ b/tests/schema_compatibility/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The project's own messages: what an older controller of the same fleet could not read is found."""
+"""Compatibility of the project's own messages with older controllers of the same fleet."""
 
 from random import Random
 
@@ -9,7 +9,7 @@
 from google.protobuf.message import DecodeError
 from grpc_tools import protoc
 
-from fennelwind.benchmarks import descriptors as lab
+from fennelwind.benchmarks import descriptors
 from fennelwind.schema_compatibility.message_compatibility import RULES, compare
 
 BASE = """
@@ -33,7 +33,7 @@
 }
 """
 
-# What is put in place of what, and the rules that say so.
+# Replaced text, replacement, and the rules that report it.
 PLANTED = [
     ("  int32 n = 1;\n  string", "  string", "field-removed"),
     ("  int32 n = 1;\n  string", "  reserved 1;\n  string", "field-removed"),
@@ -73,7 +73,7 @@
         "message-removed message-removed message-removed message-removed enum-removed",
     ),
 ]
-# What an older version can live with.
+# Compatible changes.
 HARMLESS = [
     ("bytes raw = 11;", "bytes raw = 11; string more = 12;", ""),
     ("bytes raw = 11;", 'reserved 11; reserved "raw";', "field-retired"),
@@ -104,7 +104,7 @@
 
 @pytest.fixture(scope="module")
 def compiled(tmp_path_factory):
-    """Return a function that compiles a text, each once."""
+    """Return a function that compiles a text, cached."""
     folder, known = tmp_path_factory.mktemp("protos"), {}
 
     def compile_text(text):
@@ -132,7 +132,7 @@
 
 
 @pytest.mark.parametrize("was, now, rule", PLANTED2)
-def test_planted_changes_of_the_older_syntax_are_found(compiled, was, now, rule):
+def test_planted_changes_of_proto2_are_found(compiled, was, now, rule):
     found = compare(compiled(PROTO2), compiled(planted(PROTO2, was, now)))
     assert sorted({each.rule for each in found}) == sorted(rule.split())
 
@@ -149,15 +149,15 @@
 def test_every_rule_is_met_by_a_planted_change():
     met = {rule for _, _, rules in PLANTED + HARMLESS + PLANTED2 for rule in rules.split()}
     assert RULES.keys() - met == {"file-removed", "syntax"}
-    assert compare(lab.present(), FileDescriptorSet())[0].rule == "file-removed"
+    assert compare(descriptors.present(), FileDescriptorSet())[0].rule == "file-removed"
 
 
-# What is said against what is read: messages written by one version and read by the other.
+# Messages written by one version and read by the other.
 
 
-def classes(told, name):
+def message_class(descriptor_set, name):
     pool = descriptor_pool.DescriptorPool()
-    for file in told.file:
+    for file in descriptor_set.file:
         pool.Add(file)
     return message_factory.GetMessageClass(pool.FindMessageTypeByName(name))
 
@@ -166,7 +166,7 @@
 NATURAL = {FieldDescriptor.CPPTYPE_UINT32: 32, FieldDescriptor.CPPTYPE_UINT64: 64}
 
 
-def value(field, random):
+def random_value(field, random):
     if field.cpp_type in NATURAL:
         return random.randrange(1, 1 << random.randrange(1, NATURAL[field.cpp_type] + 1))
     if field.cpp_type in WHOLE:
@@ -181,77 +181,81 @@
 
 
 def fill(message, random, depth=0):
-    """Give all fields a value, of a oneof one; messages inside themselves to some depth."""
+    """Set all fields to random values, one per oneof; recursive messages to a limited depth."""
     for field in message.DESCRIPTOR.fields:
         if field.containing_oneof is not None and random.random() < 0.5:
             continue
-        there = getattr(message, field.name)
+        current_value = getattr(message, field.name)
         if field.message_type is not None and field.message_type.GetOptions().map_entry:
             of = field.message_type.fields_by_name["value"]
             if of.message_type is not None:
-                fill(there["k"], random, depth + 1)
+                fill(current_value["k"], random, depth + 1)
             else:
-                there["k"] = value(of, random)
+                current_value["k"] = random_value(of, random)
         elif field.message_type is not None and depth > 5:
             continue
         elif field.is_repeated and field.message_type is not None:
-            fill(there.add(), random, depth + 1)
+            fill(current_value.add(), random, depth + 1)
         elif field.is_repeated:
-            there.extend(value(field, random) for _ in range(3))
+            current_value.extend(random_value(field, random) for _ in range(3))
         elif field.message_type is not None:
-            there.SetInParent()
-            fill(there, random, depth + 1)
+            current_value.SetInParent()
+            fill(current_value, random, depth + 1)
         else:
-            setattr(message, field.name, value(field, random))
+            setattr(message, field.name, random_value(field, random))
     return message
 
 
-def seen(message):
-    """Return what a message says, by name; enumerations by name as well."""
-    told = {}
+def message_values(message):
+    """Return the values of a message by field name; enumeration values by name."""
+    values = {}
     for field, what in message.ListFields():
         if field.message_type is not None and not field.is_repeated:
-            what = seen(what)
+            what = message_values(what)
         elif field.enum_type is not None:
             named = field.enum_type.values_by_number.get(what)
             what = named.name if named is not None else what
         else:
             what = str(what)
-        told[field.name] = what
-    return told
+        values[field.name] = what
+    return values
 
 
-def harmed(written, reader, random):
-    """Tell whether what one version writes is read otherwise, or not at all, by one that has the field."""
+def is_misread(written, reader, random):
+    """Return whether the reader misreads or can't read a message of the writer."""
     message = fill(written(), random)
     try:
         read = reader.FromString(message.SerializeToString())
     except DecodeError:
         return True
-    said, got = seen(message), seen(read)
-    common = said.keys() & {field.name for field in reader.DESCRIPTOR.fields}
-    return any(said[name] != got.get(name) for name in common) or bool(got.keys() - said.keys())
+    written_values, read_values = message_values(message), message_values(read)
+    common = written_values.keys() & {field.name for field in reader.DESCRIPTOR.fields}
+    return any(written_values[name] != read_values.get(name) for name in common) or bool(
+        read_values.keys() - written_values.keys()
+    )
 
 
 @pytest.mark.parametrize("was, now, rule", [each for each in PLANTED + HARMLESS if "package" not in each[0]])
-def test_what_the_rules_let_pass_is_read_alike_by_both_versions(compiled, was, now, rule):
-    random, told = Random(7), compiled(planted(BASE, was, now))
-    old, new = classes(compiled(BASE), "demo.Told"), classes(told, "demo.Told")
-    lost = any(harmed(a, b, random) for _ in range(20) for a, b in ((old, new), (new, old)))
-    breaks = any(each.breaks for each in compare(compiled(BASE), told))
-    # A value that one of them does not know comes as its number alone: so it is told.
-    assert breaks or not lost or rule in ("value-added", "value-retired")
-
-
-def test_todays_messages_can_be_read_by_every_version_that_is_kept():
-    versions = [version for version, _ in lab.kept()]
+def test_compatible_changes_are_read_alike_by_both_versions(compiled, was, now, rule):
+    random, changed = Random(7), compiled(planted(BASE, was, now))
+    old, new = message_class(compiled(BASE), "demo.Told"), message_class(changed, "demo.Told")
+    is_misread_by_either = any(
+        is_misread(a, b, random) for _ in range(20) for a, b in ((old, new), (new, old))
+    )
+    breaks = any(each.breaks for each in compare(compiled(BASE), changed))
+    # An enumeration value unknown to the reader is read as its number, which the rules only note.
+    assert breaks or not is_misread_by_either or rule in ("value-added", "value-retired")
+
+
+def test_current_messages_are_compatible_with_every_kept_version():
+    versions = [version for version, _ in descriptors.kept()]
     assert versions and "0.6.0" in versions
-    assert not [(version, str(found)) for version, found in lab.check() if found.breaks]
+    assert not [(version, str(found)) for version, found in descriptors.check() if found.breaks]
 
 
 def test_a_version_is_kept_once(tmp_path):
-    path = lab.keep("1.0", ["fennelwind.council"], tmp_path)
-    lab.keep("1.0", ["fennelwind.council"], tmp_path)
-    assert [version for version, _ in lab.kept(tmp_path)] == ["1.0"] and path.stat().st_size > 1000
-    with pytest.raises(lab.VersionKeptError):
-        lab.keep("1.0", ["fennelwind"], tmp_path)
+    path = descriptors.keep("1.0", ["fennelwind.council"], tmp_path)
+    descriptors.keep("1.0", ["fennelwind.council"], tmp_path)
+    assert [version for version, _ in descriptors.kept(tmp_path)] == ["1.0"] and path.stat().st_size > 1000
+    with pytest.raises(descriptors.VersionKeptError):
+        descriptors.keep("1.0", ["fennelwind"], tmp_path)
--- a/tests/support/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -1,6 +1,6 @@
-"""Defects planted in the gate, and what finds each: a proof that can't fail proves nothing.
+"""Defects planted in schema compatibility and the check that finds each, as proof that the checks can fail.
 
-`python tests/support/contracts_defects.py` prints the table: which finder, after how many plays.
+`python tests/support/contracts_defects.py` prints a table of finders and of the plays that each needed.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
@@ -23,11 +23,11 @@
 from fennelwind.schema_compatibility.rollout import Rollout
 from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 
-CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client hands out as text all the same
+CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client would still return as text
 
 
 class Defect(NamedTuple):
-    """What is planted, what is tried to find it, and a written test that does as well, if plays take long."""
+    """A planted defect, its finder, and a written test that also finds it, where plays take long."""
 
     title: str
     finder: str
@@ -35,26 +35,26 @@
     written: str = ""
 
 
-# Finders: each returns after how many plays it fails, and how; None: it did not.
+# Finders: each returns after how many plays it failed, and how; None: it did not fail.
 
 
 def by_rows(seed: int) -> None:
-    """Hold verdicts against rows."""
+    """Compare verdicts with rows as read."""
     for rejected, how, found, _ in contract_rows.play(seed):
         assert (how == contract_rows.BROKEN) == rejected or (rejected and set(found) <= set(CAUTIOUS))
 
 
 def by_world(seed: int) -> None:
-    """Carry a change out under faults."""
-    World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0).play()
+    """Roll a change out under faults."""
+    World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0).run_to_end()
 
 
 def by_case(case: tuple[str, ...]) -> None:
-    """Look at a written case of tables."""
-    from test_contracts import told_verdict
+    """Check a written case of table verdicts."""
+    from test_contracts import verdict_of_change
 
     reads, old, new, verdict, rule = case
-    assert told_verdict(reads, old, new) == (verdict, sorted(rule.split()))
+    assert verdict_of_change(reads, old, new) == (verdict, sorted(rule.split()))
 
 
 def by_test(name: str) -> None:
@@ -67,7 +67,7 @@
 
 
 def find(finder: str, most: int) -> tuple[int, str] | None:
-    """Try a finder so often at most."""
+    """Run a finder with at most `most` plays."""
     if finder == "model":
         return by_model(GateModel, most)
     if finder == "cases":
@@ -78,7 +78,7 @@
 
 
 def last_step_only(real):
-    """Let subscribers expect whatever the last change has made of their columns."""
+    """Make subscribers expect the types that the last change gave their columns."""
 
     def finished(self, at, change, answer):
         real(self, at, change, answer)
@@ -106,7 +106,7 @@
         "admission from an old copy of the record",
         "model",
         [Line(SchemaStateMachine._is_blocked, "command.version != answer.version", "False")],
-        "test_two_publishers_at_once_and_one_with_an_old_copy",
+        "test_concurrent_and_stale_proposals_are_refused",
     ),
     Defect(
         "a lapsed subscriber still counts",
@@ -123,7 +123,7 @@
                 "pass",
             )
         ],
-        "test_a_lapsed_subscriber_stops_nothing_and_is_told_what_came_when_it_returns",
+        "test_lapsed_subscription_blocks_no_change_and_its_return_reports_breaks",
     ),
     Defect(
         "names are compared with their case",
@@ -149,19 +149,19 @@
                 "            continue",
             )
         ],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "each step is held against the one before alone",
         "model",
         [patch.object(SchemaStateMachine, "_apply_schema", last_step_only(SchemaStateMachine._apply_schema))],
-        "test_steps_that_are_each_harmless_and_together_break",
+        "test_compatible_steps_that_break_in_sum_are_refused",
     ),
     Defect(
         "`*` means what is there at the check",
         "model",
         [Line(SchemaStateMachine._resolve, "return replace(reads, columns=columns)", "return reads")],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "a name is a column, whichever bears it",
@@ -200,13 +200,13 @@
         "the fence is not in the snapshot",
         "model",
         [Line(state_machine.change_message, "fence=change.fence", "fence=0")],
-        "test_another_member_goes_on_where_the_first_one_stopped",
+        "test_change_continues_from_a_snapshot",
     ),
     Defect(
         "finished before all engines are",
         "model",
         [Line(SchemaStateMachine._finish, "Change.DONE in states <= {Change.DONE, *not_required}", "True")],
-        "test_only_the_holder_of_the_tables_lease_carries_out_and_a_later_one_goes_on",
+        "test_only_the_lease_holder_advances_a_change_and_a_later_holder_continues",
     ),
     Defect(
         "who registers meanwhile is held against the old schema alone",
@@ -245,7 +245,7 @@
                 "if others and all(f.level < Level.BROKEN for f in findings):",
             )
         ],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "nulls are not looked at",
@@ -342,7 +342,7 @@
                 state_machine._FORWARD_TRANSITIONS | {(pb.Change.GONE_AWAY, pb.Change.WAITING)},
             ),
         ],
-        "test_an_engine_that_returns_half_way_is_not_taken_for_untouched",
+        "test_engine_returning_during_a_rollout_is_not_treated_as_unchanged",
     ),
     Defect(
         "an engine that missed a change is taken for one with the old schema",
@@ -360,9 +360,9 @@
 
 
 def search(defect: Defect, most: int = 0) -> tuple[int, str] | None:
-    """Plant a defect; return after how many plays its finder fails, and how; None: it does not.
+    """Plant a defect; return after how many plays its finder failed, and how; None: it did not fail.
 
-    most: plays; 0: the written test, if there is one, or else a hundred.
+    `most`: number of plays; 0: the written test, if there is one, else 100 plays.
     """
     _forget()
     try:
--- a/tests/support/contracts_model.py
+++ b/tests/support/contracts_model.py
@@ -1,4 +1,4 @@
-"""The contracts machine beside a plain model: one list of subscriptions, each looked at for each question."""
+"""Model of the schema state machine: a flat list of subscriptions, all of them checked for each command."""
 
 from dataclasses import replace
 
@@ -7,7 +7,7 @@
 
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility import state_machine as under_test
+from fennelwind.schema_compatibility import state_machine
 from fennelwind.schema_compatibility.messages import reads_message, schema_message
 from fennelwind.schema_compatibility.rules import (
     RULES,
@@ -57,27 +57,27 @@
 
 
 class GateModel(RuleBasedStateMachine):
-    """Commands in any order; the model says beforehand what becomes of them."""
+    """Applies commands in any order; the model predicts each answer."""
 
     subscriptions, changes = Bundle("subscriptions"), Bundle("changes")
 
     @initialize()
     def begin_empty(self):
-        """Begin with nothing."""
-        self.machine, self.index, self.clock = under_test.SchemaStateMachine(), 0, 0
-        self.living = {}  # number -> name, version, reads as they were when it registered, until, term
+        """Begin with an empty state."""
+        self.machine, self.index, self.clock = state_machine.SchemaStateMachine(), 0, 0
+        self.active = {}  # number -> name, version, reads as they were when it registered, until, term
         self.change = {}  # table -> number, publisher, schema's text, engines' states, step
         self.moving, self.fence, self.numbers = set(), {}, {}
         self.behind = {"t": set(), "u": set()}  # engines that missed a change
 
     def fact(self, kind, key):
-        """Answer what other machines would."""
+        """Return the facts of other state machines."""
         if kind == "moving":
             return int(key in self.moving)
         return self.fence.get(key, 0) if kind == "fence" else 0
 
     def do(self, **what):
-        """Have a command carried out as the record does."""
+        """Apply a command as the replicated log does, expiring what is due first."""
         self.index += 1
         at = LogPosition(self.index, self.clock)
         due = self.machine.next_expiry_clock_ms()
@@ -85,29 +85,29 @@
             self.machine.expire_due(at)
         command = pb.ContractCommand(rules=RULES_VERSION, **what).SerializeToString()
         answer = pb.ContractAnswer.FromString(self.machine.apply(at, command, self))
-        self.living = {n: each for n, each in self.living.items() if each["until"] > self.clock}
+        self.active = {n: each for n, each in self.active.items() if each["until"] > self.clock}
         for table, change in list(self.change.items()):
             if change["step"] == 0 and change["begin_by"] <= self.clock:
                 del self.change[table]
         return answer
 
     def schema(self, table):
-        """Return the schema that stands."""
+        """Return the current schema of a table."""
         known = self.machine.tables.get(table)
         return known.schema if known is not None else None
 
-    def forms(self, table):
-        """Return what a subscriber has to be able to read."""
-        forms = [IndexedSchema(self.schema(table))] if self.schema(table) is not None else []
+    def indexed_schemas(self, table):
+        """Return the schemas that a subscriber must be able to read."""
+        schemas = [IndexedSchema(self.schema(table))] if self.schema(table) is not None else []
         number = self.machine.by_table.get(table)
         if number is not None:
             assert table in self.change
             made = self.machine.changes[number].schema
-            forms.append(IndexedSchema(made) if made is not None else None)
-        return forms
+            schemas.append(IndexedSchema(made) if made is not None else None)
+        return schemas
 
-    def resolved(self, table, text):
-        """Return reads with what they mean now."""
+    def resolve(self, table, text):
+        """Return reads with the column numbers of the current schema."""
         reads, schema = parse_reads(table, text), self.schema(table)
         if schema is None:
             return reads
@@ -144,43 +144,44 @@
     def register(self, name, table, text, version, term):
         """Register, or renew by registering the same again."""
         table = normalize_table_name(table)
-        self.do(renew=pb.Renew())  # lets lapse what is due, so that the model looks at the same state
-        reads = self.resolved(table, text)
-        broken = any(
-            highest_level(check_reads(reads, version, form)) == Level.BROKEN for form in self.forms(table)
+        self.do(renew=pb.Renew())  # expires what is due, so that the model sees the same state
+        reads = self.resolve(table, text)
+        is_broken = any(
+            highest_level(check_reads(reads, version, indexed)) == Level.BROKEN
+            for indexed in self.indexed_schemas(table)
         )
         answer = self.do(
             register=pb.Register(
                 name=name, version=version, term_ms=term, reads=[reads_message(parse_reads(table, text))]
             )
         )
-        assert (answer.refusal == pb.BROKEN) == broken, (table, text, answer)
+        assert (answer.refusal == pb.BROKEN) == is_broken, (table, text, answer)
         if answer.refusal:
             return multiple()
-        known = self.living.get(answer.number)
+        known = self.active.get(answer.number)
         assert known is None or (known["name"], known["version"]) == (name.lower(), version)
         until = max(self.clock + term, known["until"] if known else 0)
-        self.living[answer.number] = dict(
+        self.active[answer.number] = dict(
             name=name.lower(), version=version, reads=reads, until=until, term=term
         )
         return answer.number
 
     @rule(number=subscriptions)
     def renew(self, number):
-        """Renew; what has lapsed is told so."""
-        lives = number in self.living and self.living[number]["until"] > self.clock
+        """Renew a subscription; the answer reports a lapsed one."""
+        is_active = number in self.active and self.active[number]["until"] > self.clock
         answer = self.do(renew=pb.Renew(numbers=[number]))
-        assert (answer.refusal == pb.NONE) == lives and (list(answer.gone) == [number]) == (not lives)
-        if lives:
-            known = self.living[number]
+        assert (answer.refusal == pb.NONE) == is_active and (list(answer.gone) == [number]) == (not is_active)
+        if is_active:
+            known = self.active[number]
             known["until"] = max(known["until"], self.clock + known["term"])
 
     @rule(number=consumes(subscriptions))
     def leave(self, number):
-        """Leave."""
-        lives = number in self.living and self.living[number]["until"] > self.clock
-        assert (self.do(leave=pb.Leave(number=number)).refusal == pb.NONE) == lives
-        self.living.pop(number, None)
+        """End a subscription."""
+        is_active = number in self.active and self.active[number]["until"] > self.clock
+        assert (self.do(leave=pb.Leave(number=number)).refusal == pb.NONE) == is_active
+        self.active.pop(number, None)
 
     @rule(
         target=changes,
@@ -192,7 +193,7 @@
         goes=st.integers(0, 9),
     )
     def propose(self, table, text, engines, publisher, old, goes):
-        """Propose; what may be is told by looking at each living subscription as it registered."""
+        """Propose a change; the model checks each active subscription as it was registered."""
         table = normalize_table_name(table)
         self.do(renew=pb.Renew())
         known = self.machine.tables.get(table)
@@ -220,8 +221,8 @@
         elif wrong_version:
             assert answer.refusal == pb.VERSION
         else:
-            made = None if dropped else self.made(known.schema if known else None, schema, text)
-            broken = self.broken(table, made, publisher.lower())
+            made = None if dropped else self.numbered(known.schema if known else None, schema, text)
+            broken = self.broken_subscribers(table, made, publisher.lower())
             told = {
                 name
                 for each in answer.readers
@@ -229,15 +230,15 @@
                 if any(RULES[found.rule].level == Level.BROKEN for found in each.found)
             }
             assert told == broken, (told, broken)
-            wanted = pb.BROKEN if broken else pb.MOVING if table in self.moving else pb.NONE
-            assert answer.refusal == wanted, (answer, broken)
+            expected_refusal = pb.BROKEN if broken else pb.MOVING if table in self.moving else pb.NONE
+            assert answer.refusal == expected_refusal, (answer, broken)
             if not answer.refusal:
-                self.admitted(table, publisher.lower(), made, engines, answer.number)
+                self.note_admitted(table, publisher.lower(), made, engines, answer.number)
                 return answer.number
         return multiple()
 
-    def made(self, old, schema, text):
-        """Return the schema with the identities of its columns: kept where a name or `was` says so."""
+    def numbered(self, old, schema, text):
+        """Return the schema with column numbers, kept where a name or `was` matches an old column."""
         known = {c.name: c.number for c in old.row} if old else {}
         renamed = {c.was for c in schema.row if c.was}
         fresh = iter(range(10**9, 2 * 10**9))
@@ -253,19 +254,19 @@
         row = [replace(c, number=identity(c), was="") for c in schema.row]
         return replace(schema, columns=tuple(row[:cut]), partitions=tuple(row[cut:]))
 
-    def broken(self, table, made, publisher):
-        """Return who of the living would break."""
-        form = IndexedSchema(made) if made is not None else None
+    def broken_subscribers(self, table, made, publisher):
+        """Return the names of the active subscribers that the schema breaks."""
+        indexed = IndexedSchema(made) if made is not None else None
         return {
             each["name"]
-            for each in self.living.values()
+            for each in self.active.values()
             if each["reads"].table == table
             and each["name"] != publisher
-            and highest_level(check_reads(each["reads"], each["version"], form)) == Level.BROKEN
+            and highest_level(check_reads(each["reads"], each["version"], indexed)) == Level.BROKEN
         }
 
-    def admitted(self, table, publisher, made, engines, number):
-        """Note an admitted change; without engines it stands at once."""
+    def note_admitted(self, table, publisher, made, engines, number):
+        """Note an admitted change; one without engines is applied at once."""
         if engines:
             states = {
                 engine: pb.Change.BEHIND if engine in self.behind[table] else pb.Change.WAITING
@@ -278,13 +279,13 @@
                 step=0,
                 fence=0,
                 states=states,
-                begin_by=self.clock + under_test.BEGIN_TIMEOUT_MS,
+                begin_by=self.clock + state_machine.BEGIN_TIMEOUT_MS,
             )
         else:
-            self.stands(table, publisher, made)
+            self.check_applied(table, publisher, made)
 
-    def stands(self, table, publisher, made):
-        """Hold that the schema stands as it was proposed, each column being who it was."""
+    def check_applied(self, table, publisher, made):
+        """Check that the schema was applied as proposed and kept the column numbers."""
         schema = self.schema(table)
         assert (schema is None) == (made is None)
         if made is None:
@@ -297,21 +298,21 @@
                 else:
                     assert there.number not in self.numbers
             self.numbers.update({c.number: None for c in schema.row})
-        form = IndexedSchema(schema) if schema is not None else None
-        for number, each in list(self.living.items()):
+        indexed = IndexedSchema(schema) if schema is not None else None
+        for number, each in list(self.active.items()):
             reads = each["reads"]
             if (
                 reads.table == table
                 and each["name"] == publisher
-                and highest_level(check_reads(reads, each["version"], form)) == Level.BROKEN
+                and highest_level(check_reads(reads, each["version"], indexed)) == Level.BROKEN
             ):
-                del self.living[number]
+                del self.active[number]
             elif reads.table == table and schema is not None and all(not r.number for r in reads.columns):
-                each["reads"] = self.resolved(table, reads_text(reads))
+                each["reads"] = self.resolve(table, reads_text(reads))
 
     @rule(number=changes, fence=st.integers(1, 3), more=st.booleans())
     def begin(self, number, fence, more):
-        """Begin under the lease, or with another fence."""
+        """Begin with the fencing token of the lease, or with another one."""
         table = next((t for t, c in self.change.items() if c["number"] == number), None)
         held = self.fence.get(f"table:{table}", 0)
         answer = self.do(begin=pb.Begin(number=number, fence=held if more else fence))
@@ -322,20 +323,20 @@
 
     @rule(table=st.sampled_from("tu"))
     def another_holder(self, table):
-        """The table's lease goes to somebody else."""
+        """Give the table's lease to another holder."""
         self.fence[f"table:{table}"] = self.fence.get(f"table:{table}", 0) + 1
 
     @rule(number=changes, engine=st.sampled_from(("e1", "e2")), state=st.integers(0, 6))
     def mark(self, number, engine, state):
-        """Note an engine's state."""
-        self.acted(number, mark=lambda fence: pb.Mark(number=number, fence=fence, engine=engine, state=state))
+        """Mark an engine's state."""
+        self.act(number, mark=lambda fence: pb.Mark(number=number, fence=fence, engine=engine, state=state))
 
     @rule(number=changes)
-    def go_through(self, number):
-        """Do what a holder does with both engines, to the end."""
+    def finish_rollout(self, number):
+        """Mark both engines as changed and finish."""
         for engine in ("e1", "e2"):
             for state in (pb.Change.ASKED, pb.Change.DONE):
-                self.acted(
+                self.act(
                     number,
                     mark=lambda fence, e=engine, s=state: pb.Mark(
                         number=number, fence=fence, engine=e, state=s
@@ -345,15 +346,15 @@
 
     @rule(number=changes)
     def turn(self, number):
-        """Turn back."""
-        self.acted(number, turn=lambda fence: pb.Turn(number=number, fence=fence))
+        """Start a revert."""
+        self.act(number, turn=lambda fence: pb.Turn(number=number, fence=fence))
 
     @rule(number=changes)
     def finish(self, number):
-        """Finish, which needs all engines at the end of their ways."""
+        """Finish, which is allowed only once all engines have reached their final states."""
         table = next((t for t, c in self.change.items() if c["number"] == number), None)
         change = self.change.get(table)
-        answer = self.acted(number, finish=lambda fence: pb.Finish(number=number, fence=fence))
+        answer = self.act(number, finish=lambda fence: pb.Finish(number=number, fence=fence))
         if change is None or answer.refusal:
             return
         states = set(change["states"].values())
@@ -364,12 +365,12 @@
                 self.behind[table].add(engine)
         if change["step"] == 1:
             assert states <= {pb.Change.DONE, *rest} and pb.Change.DONE in states
-            self.stands(table, change["publisher"], change["made"])
+            self.check_applied(table, change["publisher"], change["made"])
         else:
             assert states <= {pb.Change.WAITING, pb.Change.UNDONE, *rest}
 
-    def acted(self, number, **what):
-        """Act with the fence under which the change was begun; only the present holder's act counts."""
+    def act(self, number, **what):
+        """Send a command with the change's fencing token; only the current holder may act."""
         table = next((t for t, c in self.change.items() if c["number"] == number), None)
         change = self.change.get(table, {"fence": 1, "step": 0})
         ((kind, make),) = what.items()
@@ -389,7 +390,7 @@
 
     @rule(number=changes, publisher=st.sampled_from(("load", "other")))
     def withdraw(self, number, publisher):
-        """Withdraw, which only its publisher can, and only before it was begun."""
+        """Withdraw a change, allowed only for its publisher and before it has begun."""
         answer = self.do(withdraw=pb.Withdraw(number=number, publisher=publisher))
         table = next((t for t, c in self.change.items() if c["number"] == number), None)
         if table is not None:
@@ -400,13 +401,13 @@
 
     @rule(ms=st.sampled_from((1, 5000, 9999, 10_000, 30_000, 60_000, 200_000)))
     def pass_time(self, ms):
-        """Time passes on the record."""
+        """Advance the replicated clock."""
         self.clock += ms
         self.do(renew=pb.Renew())
 
     @rule(table=st.sampled_from("tu"))
     def move(self, table):
-        """A move of the table's shards begins, if it may, or ends."""
+        """Begin a move of the table's shards, if allowed, or end it."""
         if table in self.moving:
             self.moving.discard(table)
         elif not self.machine.fact("changing", table) and not self.machine.fact("wanted", table):
@@ -415,18 +416,18 @@
 
     @rule()
     def another_member(self):
-        """Another member goes on from a snapshot."""
+        """Continue from a snapshot."""
         data = self.machine.snapshot()
-        self.machine = under_test.SchemaStateMachine()
+        self.machine = state_machine.SchemaStateMachine()
         self.machine.restore(data)
         assert self.machine.snapshot() == data
 
     @invariant()
-    def nobody_is_broken_and_nothing_moves_that_changes(self):
-        """Hold that all living subscribers can read what stands."""
+    def no_subscriber_is_broken_and_no_changing_table_moves(self):
+        """Check that active subscribers can read the schemas, and that no changing table has a move."""
         if not hasattr(self, "machine"):
             return
-        for each in self.living.values():
+        for each in self.active.values():
             schema = self.schema(each["reads"].table)
             known = schema is not None and any(read.number for read in each["reads"].columns)
             if each["until"] > self.clock and known:
--- a/tests/support/contracts_search.py
+++ b/tests/support/contracts_search.py
@@ -1,7 +1,7 @@
-"""Changes and moves of one table, all interleavings of both real machines, until no new state comes.
+"""Exhaustive search of the interleavings of changes and moves of one table, on both real state machines.
 
-Publishers and the mover go on for ever; times are taken against the record's clock and numbers against one
-another, so what can happen is finite. `python tests/support/contracts_search.py` searches the larger world.
+Publishers and the mover never stop, but times are compared relative to the clock and numbers relative to
+each other, so the state space is finite. `python tests/support/contracts_search.py` searches the larger one.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
@@ -21,14 +21,14 @@
 from fennelwind.shards import shards_pb2 as moves
 from fennelwind.shards.state_machine import UNDER_WAY, ShardMachine
 
-REST_MS = 10_000  # ms of a rest after a switch: another time than the gate's, so that either ends first
+REST_MS = 10_000  # rest after a switch; differs from the schema machine's times, so that either may end first
 TABLE, LEASE, MOVER = "t", "table:t", 1
 SCHEMAS = ("a int", "a int, b int")
 Change, Step = pb.Change, moves.Step
 
 
 class Node(NamedTuple):
-    """All that is: the machines' bytes, where the record stands, and the fence of the table's lease."""
+    """A state: snapshots of both machines, log index, clock and fencing token of the table's lease."""
 
     contracts: bytes
     shards: bytes
@@ -38,11 +38,11 @@
 
 
 class Broken(AssertionError):
-    """What must never be."""
+    """An invariant is violated."""
 
 
 class Search:
-    """Goes through all states that can be reached from the first one."""
+    """Visits all states reachable from the first one."""
 
     def __init__(self, shards=1, engines=("e1",), publishers=("p",)):
         self.contracts, self.shards = SchemaStateMachine(), ShardMachine()
@@ -51,10 +51,10 @@
         self.index = self.clock = self.fence = 0
         self.edges, self.nodes, self.admissions = {}, {}, set()
 
-    # The record.
+    # The replicated log.
 
     def fact(self, kind, key):
-        """Answer for the record."""
+        """Return a fact of either machine or of the leases."""
         if kind == "fence":
             return MOVER if key == "moves" else self.fence if key == LEASE else 0
         if kind == "moving":
@@ -62,17 +62,17 @@
         return self.contracts.fact(kind, key)
 
     def load(self, node):
-        """Stand where a node stands."""
+        """Restore a state."""
         self.contracts.restore(node.contracts)
         self.shards.restore(node.shards)
         self.index, self.clock, self.fence = node.index, node.clock, node.fence
 
     def save(self):
-        """Return where this stands."""
+        """Return the current state."""
         return Node(self.contracts.snapshot(), self.shards.snapshot(), self.index, self.clock, self.fence)
 
     def do(self, machine, command):
-        """Have a command carried out as the record does."""
+        """Apply a command as the replicated log does, expiring what is due first."""
         self.index += 1
         at = LogPosition(self.index, self.clock)
         for each in (self.contracts, self.shards):
@@ -82,15 +82,15 @@
         return machine.apply(at, command.SerializeToString(), self)
 
     def contract(self, **what):
-        """Ask the gate."""
+        """Apply a command to the schema state machine."""
         raw = self.do(self.contracts, pb.ContractCommand(rules=RULES_VERSION, **what))
         return pb.ContractAnswer.FromString(raw)
 
     def shard(self, **what):
-        """Ask the shards' machine as its lease's holder."""
+        """Apply a command to the shard state machine as the holder of its lease."""
         return moves.Answer.FromString(self.do(self.shards, moves.Command(fence=MOVER, **what)))
 
-    # What can happen.
+    # Possible actions.
 
     def first(self):
         """Return the first state: a table with its shards on one engine of two."""
@@ -106,7 +106,7 @@
         return self.save()
 
     def acts(self):
-        """Return all that somebody may do here: names with functions."""
+        """Yield the possible actions in the current state: names with functions."""
         table, change = self.contracts.tables[TABLE], next(iter(self.contracts.changes.values()), None)
         for publisher in self.publishers:
             text = SCHEMAS[str(table.schema) == SCHEMAS[0]]
@@ -137,7 +137,7 @@
             yield "time", lambda: self.pass_time(min(due))
 
     def acts_on(self, change):
-        """Return what the holder of the table's lease, or an earlier one, may do."""
+        """Yield the actions of the holder of the table's lease and of an earlier one."""
         number = change.number
         for fence in {self.fence, max(self.fence - 1, 1)}:
             yield "begin", lambda f=fence: self.contract(begin=pb.Begin(number=number, fence=f))
@@ -159,11 +159,11 @@
             yield "another holder", self.another_holder
 
     def another_holder(self):
-        """Give the table's lease to somebody else."""
+        """Give the table's lease to another holder."""
         self.fence += 1
 
     def acts_of_mover(self, name):
-        """Return what the mover may do with a shard."""
+        """Yield the actions of the mover on a shard."""
         move, good = self.shards.move_of(name), self.shards.good(name)
         if move is None and good:
             other = "e2" if good[0] == "e1" else "e1"
@@ -197,7 +197,7 @@
                 )
 
     def pass_time(self, until):
-        """Let time pass to where something lapses."""
+        """Advance the clock to an expiry."""
         self.clock = until
         at = LogPosition(self.index, self.clock)
         self.contracts.expire_due(at)
@@ -206,10 +206,10 @@
     # The search.
 
     def key(self):
-        """Return a state without what makes no difference: numbers and times as they are to one another."""
+        """Return the current state as a key, with times and numbers made relative."""
         c, s = self.contracts, self.shards
         change = next(iter(c.changes.values()), None)
-        said = change and (
+        change_key = change and (
             change.publisher,
             change.step,
             tuple(change.engines.values()),
@@ -239,10 +239,10 @@
                 for engine, copy in held.items()
             )
         )
-        return str(c.tables[TABLE].schema), said, wanted, under_way, copies, bool(self.fence)
+        return str(c.tables[TABLE].schema), change_key, wanted, under_way, copies, bool(self.fence)
 
     def check(self):
-        """Hold what has to hold in every state."""
+        """Check the invariants of every state. Raises `Broken`."""
         steps = [move.step for move in self.shards.moves.values()]
         if self.contracts.changes and any(step in UNDER_WAY for step in steps):
             raise Broken(f"the table changes while its shards are under way: {steps}")
@@ -250,29 +250,29 @@
             if not self.shards.good(name):
                 raise Broken(f"{name} has no good copy")
 
-    def run(self, most=10**9):
-        """Go through all states; return how many there are. Raises `Broken`."""
+    def run(self, max_states=10**9):
+        """Visit all states; return their number. Raises `Broken`."""
         start = self.first()
         self.fence = 1
         start = start._replace(fence=1)
         self.load(start)
-        begin = self.key()
-        self.nodes, waiting = {begin: start}, [begin]
-        while waiting and len(self.nodes) < most:
+        start_key = self.key()
+        self.nodes, waiting = {start_key: start}, [start_key]
+        while waiting and len(self.nodes) < max_states:
             here = waiting.pop()
             self.load(self.nodes[here])
             for name, act in list(self.acts()):
                 self.load(self.nodes[here])
-                changed, wished = len(self.contracts.changes), self.contracts.fact("wanted", TABLE)
-                moved = self.shards.fact("moving", TABLE)
+                changes_before, was_wanted = len(self.contracts.changes), self.contracts.fact("wanted", TABLE)
+                moving_before = self.shards.fact("moving", TABLE)
                 act()
                 there = self.key()
                 if there == here:
                     continue
                 self.check()
-                if wished and self.shards.fact("moving", TABLE) > moved:
+                if was_wanted and self.shards.fact("moving", TABLE) > moving_before:
                     raise Broken("a move begins while a change of its table waits for moves")
-                if name.startswith("propose") and len(self.contracts.changes) > changed:
+                if name.startswith("propose") and len(self.contracts.changes) > changes_before:
                     self.admissions.add((here, there))
                 self.edges.setdefault(there, set()).add(here)
                 if there not in self.nodes:
@@ -281,7 +281,7 @@
         return len(self.nodes)
 
     def stuck(self):
-        """Return the states from which no rest (no change, no move) is reached, and no admission."""
+        """Return the states that reach no idle state (no change, no move), and those that reach no admission."""
         rest = {key for key in self.nodes if key[1] is None and not key[3]}
         return (
             self.nodes.keys() - self.reaching(rest),
@@ -289,7 +289,7 @@
         )
 
     def reaching(self, goal):
-        """Return the states from which one of a set can be reached."""
+        """Return the states that can reach one of a set."""
         seen, waiting = set(goal), list(goal)
         while waiting:
             for before in self.edges.get(waiting.pop(), ()):
--- a/tests/support/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -1,4 +1,4 @@
-"""A world for the carrier of schema changes: the record's machine, engines, crashes, lost answers."""
+"""Simulates rollouts of a schema change: state machine, engines, crashes of holders and lost answers."""
 
 import search_paths  # noqa: F401 - for a play that is run by hand
 
@@ -8,7 +8,7 @@
 
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility import rollout as go
+from fennelwind.schema_compatibility import rollout
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.rollout import Rollout, RolloutTimeouts, shape
 from fennelwind.schema_compatibility.rules import RULES_VERSION
@@ -16,15 +16,15 @@
 from fennelwind.schema_compatibility.types import parse_schema
 
 OLD, NEW = parse_schema("a int, b string"), parse_schema("a int, b string, c int")
-ANCIENT = parse_schema("a int")  # of an engine that missed the change before
+ANCIENT = parse_schema("a int")  # of an engine that missed the previous change
 PATIENCE = RolloutTimeouts(drain_ms=100.0, answer_ms=50.0, record_ms=20.0)
 
 
 class Engine:
-    """What a stand-in engine does of a change: it checks fences, and a newer one ends what still runs."""
+    """An emulated engine: checks fencing tokens; a newer token ends a statement that still runs."""
 
     def __init__(self):
-        self.shape, self.fence, self.running, self.there = shape(OLD), 0, None, True
+        self.shape, self.fence, self.running, self.is_present = shape(OLD), 0, None, True
 
     def admits(self, overlay):
         ((name, text),) = overlay
@@ -43,12 +43,12 @@
 
 
 class World:
-    """Plays one change to its end under faults; asserts what has to hold at every moment."""
+    """Runs one change to its end under faults and asserts the invariants at each step."""
 
     def __init__(self, seed, engines=3, at_once=False, back=True, faults=12, behind=False):
         self.random, self.machine, self.index, self.now = Random(seed), SchemaStateMachine(), 0, 0.0
         self.engines = {f"e{n}": Engine() for n in range(engines)}
-        self.faults, self.fence, self.acted = faults, 0, 0
+        self.faults, self.fence, self.statement_count = faults, 0, 0
         self.do(propose=pb.Propose(table="t", publisher="p", schema=schema_message(OLD)))
         if behind:
             self.machine.tables["t"].behind.add("e0")
@@ -67,7 +67,7 @@
         )
         self.number = answer.number
         assert self.number in self.machine.changes
-        self.events, self.carrier, self.holders = [], None, 0
+        self.events, self.rollout, self.holder_count = [], None, 0
 
     def fact(self, kind, key):
         return self.fence if (kind, key) == ("fence", "table:t") else 0
@@ -87,121 +87,131 @@
             return True
         return False
 
-    def hire(self):
-        """Give the lease to somebody, who begins from what the record says."""
+    def start_holder(self):
+        """Give the lease to a new holder, which starts from the replicated state."""
         self.fence += 1
-        self.holders += 1
+        self.holder_count += 1
         told = self.machine.changes[self.number]
         copy = read_change(pb.Change.FromString(self._snapshot(told)))
-        self.carrier = Rollout(copy, self.machine.tables["t"].schema, self.fence, PATIENCE)
+        self.rollout = Rollout(copy, self.machine.tables["t"].schema, self.fence, PATIENCE)
         self.events = []
 
     def _snapshot(self, told):
         state = pb.ContractState.FromString(self.machine.snapshot())
         return state.changes[0].SerializeToString()
 
-    def play(self):
-        """Return the number of steps until the change was over."""
+    def run_to_end(self):
+        """Run until the change has ended; return the number of steps."""
         for step in range(3000):
             if self.number not in self.machine.changes:
-                self.settle()
+                self.check_final_state()
                 return step
-            if self.carrier is None or self.carrier.over is not None or self.chance(0.05):
-                self.hire()
-            self.chaos()
-            self.turn()
-        raise AssertionError("it never ends")
+            if self.rollout is None or self.rollout.over is not None or self.chance(0.05):
+                self.start_holder()
+            self.change_membership()
+            self.run_step()
+        raise AssertionError("the rollout does not end")
 
-    def chaos(self):
+    def change_membership(self):
         for name, engine in self.engines.items():
             if self.chance(0.02):
-                engine.there = not engine.there
-                self.events.append(go.EngineReturned(name) if engine.there else go.EngineLeft(name))
+                engine.is_present = not engine.is_present
+                self.events.append(
+                    rollout.EngineReturned(name) if engine.is_present else rollout.EngineLeft(name)
+                )
         if self.faults <= 0:
             states = self.machine.changes[self.number].engines
             for name, engine in self.engines.items():
-                if not engine.there or (states[name] == pb.Change.GONE_AWAY and not self.events):
-                    engine.there = True
-                    self.events.append(go.EngineReturned(name))
+                if not engine.is_present or (states[name] == pb.Change.GONE_AWAY and not self.events):
+                    engine.is_present = True
+                    self.events.append(rollout.EngineReturned(name))
 
-    def turn(self):
+    def run_step(self):
         given = []
         if self.events and self.random.random() < 0.8:
             given.append(self.events.pop(self.random.randrange(len(self.events))))
         else:
             self.now += self.random.choice((1.0, 10.0, 60.0))
-            for engine in self.engines.values():  # what still runs may end at any moment
+            for engine in self.engines.values():  # a running statement may end at any moment
                 if engine.running and self.random.random() < 0.3:
                     engine.run(engine.running)
                     engine.running = None
-        for action in self.carrier.step(self.now, given):
-            self.carry(action)
+        for action in self.rollout.step(self.now, given):
+            self.perform(action)
 
-    def carry(self, action):
-        if isinstance(action, go.ProposeCommand):
+    def perform(self, action):
+        if isinstance(action, rollout.ProposeCommand):
             lost = self.chance(0.1)
             if lost and self.random.random() < 0.5:
-                return  # it never came
+                return  # lost before it arrived
             answer = self.apply(action.command)
-            self.events.append(go.CommandCompleted(action.token, None if lost else answer))
+            self.events.append(rollout.CommandCompleted(action.token, None if lost else answer))
             return
-        if isinstance(action, go.RolloutEnded | go.Release):
+        if isinstance(action, rollout.RolloutEnded | rollout.Release):
             return
         engine = self.engines[action.engine]
-        if isinstance(action, go.AwaitDrain):
+        if isinstance(action, rollout.AwaitDrain):
             assert action.engine in self.machine.quiet("t")
             if not self.chance(0.1):
-                self.events.append(go.Drained(action.token, action.engine))
-        elif isinstance(action, go.StopStatement):
-            if engine.there:
+                self.events.append(rollout.Drained(action.token, action.engine))
+        elif isinstance(action, rollout.StopStatement):
+            if engine.is_present:
                 engine.running = None
-                self.events.append(go.StatementStopped(action.token, action.engine))
-        elif not engine.there:
-            lost = isinstance(action, go.RunStatement)
+                self.events.append(rollout.StatementStopped(action.token, action.engine))
+        elif not engine.is_present:
+            lost = isinstance(action, rollout.RunStatement)
             about = (action.token, action.engine)
-            self.events.append(go.StatementEnded(*about, "lost") if lost else go.DescribeFailed(*about))
-        elif isinstance(action, go.DescribeTable):
+            self.events.append(
+                rollout.StatementEnded(*about, "lost") if lost else rollout.DescribeFailed(*about)
+            )
+        elif isinstance(action, rollout.DescribeTable):
             if not engine.admits(action.overlay):
-                self.events.append(go.DescribeFailed(action.token, action.engine, fenced=True))
+                self.events.append(rollout.DescribeFailed(action.token, action.engine, fenced=True))
             elif self.chance(0.1):
-                self.events.append(go.DescribeFailed(action.token, action.engine))
+                self.events.append(rollout.DescribeFailed(action.token, action.engine))
             else:
-                self.events.append(go.TableDescribed(action.token, action.engine, engine.shape))
+                self.events.append(rollout.TableDescribed(action.token, action.engine, engine.shape))
         else:
             self.run(action, engine)
 
     def run(self, action, engine):
-        assert action.engine in self.machine.quiet("t"), "a statement while queries may begin"
+        assert action.engine in self.machine.quiet("t"), "a statement while queries may start"
         states = self.machine.changes[self.number].engines
-        assert states[action.engine] in (pb.Change.ASKED, pb.Change.ASKED_BACK), "not written down first"
+        assert states[action.engine] in (pb.Change.ASKED, pb.Change.ASKED_BACK), (
+            "not marked before the statement"
+        )
         assert engine.running is None, "two statements at once"
-        self.acted += 1
+        self.statement_count += 1
         if not engine.admits(action.overlay):
-            self.events.append(go.StatementEnded(action.token, action.engine, "fenced"))
+            self.events.append(rollout.StatementEnded(action.token, action.engine, "fenced"))
         elif self.chance(0.15):
             how = self.random.randrange(3)
             if how == 1:
                 engine.run(action.statement)
             elif how == 2:
                 engine.running = action.statement
-            self.events.append(go.StatementEnded(action.token, action.engine, "lost"))
+            self.events.append(rollout.StatementEnded(action.token, action.engine, "lost"))
         elif self.chance(0.1):
-            self.events.append(go.StatementEnded(action.token, action.engine, "failed"))
+            self.events.append(rollout.StatementEnded(action.token, action.engine, "failed"))
         else:
-            self.events.append(go.StatementEnded(action.token, action.engine, engine.run(action.statement)))
+            self.events.append(
+                rollout.StatementEnded(action.token, action.engine, engine.run(action.statement))
+            )
 
-    def settle(self):
-        """Hold that all engines stand where the record says."""
+    def check_final_state(self):
+        """Check that all engines have the schema of the replicated state."""
         wanted = shape(self.machine.tables["t"].schema)
         behind = self.machine.quiet("t")
         for name, engine in self.engines.items():
-            assert engine.shape != shape(ANCIENT) or name in behind, f"{name}: taken for one that is there"
-            if engine.there and name not in behind:
-                assert engine.running is None, f"{name}: something still runs"
-                assert engine.shape == wanted, f"{name}: {engine.shape}, the record says {wanted}"
+            assert engine.shape != shape(ANCIENT) or name in behind, (
+                f"{name}: with an older schema, but not marked as behind"
+            )
+            if engine.is_present and name not in behind:
+                assert engine.running is None, f"{name}: a statement still runs"
+                assert engine.shape == wanted, f"{name}: {engine.shape}, the replicated state has {wanted}"
 
 
-# What an engine may be, by what the record says of it: its state there, and whether it has the new schema.
+# Possible engines: the replicated state, and whether the engine has the new schema.
 FORWARD = [
     (pb.Change.WAITING, False),
     (pb.Change.ASKED, False),
@@ -213,7 +223,7 @@
 BACK = [*FORWARD, (pb.Change.ASKED_BACK, False), (pb.Change.ASKED_BACK, True), (pb.Change.UNDONE, False)]
 
 
-def standing(step, states, fence, back=True):
+def world_with_states(step, states, fence, back=True):
     """Return a world whose last holder died with the engines in these states."""
     world = World(1, engines=len(states), back=back, faults=0)
     change = world.machine.changes[world.number]
@@ -221,7 +231,7 @@
     for (name, engine), (state, new) in zip(world.engines.items(), states, strict=True):
         change.engines[name] = state
         engine.shape, engine.fence = shape(NEW if new else OLD), fence
-        engine.there = state != pb.Change.GONE_AWAY
+        engine.is_present = state != pb.Change.GONE_AWAY
         if state in (pb.Change.ASKED, pb.Change.ASKED_BACK):
             change.quiet.add(name)
     return world
@@ -234,8 +244,8 @@
     ended = Counter()
     for seed in range(int(sys.argv[1])):
         world = World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0)
-        world.play()
+        world.run_to_end()
         ended[{1: "finished", 2: "undone"}[world.machine.ended[world.number]]] += 1
-        ended["holders"] += world.holders
-        ended["statements"] += world.acted
+        ended["holders"] += world.holder_count
+        ended["statements"] += world.statement_count
     print(dict(ended))
