--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -80,8 +80,8 @@
         return pb.ContractAnswer.FromString(self.machine.apply(at, command, self.facts))
 
     def register(self, name, version=11, term_ms=MIN_TERM_MS, **reads):
-        told = [reads_message(parse_reads(table, text)) for table, text in reads.items()]
-        return self.do(register=pb.Register(name=name, version=version, term_ms=term_ms, reads=told))
+        messages = [reads_message(parse_reads(table, text)) for table, text in reads.items()]
+        return self.do(register=pb.Register(name=name, version=version, term_ms=term_ms, reads=messages))
 
     def propose(self, table, text, publisher="load", engines=(), back=("undo",), **more):
         schema = schema_message(parse_schema(text)) if text else None
@@ -268,8 +268,8 @@
 
 def test_publisher_is_only_warned_when_it_breaks_its_own_subscription(gate):
     gate.register("load", t="a int")
-    told = gate.propose("t", "a bigint, b string")
-    assert not told.refusal and rules(told.readers[0].found) == ["own"]
+    answer = gate.propose("t", "a bigint, b string")
+    assert not answer.refusal and rules(answer.readers[0].found) == ["own"]
     assert not gate.machine.subscriptions
 
 
@@ -431,19 +431,19 @@
     def step(*events):
         return world.rollout.step(0.0, events)
 
-    def told(action):
+    def apply_command(action):
         return rollout.CommandCompleted(action.token, world.apply(action.command))
 
-    (mark,) = step(told(*step()))
-    (quiet,) = step(told(mark))
+    (mark,) = step(apply_command(*step()))
+    (quiet,) = step(apply_command(mark))
     (mark,) = step(rollout.Drained(quiet.token, "e0"))
-    (run,) = step(told(mark))
+    (run,) = step(apply_command(mark))
     assert isinstance(run, rollout.RunStatement)
     (mark,) = step(rollout.EngineLeft("e0"))
     step(rollout.EngineReturned("e0"))
-    release, mark = step(told(mark))
-    (mark,) = step(told(mark))
-    (quiet,) = step(told(mark))
+    release, mark = step(apply_command(mark))
+    (mark,) = step(apply_command(mark))
+    (quiet,) = step(apply_command(mark))
     (stop,) = step(rollout.Drained(quiet.token, "e0"))
     assert isinstance(stop, rollout.StopStatement)
     (look,) = step(rollout.StatementStopped(stop.token, "e0"))
@@ -506,7 +506,7 @@
 
 
 def test_subscription_is_parsed_from_session_options():
-    told = parse_subscription(
+    subscription = parse_subscription(
         {
             "fennelwind.subscriber": "Nightly",
             "fennelwind.subscriber.term_s": "60",
@@ -518,18 +518,20 @@
         10,
         "sales",
     )
-    assert (told.name, told.version, told.term_s) == ("nightly", 11, 60.0)
-    assert {each.table: reads_text(each) for each in told.reads} == {
+    assert (subscription.name, subscription.version, subscription.term_s) == ("nightly", 11, 60.0)
+    assert {each.table: reads_text(each) for each in subscription.reads} == {
         "sales.orders": "id bigint not null, total decimal(10,2) by name",
         "other.items": "* by place",
         "s.x": "1 a int, 4 `by` string by place",
     }
     assert parse_subscription({"fennelwind.key": "x"}, 10) is None
-    assert pb.ContractCommand.FromString(told.command().SerializeToString()).register.term_ms == 60_000
+    assert (
+        pb.ContractCommand.FromString(subscription.command().SerializeToString()).register.term_ms == 60_000
+    )
 
 
 def test_publication_is_parsed_from_a_statements_overlay():
-    told = parse_publication(
+    publication = parse_publication(
         {
             "fennelwind.publisher": "load",
             "fennelwind.schema.Sales.Orders": "id bigint, note string default ''",
@@ -537,7 +539,7 @@
             "fennelwind.back": "ALTER ...",
         }
     )
-    sent = told.command(("e1",), ("ALTER TABLE ...",)).propose
+    sent = publication.command(("e1",), ("ALTER TABLE ...",)).propose
     assert (sent.table, sent.version, list(sent.engines), list(sent.back)) == (
         "sales.orders",
         47,
@@ -666,15 +668,15 @@
 def random_command(random):
     """Return a command with random fields, some of its bytes changed."""
     kind = random.choice(pb.ContractCommand.DESCRIPTOR.oneofs_by_name["what"].fields).name
-    told = pb.ContractCommand(rules=RULES_VERSION)
-    made = fill(getattr(told, kind), random)
+    command = pb.ContractCommand(rules=RULES_VERSION)
+    message = fill(getattr(command, kind), random)
     if random.random() < 0.7:
-        set_valid_values(made, random)
-    getattr(told, kind).SetInParent()
+        set_valid_values(message, random)
+    getattr(command, kind).SetInParent()
     for name in ("table", "name", "publisher"):
-        if hasattr(made, name) and random.random() < 0.8:
-            setattr(made, name, random.choice(("t", "u", "T", "", "a.b", "é" * 300)))
-    raw = bytearray(told.SerializeToString())
+        if hasattr(message, name) and random.random() < 0.8:
+            setattr(message, name, random.choice(("t", "u", "T", "", "a.b", "é" * 300)))
+    raw = bytearray(command.SerializeToString())
     for _ in range(random.choice((0, 0, 1, 3))):
         raw[random.randrange(len(raw))] = random.randrange(256)
     return bytes(raw)
--- a/tests/support/contracts_search.py
+++ b/tests/support/contracts_search.py
@@ -281,7 +281,7 @@
         return len(self.nodes)
 
     def stuck(self):
-        """Return the states that reach no idle state (no change, no move), and those that reach no admission."""
+        """Return the states that reach no idle one (no change or move), and those that reach no admission."""
         rest = {key for key in self.nodes if key[1] is None and not key[3]}
         return (
             self.nodes.keys() - self.reaching(rest),
--- a/tests/support/contracts_world.py
+++ b/tests/support/contracts_world.py
@@ -91,12 +91,12 @@
         """Give the lease to a new holder, which starts from the replicated state."""
         self.fence += 1
         self.holder_count += 1
-        told = self.machine.changes[self.number]
-        copy = read_change(pb.Change.FromString(self._snapshot(told)))
+        change = self.machine.changes[self.number]
+        copy = read_change(pb.Change.FromString(self._snapshot(change)))
         self.rollout = Rollout(copy, self.machine.tables["t"].schema, self.fence, PATIENCE)
         self.events = []
 
-    def _snapshot(self, told):
+    def _snapshot(self, change):
         state = pb.ContractState.FromString(self.machine.snapshot())
         return state.changes[0].SerializeToString()
 
