--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -23,12 +23,12 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Loop, Once
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility.rules import NUMBER, RULES
+from fennelwind.schema_compatibility.rules import RULES, RULES_VERSION
 from fennelwind.schema_compatibility.session_options import (
     Publication,
     Subscription,
-    publication,
-    subscription,
+    parse_publication,
+    parse_subscription,
 )
 from fennelwind.schema_compatibility.state_machine import FINISHED, LAPSED, UNDONE, WITHDRAWN
 
@@ -141,8 +141,8 @@
     # Subscribers.
 
     def subscribe(self, configuration: dict[str, str], protocol: int, database: str) -> Subscriber | None:
-        """Subscribe a session to the reads it declares; None if it declares none. Raises `SaidError`."""
-        declared = subscription(configuration, protocol, database)
+        """Subscribe a session to its declared reads, or return None. Raises `SessionOptionError`."""
+        declared = parse_subscription(configuration, protocol, database)
         if declared is None:
             return None
         known = self.subscribers.get(declared)
@@ -240,7 +240,7 @@
                 :MAX_RENEWALS_PER_COMMAND
             ]
             command = pb.ContractCommand(
-                rules=NUMBER, renew=pb.Renew(numbers=[s.registration_number for s in due])
+                rules=RULES_VERSION, renew=pb.Renew(numbers=[s.registration_number for s in due])
             )
             try:
                 answer = self._propose(command)
@@ -258,8 +258,8 @@
     # Publishers.
 
     def publication(self, overlay: dict[str, str], database: str) -> Publication | None:
-        """Return the schema change declared with a statement; None if there is none. Raises `SaidError`."""
-        return publication(overlay, database)
+        """Return the schema change that a statement declares, or None. Raises `SessionOptionError`."""
+        return parse_publication(overlay, database)
 
     def publish(self, change: Publication, statement: str, until_ms: float) -> list[str]:
         """Have a schema change checked and rolled out; return its findings, as texts. Raises `GateError`."""
@@ -343,7 +343,7 @@
     detail = f" ({finding.what})" if finding.what else ""
     if rule is None:
         return f"{column}{finding.rule}{detail}"
-    return f"{column}{rule.says}{detail}. {rule.instead}".rstrip()
+    return f"{column}{rule.description}{detail}. {rule.remedy}".rstrip()
 
 
 def finding_lines(answer: pb.ContractAnswer) -> list[str]:
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -2,12 +2,12 @@
 
 from fennelwind.cluster import gate_pb2
 from fennelwind.schema_compatibility.messages import schema_message
-from fennelwind.schema_compatibility.state_machine import ContractMachine, change_message
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine, change_message
 
 MAX_LISTED_ENGINES = 10_000  # quiesced or behind, in one answer; with long addresses a quarter of a frame
 
 
-def answer_change_query(machine: ContractMachine, body: bytes) -> bytes:
+def answer_change_query(machine: SchemaStateMachine, body: bytes) -> bytes:
     """Answer a `ChangeQuery` from the state machine's state. Raises `DecodeError`."""
     query, answer = gate_pb2.ChangeQuery.FromString(body), gate_pb2.ChangeTold()
     if query.open:
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -30,7 +30,7 @@
 from fennelwind.schema_compatibility import contracts_pb2 as pb
 from fennelwind.schema_compatibility import rollout
 from fennelwind.schema_compatibility.messages import read_schema
-from fennelwind.schema_compatibility.state_machine import Underway, read_change
+from fennelwind.schema_compatibility.state_machine import SchemaChange, read_change
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
 LEASE_PREFIX = "table:"  # with the table's name: the lease for rollouts of the table
@@ -46,7 +46,7 @@
 BARRIER_CHECK_MS = 500.0  # ms between two barrier requests
 NO_TABLE = "42S02"  # SQLSTATE of a DESCRIBE of a missing table
 
-Carrier = rollout.Carrier
+Rollout = rollout.Rollout
 ExcludedEngines = dict[str, frozenset[str]]  # by table: engines to which no new query of it may go
 # Parameters: the view's index, excluded engines, pairs of table and engine being quiesced, whether the view
 # is complete.
@@ -192,7 +192,7 @@
         self,
         rollouts: SchemaRollouts,
         held: HeldLease,
-        change: Underway,
+        change: SchemaChange,
         old_schema: Schema | None,
         read_index: int,
     ) -> None:
@@ -201,10 +201,10 @@
         self._quiesced_since = dict.fromkeys(change.quiet, read_index)
         self._drain_tokens: dict[str, int] = {}  # by engine: the token of the last `Quiet` action
         self.rollouts, self.loop, self.held, self.change = rollouts, rollouts.loop, held, change
-        patience = rollout.Patience(
+        patience = rollout.RolloutTimeouts(
             answer_ms=STATEMENT_TIMEOUT_MS + STOP_TIMEOUT_MS, record_ms=PROPOSE_TIMEOUT_MS + RETRY_MS
         )
-        self.core = Carrier(change, old_schema, held.fencing_token, patience)
+        self.core = Rollout(change, old_schema, held.fencing_token, patience)
         self.work: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
         self._statements: dict[str, Statement] = {}  # the last statement for each engine
         # An engine that the last holder recorded as removed may be back: `Returned` is posted for it then.
@@ -212,7 +212,7 @@
             name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY
         }
 
-    def run(self) -> rollout.Over:
+    def run(self) -> rollout.RolloutEnded:
         """Run the rollout to its end. Raises `LeaseNotHeldError` when too little of the lease is left."""
         try:
             while True:
@@ -232,41 +232,41 @@
         for engine in sorted(self.change.engines):
             if engine in self._present_engines and engine not in known:
                 self._present_engines.discard(engine)
-                self.work.post(rollout.Left(engine))
+                self.work.post(rollout.EngineLeft(engine))
             elif engine not in self._present_engines and engine in known:
                 self._present_engines.add(engine)
-                self.work.post(rollout.Returned(engine))
+                self.work.post(rollout.EngineReturned(engine))
 
     def _carry_out(self, action: rollout.Action) -> None:
         match action:
-            case rollout.Tell():
+            case rollout.ProposeCommand():
                 self.work.spawn(self._submit_command, action)
-            case rollout.Quiet(token, engine) if self.rollouts.quiescence is None:
+            case rollout.AwaitDrain(token, engine) if self.rollouts.quiescence is None:
                 self.work.post(rollout.Drained(token, engine))  # the engine's table lock is relied on
-            case rollout.Quiet(token, engine):
+            case rollout.AwaitDrain(token, engine):
                 self._drain_tokens[engine] = token
                 self.work.spawn(self._await_drain, token, engine)
-            case rollout.Run():
+            case rollout.RunStatement():
                 self.work.spawn(self._run_statement, action)
-            case rollout.Stop():
+            case rollout.StopStatement():
                 self.work.spawn(self._stop_statement, action)
-            case rollout.Look():
+            case rollout.DescribeTable():
                 self.work.spawn(self._describe_table, action)
 
-    def _submit_command(self, action: rollout.Tell) -> None:
+    def _submit_command(self, action: rollout.ProposeCommand) -> None:
         try:
             command = action.command.SerializeToString(deterministic=True)
             result = self.rollouts.client.propose_with_index(CONTRACTS, command, PROPOSE_TIMEOUT_MS)
         except ClusterError as exc:
             self.rollouts.counts[exc.code] += 1
-            self.work.post(rollout.Recorded(action.token, None))
+            self.work.post(rollout.CommandCompleted(action.token, None))
         else:
             answer, mark = pb.ContractAnswer.FromString(result.body), action.command.mark
             if action.command.HasField("mark") and not mark.quiet:
                 self._quiesced_since.pop(mark.engine, None)
             elif action.command.HasField("mark") and not answer.refusal:
                 self._quiesced_since.setdefault(mark.engine, result.index)
-            self.work.post(rollout.Recorded(action.token, answer))
+            self.work.post(rollout.CommandCompleted(action.token, answer))
 
     def _await_drain(self, token: int, engine: str) -> None:
         """Wait until no controller has a query of the table on an engine; a newer `Quiet` ends the wait."""
@@ -287,7 +287,7 @@
                 return
             self.loop.sleep(BARRIER_CHECK_MS)
 
-    def _run_statement(self, action: rollout.Run) -> None:
+    def _run_statement(self, action: rollout.RunStatement) -> None:
         with self.held.operation(STATEMENT_TIMEOUT_MS) as operation:
             statement = self._statements[action.engine] = self.rollouts.statements.create(action.engine)
             status, _ = statement.run(action.statement, dict(action.overlay), STATEMENT_TIMEOUT_MS)
@@ -297,15 +297,15 @@
                 "statement " + status,
                 {"engine": action.engine, "table": self.change.table, "text": statement.error_text[:300]},
             )
-        self.work.post(rollout.Ran(action.token, action.engine, status))
+        self.work.post(rollout.StatementEnded(action.token, action.engine, status))
 
-    def _stop_statement(self, action: rollout.Stop) -> None:
+    def _stop_statement(self, action: rollout.StopStatement) -> None:
         statement = self._statements[action.engine]
         while not statement.stop(STOP_TIMEOUT_MS):
             self.loop.sleep(RETRY_MS)  # until the core's own deadline
-        self.work.post(rollout.Stopped(action.token, action.engine))
+        self.work.post(rollout.StatementStopped(action.token, action.engine))
 
-    def _describe_table(self, action: rollout.Look) -> None:
+    def _describe_table(self, action: rollout.DescribeTable) -> None:
         table_name = ".".join(quoted(part) for part in self.change.table.split("."))
         with self.held.operation(STATEMENT_TIMEOUT_MS):
             statement = self.rollouts.statements.create(action.engine)
@@ -314,15 +314,15 @@
             )
         if status == OK:
             try:
-                self.work.post(rollout.Looked(action.token, action.engine, parse_description(rows)))
+                self.work.post(rollout.TableDescribed(action.token, action.engine, parse_description(rows)))
                 return
             except (SchemaTextError, SchemaError) as exc:
                 statement.error_text = f"unreadable description: {exc}"
         elif statement.sql_state == NO_TABLE:
-            self.work.post(rollout.Looked(action.token, action.engine, None))
+            self.work.post(rollout.TableDescribed(action.token, action.engine, None))
             return
         self.rollouts.log(
             "describe " + status,
             {"engine": action.engine, "table": self.change.table, "text": statement.error_text[:300]},
         )
-        self.work.post(rollout.LookFailed(action.token, action.engine, status == FENCED))
+        self.work.post(rollout.DescribeFailed(action.token, action.engine, status == FENCED))
--- a/tests/support/contracts_defects.py
+++ b/tests/support/contracts_defects.py
@@ -1,6 +1,6 @@
-"""Defects planted in the gate, and what finds each: a proof that can't fail proves nothing.
+"""Defects planted in schema compatibility and the check that finds each, as proof that the checks can fail.
 
-`python tests/support/contracts_defects.py` prints the table: which finder, after how many plays.
+`python tests/support/contracts_defects.py` prints a table of finders and of the plays that each needed.
 """
 
 import search_paths  # noqa: F401 - for a play that is run by hand
@@ -20,14 +20,14 @@
 from fennelwind.benchmarks import contract_rows
 from fennelwind.schema_compatibility import checker, messages, rules, session_options, state_machine
 from fennelwind.schema_compatibility import contracts_pb2 as pb
-from fennelwind.schema_compatibility.rollout import Carrier
-from fennelwind.schema_compatibility.state_machine import ContractMachine
+from fennelwind.schema_compatibility.rollout import Rollout
+from fennelwind.schema_compatibility.state_machine import SchemaStateMachine
 
-CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client hands out as text all the same
+CAUTIOUS = ("other-kind", "key-other")  # rules that reject what a client would still return as text
 
 
 class Defect(NamedTuple):
-    """What is planted, what is tried to find it, and a written test that does as well, if plays take long."""
+    """A planted defect, its finder, and a written test that also finds it, where plays take long."""
 
     title: str
     finder: str
@@ -35,26 +35,26 @@
     written: str = ""
 
 
-# Finders: each returns after how many plays it fails, and how; None: it did not.
+# Finders: each returns after how many plays it failed, and how; None: it did not fail.
 
 
 def by_rows(seed: int) -> None:
-    """Hold verdicts against rows."""
+    """Compare verdicts with rows as read."""
     for rejected, how, found, _ in contract_rows.play(seed):
         assert (how == contract_rows.BROKEN) == rejected or (rejected and set(found) <= set(CAUTIOUS))
 
 
 def by_world(seed: int) -> None:
-    """Carry a change out under faults."""
-    World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0).play()
+    """Roll a change out under faults."""
+    World(seed, 1 + seed % 3, seed % 2 == 1, back=seed % 5 != 0, behind=seed % 4 == 0).run_to_end()
 
 
 def by_case(case: tuple[str, ...]) -> None:
-    """Look at a written case of tables."""
-    from test_contracts import told_verdict
+    """Check a written case of table verdicts."""
+    from test_contracts import verdict_of_change
 
     reads, old, new, verdict, rule = case
-    assert told_verdict(reads, old, new) == (verdict, sorted(rule.split()))
+    assert verdict_of_change(reads, old, new) == (verdict, sorted(rule.split()))
 
 
 def by_test(name: str) -> None:
@@ -67,7 +67,7 @@
 
 
 def find(finder: str, most: int) -> tuple[int, str] | None:
-    """Try a finder so often at most."""
+    """Run a finder with at most `most` plays."""
     if finder == "model":
         return by_model(GateModel, most)
     if finder == "cases":
@@ -78,13 +78,13 @@
 
 
 def last_step_only(real):
-    """Let subscribers expect whatever the last change has made of their columns."""
+    """Make subscribers expect the types that the last change gave their columns."""
 
     def finished(self, at, change, answer):
         real(self, at, change, answer)
-        now = change.form.by_number if change.form is not None else {}
+        now = change.indexed.by_number if change.indexed is not None else {}
         for subscription in list(self.subscriptions.values()):
-            self._unlist(subscription)
+            self._unindex_reads(subscription)
             subscription.reads = tuple(
                 replace(
                     reads,
@@ -96,7 +96,7 @@
                 else reads
                 for reads in subscription.reads
             )
-            self._list(subscription)
+            self._index_reads(subscription)
 
     return finished
 
@@ -105,25 +105,25 @@
     Defect(
         "admission from an old copy of the record",
         "model",
-        [Line(ContractMachine._barred, "told.version != answer.version", "False")],
-        "test_two_publishers_at_once_and_one_with_an_old_copy",
+        [Line(SchemaStateMachine._is_blocked, "command.version != answer.version", "False")],
+        "test_concurrent_and_stale_proposals_are_refused",
     ),
     Defect(
         "a lapsed subscriber still counts",
         "model",
-        [patch.object(ContractMachine, "_lapse", lambda self, subscription: None)],
+        [patch.object(SchemaStateMachine, "_expire", lambda self, subscription: None)],
     ),
     Defect(
         "a renewal does not lengthen the term",
         "model",
         [
             Line(
-                ContractMachine._renew,
-                "known.until_ms = max(known.until_ms, at.clock_ms + known.term_ms)",
+                SchemaStateMachine._renew,
+                "subscription.until_ms = max(subscription.until_ms, at.clock_ms + subscription.term_ms)",
                 "pass",
             )
         ],
-        "test_a_lapsed_subscriber_stops_nothing_and_is_told_what_came_when_it_returns",
+        "test_lapsed_subscription_blocks_no_change_and_its_return_reports_breaks",
     ),
     Defect(
         "names are compared with their case",
@@ -131,8 +131,8 @@
         [
             Line(
                 session_options.parse_reads,
-                "columns, how = parsed(READS_GRAMMAR, text)",
-                "columns, how = parsed(READS_GRAMMAR, text)\n"
+                "columns, access = parse_text(READS_GRAMMAR, text)",
+                "columns, access = parse_text(READS_GRAMMAR, text)\n"
                 "    for c in columns:\n"
                 "        c[1] = c[1].upper() if f'{c[1].upper()} ' in text else c[1]",
             )
@@ -143,32 +143,32 @@
         "model",
         [
             Line(
-                checker.check,
-                "forms(table).items():",
-                "forms(table).items():\n        if any(r.place for r in reads.columns):\n"
+                checker.check_change,
+                "subscribers(table).items():",
+                "subscribers(table).items():\n        if any(r.place for r in reads.columns):\n"
                 "            continue",
             )
         ],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "each step is held against the one before alone",
         "model",
-        [patch.object(ContractMachine, "_finished", last_step_only(ContractMachine._finished))],
-        "test_steps_that_are_each_harmless_and_together_break",
+        [patch.object(SchemaStateMachine, "_apply_schema", last_step_only(SchemaStateMachine._apply_schema))],
+        "test_compatible_steps_that_break_in_sum_are_refused",
     ),
     Defect(
         "`*` means what is there at the check",
         "model",
-        [Line(ContractMachine._resolved, "return replace(reads, columns=columns)", "return reads")],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        [Line(SchemaStateMachine._resolve, "return replace(reads, columns=columns)", "return reads")],
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "a name is a column, whichever bears it",
         "rows",
         [
             Line(
-                rules._by_name,
+                rules._find_by_name,
                 "(not read.number or not column.number or column.number == read.number)",
                 "True",
             )
@@ -177,14 +177,22 @@
     Defect(
         "a place is a column, whichever stands there",
         "rows",
-        [Line(rules._at_place, "if read.number and column.number else column.name == read.name", "or True")],
+        [
+            Line(
+                rules._find_at_place,
+                "if read.number and column.number else column.name == read.name",
+                "or True",
+            )
+        ],
     ),
     Defect(
         "whoever asks may act, without a fence",
         "model",
         [
             patch.object(
-                ContractMachine, "_acting", lambda self, told, facts, answer: self.changes.get(told.number)
+                SchemaStateMachine,
+                "_begun_change",
+                lambda self, command, facts, answer: self.changes.get(command.number),
             )
         ],
     ),
@@ -192,30 +200,36 @@
         "the fence is not in the snapshot",
         "model",
         [Line(state_machine.change_message, "fence=change.fence", "fence=0")],
-        "test_another_member_goes_on_where_the_first_one_stopped",
+        "test_change_continues_from_a_snapshot",
     ),
     Defect(
         "finished before all engines are",
         "model",
-        [Line(ContractMachine._finish, "Change.DONE in states <= {Change.DONE, *rest}", "True")],
-        "test_only_the_holder_of_the_tables_lease_carries_out_and_a_later_one_goes_on",
+        [Line(SchemaStateMachine._finish, "Change.DONE in states <= {Change.DONE, *not_required}", "True")],
+        "test_only_the_lease_holder_advances_a_change_and_a_later_holder_continues",
     ),
     Defect(
         "who registers meanwhile is held against the old schema alone",
         "model",
-        [Line(ContractMachine._forms, "forms + [change.form] if change is not None else forms", "forms")],
+        [
+            Line(
+                SchemaStateMachine._schemas_to_check,
+                "schemas + [change.indexed] if change is not None else schemas",
+                "schemas",
+            )
+        ],
     ),
     Defect(
         "shards under way are not asked for",
         "model",
-        [Line(ContractMachine._propose, 'facts.fact("moving", name) > 0', "False")],
+        [Line(SchemaStateMachine._propose, 'facts.fact("moving", name) > 0', "False")],
     ),
     Defect(
         "moves see a change once it has begun",
         "model",
         [
             Line(
-                ContractMachine.fact,
+                SchemaStateMachine.fact,
                 "key in self.by_table",
                 "key in self.by_table and self.changes[self.by_table[key]].step > 0",
             )
@@ -224,57 +238,80 @@
     Defect(
         "nobody breaks for a publisher",
         "model",
-        [Line(checker.check, "if others:", "if others and all(f.level < Level.BROKEN for f in findings):")],
-        "test_a_change_that_breaks_nobody_stands_and_one_that_does_names_who_and_what",
+        [
+            Line(
+                checker.check_change,
+                "if others:",
+                "if others and all(f.level < Level.BROKEN for f in findings):",
+            )
+        ],
+        "test_compatible_change_is_applied_and_breaking_one_names_subscribers_and_rules",
     ),
     Defect(
         "nulls are not looked at",
         "rows",
-        [Line(rules._of_column, "column.nullable and not read.nullable", "False")],
+        [Line(rules._column_findings, "column.nullable and not read.nullable", "False")],
     ),
     Defect(
         "decimals by precision alone",
         "rows",
         [
             Line(
-                rules._plain,
-                "behind <= scale and digits - behind <= precision - scale",
-                "digits <= precision",
+                rules._plain_type_rule,
+                "given_scale <= scale and given_precision - given_scale <= precision - scale",
+                "given_precision <= precision",
             )
         ],
     ),
-    Defect("keys of maps are not looked at", "rows", [Line(rules._nested, "RULES[key].level", "False")]),
+    Defect(
+        "keys of maps are not looked at",
+        "rows",
+        [Line(rules._nested_type_rules, "RULES[key_rule].level", "False")],
+    ),
     Defect(
         "all versions of the protocol carry all",
         "rows",
-        [patch.object(rules, "carried", lambda given, version: ())],
+        [patch.object(rules, "protocol_rules", lambda given, version: ())],
     ),
     Defect(
         "a late answer is taken for the present question's",
         "world",
         [
-            Line(Carrier._take, "event.token == self._told", "True"),
-            Line(Carrier._of_engine, "event.token != part.token", "False"),
+            Line(Rollout._handle, "event.token == self._command_token", "True"),
+            Line(Rollout._handle_engine_event, "event.token != engine.token", "False"),
         ],
     ),
     Defect(
         "a lost answer is taken for success",
         "world",
-        [Line(Carrier._ran, 'part.unsure and how == "lost"', 'False; how = "ok" if how == "lost" else how')],
+        [
+            Line(
+                Rollout._on_statement_ended,
+                'engine.may_still_run and how == "lost"',
+                'False; how = "ok" if how == "lost" else how',
+            )
+        ],
     ),
     Defect(
         "what was lost is not stopped before the look",
         "world",
-        [Line(Carrier._ran, "self._stop(", "(self._stop if self._turning else self._look)(")],
+        [
+            Line(
+                Rollout._on_statement_ended,
+                "self._stop_statement(",
+                "(self._stop_statement if self._revert_reason else self._describe)(",
+            )
+        ],
     ),
     Defect(
         "answers count, no look",
         "world",
         [
             Line(
-                Carrier._ran,
-                "elif self._old != self._new:\n        self._look(now, part, actions)",
-                "elif how in ('ok', 'failed'):\n        self._settle(now, part, self._aim, actions)",
+                Rollout._on_statement_ended,
+                "elif self._old_shape != self._new_shape:\n        self._describe(now_ms, engine, actions)",
+                "elif how in ('ok', 'failed'):\n"
+                "        self._mark(now_ms, engine, self._target_state, actions)",
             )
         ],
     ),
@@ -283,9 +320,9 @@
         "world",
         [
             Line(
-                Carrier._of_engine,
-                "self._settle(now, part, state, actions, quiet=True)",
-                "self._run(now, part, actions)",
+                Rollout._handle_engine_event,
+                "self._mark(now_ms, engine, state, actions, quiet=True)",
+                "self._run_statement(now_ms, engine, actions)",
             )
         ],
     ),
@@ -294,25 +331,28 @@
         "world",
         [
             Line(
-                Carrier._settle,
-                "self._phase(",
-                "if part.state == Change.GONE_AWAY and state == Change.ASKED:\n"
-                "        state = Change.WAITING\n    self._phase(",
+                Rollout._mark,
+                "self._enter_phase(",
+                "if engine.state == Change.GONE_AWAY and state == Change.ASKED:\n"
+                "        state = Change.WAITING\n    self._enter_phase(",
             ),
             patch.object(
-                state_machine, "_FORWARD", state_machine._FORWARD | {(pb.Change.GONE_AWAY, pb.Change.WAITING)}
+                state_machine,
+                "_FORWARD_TRANSITIONS",
+                state_machine._FORWARD_TRANSITIONS | {(pb.Change.GONE_AWAY, pb.Change.WAITING)},
             ),
         ],
-        "test_an_engine_that_returns_half_way_is_not_taken_for_untouched",
+        "test_engine_returning_during_a_rollout_is_not_treated_as_unchanged",
     ),
     Defect(
         "an engine that missed a change is taken for one with the old schema",
         "world",
         [
             Line(
-                Carrier._looked,
-                "wanted = self._new",
-                "seen = self._old if part.state == Change.BEHIND else seen\n    wanted = self._new",
+                Rollout._on_table_described,
+                "expected = self._new_shape",
+                "described = self._old_shape if engine.state == Change.BEHIND else described\n"
+                "    expected = self._new_shape",
             )
         ],
     ),
@@ -320,9 +360,9 @@
 
 
 def search(defect: Defect, most: int = 0) -> tuple[int, str] | None:
-    """Plant a defect; return after how many plays its finder fails, and how; None: it does not.
+    """Plant a defect; return after how many plays its finder failed, and how; None: it did not fail.
 
-    most: plays; 0: the written test, if there is one, or else a hundred.
+    `most`: number of plays; 0: the written test, if there is one, else 100 plays.
     """
     _forget()
     try:
@@ -335,7 +375,12 @@
 
 
 def _forget() -> None:
-    for cached in (rules.type_rules, rules.carried, messages.read_all_reads, session_options.parse_reads):
+    for cached in (
+        rules.type_rules,
+        rules.protocol_rules,
+        messages.read_all_reads,
+        session_options.parse_reads,
+    ):
         getattr(cached, "cache_clear", int)()
 
 
