--- a/fennelwind/benchmarks/exact.py
+++ b/fennelwind/benchmarks/exact.py
@@ -17,7 +17,7 @@
 
 import highspy
 
-from fennelwind.shards.model import Planned, Shard, World
+from fennelwind.shards.model import MigrationPlan, Shard, World
 from fennelwind.shards.plan_checker import finished
 
 STATES_MOST = 200_000  # that `ordered` looks at, some 20 s
@@ -31,9 +31,9 @@
     bytes: int
 
 
-def settled(world: World, planned: Planned) -> World:
+def settled(world: World, planned: MigrationPlan) -> World:
     """Return the world when the moves that a plan lets go on have ended, and the others are undone."""
-    return finished(world, Planned(cancels=planned.cancels, keeps=planned.keeps))
+    return finished(world, MigrationPlan(cancels=planned.cancels, keeps=planned.keeps))
 
 
 def unmet(world: World) -> int:
--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -19,7 +19,7 @@
 from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import Named
-from fennelwind.shards.model import Bounds, Copy, Home, Shard, World
+from fennelwind.shards.model import Bounds, Replica, ReplicaHost, Shard, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import finished
 from fennelwind.shards.state_machine import COUNTED_SINCE, ShardMachine
@@ -48,11 +48,11 @@
         self.rates = {name: queries * weight / total / 60.0 for name, weight in weights.items()}  # a minute
         self.world = World()
         for n in range(ENGINES):
-            self.world.homes[f"e{n}"] = Home(f"e{n}", f"z{n % 3}", "", SIZE * SHARDS, SIZE)
+            self.world.homes[f"e{n}"] = ReplicaHost(f"e{n}", f"z{n % 3}", "", SIZE * SHARDS, SIZE)
         for n, name in enumerate(names):
             self.world.shards[name] = Shard(name, "t", SIZE, 2, 2)
             for engine in (f"e{n % ENGINES}", f"e{(n + 1 + n // ENGINES % 2 * 3) % ENGINES}"):
-                self.world.copies[name, engine] = Copy(name, engine)
+                self.world.copies[name, engine] = Replica(name, engine)
         self.machine = ShardMachine()
         self.machine.shards = dict(self.world.shards)
         self.named = [Named() for _ in range(CONTROLLERS)]
--- a/fennelwind/benchmarks/shard_cases.py
+++ b/fennelwind/benchmarks/shard_cases.py
@@ -3,7 +3,7 @@
 import random
 from dataclasses import replace
 
-from fennelwind.shards.model import Copy, Home, Move, Planned, Shard, World
+from fennelwind.shards.model import Migration, MigrationPlan, Replica, ReplicaHost, Shard, World
 
 GB = 1 << 30  # bytes
 ZONES = ("east", "north", "west")
@@ -17,7 +17,7 @@
     zones, mixed = chance.randint(1, 3), chance.random() < 0.3
     names = [f"e{number}" for number in range(chance.randint(3, 6))]
     for number, name in enumerate(names):
-        world.homes[name] = Home(
+        world.homes[name] = ReplicaHost(
             name, ZONES[number % zones], chance.choice(KINDS) if mixed else KINDS[0], 0, 0
         )
     for number in range(chance.randint(4, 12)):
@@ -35,7 +35,7 @@
     used = dict.fromkeys(names, 0)
     for shard in world.shards.values():
         for engine in _lie(chance, world, shard, used, names):
-            world.copies[shard.name, engine] = Copy(shard.name, engine)
+            world.copies[shard.name, engine] = Replica(shard.name, engine)
             used[engine] += shard.size
     slack = chance.choice((0.1, 0.3, 0.6, 1.0))  # how much room there is beside what lies there
     mean = sum(used.values()) // len(names)
@@ -134,11 +134,11 @@
         source, target = chance.choice(good), chance.choice(to)
         drops = chance.choice((source, chance.choice(good), ""))
         step = chance.choice(("planned", "reserved", "copying", "checked", "switched"))
-        world.moves[number] = Move(number, name, source, target, drops, step)
+        world.moves[number] = Migration(number, name, source, target, drops, step)
         if step != "planned":
-            world.copies[name, target] = Copy(name, target, "good" if step == "switched" else "coming")
+            world.copies[name, target] = Replica(name, target, "good" if step == "switched" else "coming")
         if step == "switched" and drops:
-            world.copies[name, drops] = Copy(name, drops, "leaving")
+            world.copies[name, drops] = Replica(name, drops, "leaving")
 
 
 def large(seed: int, engines: int = 200, shards: int = 20_000, tight: bool = False) -> World:
@@ -147,7 +147,7 @@
     world = World()
     names = [f"engine{number:03}" for number in range(engines)]
     for number, name in enumerate(names):
-        world.homes[name] = Home(name, ZONES[number % 3], KINDS[number % 10 == 0], 0, 0)
+        world.homes[name] = ReplicaHost(name, ZONES[number % 3], KINDS[number % 10 == 0], 0, 0)
     used = dict.fromkeys(names, 0)
     for number in range(shards):
         table = f"t{number % 400:03}"
@@ -164,7 +164,7 @@
         world.shards[shard.name] = shard
         some = chance.sample(names, 12)
         for engine in _lie(chance, world, shard, used, some):
-            world.copies[shard.name, engine] = Copy(shard.name, engine)
+            world.copies[shard.name, engine] = Replica(shard.name, engine)
             used[engine] += shard.size
     mean = sum(used.values()) // engines
     for name in names:
@@ -185,7 +185,7 @@
     return world
 
 
-def adopt(world: World, planned: Planned) -> World:
+def adopt(world: World, planned: MigrationPlan) -> World:
     """Return the world when a plan has been taken into the record and its cancels are carried out."""
     after = World(
         dict(world.shards),
@@ -208,12 +208,12 @@
         if (move.shard, move.drops) in after.copies and after.copies[
             move.shard, move.drops
         ].state == "leaving":
-            after.copies[move.shard, move.drops] = Copy(move.shard, move.drops)
+            after.copies[move.shard, move.drops] = Replica(move.shard, move.drops)
     after.moves.update((move.number, move) for move in planned.moves)
     return after
 
 
-def may_step(world: World, move: Move) -> bool:
+def may_step(world: World, move: Migration) -> bool:
     """Return whether a move's next step may be done: what it waits for is done, its engines are there."""
     lives = world.homes[move.target].life != "gone" and world.homes[move.source].life != "gone"
     if move.step == "planned":
@@ -233,11 +233,11 @@
     move = world.moves[number]
     following = {"planned": "reserved", "reserved": "copying", "copying": "checked", "checked": "switched"}
     if move.step == "planned":
-        world.copies[move.shard, move.target] = Copy(move.shard, move.target, "coming")
+        world.copies[move.shard, move.target] = Replica(move.shard, move.target, "coming")
     if move.step == "checked":
-        world.copies[move.shard, move.target] = Copy(move.shard, move.target)
+        world.copies[move.shard, move.target] = Replica(move.shard, move.target)
         if (move.shard, move.drops) in world.copies:
-            world.copies[move.shard, move.drops] = Copy(move.shard, move.drops, "leaving")
+            world.copies[move.shard, move.drops] = Replica(move.shard, move.drops, "leaving")
     if move.step == "switched":
         world.copies.pop((move.shard, move.drops), None)
         del world.moves[number]
--- a/fennelwind/benchmarks/shard_defects.py
+++ b/fennelwind/benchmarks/shard_defects.py
@@ -5,18 +5,18 @@
 
 from fennelwind.benchmarks.shard_cases import small
 from fennelwind.shards.constraints import View
-from fennelwind.shards.model import Copy, Planned, World
+from fennelwind.shards.model import MigrationPlan, Replica, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import check
 from fennelwind.shards.transfer_order import Sequence
 
-Planner = Callable[[World], Planned]
+Planner = Callable[[World], MigrationPlan]
 
 
 def _seen(**changes: Callable[[World], object]) -> Planner:
     """Return a planner that sees a world of which something is another way."""
 
-    def planner(world: World) -> Planned:
+    def planner(world: World) -> MigrationPlan:
         seen = World(
             dict(world.shards),
             dict(world.homes),
@@ -32,7 +32,7 @@
     return planner
 
 
-def _told(makes: Callable[[World, Planned], Planned]) -> Planner:
+def _told(makes: Callable[[World, MigrationPlan], MigrationPlan]) -> Planner:
     """Return a planner whose plan is told with a change."""
     return lambda world: makes(world, plan(world))
 
@@ -40,7 +40,7 @@
 def _broken(place: type, name: str, makes: Callable) -> Planner:
     """Return a planner of which one function is another."""
 
-    def planner(world: World) -> Planned:
+    def planner(world: World) -> MigrationPlan:
         right = getattr(place, name)
         setattr(place, name, makes(right))
         try:
@@ -51,11 +51,11 @@
     return planner
 
 
-def _each(**values: object) -> Callable[[Planned], Planned]:
+def _each(**values: object) -> Callable[[MigrationPlan], MigrationPlan]:
     return lambda planned: replace(planned, moves=tuple(replace(move, **values) for move in planned.moves))
 
 
-def _last_copy(world: World, planned: Planned) -> Planned:
+def _last_copy(world: World, planned: MigrationPlan) -> MigrationPlan:
     """Drop a good copy of the first shard that has only one."""
     for name in sorted(world.shards):
         good = [
@@ -68,7 +68,7 @@
     return planned
 
 
-def _one_less(world: World, planned: Planned) -> Planned:
+def _one_less(world: World, planned: MigrationPlan) -> MigrationPlan:
     """Drop a copy that is wanted, as soon as the first move has been planned."""
     if not planned.moves:
         return planned
@@ -104,7 +104,7 @@
     "doubtful copies not counted on the disk": _seen(copies=_without("doubtful")),
     "doubtful counted as good": _seen(
         copies=lambda world: {
-            pair: Copy(*pair) if copy.state == "doubtful" else copy for pair, copy in world.copies.items()
+            pair: Replica(*pair) if copy.state == "doubtful" else copy for pair, copy in world.copies.items()
         }
     ),
     "coming counted as good": _broken(
--- a/fennelwind/benchmarks/shards.py
+++ b/fennelwind/benchmarks/shards.py
@@ -16,7 +16,7 @@
 from fennelwind.benchmarks.shard_cases import adopt, change, large, may_step, small, step
 from fennelwind.benchmarks.shard_defects import DEFECTS
 from fennelwind.benchmarks.shard_defects import found as found_defect
-from fennelwind.shards.model import Bounds, Move, Planned, Shard, World
+from fennelwind.shards.model import Bounds, Migration, MigrationPlan, Shard, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import check, finished
 
@@ -37,12 +37,12 @@
     return (middle - half) / (1 + z * z / count), (middle + half) / (1 + z * z / count)
 
 
-def largest_first(world: World) -> Planned:
+def largest_first(world: World) -> MigrationPlan:
     """Return the plain plan: the largest shard first, each missing copy to the engine with the most space."""
     return _plainly(world, lambda shard, engine, free: free)
 
 
-def hashed(world: World) -> Planned:
+def hashed(world: World) -> MigrationPlan:
     """Return the plan that hashes all anew: copies go to the engines that rank highest for the name."""
 
     def rank(shard: Shard, engine: str, free: int) -> float:
@@ -53,7 +53,7 @@
     return _plainly(world, rank, anew=True)
 
 
-def _plainly(world: World, rank: Callable[[Shard, str, int], float], anew: bool = False) -> Planned:
+def _plainly(world: World, rank: Callable[[Shard, str, int], float], anew: bool = False) -> MigrationPlan:
     """Return moves that begin all at once, or where space is found, in the order of shards' sizes."""
     living = [name for name, home in sorted(world.homes.items()) if home.life != "gone"]
     free = {name: world.homes[name].disk - world.homes[name].headroom for name in living}
@@ -63,7 +63,7 @@
             free[engine] -= world.shards[shard].size
             if copy.state == "good":
                 good[shard].add(engine)
-    moves: list[Move] = []
+    moves: list[Migration] = []
     for shard in sorted(world.shards.values(), key=lambda one: (-one.size, one.name)):
         here = good[shard.name]
         if not here or shard.table in world.frozen:
@@ -93,11 +93,11 @@
         for name in chosen:
             if name not in here:
                 drops = outs.pop(0) if outs else ""
-                moves.append(Move(len(moves) + 1, shard.name, source, name, drops))
+                moves.append(Migration(len(moves) + 1, shard.name, source, name, drops))
                 free[name] -= shard.size
                 if drops:
                     free[drops] += 0 if anew else shard.size
-    return Planned(tuple(moves), bytes=sum(world.shards[move.shard].size for move in moves))
+    return MigrationPlan(tuple(moves), bytes=sum(world.shards[move.shard].size for move in moves))
 
 
 @dataclass(slots=True)
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -134,19 +134,19 @@
         return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, InFlightTracker())
 
     def _serve_shards(self, keeper: "ClusterRuntime") -> None:
-        from fennelwind.shards.model import Bounds, Home
+        from fennelwind.shards.model import Bounds, ReplicaHost
         from fennelwind.shards.shards_pb2 import Shard
 
         told, kinds = self.settings.file.moves, self.settings.file.kinds
         parts = 2 ** len(self.driver.router.slots)
 
-        def homes() -> list[Home]:
+        def homes() -> list[ReplicaHost]:
             found = []
             for name, engine in self.driver.gateway.engines.items():
                 entry = engine.endpoint
                 kind = kinds[entry.kind // parts]
                 found.append(
-                    Home(
+                    ReplicaHost(
                         name,
                         self.settings.zones[entry.zone],
                         kind.name,
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -31,7 +31,7 @@
 from fennelwind.raft.state_machine import StateMachine
 from fennelwind.raft_storage.store import StoreLimits
 from fennelwind.shards.access_load import Named
-from fennelwind.shards.model import Bounds, Home
+from fennelwind.shards.model import Bounds, ReplicaHost
 from fennelwind.shards.shards_pb2 import Shard
 
 ENGINES_CHECK_MS = 100.0  # ms between two checks whether any engine is known here
@@ -106,7 +106,7 @@
     def serve_shards(
         self,
         links: EngineClient,
-        homes: Callable[[], Iterable[Home]],
+        homes: Callable[[], Iterable[ReplicaHost]],
         staging: str,
         bounds: Bounds,
         shards: Iterable[Shard],
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -27,7 +27,7 @@
 from fennelwind.shards import migration as api
 from fennelwind.shards import migration_statements
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.model import Bounds, Home, Planned, World
+from fennelwind.shards.model import Bounds, MigrationPlan, ReplicaHost, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.state_machine import LEASE, PLAN_MOST, ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
@@ -110,12 +110,12 @@
         client: RaftClient,
         tasks: LeasedTasks,
         statements: EngineStatements,
-        homes: Callable[[], Iterable[Home]],
+        homes: Callable[[], Iterable[ReplicaHost]],
         staging: str,
         said: Callable[[str, dict], None],
         bounds: Bounds | None = None,
         timing: api.Timing | None = None,
-        planner: Callable[[World, Bounds], Planned] = plan,
+        planner: Callable[[World, Bounds], MigrationPlan] = plan,
         shards: Iterable[pb.Shard] = (),
         record: ReplicatedState | None = None,
     ) -> None:
--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -3,7 +3,7 @@
 import math
 
 from fennelwind.shards.constraints import heats, mean, span_wanted, takes, wanted
-from fennelwind.shards.model import Bounds, Move, Shard
+from fennelwind.shards.model import Bounds, Migration, Shard
 from fennelwind.shards.target_placement import Board
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
@@ -56,7 +56,7 @@
         return CHANCE * math.sqrt(unit * max(self.heat[engine], self.heat_mean) / 2.0)
 
 
-def still(board: Board, moves: list[Move]) -> list[int]:
+def still(board: Board, moves: list[Migration]) -> list[int]:
     """Return the planned moves for evenness whose engine no longer stands out."""
     view, bounds = board.view, board.bounds
     share = {name: board.load[name] / max(1, view.limit[name]) for name in board.load}
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -14,7 +14,7 @@
 from collections.abc import Set as AbstractSet
 from dataclasses import dataclass, field
 
-from fennelwind.shards.model import Copy, Home, Move, Shard, World
+from fennelwind.shards.model import Migration, Replica, ReplicaHost, Shard, World
 
 ENDED = ("done", "undone")  # steps of a move that is over
 HELD = ("reserved", "copying", "checked")  # steps with space taken and a copy that is not good yet
@@ -31,7 +31,7 @@
     return max(1, min(shard.zones, wanted(shard)))
 
 
-def takes(home: Home, shard: Shard) -> bool:
+def takes(home: ReplicaHost, shard: Shard) -> bool:
     """Return whether the engine may be given a copy of the shard, space aside."""
     return home.life in ("ready", "cold") and (not shard.kinds or home.kind in shard.kinds)
 
@@ -41,8 +41,8 @@
     """The world as it is, and as it will be when the moves that go on have ended."""
 
     world: World
-    live: dict[int, Move] = field(default_factory=dict)  # moves that are not over, by number
-    kept: dict[int, Move] = field(default_factory=dict)  # moves that go on, by number
+    live: dict[int, Migration] = field(default_factory=dict)  # moves that are not over, by number
+    kept: dict[int, Migration] = field(default_factory=dict)  # moves that go on, by number
     cancels: dict[int, str] = field(default_factory=dict)  # and why
     keeps: set[int] = field(default_factory=set)  # moves whose drop falls away
     now: dict[str, set[str]] = field(default_factory=dict)  # by shard: engines with a good copy
@@ -55,7 +55,9 @@
         default_factory=dict
     )  # copies that kept moves bring, by which
     clears: set[tuple[str, str]] = field(default_factory=set)  # copies that kept moves wait to have dropped
-    idle: list[Move] = field(default_factory=list)  # planned ones that evenness alone can be the cause of
+    idle: list[Migration] = field(
+        default_factory=list
+    )  # planned ones that evenness alone can be the cause of
     going: set[tuple[str, str]] = field(
         default_factory=set
     )  # copies of cancelled moves, that go by themselves
@@ -74,7 +76,7 @@
         fit = {engine for engine in engines if takes(self.world.homes[engine], shard)}
         return len(fit) >= wanted(shard) and self.span(fit) >= span_wanted(shard)
 
-    def released(self, move: Move) -> int:
+    def released(self, move: Migration) -> int:
         """Return the bytes that leave the engine that a move drops from."""
         if move.drops not in self.used or move.number in self.keeps:
             return 0
@@ -125,7 +127,7 @@
     return view
 
 
-def _strays(view: View, live: dict[int, Move]) -> None:
+def _strays(view: View, live: dict[int, Migration]) -> None:
     """Find copies that go by themselves, and those that no move knows of."""
     for number in view.cancels:
         move = view.world.moves[number]
@@ -140,7 +142,7 @@
             view.orphans.append((shard, engine))
 
 
-def _judge(view: View, live: dict[int, Move]) -> None:
+def _judge(view: View, live: dict[int, Migration]) -> None:
     """Sort the moves that are not over into those that go on and those that have become wrong."""
     while True:
         before = len(view.cancels)
@@ -161,7 +163,7 @@
             return
 
 
-def _wrong(view: View, move: Move) -> str:
+def _wrong(view: View, move: Migration) -> str:
     """Return why a move that has not been switched to can't go on, or nothing."""
     world = view.world
     shard, target = world.shards[move.shard], world.homes.get(move.target)
@@ -204,12 +206,12 @@
     return ""
 
 
-def _is_good(copy: Copy | None, state: str) -> bool:
+def _is_good(copy: Replica | None, state: str) -> bool:
     """Tell whether a copy is in this state and was known to be good."""
     return copy is not None and copy.state == state and not copy.wrong
 
 
-def _clears(view: View, move: Move, pair: tuple[str, str]) -> bool:
+def _clears(view: View, move: Migration, pair: tuple[str, str]) -> bool:
     """Return whether a copy that a planned move waits to have dropped is gone, going or may go."""
     world, (name, engine) = view.world, pair
     if name not in world.shards or engine not in view.holds[name] or pair in view.clears:
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -20,7 +20,7 @@
 
 from fennelwind.shards import migration_statements, transfer_throttle
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.model import Bounds, Home, Move, Planned, Shard, World
+from fennelwind.shards.model import Bounds, Migration, MigrationPlan, ReplicaHost, Shard, World
 from fennelwind.shards.state_machine import HOUR_MS, MOVES_MOST, PLAN_MOST, ShardMachine
 
 Step, Answer = pb.Step, pb.Answer
@@ -84,7 +84,7 @@
 class Heard:
     """News of engines; `held`: the shards that an engine lists, where it was asked."""
 
-    homes: tuple[Home, ...]
+    homes: tuple[ReplicaHost, ...]
     held: dict[str, frozenset[str]] = field(default_factory=dict)
 
 
@@ -102,7 +102,7 @@
     """A plan was made."""
 
     token: int
-    planned: Planned
+    planned: MigrationPlan
 
 
 Event = Seen | Proposed | Ended | Heard | Quiet | Made
@@ -205,7 +205,7 @@
         self.bounds, self.timing = bounds or Bounds(), timing or Timing()
         self.machine: ShardMachine | None = None
         self.frozen: frozenset[str] = frozenset()
-        self.planned = Planned()
+        self.planned = MigrationPlan()
         self.over = False
         self._index = 0
         self._need_index = since_index  # what is done was answered from there: an older copy is not acted on
@@ -222,11 +222,11 @@
         self._began = -1.0  # when it gained the lease: statements of the last holder may be on their way
         self._listed: dict[str, frozenset[str]] = {}  # what engines said last that they hold
         self._strange: dict[str, frozenset[str]] = {}  # where that was not what the record knows
-        self._news: dict[str, Home] = {}
+        self._news: dict[str, ReplicaHost] = {}
         self._plan_at = 0.0
         self._plan_of: tuple[int, frozenset[str]] | None = None  # changes and frozen tables of the last one
         self._plan_behind = 0  # the record's last move when it was asked for
-        self._fresh: Planned | None = None  # a plan that was made and is not looked at yet
+        self._fresh: MigrationPlan | None = None  # a plan that was made and is not looked at yet
         self._now = 0.0
         self._out: list[Action] = []
 
@@ -294,7 +294,7 @@
             self._asked[self._token] = _Asked(None, "planning", self._now + self.timing.planning_ms)
             self._out.append(Plan(self._token, self.machine.world(self.frozen), self.bounds))
 
-    def _first_sight(self, move: Move) -> _Work:
+    def _first_sight(self, move: Migration) -> _Work:
         """Take up a move. One that is under way is the last holder's, who may have sent a load just now."""
         if move.step in ("copying", "checked", "undoing"):
             pair, until = (move.shard, move.target), self._began + self._copy_ms(move.shard)
@@ -319,7 +319,7 @@
         command = pb.Command(fence=self.fence, **what)
         self._out.append(Propose(self._token, command.SerializeToString(deterministic=True)))
 
-    def _take(self, move: Move, kind: int, **more: object) -> None:
+    def _take(self, move: Migration, kind: int, **more: object) -> None:
         """Ask for a move's step."""
         self._propose(move.number, Step.Kind.Name(kind), step=Step(move=move.number, kind=kind, **more))
         self._asked[self._token].source = more.get("source", move.source)
@@ -388,7 +388,7 @@
 
     # Steps.
 
-    def _at_planned(self, move: Move, work: _Work) -> None:
+    def _at_planned(self, move: Migration, work: _Work) -> None:
         if any(ahead in self.machine.moves for ahead in move.after):
             return
         if work.tries >= self.timing.tries:
@@ -404,7 +404,7 @@
         if move.number in self._begins:
             self._take(move, Step.RESERVE)
 
-    def _may_take(self, move: Move) -> bool:
+    def _may_take(self, move: Migration) -> bool:
         """Tell whether nothing here keeps a planned copy back, streams and space aside."""
         work = self._work.get(move.number) or self._first_sight(move)
         busy = any(a.owner == move.number for a in self._asked.values())
@@ -441,10 +441,10 @@
             engine not in held.get(shard, ()) for shard in self._listed[engine] if shard in shards
         )
 
-    def _at_reserved(self, move: Move, work: _Work) -> None:
+    def _at_reserved(self, move: Migration, work: _Work) -> None:
         self._begin_copy(move, work)
 
-    def _begin_copy(self, move: Move, work: _Work) -> None:
+    def _begin_copy(self, move: Migration, work: _Work) -> None:
         """Begin the next attempt, or give the move up."""
         good = [e for e in self.machine.good(move.shard) if self.machine.homes[e].life != "gone"]
         if not good or move.attempt >= self.timing.tries or not self._target_there(move):
@@ -465,7 +465,7 @@
         work.attempt, work.source, work.target, work.source_lost = move.attempt, None, None, False
         self._take(move, Step.COPY, source=source, attempt=move.attempt + 1)
 
-    def _target_there(self, move: Move) -> bool:
+    def _target_there(self, move: Migration) -> bool:
         home = self.machine.homes[move.target]
         return (
             home.life != "gone"
@@ -473,7 +473,7 @@
             and move.target in self.machine.copies.get(move.shard, {})
         )
 
-    def _at_copying(self, move: Move, work: _Work) -> None:
+    def _at_copying(self, move: Migration, work: _Work) -> None:
         if not self._target_there(move):
             return self._take(move, Step.UNDO, failed=True)
         if work.attempt != move.attempt or not work.phase:  # another holder began it: what is there, first
@@ -526,7 +526,7 @@
         """Return when the last holder's drops have ended."""
         return self._began + self.timing.drop_ms + self.timing.slack_ms
 
-    def _loads_ended(self, move: Move) -> bool:
+    def _loads_ended(self, move: Migration) -> bool:
         """Tell whether no load can still put anything where a half copy is dropped."""
         pair = move.shard, move.target
         return self._loads_end.get(pair, 0.0) <= self._now and not any(
@@ -536,7 +536,7 @@
     def _copy_ms(self, shard: str) -> float:
         return self.timing.copy_ms + self.machine.shards[shard].size / self.timing.slowest
 
-    def _verify(self, move: Move, work: _Work, shard: Shard) -> None:
+    def _verify(self, move: Migration, work: _Work, shard: Shard) -> None:
         """Ask both sides for count and checksum; once both are known, go on or begin anew."""
         if work.target is not None and (work.source is not None or work.source_lost):
             known = work.source
@@ -552,12 +552,12 @@
         if work.source is None and not work.source_lost:
             self._run(move.number, "source", shard.name, move.source, statement, self.timing.check_ms)
 
-    def _at_checked(self, move: Move, work: _Work) -> None:
+    def _at_checked(self, move: Migration, work: _Work) -> None:
         if not self._target_there(move) or work.tries >= self.timing.tries:
             return self._take(move, Step.UNDO, failed=True)
         self._take(move, Step.SWITCH)
 
-    def _at_switched(self, move: Move, work: _Work) -> None:
+    def _at_switched(self, move: Migration, work: _Work) -> None:
         if not self._may_go(move):
             return self._take(move, Step.KEEP)
         if work.quiet and not move.rested:
@@ -569,12 +569,12 @@
         if work.quiet or self._now >= work.rested_at + self.timing.finish_ms:
             self._take(move, Step.DROP)
 
-    def _may_go(self, move: Move) -> bool:
+    def _may_go(self, move: Migration) -> bool:
         """Tell whether the copy that goes is still there and not needed again."""
         copy = self.machine.copies.get(move.shard, {}).get(move.drops)
         return copy is not None and copy.state == "leaving" and self.machine.spared(move.shard, move.drops)
 
-    def _at_dropping(self, move: Move, work: _Work) -> None:
+    def _at_dropping(self, move: Migration, work: _Work) -> None:
         if not self._may_go(move):
             return self._take(move, Step.KEEP)
         if work.phase == "dropped":
@@ -590,7 +590,7 @@
             self.timing.drop_ms,
         )
 
-    def _at_undoing(self, move: Move, work: _Work) -> None:
+    def _at_undoing(self, move: Migration, work: _Work) -> None:
         there = move.target in self.machine.copies.get(move.shard, {})  # on whatever disk it has by now
         if work.phase == "dropped" or not there:
             return self._take(move, Step.UNDONE)
@@ -811,6 +811,6 @@
         )
 
 
-def _differs(told: Home, known: Home) -> bool:
+def _differs(told: ReplicaHost, known: ReplicaHost) -> bool:
     """Tell whether news say anything that the record doesn't."""
     return replace(told, generation=known.generation, mark=told.mark or known.mark) != known
--- a/fennelwind/shards/model.py
+++ b/fennelwind/shards/model.py
@@ -30,7 +30,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Home:
+class ReplicaHost:
     """An engine as a place for copies."""
 
     name: str
@@ -45,7 +45,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Copy:
+class Replica:
     """A copy of a shard on an engine."""
 
     shard: str
@@ -55,7 +55,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Move:
+class Migration:
     """A copy that comes in, and the one that goes for it, if any; without a target only one goes."""
 
     number: int
@@ -89,9 +89,9 @@
     """All of it, by name."""
 
     shards: dict[str, Shard] = field(default_factory=dict)
-    homes: dict[str, Home] = field(default_factory=dict)
-    copies: dict[tuple[str, str], Copy] = field(default_factory=dict)  # by shard and engine
-    moves: dict[int, Move] = field(default_factory=dict)
+    homes: dict[str, ReplicaHost] = field(default_factory=dict)
+    copies: dict[tuple[str, str], Replica] = field(default_factory=dict)  # by shard and engine
+    moves: dict[int, Migration] = field(default_factory=dict)
     frozen: frozenset[str] = frozenset()  # tables whose schema changes: none of their shards is moved
     aside: frozenset[str] = frozenset()  # shards whose last move failed: none is begun for some time
     heat_unit: float = 0.0  # heat of a query, where it was counted and so has chance in it; 0: stated
@@ -116,10 +116,10 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Planned:
+class MigrationPlan:
     """What the planner wants: moves in an order in which they may begin, and what it can't do."""
 
-    moves: tuple[Move, ...] = ()
+    moves: tuple[Migration, ...] = ()
     drops: tuple[tuple[str, str], ...] = ()  # copies (shard, engine) that are over what is wanted
     cancels: tuple[int, ...] = ()  # moves under way that have become wrong
     short: tuple[Short, ...] = ()
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -13,7 +13,7 @@
 from fennelwind.shards.balance import even, still
 from fennelwind.shards.constraints import View, read, span_wanted, takes, wanted
 from fennelwind.shards.exhaustive_search import Way, Ways
-from fennelwind.shards.model import Bounds, Planned, Shard, Short, World
+from fennelwind.shards.model import Bounds, MigrationPlan, Shard, Short, World
 from fennelwind.shards.search import STRICT, choices, neighbours, spread
 from fennelwind.shards.target_placement import Board
 from fennelwind.shards.transfer_order import Sequence, Transfer, arrange
@@ -27,7 +27,7 @@
 NEAR = 6  # shards and engines that are looked at around one trouble
 
 
-def plan(world: World, bounds: Bounds | None = None, first: int = 1) -> Planned:
+def plan(world: World, bounds: Bounds | None = None, first: int = 1) -> MigrationPlan:
     """Return what has to be moved and dropped, in an order in which it may begin.
 
     New moves are numbered from above those of the world, from `first` at least. They wait for moves of the
@@ -63,7 +63,7 @@
         board.greedy()
         return view, board
 
-    def run(self) -> Planned:
+    def run(self) -> MigrationPlan:
         """Return the plan."""
         best = self._attempt()
         if best.unmet > self._unmet_least() or best.bytes > self._bytes_least():
@@ -71,7 +71,7 @@
         even(self.board, best.sequence, self.bounds)
         moves = tuple(best.sequence.moves)
         cancels = sorted(self.view.cancels)
-        return Planned(
+        return MigrationPlan(
             moves,
             tuple(sorted({*best.drops, *self.view.orphans, *self.view.clears})),
             tuple(cancels),
--- a/fennelwind/shards/plan_checker.py
+++ b/fennelwind/shards/plan_checker.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from fennelwind.shards.model import Bounds, Copy, Home, Move, Planned, World
+from fennelwind.shards.model import Bounds, Migration, MigrationPlan, Replica, ReplicaHost, World
 
 OVER = ("done", "undone")  # steps after which a move takes part in nothing
 EVENTS_MOST = 12  # of one shard, of which all sets are tried; a plan with more is reported as too long
@@ -29,7 +29,7 @@
     text: str = ""
 
 
-def check(world: World, planned: Planned, final: bool = True) -> list[Finding]:
+def check(world: World, planned: MigrationPlan, final: bool = True) -> list[Finding]:
     """Return all that is wrong with a plan for a world; `final`: also with where it ends."""
     return _Check(world, planned).run(final)
 
@@ -37,12 +37,12 @@
 class _Check:
     """The events of one plan with what each waits for."""
 
-    def __init__(self, world: World, planned: Planned) -> None:
+    def __init__(self, world: World, planned: MigrationPlan) -> None:
         self.world, self.planned = world, planned
         self.findings: list[Finding] = []
         self.living = {name for name, home in world.homes.items() if home.life != "gone"}
         self.cancelled = set(planned.cancels)
-        self.moves: dict[int, Move] = {
+        self.moves: dict[int, Migration] = {
             number: move
             for number, move in sorted(world.moves.items())
             if move.step not in OVER and number not in self.cancelled and move.shard in world.shards
@@ -50,7 +50,7 @@
         self.new = {move.number: move for move in planned.moves}
         self.needs: dict[Event, tuple[Event, ...]] = {}
         self.lying: dict[str, list[tuple[str, str]]] = {}  # by shard: engine and state
-        self.moved: dict[str, list[Move]] = {}  # by shard
+        self.moved: dict[str, list[Migration]] = {}  # by shard
         self.events: dict[str, list[Event]] = {}  # by shard: those that change where it is good
         self.copies: dict[tuple[str, str], str] = {
             key: copy.state
@@ -164,7 +164,7 @@
                 todo.extend(self.needs.get(event, ()))
         return found
 
-    def _dropped(self, move: Move) -> bool:
+    def _dropped(self, move: Migration) -> bool:
         """Return whether a move takes a copy away when it is done."""
         return (
             bool(move.drops)
@@ -202,7 +202,7 @@
             if (shard, engine) not in self.copies:
                 self._bad("shape", shard, f"drops what is not on {engine}")
 
-    def _move(self, number: int) -> Move:
+    def _move(self, number: int) -> Migration:
         return self.new[number] if number in self.new else self.moves[number]
 
     def _weights(self, engine: str) -> dict[Event, int]:
@@ -226,7 +226,7 @@
                 weights["done", number] = -self.world.shards[move.shard].size
         return weights
 
-    def _brought(self, move: Move) -> bool:
+    def _brought(self, move: Migration) -> bool:
         """Return whether an earlier move brings the copy that this one drops."""
         return move.number not in self.planned.keeps and any(
             other.target == move.drops and other.number < move.number for other in self.moved[move.shard]
@@ -307,7 +307,7 @@
                     return
         self._sources(moves, start)
 
-    def _after(self, moves: list[Move], start: set[str], events: set[Event]) -> set[str]:
+    def _after(self, moves: list[Migration], start: set[str], events: set[Event]) -> set[str]:
         """Return the engines with a good copy when a set of a shard's events has come."""
         good = start - {event[2] for event in events if event[0] == "gone"}  # before one comes there anew
         for move in moves:  # in order of numbers, which later moves of the same shard follow
@@ -318,7 +318,7 @@
                     good.discard(move.drops)
         return good
 
-    def _sources(self, moves: list[Move], start: set[str]) -> None:
+    def _sources(self, moves: list[Migration], start: set[str]) -> None:
         """See that each new move reads a copy that is good when it begins and stays until it is done."""
         for move in moves:
             if move.number not in self.new:
@@ -355,7 +355,7 @@
         crowded = {engine for one in self.planned.short if not one.shard for engine in one.engines}
         moving = {move.shard for move in self.world.moves.values()}
         end = finished(self.world, self.planned)
-        placed: dict[str, list[Home]] = {}
+        placed: dict[str, list[ReplicaHost]] = {}
         held: dict[str, int] = {}
         for copy in end.copies.values():
             if copy.engine in self.living and copy.shard in end.shards:
@@ -390,7 +390,7 @@
                 self._bad("unmet", engine, f"{held[engine]} held in the end")
 
 
-def finished(world: World, planned: Planned) -> World:
+def finished(world: World, planned: MigrationPlan) -> World:
     """Return the world when a plan and the moves that go on have been carried out whole."""
     copies = dict(world.copies)
     for number in planned.cancels:
@@ -405,11 +405,11 @@
     ]
     for move in (*going_on, *planned.moves):
         if move.step != "switched" or (move.shard, move.target) in copies:
-            copies[move.shard, move.target] = Copy(move.shard, move.target)
+            copies[move.shard, move.target] = Replica(move.shard, move.target)
         if move.drops and move.number not in planned.keeps:
             copies.pop((move.shard, move.drops), None)
         elif move.drops and (move.shard, move.drops) in copies:
-            copies[move.shard, move.drops] = Copy(move.shard, move.drops)
+            copies[move.shard, move.drops] = Replica(move.shard, move.drops)
     return World(dict(world.shards), dict(world.homes), copies, {}, world.frozen, world.aside)
 
 
@@ -448,7 +448,7 @@
                     level[node] = -1
 
 
-def check_bounds(world: World, bounds: Bounds, begun: Iterable[Move]) -> list[Finding]:
+def check_bounds(world: World, bounds: Bounds, begun: Iterable[Migration]) -> list[Finding]:
     """Return where moves that run at once break the bounds on streams."""
     engines: dict[str, int] = {}
     links: dict[tuple[str, ...], int] = {}
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -19,7 +19,7 @@
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 from fennelwind.shards import access_load
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.model import LIVES, Copy, Home, Move, Shard, World
+from fennelwind.shards.model import LIVES, Migration, Replica, ReplicaHost, Shard, World
 
 LEASE = "moves"  # the task whose holder writes here
 SHARDS_MOST = 65_536  # shards; three times what two hundred engines are planned for
@@ -52,9 +52,9 @@
 
     def __init__(self) -> None:
         self.shards: dict[str, Shard] = {}
-        self.homes: dict[str, Home] = {}
-        self.copies: dict[str, dict[str, Copy]] = {}  # by shard and engine
-        self.moves: dict[int, Move] = {}
+        self.homes: dict[str, ReplicaHost] = {}
+        self.copies: dict[str, dict[str, Replica]] = {}  # by shard and engine
+        self.moves: dict[int, Migration] = {}
         self.asides: dict[str, tuple[int, int]] = {}  # until when (0: no longer), how often in a row
         self.used: dict[str, int] = {}  # bytes of copies by engine, whatever their state
         self.last_move = 0
@@ -135,7 +135,7 @@
         enough = sum(found.values()) >= access_load.ENOUGH
         return {shard: count / access_load.UNIT for shard, count in found.items()} if enough else {}
 
-    def move_of(self, shard: str) -> Move | None:
+    def move_of(self, shard: str) -> Migration | None:
         """Return the move of a shard that has not ended."""
         return self.moves.get(self._of_shard.get(shard, 0))
 
@@ -353,7 +353,7 @@
             return Answer.WAITS  # it may be older than what is known
         if known is None and len(self.homes) >= HOMES_MOST:
             return Answer.TOO_MANY
-        home = Home(
+        home = ReplicaHost(
             told.name, told.zone, told.kind, told.disk, told.headroom, told.life, 0, told.mark, told.spilled
         )
         if known is not None:
@@ -436,7 +436,7 @@
         same = (shard.rows, shard.checksum) == (asked.rows, asked.checksum)
         if not same and good == (home.name,):
             return Answer.DIFFERS  # the only good copy is not given up for a figure
-        self._hold(shard.name, Copy(shard.name, home.name, "good" if same else "doubtful", not same))
+        self._hold(shard.name, Replica(shard.name, home.name, "good" if same else "doubtful", not same))
         return Answer.NONE
 
     # Plans and steps.
@@ -452,7 +452,7 @@
             if not refusal:
                 self.last_move += 1
                 after = {numbers.get(ahead, ahead) for ahead in told.after}
-                self.moves[self.last_move] = Move(
+                self.moves[self.last_move] = Migration(
                     self.last_move,
                     told.shard,
                     told.source,
@@ -529,10 +529,10 @@
                 self._begun[part] = self._begun.get(part, 0) + self.shards[move.shard].size
         return Answer(refusal=refusal)
 
-    def _at(self, move: Move, step: str, at: LogPosition, **more: object) -> None:
+    def _at(self, move: Migration, step: str, at: LogPosition, **more: object) -> None:
         self.moves[move.number] = replace(move, step=step, at_ms=at.clock_ms, **more)
 
-    def _reserve(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _reserve(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "planned" or not move.target:
             return Answer.STEP
         shard = self.shards[move.shard]
@@ -545,14 +545,14 @@
             return refusal
         if not self._fits(shard, move.target):
             return Answer.HEADROOM
-        self._hold(shard.name, Copy(shard.name, move.target, "coming"))
+        self._hold(shard.name, Replica(shard.name, move.target, "coming"))
         self._at(move, "reserved", at, generation=self.homes[move.target].generation)
         return Answer.NONE
 
     def _fits(self, shard: Shard, target: str) -> bool:
         return shard.size <= self.room(target)
 
-    def _coming(self, move: Move) -> bool:
+    def _coming(self, move: Migration) -> bool:
         """Tell whether a move's target is the engine that it was, with the copy that comes in."""
         home, copy = self.homes[move.target], self.copies.get(move.shard, {}).get(move.target)
         return (
@@ -562,7 +562,7 @@
             and copy.state == "coming"
         )
 
-    def _copy(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _copy(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("reserved", "copying") or asked.attempt != move.attempt + 1:
             return Answer.STEP
         if asked.source not in self.good(move.shard):
@@ -572,7 +572,7 @@
         self._at(move, "copying", at, attempt=asked.attempt, source=asked.source)
         return Answer.NONE
 
-    def _check(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _check(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "copying" or asked.attempt != move.attempt:
             return Answer.STEP
         if not self._coming(move):
@@ -584,7 +584,7 @@
         self._at(move, "checked", at)
         return Answer.NONE
 
-    def _switch(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _switch(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         held = self.copies.get(move.shard, {})
         old = held.get(move.drops)
         if not move.target:
@@ -620,7 +620,7 @@
             return bool(others)
         return len(others) >= wanted.copies and len({self.homes[e].zone for e in others}) >= wanted.zones
 
-    def _drop(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _drop(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "switched":
             return Answer.STEP
         copy = self.copies.get(move.shard, {}).get(move.drops)
@@ -631,14 +631,14 @@
         self._at(move, "dropping", at)
         return Answer.NONE
 
-    def _done(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _done(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "dropping":
             return Answer.STEP
         self._forget(move.shard, move.drops)
         self._end(move, well=True)
         return Answer.NONE
 
-    def _keep(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _keep(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("switched", "dropping"):
             return Answer.STEP
         held = self.copies.get(move.shard, {})
@@ -654,7 +654,7 @@
             self._set_aside(move.shard, at)
         return Answer.NONE
 
-    def _undo(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _undo(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step not in ("planned", "reserved", "copying", "checked"):
             return Answer.STEP
         if asked.failed:
@@ -667,12 +667,12 @@
             self._at(move, "undoing", at)
         return Answer.NONE
 
-    def _undone(self, move: Move, asked: pb.Step, at: LogPosition) -> int:
+    def _undone(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
         if move.step != "undoing":
             return Answer.STEP
         left = self.copies.get(move.shard, {}).get(move.target)
         if left is not None and (asked.failed or self.homes[move.target].life == "gone"):
-            self._hold(move.shard, Copy(move.shard, move.target, "doubtful", asked.failed))
+            self._hold(move.shard, Replica(move.shard, move.target, "doubtful", asked.failed))
         else:
             self._forget(move.shard, move.target)
         self._end(move, well=False)
@@ -683,14 +683,14 @@
         rest = min(ASIDE_FIRST_MS * 2 ** min(times - 1, 16), ASIDE_MOST_MS)
         self.asides[shard] = (at.clock_ms + rest, times)
 
-    def _end(self, move: Move, well: bool) -> None:
+    def _end(self, move: Migration, well: bool) -> None:
         self.changes += 1
         del self.moves[move.number]
         del self._of_shard[move.shard]
         if well:
             self.asides.pop(move.shard, None)
 
-    def _hold(self, shard: str, copy: Copy) -> None:
+    def _hold(self, shard: str, copy: Replica) -> None:
         self.changes += 1
         self._placed[shard] = self._entry
         held = self.copies.setdefault(shard, {})
@@ -793,13 +793,13 @@
                 self._doubted_at[s.name] = s.doubted_ms - 1
         for h in state.homes:
             self._heard_at[h.name] = h.heard
-            self.homes[h.name] = Home(
+            self.homes[h.name] = ReplicaHost(
                 h.name, h.zone, h.kind, h.disk, h.headroom, h.life, h.generation, h.mark, h.spilled
             )
         for c in state.copies:
-            self._hold(c.shard, Copy(c.shard, c.engine, c.state, c.wrong))
+            self._hold(c.shard, Replica(c.shard, c.engine, c.state, c.wrong))
         for m in state.moves:
-            self.moves[m.number] = Move(
+            self.moves[m.number] = Migration(
                 m.number,
                 m.shard,
                 m.source,
@@ -822,7 +822,7 @@
         self._look_ahead()
 
 
-def effective(home: Home) -> int:
+def effective(home: ReplicaHost) -> int:
     """Return the bytes of an engine's disk that copies and headroom may count on.
 
     Spills are what the headroom is for; only what they take beyond it is missing.
@@ -840,7 +840,7 @@
     return (part + 1) * BEGUN_MS + HOUR_MS
 
 
-def _rests(move: Move) -> bool:
+def _rests(move: Migration) -> bool:
     return move.step == "switched" and not move.rested
 
 
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass, field, replace
 
 from fennelwind.shards.constraints import READING, View, span_wanted, takes
-from fennelwind.shards.model import Move
+from fennelwind.shards.model import Migration
 
 Pair = tuple[str, str]  # shard, engine
 THREADED = 12  # transfers up to which all orders are looked for: at most 4096 sets of them
@@ -32,7 +32,7 @@
     view: View
     first: int  # number of the first new move
     drops: Iterable[Pair] = ()  # copies that go without a move
-    moves: list[Move] = field(default_factory=list)
+    moves: list[Migration] = field(default_factory=list)
     room: dict[str, int] = field(default_factory=dict)  # bytes, all listed begun and nothing gone
     leaves: dict[str, list[tuple[int, int | Pair]]] = field(
         default_factory=dict
@@ -60,7 +60,7 @@
         self.leaves[engine].append((size, by))
         self.given[engine] += size
 
-    def _go_on(self, number: int, move: Move) -> None:
+    def _go_on(self, number: int, move: Migration) -> None:
         """List a move that is there already."""
         have = self.sources(move.shard)
         if move.step == "planned":
@@ -88,7 +88,7 @@
         """Return the bytes that are free when all that is listed is done."""
         return self.room[engine] + self.given[engine]
 
-    def add(self, transfer: Transfer) -> Move | None:
+    def add(self, transfer: Transfer) -> Migration | None:
         """List a transfer behind the others; none where the space or a source is missing."""
         world, view = self.view.world, self.view
         shard, target, drops = transfer.shard, transfer.target, transfer.drops
@@ -135,7 +135,7 @@
                 if zones > 1:  # one swap at a time, so that no two together take a zone away
                     after.update(self.listed.get(shard, ()))
             self._leave(drops, size, number)
-        move = Move(
+        move = Migration(
             number, shard, source, target, drops, after=tuple(sorted(after)), cleared=tuple(sorted(cleared))
         )
         self.moves.append(move)
--- a/fennelwind/shards/transfer_throttle.py
+++ b/fennelwind/shards/transfer_throttle.py
@@ -5,7 +5,7 @@
 from types import MappingProxyType
 from typing import Protocol
 
-from fennelwind.shards.model import Bounds, Home, Move, Shard
+from fennelwind.shards.model import Bounds, Migration, ReplicaHost, Shard
 
 STREAMING = ("reserved", "copying")  # steps that take a stream at the source and at the target
 Asked = Mapping[int, str]  # moves whose copy was asked to begin, or to begin anew, and from which engine
@@ -17,8 +17,8 @@
     """What the record says, as far as it is read here."""
 
     shards: Mapping[str, Shard]
-    homes: Mapping[str, Home]
-    moves: Mapping[int, Move]
+    homes: Mapping[str, ReplicaHost]
+    moves: Mapping[int, Migration]
 
 
 def begin(
@@ -26,7 +26,7 @@
     bounds: Bounds,
     spent: int,
     asked: Asked = NONE,
-    may: Callable[[Move], bool] = lambda move: True,
+    may: Callable[[Migration], bool] = lambda move: True,
 ) -> tuple[int, ...]:
     """Return the planned moves that may be asked to begin together now, the first planned first.
 
@@ -67,7 +67,7 @@
     return not spent or spent + size <= bounds.bytes_per_hour
 
 
-def source(known: Known, bounds: Bounds, move: Move, engines: Iterable[str], asked: Asked = NONE) -> str:
+def source(known: Known, bounds: Bounds, move: Migration, engines: Iterable[str], asked: Asked = NONE) -> str:
     """Return the first of some engines that a copy under way may be read from; "": none has a stream free."""
     streams = _streams(known, asked)
     streams.subtract(_takes(known, move.source, move.target))
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -17,7 +17,7 @@
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.access_load import UNIT, Named
 from fennelwind.shards.migration import Timing
-from fennelwind.shards.model import Home
+from fennelwind.shards.model import ReplicaHost
 
 NAMES = [f"sales/day={n}" for n in range(3)]
 LINKS = settings_pb2.EngineLinks(transport=settings_pb2.EngineLinks.SASL, max_links=10, connect_ms=300.0)
@@ -102,7 +102,8 @@
 
     def homes(self):
         return [
-            Home(name, f"z{n % 2}", "", 1_000, 200, self.lives[name]) for n, name in enumerate(self.engines)
+            ReplicaHost(name, f"z{n % 2}", "", 1_000, 200, self.lives[name])
+            for n, name in enumerate(self.engines)
         ]
 
     def record(self):
--- a/tests/shards/test_shard_plan.py
+++ b/tests/shards/test_shard_plan.py
@@ -16,7 +16,7 @@
 from fennelwind.benchmarks.shard_cases import adopt, large, may_step, small, step
 from fennelwind.benchmarks.shard_defects import DEFECTS, found
 from fennelwind.benchmarks.shards import NEEDS_ONLY, measure_small, play
-from fennelwind.shards.model import Bounds, Copy, Home, Move, Planned, Shard, World
+from fennelwind.shards.model import Bounds, Migration, MigrationPlan, Replica, ReplicaHost, Shard, World
 from fennelwind.shards.plan import __file__ as plan_file
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import check, finished
@@ -33,7 +33,7 @@
     """
     made = World()
     for name, disk in disks.items():
-        made.homes[name] = Home(name, f"z{name}", "wide", disk + 2, 2, lives.get(name, "ready"))
+        made.homes[name] = ReplicaHost(name, f"z{name}", "wide", disk + 2, 2, lives.get(name, "ready"))
     for name, values in shards.items():
         made.shards[name] = Shard(name, name.split("/")[0], *values)
     for text in copies.split():
@@ -41,27 +41,27 @@
         for at, engine in enumerate(engines):
             if engine not in STATES:
                 state = STATES.get(engines[at + 1 : at + 2], "good")
-                made.copies[name, engine] = Copy(name, engine, state)
+                made.copies[name, engine] = Replica(name, engine, state)
     return made
 
 
-def clean(one: World, bounds: Bounds = NEEDS_ONLY) -> Planned:
+def clean(one: World, bounds: Bounds = NEEDS_ONLY) -> MigrationPlan:
     """Return the plan, in which the checker finds nothing."""
     planned = plan(one, bounds)
     assert check(one, planned) == []
     return planned
 
 
-def lie(one: World, planned: Planned) -> list[str]:
+def lie(one: World, planned: MigrationPlan) -> list[str]:
     """Return where copies lie in the end."""
     return sorted(f"{shard}{engine}" for shard, engine in finished(one, planned).copies)
 
 
-def moved(planned: Planned) -> list[tuple[str, str, str, str]]:
+def moved(planned: MigrationPlan) -> list[tuple[str, str, str, str]]:
     return [(move.shard, move.source, move.target, move.drops) for move in planned.moves]
 
 
-def short(planned: Planned) -> list[tuple[str, str]]:
+def short(planned: MigrationPlan) -> list[tuple[str, str]]:
     return [(one.shard, one.reason) for one in planned.short]
 
 
@@ -104,7 +104,7 @@
     one = world({"a": 4, "b": 4, "c": 3}, shards | {"v/1": (4, 1, 1, ("two",))}, "t/1b v/1a u/1c")
     for name, kind in (("a", "one"), ("b", "two"), ("c", "two")):
         one.homes[name] = replace(one.homes[name], kind=kind)
-    one.homes["d"] = Home("d", "zd", "both", 4, 0)
+    one.homes["d"] = ReplicaHost("d", "zd", "both", 4, 0)
     one.shards["t/1"] = replace(one.shards["t/1"], kinds=("one", "both"))
     assert not clean(one).short  # by d, for good
     one.shards["t/1"] = replace(one.shards["t/1"], kinds=("one",))
@@ -113,7 +113,7 @@
     assert not planned.short and planned.bytes == 8
     one.homes["d"] = replace(one.homes["d"], life="cold", kind="two")
     one.shards["w/1"] = Shard("w/1", "w", 4)  # d is where a third engine would be, and full
-    one.copies["w/1", "d"] = Copy("w/1", "d")
+    one.copies["w/1", "d"] = Replica("w/1", "d")
     assert ("t/1", "space") in short(clean(one))
 
 
@@ -127,7 +127,7 @@
     one.homes["a"] = replace(one.homes["a"], kind="a")
     one.homes["b"] = replace(one.homes["b"], kind="b")
     one.shards["v/1"] = Shard("v/1", "v", 1, 1, 1, ("y",))
-    one.copies = {pair: Copy(*pair) for pair in (("t/1", "b"), ("u/1", "a"), ("v/1", "c"))}
+    one.copies = {pair: Replica(*pair) for pair in (("t/1", "b"), ("u/1", "a"), ("v/1", "c"))}
     one.homes["c"] = replace(one.homes["c"], disk=6)
     planned = clean(one)  # u/1 may stay on c, so nothing is moved twice
     assert planned.bytes == 7 and not planned.short
@@ -142,7 +142,7 @@
     planned = clean(one)
     assert moved(planned) == [("t/1", "a", "b", "")]
     assert planned.drops == (("t/1", "b"),) and planned.moves[0].cleared == (("t/1", "b"),)
-    one.homes["c"] = Home("c", "zc", "wide", 9, 0)
+    one.homes["c"] = ReplicaHost("c", "zc", "wide", 9, 0)
     assert moved(clean(one)) == [("t/1", "a", "c", "b")]  # until then it is the last hope but one
 
 
@@ -172,7 +172,7 @@
     one = world({"a": 9, "b": 9, "c": 9}, {"t/1": (5, 2)}, "t/1abc")
     assert len(clean(one).drops) == 1
     one = world({"a": 9, "b": 9, "c": 9}, {"t/1": (5, 2)}, "t/1abc+")
-    one.moves[1] = Move(1, "t/1", "a", "c", "", "checked")
+    one.moves[1] = Migration(1, "t/1", "a", "c", "", "checked")
     assert not clean(one).drops  # the third is not there yet
 
 
@@ -183,8 +183,8 @@
 
 def test_moves_under_way_go_on_and_nothing_is_added():
     one = world({"a": 9, "b": 9, "c": 9}, {"t/1": (5,)}, "t/1ab+", a="draining")
-    one.moves[7] = Move(7, "t/1", "a", "b", "a", "copying")
-    assert clean(one) == Planned()
+    one.moves[7] = Migration(7, "t/1", "a", "b", "a", "copying")
+    assert clean(one) == MigrationPlan()
 
 
 @pytest.mark.parametrize(
@@ -200,7 +200,7 @@
 )
 def test_moves_that_have_become_wrong_are_cancelled_with_the_reason(change: dict, why: str):
     one = world({"a": 9, "b": 9, "c": 9}, {"t/1": (5, 1, 1, ("wide",))}, "t/1a", a="draining")
-    one.moves[7] = Move(7, "t/1", "a", "b", "a")
+    one.moves[7] = Migration(7, "t/1", "a", "b", "a")
     for name, values in change.items():
         one.homes[name] = replace(one.homes[name], **values)
     planned = clean(one)
@@ -209,11 +209,11 @@
 
 def test_a_drop_falls_away_when_another_copy_was_lost_meanwhile():
     one = world({"a": 9, "b": 9, "c": 9}, {"t/1": (5, 2)}, "t/1abc+", b="gone")
-    one.moves[7] = Move(7, "t/1", "a", "c", "a", "copying")
+    one.moves[7] = Migration(7, "t/1", "a", "c", "a", "copying")
     planned = clean(one)
     assert planned.keeps == (7,) and not planned.moves
-    one.copies["t/1", "a"] = Copy("t/1", "a", "leaving")
-    one.copies["t/1", "c"] = Copy("t/1", "c")
+    one.copies["t/1", "a"] = Replica("t/1", "a", "leaving")
+    one.copies["t/1", "c"] = Replica("t/1", "c")
     one.moves[7] = replace(one.moves[7], step="switched")
     assert clean(one).keeps == (7,)
     one.homes["c"] = replace(one.homes["c"], life="gone")  # the target too: the old copy is the last one
@@ -237,7 +237,7 @@
     one = world({"a": 20, "b": 20}, shards, " ".join(f"{name}a" for name in shards))
     planned = clean(one, Bounds())
     assert 0 < planned.bytes <= 6 and all(move.target == "b" for move in planned.moves)
-    assert clean(finished(one, planned), Bounds()) == Planned()  # and is at rest then
+    assert clean(finished(one, planned), Bounds()) == MigrationPlan()  # and is at rest then
     assert not clean(one, Bounds(disk_tolerance=0.5)).moves
     assert not clean(one, Bounds(gain_least=0.9)).moves
     hot = world(
@@ -292,7 +292,7 @@
 def test_chance_in_heat_that_was_counted_causes_no_moves_and_a_truth_does():
     names = [f"t/{n}" for n in range(96)]
     one = world({f"e{n}": 99 for n in range(24)}, dict.fromkeys(names, (1,)), "")
-    one.copies = {(name, f"e{n % 24}"): Copy(name, f"e{n % 24}") for n, name in enumerate(names)}
+    one.copies = {(name, f"e{n % 24}"): Replica(name, f"e{n % 24}") for n, name in enumerate(names)}
     chance = random.Random(3)
 
     def moves(deviations: float, rate: float = 5.0) -> int:
@@ -379,18 +379,18 @@
 
 def test_the_checker_sees_what_waits_in_a_circle_and_a_cut_of_two_that_wait():
     one = world({"a": 9, "b": 9}, {"t/1": (5,), "t/2": (5,)}, "t/1a t/2a", a="draining")
-    moves = (Move(1, "t/1", "a", "b", "a", after=(2,)), Move(2, "t/2", "a", "b", "a", after=(1,)))
-    assert {finding.rule for finding in check(one, Planned(moves, bytes=10))} == {"order"}
+    moves = (Migration(1, "t/1", "a", "b", "a", after=(2,)), Migration(2, "t/2", "a", "b", "a", after=(1,)))
+    assert {finding.rule for finding in check(one, MigrationPlan(moves, bytes=10))} == {"order"}
     both = tuple(replace(move, after=()) for move in moves)
-    assert "headroom" in {finding.rule for finding in check(one, Planned(both, bytes=10))}
+    assert "headroom" in {finding.rule for finding in check(one, MigrationPlan(both, bytes=10))}
 
 
 def test_a_planned_drop_falls_away_when_a_zone_would_be_lost_until_the_next_move():
     one = world(dict.fromkeys("abcd", 9), {"t/1": (5, 2, 2)}, "t/1ab", a="draining", b="draining")
     one.homes["c"] = replace(one.homes["c"], zone="za")
     one.homes["d"] = replace(one.homes["d"], zone="zb")
-    one.moves[3] = Move(3, "t/1", "b", "c", "b")
-    one.moves[4] = Move(4, "t/1", "a", "d", "", after=(3,))
+    one.moves[3] = Migration(3, "t/1", "b", "c", "b")
+    one.moves[4] = Migration(4, "t/1", "a", "d", "", after=(3,))
     assert clean(one).keeps == (3,)
 
 
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -74,7 +74,7 @@
             ShardMachine._coming,
             "home, copy = self.homes[move.target],",
             "if move.target not in self.copies.get(move.shard, {}):\n"
-            "        self._hold(move.shard, Copy(move.shard, move.target, 'coming'))\n"
+            "        self._hold(move.shard, Replica(move.shard, move.target, 'coming'))\n"
             "    return True\n    home, copy = self.homes[move.target],",
         ),
         patch.object(Carrier, "_target_there", lambda self, move: True),
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -34,7 +34,7 @@
     Timing,
     Wake,
 )
-from fennelwind.shards.model import Bounds, Home, Move, Planned, World
+from fennelwind.shards.model import Bounds, Migration, MigrationPlan, ReplicaHost, World
 from fennelwind.shards.plan import plan as planned
 from fennelwind.shards.state_machine import ShardMachine
 
@@ -67,7 +67,7 @@
     """An invariant does not hold."""
 
 
-def plan(world: World, bounds: Bounds) -> Planned:
+def plan(world: World, bounds: Bounds) -> MigrationPlan:
     """Plan simply: what is missing comes to the emptiest engine, what drains moves, what is over goes."""
     room = {home.name: home.disk - home.headroom for home in world.homes.values() if home.life == "ready"}
     for copy in world.copies.values():
@@ -93,13 +93,15 @@
             if target is not None:
                 room[target] -= shard.size
                 away = [engine for engine in good if engine not in ready]
-                moves.append(Move(1_000_000 + len(moves), name, good[0], target, away[0] if away else ""))
+                moves.append(
+                    Migration(1_000_000 + len(moves), name, good[0], target, away[0] if away else "")
+                )
     wrong = tuple(
         move.number
         for move in world.moves.values()
         if move.target and world.homes[move.target].life in ("draining", "gone")
     )
-    return Planned(tuple(moves), tuple(drops), wrong)
+    return MigrationPlan(tuple(moves), tuple(drops), wrong)
 
 
 class QuickMachine(ShardMachine):
@@ -122,7 +124,7 @@
     def home(self):
         life = "gone" if not self.up else "draining" if self.draining else "ready"
         mark, spilled = (self.mark, self.shelf.spilled) if self.up else ("", 0)
-        return Home(self.name, self.zone, "", self.disk, HEADROOM, life, 0, mark, spilled)
+        return ReplicaHost(self.name, self.zone, "", self.disk, HEADROOM, life, 0, mark, spilled)
 
     @property
     def mark(self):
