--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -18,11 +18,11 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.access_load import Named
+from fennelwind.shards.access_load import AccessCounter
 from fennelwind.shards.model import Bounds, Replica, ReplicaHost, Shard, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import finished
-from fennelwind.shards.state_machine import COUNTED_SINCE, ShardMachine
+from fennelwind.shards.state_machine import ACCESS_COUNTS_MIN_LEVEL, ShardMachine
 
 MINUTE_MS = 60_000
 SIZE, ENGINES, CONTROLLERS, SHARDS = 1 << 30, 48, 6, 480
@@ -33,7 +33,7 @@
 
     def fact(self, kind: str, key: str) -> int:
         """Return the level."""
-        return COUNTED_SINCE if kind == "level" else 0
+        return ACCESS_COUNTS_MIN_LEVEL if kind == "level" else 0
 
 
 class Play:
@@ -55,7 +55,7 @@
                 self.world.copies[name, engine] = Replica(name, engine)
         self.machine = ShardMachine()
         self.machine.shards = dict(self.world.shards)
-        self.named = [Named() for _ in range(CONTROLLERS)]
+        self.named = [AccessCounter() for _ in range(CONTROLLERS)]
         self.at = [self.random.randrange(int(REPORT_INTERVAL_MS) // MINUTE_MS) for _ in range(CONTROLLERS)]
         for _ in range(8):  # even by the true rates, as far as the tolerances ask for it
             self._take(plan(replace(self.world, counted=self.rates), Bounds()))
@@ -82,7 +82,7 @@
                 self._take(plan(replace(self.world, counted=heats, heat_unit=1.0), Bounds()))
         return self.moves["moves"] - before
 
-    def _tell(self, named: Named) -> None:
+    def _tell(self, named: AccessCounter) -> None:
         now = self.minute * MINUTE_MS
         batch = named.batch(now)
         counted = pb.Counted(queries=[pb.Counted.Queries(shard=s, count=c) for s, c in batch])
@@ -90,7 +90,7 @@
         self.machine.apply(
             LogPosition(self.index, now), pb.Command(counted=counted).SerializeToString(), Facts()
         )
-        named.told(batch)
+        named.discard_reported(batch)
 
     def unevenness(self) -> float:
         """Return how far the hottest engine is above the mean by the true rates, of the mean."""
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -129,9 +129,9 @@
         if not self.settings.file.HasField("moves"):
             return module, None
         from fennelwind.quiescence.in_flight import InFlightTracker
-        from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
+        from fennelwind.shards.routing import MAX_SLOTS, Routing, widen
 
-        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, InFlightTracker())
+        return widen(module, MAX_SLOTS), Routing(module, MAX_SLOTS, InFlightTracker())
 
     def _serve_shards(self, keeper: "ClusterRuntime") -> None:
         from fennelwind.shards.model import Bounds, ReplicaHost
--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -12,7 +12,7 @@
 from fennelwind.cluster.state_machines import SHARDS
 from fennelwind.loop import Loop, Task
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.access_load import Named
+from fennelwind.shards.access_load import AccessCounter
 
 REPORT_INTERVAL_MS = 600_000.0  # ms from one batch to the next, a third of the half-life
 PROPOSE_TIMEOUT_MS = 20_000.0  # ms for one command: nobody waits for it
@@ -21,7 +21,7 @@
 class AccessLoadReporter:
     """One controller's reports."""
 
-    def __init__(self, loop: Loop, client: RaftClient, named: Named, seed: int) -> None:
+    def __init__(self, loop: Loop, client: RaftClient, named: AccessCounter, seed: int) -> None:
         """Make it; `named` counts the shards that queries name."""
         self.counts: Counter[str] = Counter()
         self._loop = loop
@@ -53,5 +53,5 @@
                     self.counts[exc.code] += 1
                 else:
                     self.counts["told"] += 1
-                    self._named.told(batch)
+                    self._named.discard_reported(batch)
             self._loop.sleep(REPORT_INTERVAL_MS)
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -30,7 +30,7 @@
 from fennelwind.raft.replicated_state import LEVEL, ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
 from fennelwind.raft_storage.store import StoreLimits
-from fennelwind.shards.access_load import Named
+from fennelwind.shards.access_load import AccessCounter
 from fennelwind.shards.model import Bounds, ReplicaHost
 from fennelwind.shards.shards_pb2 import Shard
 
@@ -111,7 +111,7 @@
         bounds: Bounds,
         shards: Iterable[Shard],
         in_flight: InFlightTracker,
-        named: Named,
+        named: AccessCounter,
         *,
         cleared: bool = False,
     ) -> None:
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -29,7 +29,7 @@
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.model import Bounds, MigrationPlan, ReplicaHost, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state_machine import LEASE, PLAN_MOST, ShardMachine
+from fennelwind.shards.state_machine import LEASE, MAX_ENTRIES_PER_COMMAND, ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
@@ -152,7 +152,7 @@
 
     def __init__(self, moves: ShardMigrations, held: HeldLease) -> None:
         self.moves, self.loop, self.held, self.client = moves, moves.loop, held, moves.client
-        self.carrier = api.Carrier(held.fencing_token, 0, moves.staging, moves.bounds, moves.timing)
+        self.carrier = api.MigrationDriver(held.fencing_token, 0, moves.staging, moves.bounds, moves.timing)
         self.machine: ShardMachine | None = None
         self.index = 0  # up to which the record is seen
         self.stood_at = -1  # where the record here stands while others go on; -1: it does not
@@ -177,17 +177,17 @@
                 wake = self.loop.now() + NEWS_MS
                 for action in self.carrier.step(self.loop.now(), self.hands.events()):
                     match action:
-                        case api.Propose():
+                        case api.ProposeCommand():
                             self.hands.spawn(self._propose, action)
-                        case api.Run():
+                        case api.RunStatement():
                             self._statements[action.token] = self.hands.spawn(self._statement, action)
-                        case api.Plan():
+                        case api.ComputePlan():
                             self.hands.spawn(self._plan, action)
-                        case api.Stop(token) if token in self._statements:
+                        case api.CancelStatement(token) if token in self._statements:
                             self._statements[token].cancel()
-                        case api.Wake(at):
+                        case api.WakeAt(at):
                             wake = min(wake, at)
-                        case api.Over():
+                        case api.LeaseLost():
                             raise LeaseNotHeldError(
                                 f"{self.held.name}: another holds it", task=self.held.name
                             )
@@ -209,8 +209,8 @@
                 tuple(told.kinds),
             ):
                 new.append(told)
-        for start in range(0, len(new), PLAN_MOST):
-            command = pb.Command(declare=pb.Declare(shards=new[start : start + PLAN_MOST]))
+        for start in range(0, len(new), MAX_ENTRIES_PER_COMMAND):
+            command = pb.Command(declare=pb.Declare(shards=new[start : start + MAX_ENTRIES_PER_COMMAND]))
             try:
                 raw = self.client.propose(SHARDS, command.SerializeToString(deterministic=True), ASK_MS)
             except ClusterError as exc:  # whoever holds the lease next tells it
@@ -242,7 +242,7 @@
         self.machine, self.index = record.machines[SHARDS], record.index
         tables = {shard.table for shard in self.machine.shards.values()}
         frozen = frozenset(table for table in tables if record.fact("changing", table))
-        self.hands.post(api.Seen(self.index, self.machine, frozen))
+        self.hands.post(api.StateUpdated(self.index, self.machine, frozen))
         return index
 
     def _ask_for_all(self) -> int:
@@ -268,7 +268,7 @@
                 self.machine.restore(data)
             self.index = seen.index
             frozen = self._frozen()
-            self.hands.post(api.Seen(self.index, self.machine, frozen))
+            self.hands.post(api.StateUpdated(self.index, self.machine, frozen))
         return seen.index
 
     def _frozen(self) -> frozenset[str]:
@@ -296,28 +296,28 @@
                 continue
             self._look()
 
-    def _propose(self, action: api.Propose) -> None:
+    def _propose(self, action: api.ProposeCommand) -> None:
         try:
             raw = self.client.propose(SHARDS, action.command, ASK_MS)
         except ClusterError as exc:
             self.moves.counts[exc.code] += 1
-            self.hands.post(api.Proposed(action.token, None))
+            self.hands.post(api.CommandAnswered(action.token, None))
             return
         index = self._look()  # of this command, or later
-        self.hands.post(api.Proposed(action.token, pb.Answer.FromString(raw), index))
+        self.hands.post(api.CommandAnswered(action.token, pb.Answer.FromString(raw), index))
 
-    def _plan(self, action: api.Plan) -> None:
+    def _plan(self, action: api.ComputePlan) -> None:
         """Have a plan made beside the loop, one at a time; the carrier asks anew for one left out."""
         if not self.moves.planning:
             self.moves.planning = True
             self.loop.spawn(self._make, action, name="plan of moves")  # it ends, lease or not
 
-    def _make(self, action: api.Plan) -> None:
+    def _make(self, action: api.ComputePlan) -> None:
         try:
             planned = self.loop.aside(self.moves.planner, action.world, action.bounds)
         finally:
             self.moves.planning = False
-        self.hands.post(api.Made(action.token, planned))
+        self.hands.post(api.PlanCompleted(action.token, planned))
 
     def _hear(self) -> None:
         """Ask which copies that leave have been cleared by all."""
@@ -334,11 +334,11 @@
                 wishes, moves, self.moves.quiescence.barrier_states(wishes) if wishes else (), strict=True
             ):
                 if state == clear.Heard.CLEARED:
-                    self.hands.post(api.Quiet(wish.name, wish.engine, move))
+                    self.hands.post(api.ReplicaQuiesced(wish.name, wish.engine, move))
 
     # Engines.
 
-    def _statement(self, action: api.Run) -> None:
+    def _statement(self, action: api.RunStatement) -> None:
         made = self.moves.statements
         statement, rows = _Long(made.loop, made.links, made.tls, action.engine), []
         try:
@@ -361,9 +361,9 @@
                 figures = int(rows[0][0]), int(rows[0][1])
             except (IndexError, ValueError):
                 outcome = "failed"
-        self.hands.post(api.Ended(action.token, outcome, *figures))
+        self.hands.post(api.StatementEnded(action.token, outcome, *figures))
 
-    def _send(self, statement: _Long, action: api.Run) -> str:
+    def _send(self, statement: _Long, action: api.RunStatement) -> str:
         """Send a statement once there is a place; one without an answer keeps it as long as its act."""
         self.starts.put(None)
         after = 0.0
@@ -399,7 +399,9 @@
             self.shards = shards
             told = [replace(home, mark=self.marks.get(name, "")) for name, home in sorted(homes.items())]
             # One that is back is not told of before its mark is known: it may have another disk.
-            self.hands.post(api.Heard(tuple(home for home in told if home.mark or home.life == "gone")))
+            self.hands.post(
+                api.EnginesReported(tuple(home for home in told if home.mark or home.life == "gone"))
+            )
             self.loop.sleep(NEWS_MS)
 
     def _list(self) -> None:
@@ -424,7 +426,7 @@
             self.list_at[name] = self.loop.now() + (LIST_MS if held == known else LIST_SOON_MS)
             if held is not None:
                 self.marks[name] = mark
-                self.hands.post(api.Heard((), {name: held}))
+                self.hands.post(api.EnginesReported((), {name: held}))
 
     def _mark(self, engine: str) -> str:
         """Return the mark on an engine's disk; one without gets one. "": it can't be read."""
--- a/fennelwind/shards/access_load.py
+++ b/fennelwind/shards/access_load.py
@@ -10,7 +10,7 @@
 HALF_LIFE_MS = 1_800_000  # ms; days differ by their hours, and a move that is begun is over in some minutes
 PARTS = 16  # of a half-life: heat on the record fades by steps of 4%
 PART_MS = HALF_LIFE_MS // PARTS
-UNIT = 1000  # in which the record counts a query
+UNITS_PER_QUERY = 1000  # in which the record counts a query
 FADES = (
     65536,
     62757,
@@ -34,7 +34,9 @@
 COUNT_MOST = 2**40  # thousandths of a query that one controller can mean; sums stay far from 2**64
 NAMED_MOST = 4_096  # shards that a controller counts; one more is not, until others have faded
 LEAST = 0.05  # of a query: below that nothing is kept
-ENOUGH = 1_000 * UNIT  # queries that the record must know of before heat that was declared counts no longer
+ENOUGH = (
+    1_000 * UNITS_PER_QUERY
+)  # queries that the record must know of before heat that was declared counts no longer
 
 
 def faded(count: int, parts: int) -> int:
@@ -42,7 +44,7 @@
     return (count >> min(parts // PARTS, 64)) * FADES[parts % PARTS] >> 16
 
 
-class Named:
+class AccessCounter:
     """What one controller has counted and not told yet. Times in ms on its own clock."""
 
     def __init__(self) -> None:
@@ -65,15 +67,15 @@
         first = sorted(self.counts, key=lambda shard: (-self.counts[shard], shard))[:TOLD_MOST]
         sizes = accumulate(len(shard.encode()) for shard in first)
         return [
-            (shard, min(COUNT_MOST, int(self.counts[shard] * UNIT)))
+            (shard, min(COUNT_MOST, int(self.counts[shard] * UNITS_PER_QUERY)))
             for shard, size in zip(first, sizes, strict=True)
             if size <= TOLD_BYTES
         ]
 
-    def told(self, batch: Iterable[tuple[str, int]]) -> None:
+    def discard_reported(self, batch: Iterable[tuple[str, int]]) -> None:
         """The record has these: only what has come since is left to be told."""
         for shard, count in batch:
-            rest = self.counts.get(shard, 0.0) - count / UNIT
+            rest = self.counts.get(shard, 0.0) - count / UNITS_PER_QUERY
             if rest >= LEAST:
                 self.counts[shard] = rest
             else:
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -21,7 +21,7 @@
 from fennelwind.shards import migration_statements, transfer_throttle
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.model import Bounds, Migration, MigrationPlan, ReplicaHost, Shard, World
-from fennelwind.shards.state_machine import HOUR_MS, MOVES_MOST, PLAN_MOST, ShardMachine
+from fennelwind.shards.state_machine import HOUR_MS, MAX_ENTRIES_PER_COMMAND, MOVES_MOST, ShardMachine
 
 Step, Answer = pb.Step, pb.Answer
 NEW = 2**62  # numbers of moves in a plan from here on, apart from the record's
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Seen:
+class StateUpdated:
     """The record up to this index is in the holder's copy of the machine; `frozen`: tables under change."""
 
     index: int
@@ -62,7 +62,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Proposed:
+class CommandAnswered:
     """What became of a command; None: nobody knows."""
 
     token: int
@@ -71,7 +71,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Ended:
+class StatementEnded:
     """What became of a statement: `ok`, `failed` (the engine says so) or `unknown`; a check's two figures."""
 
     token: int
@@ -81,7 +81,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Heard:
+class EnginesReported:
     """News of engines; `held`: the shards that an engine lists, where it was asked."""
 
     homes: tuple[ReplicaHost, ...]
@@ -89,7 +89,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Quiet:
+class ReplicaQuiesced:
     """All who may send queries keep them away from a copy that is leaving, and none runs there."""
 
     shard: str
@@ -98,21 +98,21 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Made:
+class PlanCompleted:
     """A plan was made."""
 
     token: int
     planned: MigrationPlan
 
 
-Event = Seen | Proposed | Ended | Heard | Quiet | Made
+Event = StateUpdated | CommandAnswered | StatementEnded | EnginesReported | ReplicaQuiesced | PlanCompleted
 
 
 # What is to be done.
 
 
 @dataclass(slots=True, frozen=True)
-class Propose:
+class ProposeCommand:
     """A command for the machine of shards; `Proposed` with this token follows."""
 
     token: int
@@ -120,7 +120,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Run:
+class RunStatement:
     """A statement for an engine; `Ended` with this token follows, by the deadline at the latest."""
 
     token: int
@@ -131,14 +131,14 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Stop:
+class CancelStatement:
     """A statement has taken too long: it is to be cancelled."""
 
     token: int
 
 
 @dataclass(slots=True, frozen=True)
-class Plan:
+class ComputePlan:
     """A world to be planned beside all else, which nobody changes. `Made` with this token follows."""
 
     token: int
@@ -147,18 +147,18 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Wake:
+class WakeAt:
     """A step is wanted at this time."""
 
     at: float
 
 
 @dataclass(slots=True, frozen=True)
-class Over:
+class LeaseLost:
     """Another holds the lease: nothing more comes from here."""
 
 
-Action = Propose | Run | Stop | Plan | Wake | Over
+Action = ProposeCommand | RunStatement | CancelStatement | ComputePlan | WakeAt | LeaseLost
 
 
 @dataclass(slots=True)
@@ -190,7 +190,7 @@
     rested_at: float = -1.0  # when it was seen to have rested
 
 
-class Carrier:
+class MigrationDriver:
     """The holder's part; one for each time that the lease is gained."""
 
     def __init__(
@@ -237,32 +237,32 @@
             self._began = now
         for event in events:
             match event:
-                case Seen():
+                case StateUpdated():
                     self._index, self.machine, self.frozen = event.index, event.machine, event.frozen
-                case Proposed():
+                case CommandAnswered():
                     self._proposed(event)
-                case Ended():
+                case StatementEnded():
                     self._ended(event)
-                case Heard():
+                case EnginesReported():
                     self._heard(event)
-                case Made():
+                case PlanCompleted():
                     self._made(event)
-                case Quiet() if self.machine is not None:
+                case ReplicaQuiesced() if self.machine is not None:
                     move = self.machine.move_of(event.shard)
                     if move is not None and (move.number, move.step) == (event.move, "switched"):
                         work = self._work.get(move.number) or self._first_sight(move)
                         work.quiet = True
         for token in [token for token, asked in self._asked.items() if asked.until <= now]:
             if self._asked[token].pair is not None:
-                self._out.append(Stop(token))
-                self._ended(Ended(token, "unknown"))
+                self._out.append(CancelStatement(token))
+                self._ended(StatementEnded(token, "unknown"))
             else:
-                self._proposed(Proposed(token, None))
+                self._proposed(CommandAnswered(token, None))
         if not self.over and self.machine is not None and self._index >= self._need_index:
             self._go_on()
         if self.over:
-            return [*self._out, Over()]
-        return [*self._out, Wake(self._next())]
+            return [*self._out, LeaseLost()]
+        return [*self._out, WakeAt(self._next())]
 
     def _go_on(self) -> None:
         for number in [number for number in self._work if number not in self.machine.moves]:
@@ -292,7 +292,7 @@
             self._plan_of, self._plan_behind = (self.machine.changes, self.frozen), self.machine.last_move
             self._token += 1
             self._asked[self._token] = _Asked(None, "planning", self._now + self.timing.planning_ms)
-            self._out.append(Plan(self._token, self.machine.world(self.frozen), self.bounds))
+            self._out.append(ComputePlan(self._token, self.machine.world(self.frozen), self.bounds))
 
     def _first_sight(self, move: Migration) -> _Work:
         """Take up a move. One that is under way is the last holder's, who may have sent a load just now."""
@@ -317,7 +317,7 @@
         self._token += 1
         self._asked[self._token] = _Asked(owner, kind, self._now + self.timing.answer_ms)
         command = pb.Command(fence=self.fence, **what)
-        self._out.append(Propose(self._token, command.SerializeToString(deterministic=True)))
+        self._out.append(ProposeCommand(self._token, command.SerializeToString(deterministic=True)))
 
     def _take(self, move: Migration, kind: int, **more: object) -> None:
         """Ask for a move's step."""
@@ -330,10 +330,12 @@
             owner, kind, self._now + within + self.timing.slack_ms, (shard, engine), self._index
         )
         self._out.append(
-            Run(self._token, engine, statement, migration_statements.overlay(self.fence, within), within)
+            RunStatement(
+                self._token, engine, statement, migration_statements.overlay(self.fence, within), within
+            )
         )
 
-    def _proposed(self, event: Proposed) -> None:
+    def _proposed(self, event: CommandAnswered) -> None:
         asked = self._asked.pop(event.token, None)
         if asked is None:
             return
@@ -609,7 +611,7 @@
 
     # Answers of engines.
 
-    def _ended(self, event: Ended) -> None:
+    def _ended(self, event: StatementEnded) -> None:
         asked = self._asked.pop(event.token, None)
         if asked is None:
             return
@@ -647,7 +649,7 @@
 
     # Copies in doubt.
 
-    def _heard(self, event: Heard) -> None:
+    def _heard(self, event: EnginesReported) -> None:
         for home in event.homes:
             self._news[home.name] = home
             if home.life == "gone":
@@ -671,7 +673,7 @@
             for name, home in sorted(self._news.items())
             if name not in known or _differs(home, known[name])
         }
-        news = tuple(self._news.values())[:PLAN_MOST]
+        news = tuple(self._news.values())[:MAX_ENTRIES_PER_COMMAND]
         if news:
             told = [
                 pb.Home(
@@ -713,7 +715,7 @@
             running += 1
             self._run(pair, "doubt", shard, engine, migration_statements.check(shard), self.timing.check_ms)
 
-    def _doubt_ended(self, asked: _Asked, event: Ended) -> None:
+    def _doubt_ended(self, asked: _Asked, event: StatementEnded) -> None:
         shard, engine = asked.pair
         known = self.machine.shards.get(shard)
         home = self.machine.homes.get(engine)
@@ -740,7 +742,7 @@
 
     # Plans. The record may have gone on since the world that one is for: it judges each step, as does this.
 
-    def _made(self, event: Made) -> None:
+    def _made(self, event: PlanCompleted) -> None:
         asked = self._asked.get(event.token)
         if asked is not None and asked.kind == "planning":
             del self._asked[event.token]
@@ -797,7 +799,7 @@
                     after=after,
                 )
             )
-        wanted = wanted[: max(0, min(PLAN_MOST, MOVES_MOST - len(machine.moves)))]
+        wanted = wanted[: max(0, min(MAX_ENTRIES_PER_COMMAND, MOVES_MOST - len(machine.moves)))]
         if wanted:
             self._propose(None, "plan", plan=pb.Plan(moves=wanted))
 
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -14,9 +14,9 @@
 from typing import Protocol
 
 from fennelwind import policy
-from fennelwind.shards.access_load import Named
+from fennelwind.shards.access_load import AccessCounter
 
-SLOTS_MOST = 6  # kinds are split by every set of slots, 64 ways then; a look at a class's kinds stays short
+MAX_SLOTS = 6  # kinds are split by every set of slots, 64 ways then; a look at a class's kinds stays short
 
 Places = Mapping[str, tuple[str, ...]]  # by shard: the engines with good copies
 Quiet = Mapping[str, frozenset[str]]  # by table, in lower case: engines that get no new query of it
@@ -39,7 +39,7 @@
     """Return a controller's settings with its classes and kinds split by slots; 0: as they are."""
     if not slots:
         return settings
-    parts = 2 ** min(slots, SLOTS_MOST)
+    parts = 2 ** min(slots, MAX_SLOTS)
     count = len(settings.kind_cores)
 
     def kinds(allowed: Iterable[int], slot: int) -> tuple[int, ...]:
@@ -49,7 +49,7 @@
     classes = [
         cls if cls.kinds is None else replace(cls, kinds=kinds(cls.kinds, 0)) for cls in settings.classes
     ]
-    for slot in range(1, min(slots, SLOTS_MOST) + 1):
+    for slot in range(1, min(slots, MAX_SLOTS) + 1):
         classes += [
             replace(cls, kinds=kinds(range(count) if cls.kinds is None else cls.kinds, slot))
             for cls in settings.classes
@@ -76,13 +76,13 @@
 
     def __init__(self, settings: policy.Settings, slots: int, opened: Opened | None = None) -> None:
         self.classes = len(settings.classes)
-        self.slots = [_Slot() for _ in range(min(slots, SLOTS_MOST))]
+        self.slots = [_Slot() for _ in range(min(slots, MAX_SLOTS))]
         self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery told them
         self.places: Places = {}
         self.quiet: Quiet = {}
         self.opened = opened
         self.overflows = 0  # queries for which no slot was left
-        self.named = Named()  # how often queries named each shard that the record knows
+        self.named = AccessCounter()  # how often queries named each shard that the record knows
         self._of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}  # what is told of has a place
         self._named: dict[int, tuple[str, ...]] = {}  # all that a query named
         self._uses = 0
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -26,7 +26,7 @@
 HOMES_MOST = 4_096  # engines, those that are gone for good among them until they are removed
 COPIES_MOST = 16  # copies of one shard, whatever their state
 MOVES_MOST = 4_096  # moves that have not ended
-PLAN_MOST = 1_024  # moves in one command, far within the record's bound on a command
+MAX_ENTRIES_PER_COMMAND = 1_024  # moves in one command, far within the record's bound on a command
 NAME_MOST = 512  # characters of a name
 SIZE_MOST = 2**60  # bytes of a shard or a disk; sums of them stay far from 2**64
 PLACES_MOST = 3_072  # shards in one answer of where copies are; with the longest names and
@@ -36,7 +36,9 @@
 REST_MS = 60_000  # ms from a switch until the old copy may go: who is cut off for less may still send to it
 HOUR_MS = 3_600_000  # ms over which bytes are bounded
 BEGUN_MS = 300_000  # ms of one part of it: what began in a part counts until an hour after the part's end
-COUNTED_SINCE = 2  # level of the record from which on it keeps bytes of the hour, and heat that was counted
+ACCESS_COUNTS_MIN_LEVEL = (
+    2  # level of the record from which on it keeps bytes of the hour, and heat that was counted
+)
 ASIDE_FIRST_MS, ASIDE_MOST_MS = 30_000, 3_600_000  # ms that a shard rests after a failed move; it doubles
 
 Step, Answer = pb.Step, pb.Answer
@@ -133,7 +135,9 @@
             if shard in self.shards
         }
         enough = sum(found.values()) >= access_load.ENOUGH
-        return {shard: count / access_load.UNIT for shard, count in found.items()} if enough else {}
+        return (
+            {shard: count / access_load.UNITS_PER_QUERY for shard, count in found.items()} if enough else {}
+        )
 
     def move_of(self, shard: str) -> Migration | None:
         """Return the move of a shard that has not ended."""
@@ -212,7 +216,7 @@
             raise UnreadableCommandError(str(exc)) from exc
         self._entry = at.index
         what = asked.WhichOneof("what")
-        if what is None or what == "counted" and facts.fact("level", "") < COUNTED_SINCE:
+        if what is None or what == "counted" and facts.fact("level", "") < ACCESS_COUNTS_MIN_LEVEL:
             raise UnreadableCommandError("a command of no kind")
         if what == "counted":  # nobody who waits for where copies are is woken for it
             return self._counted(asked.counted, at).SerializeToString(deterministic=True)
@@ -260,7 +264,7 @@
     # Operators and news.
 
     def _declare(self, asked: pb.Declare, at: LogPosition) -> pb.Answer:
-        if len(asked.shards) > PLAN_MOST:
+        if len(asked.shards) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
         return Answer(refusals=[self._declared(told, at) for told in asked.shards])
 
@@ -334,7 +338,7 @@
         return Answer()
 
     def _news(self, asked: pb.News, at: LogPosition, facts: Facts) -> pb.Answer:
-        if len(asked.homes) > PLAN_MOST:
+        if len(asked.homes) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
         return Answer(refusals=[self._heard(told, asked.seen, at) for told in asked.homes])
 
@@ -442,7 +446,7 @@
     # Plans and steps.
 
     def _plan(self, asked: pb.Plan, at: LogPosition, facts: Facts) -> pb.Answer:
-        if len(asked.moves) > PLAN_MOST:
+        if len(asked.moves) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
         answer, numbers, own = Answer(), {}, {told.number for told in asked.moves}
         for told in asked.moves:
@@ -524,7 +528,7 @@
         refusal = take(move, asked, at)
         if not refusal:
             self._touched[move.shard] = at.index
-            if asked.kind == Step.COPY and facts.fact("level", "") >= COUNTED_SINCE:
+            if asked.kind == Step.COPY and facts.fact("level", "") >= ACCESS_COUNTS_MIN_LEVEL:
                 part = at.clock_ms // BEGUN_MS
                 self._begun[part] = self._begun.get(part, 0) + self.shards[move.shard].size
         return Answer(refusal=refusal)
--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -15,7 +15,7 @@
 from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.loop import Address
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.access_load import UNIT, Named
+from fennelwind.shards.access_load import UNITS_PER_QUERY, AccessCounter
 from fennelwind.shards.migration import Timing
 from fennelwind.shards.model import ReplicaHost
 
@@ -205,7 +205,7 @@
 
 
 def test_controllers_tell_what_queries_named_and_nothing_twice():
-    scene, named = Scene(4), [Named(), Named()]
+    scene, named = Scene(4), [AccessCounter(), AccessCounter()]
 
     def told(shard):
         return scene.machine()._faded.get(shard, (0, 0))[0]
@@ -216,10 +216,10 @@
             told_by = AccessLoadReporter(scene.council.hosts[name], asker, named[number], number)
             scene.council.hosts[name].start(told_by.start)
             named[number].count(NAMES[:2])
-        scene.council.until(lambda: told(NAMES[0]) > 1.9 * UNIT)
+        scene.council.until(lambda: told(NAMES[0]) > 1.9 * UNITS_PER_QUERY)
         named[0].count(NAMES[2:])
         scene.council.until(lambda: told(NAMES[2]))
-        assert told(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
+        assert told(NAMES[1]) <= 2 * UNITS_PER_QUERY and not named[0].counts and not named[1].counts
 
     with mock.patch("fennelwind.cluster.access_load.REPORT_INTERVAL_MS", 2_000.0):
         scene.play(call)
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -27,16 +27,16 @@
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards import state_machine as machine_module
 from fennelwind.shards.migration import (
-    Carrier,
-    Ended,
-    Heard,
-    Over,
-    Propose,
-    Proposed,
-    Run,
-    Seen,
-    Stop,
-    Wake,
+    CancelStatement,
+    CommandAnswered,
+    EnginesReported,
+    LeaseLost,
+    MigrationDriver,
+    ProposeCommand,
+    RunStatement,
+    StatementEnded,
+    StateUpdated,
+    WakeAt,
 )
 from fennelwind.shards.model import Bounds
 from fennelwind.shards.plan import plan
@@ -764,45 +764,49 @@
 
 def holder(index=5, since=5):
     """A desk whose move is at a step, and a holder who sees it."""
-    carrier = Carrier(7, since, "/staging")
-    return carrier, lambda desk, now=0.0, *events: carrier.step(now, [Seen(index, desk.machine), *events])
+    carrier = MigrationDriver(7, since, "/staging")
+    return carrier, lambda desk, now=0.0, *events: carrier.step(
+        now, [StateUpdated(index, desk.machine), *events]
+    )
 
 
 def test_a_holder_waits_until_its_copy_of_the_record_holds_its_lease():
     desk = to_step(desk_with_copy(), "reserved")
     _, early = holder(index=4)
-    assert not [a for a in early(desk) if isinstance(a, Propose | Run)]
+    assert not [a for a in early(desk) if isinstance(a, ProposeCommand | RunStatement)]
     _, seen = holder(index=5)
-    command = pb.Command.FromString(next(a for a in seen(desk) if isinstance(a, Propose)).command)
+    command = pb.Command.FromString(next(a for a in seen(desk) if isinstance(a, ProposeCommand)).command)
     assert command.fence == 7 and command.step.kind == Step.COPY and command.step.source == "e1"
 
 
 def test_a_holder_that_is_told_of_another_does_nothing_any_more():
     desk = to_step(desk_with_copy(), "reserved")
     _, step = holder()
-    token = next(a for a in step(desk) if isinstance(a, Propose)).token
-    assert step(desk, 1.0, Proposed(token, Answer(refusal=Answer.FENCE))) == [Over()]
-    assert step(desk, 99_000.0) == [Over()]
+    token = next(a for a in step(desk) if isinstance(a, ProposeCommand)).token
+    assert step(desk, 1.0, CommandAnswered(token, Answer(refusal=Answer.FENCE))) == [LeaseLost()]
+    assert step(desk, 99_000.0) == [LeaseLost()]
 
 
 def test_statements_carry_the_fence_and_a_time_out_and_are_stopped_and_repeated_after_growing_waits():
     desk = to_step(desk_with_copy(), "dropping")
     _, step = holder()
-    run = next(a for a in step(desk) if isinstance(a, Run))
+    run = next(a for a in step(desk) if isinstance(a, RunStatement))
     assert run.engine == "e1" and "DROP IF EXISTS PARTITION (`d`='1') PURGE" in run.statement
     assert run.overlay == {"fennelwind.fence": "moves:7", "hive.query.timeout.seconds": "30"}
     now, waits = 0.0, []
     for _ in range(4):
         actions = step(desk, now + 35_000.0)
-        assert Stop(run.token) in actions
+        assert CancelStatement(run.token) in actions
         now = ended = now + 35_000.0
-        while not any(isinstance(a, Run) for a in actions):
-            now = next(a.at for a in actions if isinstance(a, Wake))
+        while not any(isinstance(a, RunStatement) for a in actions):
+            now = next(a.at for a in actions if isinstance(a, WakeAt))
             actions = step(desk, now)
         waits.append(now - ended)
-        run = next(a for a in actions if isinstance(a, Run))
+        run = next(a for a in actions if isinstance(a, RunStatement))
     assert waits == [1_000.0, 2_000.0, 4_000.0, 8_000.0]
-    told = next(a for a in step(desk, now + 1.0, Ended(run.token, "ok")) if isinstance(a, Propose))
+    told = next(
+        a for a in step(desk, now + 1.0, StatementEnded(run.token, "ok")) if isinstance(a, ProposeCommand)
+    )
     assert pb.Command.FromString(told.command).step.kind == Step.DONE
 
 
@@ -817,31 +821,33 @@
         desk.plan(f"t/d={n}", "e1", "e2")
     desk.found("t/d=0", "e3"), desk.found("t/d=1", "e3"), desk.found("t/d=2", "e3")
     clock, bounds = 0, Bounds(2, 4, bytes_per_hour=100.0)
-    carrier = Carrier(1, 0, "/staging", bounds)
+    carrier = MigrationDriver(1, 0, "/staging", bounds)
 
     def began(now, events=()):
         out, told = [], []
-        for action in carrier.step(now, [Seen(desk.index, desk.machine), *events]):
-            if isinstance(action, Propose):
+        for action in carrier.step(now, [StateUpdated(desk.index, desk.machine), *events]):
+            if isinstance(action, ProposeCommand):
                 desk.index += 1
                 answer = Answer.FromString(
                     desk.machine.apply(LogPosition(desk.index, clock), action.command, desk)
                 )
-                told.append(Proposed(action.token, answer, desk.index))
+                told.append(CommandAnswered(action.token, answer, desk.index))
                 step = pb.Command.FromString(action.command).step
                 out.append((Step.Kind.Name(step.kind), step.source))
         return out, told
 
     assert began(0.0)[0] == []  # nobody knows yet what is on the target's disk
-    first, told = began(1_000.0, [Heard((), {"e2": frozenset()})])
+    first, told = began(1_000.0, [EnginesReported((), {"e2": frozenset()})])
     assert first == [("RESERVE", "")] * 2  # streams of one engine, and 72 of 100 bytes
     assert began(1_001.0, told)[0] == [("COPY", "e1")] * 2
     for move in list(desk.machine.moves.values())[:2]:
         desk.step(Step.UNDO, move.number)
         desk.step(Step.UNDONE, move.number)
-    carrier = Carrier(1, 0, "/staging", bounds)  # another holder, to whom the record alone tells of them
+    carrier = MigrationDriver(
+        1, 0, "/staging", bounds
+    )  # another holder, to whom the record alone tells of them
     began(0.0)
-    assert began(1_000.0, [Heard((), {"e2": frozenset()})])[0] == []
+    assert began(1_000.0, [EnginesReported((), {"e2": frozenset()})])[0] == []
     clock = 3_900_000
     desk.machine.expire_due(LogPosition(desk.index + 1, clock))
     found, told = began(2_000.0)
@@ -888,13 +894,13 @@
 
 
 def test_a_controller_tells_what_was_named_most_and_keeps_the_rest_faded():
-    named = access_load.Named()
+    named = access_load.AccessCounter()
     for n in range(access_load.NAMED_MOST + 1):
         named.count([f"t/d={n}", "t/d=0"])
     batch = named.batch(access_load.HALF_LIFE_MS)
     assert named.uncounted == 1 and batch[0] == ("t/d=0", (access_load.NAMED_MOST + 2) * 500)
     assert len(batch) == access_load.TOLD_MOST and batch[1] == ("t/d=1", 500)
-    named.told(batch)
+    named.discard_reported(batch)
     assert len(named.counts) == access_load.NAMED_MOST - access_load.TOLD_MOST
     assert named.batch(7 * access_load.HALF_LIFE_MS) == []
 
@@ -921,7 +927,7 @@
     "defect",
     [
         None,
-        mock.patch.object(Carrier, "_copies_asked", lambda self: {}),
+        mock.patch.object(MigrationDriver, "_copies_asked", lambda self: {}),
         mock.patch(
             "fennelwind.shards.transfer_throttle.source",
             lambda known, bounds, move, engines, asked: engines[0],
--- a/tests/shards/test_shard_routing.py
+++ b/tests/shards/test_shard_routing.py
@@ -4,7 +4,7 @@
 
 from fennelwind import policy
 from fennelwind.policy.gateway import Gateway
-from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
+from fennelwind.shards.routing import MAX_SLOTS, Routing, widen
 
 SETTINGS = policy.Settings(
     classes=(
@@ -131,5 +131,5 @@
 
 
 def test_slots_are_bounded():
-    assert len(Routing(SETTINGS, 50).slots) == SLOTS_MOST
-    assert len(widen(SETTINGS, 50).kind_cores) == 2 * 2**SLOTS_MOST
+    assert len(Routing(SETTINGS, 50).slots) == MAX_SLOTS
+    assert len(widen(SETTINGS, 50).kind_cores) == 2 * 2**MAX_SLOTS
--- a/tests/support/clearance_measure.py
+++ b/tests/support/clearance_measure.py
@@ -21,7 +21,7 @@
 from fennelwind.cluster.quiescence import QuiescenceClient
 from fennelwind.quiescence.in_flight import InFlightTracker
 from fennelwind.quiescence.registered_controllers import ControllerRegistry
-from fennelwind.shards.routing import SLOTS_MOST, Routing
+from fennelwind.shards.routing import MAX_SLOTS, Routing
 
 
 def told(what, took):
@@ -109,7 +109,7 @@
         ("nothing is asked for", InFlightTracker(), {}),
         ("three tables are quiet", InFlightTracker(), {t: frozenset({"e1"}) for t in "abt"}),
     ):
-        routing = Routing(SETTINGS, SLOTS_MOST, book)
+        routing = Routing(SETTINGS, MAX_SLOTS, book)
         routing.rewrite_list(ENGINES)
         routing.update_replicas({"t/d=1": ("e1", "e3"), "t/d=2": ("e3", "e5")})
         routing.update_quiesced(quiet)
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -15,7 +15,7 @@
 from planted import Line, broken, by_model, planted, row
 
 from fennelwind.shards import state_machine
-from fennelwind.shards.migration import Carrier
+from fennelwind.shards.migration import MigrationDriver
 from fennelwind.shards.state_machine import ShardMachine
 
 QUICK_SEEDS = 10
@@ -28,17 +28,25 @@
 DEFECTS = {
     "switched without a check": [
         Line(
-            Carrier._verify,
+            MigrationDriver._verify,
             "if work.target is not None and",
             "return self._take(move, Step.CHECK, attempt=move.attempt, rows=max(shard.rows, 0),"
             " checksum=shard.checksum)\n    if work.target is not None and",
         )
     ],
     "old copy dropped before the switch": [
-        Line(Carrier._at_checked, "self._take(move, Step.SWITCH)", DROP_NOW + "self._take(move, Step.SWITCH)")
+        Line(
+            MigrationDriver._at_checked,
+            "self._take(move, Step.SWITCH)",
+            DROP_NOW + "self._take(move, Step.SWITCH)",
+        )
     ],
     "old copy dropped before the record says so": [
-        Line(Carrier._at_switched, "if not self._may_go(move):", DROP_NOW + "if not self._may_go(move):")
+        Line(
+            MigrationDriver._at_switched,
+            "if not self._may_go(move):",
+            DROP_NOW + "if not self._may_go(move):",
+        )
     ],
     "last good copy may go": [patch.object(ShardMachine, "spared", lambda self, shard, engine: True)],
     "headroom without the copy that comes in": [
@@ -56,12 +64,14 @@
         patch.object(ShardMachine, "_fenced", lambda self, fence, facts: True)
     ],
     "drops on their way not waited for": [
-        patch.object(Carrier, "_drops_ended", lambda self, shard, engine: True)
+        patch.object(MigrationDriver, "_drops_ended", lambda self, shard, engine: True)
+    ],
+    "loads on their way not waited for": [
+        patch.object(MigrationDriver, "_loads_ended", lambda self, move: True)
     ],
-    "loads on their way not waited for": [patch.object(Carrier, "_loads_ended", lambda self, move: True)],
     "resumed move copies again": [
         Line(
-            Carrier._at_copying,
+            MigrationDriver._at_copying,
             'work.phase, work.attempt = "verify", move.attempt',
             "return self._begin_copy(move, work)",
         )
@@ -77,7 +87,7 @@
             "        self._hold(move.shard, Replica(move.shard, move.target, 'coming'))\n"
             "    return True\n    home, copy = self.homes[move.target],",
         ),
-        patch.object(Carrier, "_target_there", lambda self, move: True),
+        patch.object(MigrationDriver, "_target_there", lambda self, move: True),
     ],
     "a check's answer from an earlier disk is taken": [
         Line(ShardMachine._checked, "home.generation != asked.generation or", "")
@@ -95,14 +105,18 @@
             'self._at(move, "undoing", at)\n        self._undone(self.moves[move.number], asked, at)',
         )
     ],
-    "undone without the drop": [Line(Carrier._at_undoing, 'work.phase == "dropped" or not there', "True")],
+    "undone without the drop": [
+        Line(MigrationDriver._at_undoing, 'work.phase == "dropped" or not there', "True")
+    ],
     "no rest after a switch": [patch.object(QuickMachine, "rest_ms", 0)],
-    "queries on the old copy not waited for": [Line(Carrier._at_switched, "if work.quiet or", "if True or")],
+    "queries on the old copy not waited for": [
+        Line(MigrationDriver._at_switched, "if work.quiet or", "if True or")
+    ],
     "table under change moved on": [
         Line(Play.fact, 'return int(kind == "changing" and key in self.changing)', "return 0")
     ],
     "acts on a copy of the record older than its answers": [
-        Line(Carrier.step, "and self._index >= self._need_index", "")
+        Line(MigrationDriver.step, "and self._index >= self._need_index", "")
     ],
 }
 
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -19,20 +19,20 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.migration import (
-    Carrier,
-    Ended,
-    Heard,
-    Made,
-    Over,
-    Plan,
-    Propose,
-    Proposed,
-    Quiet,
-    Run,
-    Seen,
-    Stop,
+    CancelStatement,
+    CommandAnswered,
+    ComputePlan,
+    EnginesReported,
+    LeaseLost,
+    MigrationDriver,
+    PlanCompleted,
+    ProposeCommand,
+    ReplicaQuiesced,
+    RunStatement,
+    StatementEnded,
+    StateUpdated,
     Timing,
-    Wake,
+    WakeAt,
 )
 from fennelwind.shards.model import Bounds, Migration, MigrationPlan, ReplicaHost, World
 from fennelwind.shards.plan import plan as planned
@@ -144,7 +144,7 @@
         faults=True,
         fault_ms=120_000.0,
         machine=QuickMachine,
-        carrier=Carrier,
+        carrier=MigrationDriver,
         planner=plan,
         at=None,
         lossy=0.0,
@@ -334,35 +334,35 @@
         if holder != self.holder or self.carrier is None:
             return
         if not self.lag:
-            events = [Seen(self.index, self.machine, frozenset(self.changing)), *events]
+            events = [StateUpdated(self.index, self.machine, frozenset(self.changing)), *events]
         elif self.replica is None or self.now >= self.replica[0] + self.lag:
             copy = self.machine_type()
             copy.restore(self.machine.snapshot())
             self.replica = (self.now, copy)
-            events = [Seen(self.index, copy, frozenset(self.changing)), *events]
+            events = [StateUpdated(self.index, copy, frozenset(self.changing)), *events]
         for action in self.carrier.step(self.now, events):
-            if isinstance(action, Propose | Run) and self.now >= DRAIN_MS:
+            if isinstance(action, ProposeCommand | RunStatement) and self.now >= DRAIN_MS:
                 self.boundary += 1
                 number, kind = self.at or (0, "")
                 if self.boundary == number and self.planned_fault(kind):
                     return
             match action:
-                case Propose():
+                case ProposeCommand():
                     self.send_command(action)
-                case Run():
+                case RunStatement():
                     self.send_statement(action)
-                case Plan(token, world, bounds):
-                    made = [Made(token, self.planner(world, bounds))]  # told when much may differ
+                case ComputePlan(token, world, bounds):
+                    made = [PlanCompleted(token, self.planner(world, bounds))]  # told when much may differ
                     if not self.lag:
                         self.check_keeps(made[0].planned.keeps)
                     self.later(self.random.choice((1.0, 100.0, 3_000.0)), self.step_holder, holder, made)
-                case Stop():
+                case CancelStatement():
                     self.later(2.0, self.stop, action.token, holder)
-                case Wake():
+                case WakeAt():
                     if self.woken != (holder, action.at):
                         self.woken = (holder, action.at)
                         self.later(max(1.0, action.at - self.now), self.step_holder, holder, [])
-                case Over():
+                case LeaseLost():
                     raise Broken("the one holder was told that it is not")
 
     def send_command(self, action):
@@ -370,7 +370,9 @@
         lost = self.random.random() < self.lossy
         delay = self.random.uniform(1.0, 30.0)
         if lost and self.random.random() < 0.5:
-            return self.later(TIMING.answer_ms, self.step_holder, holder, [Proposed(action.token, None)])
+            return self.later(
+                TIMING.answer_ms, self.step_holder, holder, [CommandAnswered(action.token, None)]
+            )
         if self.lossy and self.random.random() < 0.05:  # on its way for so long that others may hold by then
             delay = self.random.uniform(3_000.0, 9_000.0)
 
@@ -381,7 +383,7 @@
                     self.random.uniform(1.0, 30.0),
                     self.step_holder,
                     holder,
-                    [Proposed(action.token, answer, self.index)],
+                    [CommandAnswered(action.token, answer, self.index)],
                 )
 
         self.later(delay, arrive)
@@ -404,7 +406,9 @@
 
     def answer(self, holder, token, hang, *ended):
         if not hang and self.random.random() >= self.lossy:
-            self.later(self.random.uniform(1.0, 20.0), self.step_holder, holder, [Ended(token, *ended)])
+            self.later(
+                self.random.uniform(1.0, 20.0), self.step_holder, holder, [StatementEnded(token, *ended)]
+            )
 
     def begin_statement(self, engine, life, action, holder, hang, sent):
         if not engine.up or engine.life_number != life:
@@ -456,13 +460,15 @@
         self.later(2_000.0, self.tell_news)
         homes = tuple(engine.home() for engine in self.engines.values())
         held = {name: frozenset(e.shelf.held) for name, e in self.engines.items() if e.up}
-        self.later(self.random.uniform(5.0, 500.0), self.step_holder, self.holder, [Heard(homes, held)])
+        self.later(
+            self.random.uniform(5.0, 500.0), self.step_holder, self.holder, [EnginesReported(homes, held)]
+        )
         if self.index % 3 == 0 or self.machine.next_expiry_clock_ms() is not None:
             self.pass_time()
         for shard in self.machine.shards:
             engine, move = self.machine.leaving(shard), self.machine.move_of(shard)
             if engine and move.rested and not self.running[shard, engine]:
-                self.later(5.0, self.step_holder, self.holder, [Quiet(shard, engine, move.number)])
+                self.later(5.0, self.step_holder, self.holder, [ReplicaQuiesced(shard, engine, move.number)])
 
     # Queries.
 
