--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -77,7 +77,7 @@
             for n, named in enumerate(self.named):
                 if self.minute % (int(REPORT_INTERVAL_MS) // MINUTE_MS) == self.at[n]:
                     self._tell(named)
-            heats = self.machine.heats()
+            heats = self.machine.access_loads()
             if heats:
                 self._take(plan(replace(self.world, counted=heats, heat_unit=1.0), Bounds()))
         return self.moves["moves"] - before
@@ -110,7 +110,7 @@
 
 
 def measure(
-    seed: int, queries: float, hours: int, chance: float = balance.CHANCE
+    seed: int, queries: float, hours: int, chance: float = balance.CHANCE_DEVIATIONS
 ) -> tuple[float, float, int]:
     """Return moves an hour by chance, unevenness 2 h after an engine's shards doubled, and moves by that."""
     with mock.patch.object(balance, "CHANCE", chance):
@@ -131,7 +131,7 @@
     parser.add_argument("--hours", type=int, default=12, help="of heat that does not change")
     asked = parser.parse_args()
     for queries in (1_000.0, 3_000.0, 15_000.0, 60_000.0):
-        for chance in (balance.CHANCE, 0.0):
+        for chance in (balance.CHANCE_DEVIATIONS, 0.0):
             rows = [
                 measure(seed, queries, asked.hours, chance)
                 for seed in range(asked.first, asked.first + asked.count)
--- a/fennelwind/benchmarks/shard_defects.py
+++ b/fennelwind/benchmarks/shard_defects.py
@@ -92,7 +92,7 @@
 
 DEFECTS: dict[str, Planner] = {
     "headroom without the incoming copy": _broken(
-        Sequence, "left", lambda right: lambda self, engine: 1 << 60
+        Sequence, "free_at_end", lambda right: lambda self, engine: 1 << 60
     ),
     "the going copy's space counted free at once": _told(lambda world, planned: _each(after=())(planned)),
     "dropped copies' space counted free at once": _told(lambda world, planned: _each(cleared=())(planned)),
@@ -109,8 +109,8 @@
     ),
     "coming counted as good": _broken(
         View,
-        "enough",
-        lambda right: lambda self, shard, engines: right(self, shard, engines | self.holds[shard.name]),
+        "meets_needs",
+        lambda right: lambda self, shard, engines: right(self, shard, engines | self.holders[shard.name]),
     ),
     "last good copy dropped": _told(_last_copy),
     "a copy dropped before the one for it is checked": _told(_one_less),
--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -9,7 +9,9 @@
 
 MOVES_MOST = 64  # that one plan makes for evenness alone; the next one goes on
 STILL = 0.5  # part of a tolerance below which a planned move for evenness is no longer worth it
-CHANCE = 4.0  # standard deviations that heat which was counted may be off by chance: once in 30,000 looks
+CHANCE_DEVIATIONS = (
+    4.0  # standard deviations that heat which was counted may be off by chance: once in 30,000 looks
+)
 LOOKED_AT = 40  # shards of the engine that stands out, those with the most gain for their bytes
 
 
@@ -37,7 +39,7 @@
     def share(self, engine: str, more: int = 0) -> float:
         """Return the part of an engine's disk that is used, with some bytes more."""
         limit = self.view.limit[engine]
-        return (limit - self.sequence.left(engine) + more) / limit if limit > 0 else 1.0
+        return (limit - self.sequence.free_at_end(engine) + more) / limit if limit > 0 else 1.0
 
     def out(self, engine: str, size: int = 0, heat: float = 0.0) -> tuple[float, float]:
         """Return how far an engine is above the mean in disk and heat, in tolerances."""
@@ -53,7 +55,7 @@
         A count that fades has half the variance of its mean, in queries; of shards with several copies less.
         """
         unit = self.view.world.heat_unit
-        return CHANCE * math.sqrt(unit * max(self.heat[engine], self.heat_mean) / 2.0)
+        return CHANCE_DEVIATIONS * math.sqrt(unit * max(self.heat[engine], self.heat_mean) / 2.0)
 
 
 def still(board: Board, moves: list[Migration]) -> list[int]:
@@ -148,8 +150,8 @@
     best, least = "", 1.0
     for target in board.fit(shard):
         if (
-            target in view.holds[shard.name]
-            or scale.sequence.left(target) < shard.size
+            target in view.holders[shard.name]
+            or scale.sequence.free_at_end(target) < shard.size
             or view.span(rest | {target}) < min(span_wanted(shard), view.span(rest | {engine}))
         ):
             continue
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -50,7 +50,7 @@
     doubtful: dict[str, set[str]] = field(default_factory=dict)  # by shard: living engines
     used: dict[str, int] = field(default_factory=dict)  # bytes by engine: all copies, whatever their state
     limit: dict[str, int] = field(default_factory=dict)  # bytes by engine that copies may take
-    holds: dict[str, set[str]] = field(default_factory=dict)  # by shard: living engines with any copy
+    holders: dict[str, set[str]] = field(default_factory=dict)  # by shard: living engines with any copy
     brought: dict[tuple[str, str], int] = field(
         default_factory=dict
     )  # copies that kept moves bring, by which
@@ -71,7 +71,7 @@
         homes = self.world.homes
         return len({homes[engine].zone for engine in engines})
 
-    def enough(self, shard: Shard, engines: set[str]) -> bool:
+    def meets_needs(self, shard: Shard, engines: set[str]) -> bool:
         """Return whether good copies on these engines are all that a shard needs."""
         fit = {engine for engine in engines if takes(self.world.homes[engine], shard)}
         return len(fit) >= wanted(shard) and self.span(fit) >= span_wanted(shard)
@@ -82,7 +82,8 @@
             return 0
         pair = (move.shard, move.drops)
         there = (
-            move.drops in self.holds.get(move.shard, ()) or self.brought.get(pair, move.number) < move.number
+            move.drops in self.holders.get(move.shard, ())
+            or self.brought.get(pair, move.number) < move.number
         )
         return self.world.shards[move.shard].size if there else 0
 
@@ -92,14 +93,14 @@
     view = View(world)
     view.cancels = dict.fromkeys(idle, "needless")
     for name in sorted(world.shards):
-        view.now[name], view.holds[name], view.doubtful[name] = set(), set(), set()
+        view.now[name], view.holders[name], view.doubtful[name] = set(), set(), set()
     for name, home in sorted(world.homes.items()):
         if home.life != "gone":
             view.used[name], view.limit[name] = 0, home.disk - home.headroom
     for (shard, engine), copy in sorted(world.copies.items()):
         if shard in world.shards and engine in view.used:
             view.used[engine] += world.shards[shard].size
-            view.holds[shard].add(engine)
+            view.holders[shard].add(engine)
             if copy.state == "good":
                 view.now[shard].add(engine)
             elif copy.state == "doubtful":
@@ -110,9 +111,9 @@
         if move.step not in ENDED and move.shard in world.shards
     }
     for move in live.values():
-        if move.step in HELD and move.target in view.used and move.target not in view.holds[move.shard]:
+        if move.step in HELD and move.target in view.used and move.target not in view.holders[move.shard]:
             view.used[move.target] += world.shards[move.shard].size
-            view.holds[move.shard].add(move.target)
+            view.holders[move.shard].add(move.target)
     view.live = live
     _judge(view, live)
     _strays(view, live)
@@ -131,7 +132,7 @@
     """Find copies that go by themselves, and those that no move knows of."""
     for number in view.cancels:
         move = view.world.moves[number]
-        if move.step in HELD and move.target in view.used and move.shard in view.holds:
+        if move.step in HELD and move.target in view.used and move.shard in view.holders:
             view.going.add((move.shard, move.target))
     known = {(move.shard, move.target) for move in live.values()}
     known |= {(move.shard, move.drops) for move in live.values() if move.step == "switched"}
@@ -180,7 +181,7 @@
         ):
             return "order"
         if (
-            move.target in view.holds[move.shard]
+            move.target in view.holders[move.shard]
             and (move.shard, move.target) not in move.cleared
             and not any(
                 number in view.kept
@@ -214,7 +215,7 @@
 def _clears(view: View, move: Migration, pair: tuple[str, str]) -> bool:
     """Return whether a copy that a planned move waits to have dropped is gone, going or may go."""
     world, (name, engine) = view.world, pair
-    if name not in world.shards or engine not in view.holds[name] or pair in view.clears:
+    if name not in world.shards or engine not in view.holders[name] or pair in view.clears:
         return True
     shard, state = world.shards[name], world.copies[pair].state if pair in world.copies else "coming"
     anew = [other for other in view.live.values() if (other.shard, other.target) == pair]
@@ -228,7 +229,7 @@
     left = {other for other in view.now[name] if (name, other) not in view.clears} - {engine}
     comes = any(pair in other.cleared and other.number not in view.cancels for other in anew)
     if state == "doubtful":
-        spare = (comes and bool(left)) or view.enough(shard, left)
+        spare = (comes and bool(left)) or view.meets_needs(shard, left)
     else:
         zones = min(span_wanted(shard), view.span(left | {engine}))
         spare = len(left) >= wanted(shard) and view.span(left) >= zones
@@ -278,7 +279,7 @@
                 good.discard(move.drops)
             continue
         good.add(move.drops)
-        if move.step in READING and view.enough(shard, good - {move.target}):
+        if move.step in READING and view.meets_needs(shard, good - {move.target}):
             view.cancels[number] = "needless"
         view.keeps.add(number)
 
@@ -307,7 +308,7 @@
         freed += sum(
             sizes[shard].size
             for shard, engine in move.cleared
-            if engine == move.target and engine in view.holds.get(shard, ())
+            if engine == move.target and engine in view.holders.get(shard, ())
         )
         if room[move.target] + freed < sizes[move.shard].size:
             view.cancels[number] = "space"
@@ -332,7 +333,7 @@
         if waited[number] or move.step not in READING or (move.step != "planned" and drops):
             continue
         without = view.good[move.shard] - {move.target} | ({drops} & view.now[move.shard])
-        if not view.enough(shard, without):
+        if not view.meets_needs(shard, without):
             continue
         if drops and (not takes(world.homes[drops], shard) or load[drops] + shard.size > view.limit[drops]):
             continue
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -74,12 +74,12 @@
         self.engines = sorted(view.used)
         self.zone = [view.world.homes[engine].zone for engine in self.engines]
         self.spans: dict[int, int] = {}
-        self.rooms = tuple(sequence.left(engine) for engine in self.engines)
+        self.rooms = tuple(sequence.free_at_end(engine) for engine in self.engines)
         self.parts: list[_Part] = []
         for name, shard in sorted(view.world.shards.items()):
             if board.fixed(shard):
                 continue
-            held = view.holds[name] - view.replaced[name]
+            held = view.holders[name] - view.replaced[name]
             read = {engine for one, engine in (*board.read, *view.clears) if one == name}
             fit = {engine for engine in self.engines if takes(view.world.homes[engine], shard)}
             doubtful = {e for e in view.doubtful[name] - view.good[name] if (name, e) not in view.clears}
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -108,7 +108,7 @@
             unmet += outcome.unmet
         sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.clears))
         rest = arrange(sequence, transfers)
-        over = sum(sequence.left(engine) < 0 for engine in sequence.room)
+        over = sum(sequence.free_at_end(engine) < 0 for engine in sequence.room)
         size = sum(self.world.shards[move.shard].size for move in sequence.moves)
         return _Attempt(sequence, drops, rest, unmet + len(rest) + over, size)
 
@@ -219,7 +219,7 @@
             zones = min(span_wanted(shard), self.view.span(set(rest | {engine})))
             for target in spread(board, shard, NEAR):
                 if (
-                    target not in self.view.holds[shard.name]
+                    target not in self.view.holders[shard.name]
                     and target not in rest
                     and board.free(target) >= shard.size
                     and self.view.span(set(rest | {target})) >= zones
@@ -241,7 +241,7 @@
             if board.fixed(shard):
                 if not good:
                     found.append(Short(name, "source", tuple(lying.get(name, ()))))
-                elif len(good) < count or not self.view.enough(shard, good):
+                elif len(good) < count or not self.view.meets_needs(shard, good):
                     reason = "frozen" if shard.table in self.world.frozen else "aside"
                     found.append(Short(name, reason, tuple(sorted(good))))
                 continue
@@ -256,9 +256,9 @@
                 others = [engine for engine in fit if engine not in places] or [
                     one.target for one in blocked[name]
                 ]
-                lacking = min(shard.size - best.sequence.left(engine) for engine in others)
+                lacking = min(shard.size - best.sequence.free_at_end(engine) for engine in others)
                 found.append(Short(name, "space", tuple(others), max(0, lacking)))
         for engine in sorted(best.sequence.room):
-            if best.sequence.left(engine) < 0:
-                found.append(Short("", "space", (engine,), -best.sequence.left(engine)))
+            if best.sequence.free_at_end(engine) < 0:
+                found.append(Short("", "space", (engine,), -best.sequence.free_at_end(engine)))
         return found
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -21,7 +21,7 @@
 def options(board: Board, shard: Shard, engines: list[str]) -> list[Option]:
     """Return all places that a shard's copies could have on some engines, cheapest first."""
     view, name = board.view, shard.name
-    good, held = view.good[name], view.holds[name] - view.replaced[name]
+    good, held = view.good[name], view.holders[name] - view.replaced[name]
     some = [
         engine for engine in board.fit(shard) if engine in good or (engine in engines and engine not in held)
     ]
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -124,7 +124,7 @@
         """The entry that last changed anything at all."""
         return max(self.revision, self._faded_entry)
 
-    def heats(self) -> dict[str, float]:
+    def access_loads(self) -> dict[str, float]:
         """Return the queries that named each shard, faded up to when they were told last; {}: too few.
 
         Too few are chance, and what was declared is better.
@@ -157,7 +157,7 @@
                 copies[pair] = replace(copies[pair], state="leaving")
             elif move.target and move.step != "undoing":
                 moves[number] = replace(move, step="switched") if move.step == "dropping" else move
-        counted = self.heats()
+        counted = self.access_loads()
         return World(
             shards=dict(self.shards),
             counted=counted,
--- a/fennelwind/shards/target_placement.py
+++ b/fennelwind/shards/target_placement.py
@@ -155,7 +155,7 @@
                 rest, have = less, have - {out}
                 drops.append(out)
                 change[out] = change.get(out, 0) - shard.size
-        if view.enough(shard, rest & places):
+        if view.meets_needs(shard, rest & places):
             drops += doubtful
             change.update((engine, change.get(engine, 0) - shard.size) for engine in doubtful)
         unmet = max(0, count - len(places)) + max(0, zones - view.span(set(places)))
@@ -186,7 +186,7 @@
             and (
                 len(view.good[name]) != wanted(shard)
                 or view.doubtful[name]
-                or not view.enough(shard, view.good[name])
+                or not view.meets_needs(shard, view.good[name])
             )
         ]
         return sorted(found, key=lambda shard: (-shard.size, shard.name))
@@ -222,7 +222,7 @@
                             and not (apart and homes[engine].zone in seen)
                             and self.free(engine) >= (0 if engine in self.view.doubtful[name] else shard.size)
                             and (
-                                engine not in self.view.holds[name]
+                                engine not in self.view.holders[name]
                                 or engine in doubtful
                                 or engine in self.view.good[name]
                             )
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -84,7 +84,7 @@
             self.have[shard] = dict.fromkeys(sorted(self.view.now[shard]), 0)
         return self.have[shard]
 
-    def left(self, engine: str) -> int:
+    def free_at_end(self, engine: str) -> int:
         """Return the bytes that are free when all that is listed is done."""
         return self.room[engine] + self.given[engine]
 
@@ -93,7 +93,7 @@
         world, view = self.view.world, self.view
         shard, target, drops = transfer.shard, transfer.target, transfer.drops
         size, have, homes = world.shards[shard].size, self.sources(shard), world.homes
-        if not have or self.left(target) < size:
+        if not have or self.free_at_end(target) < size:
             return None
         zones = span_wanted(world.shards[shard])
         if drops in have and view.span(set(have) - {drops} | {target}) < min(zones, view.span(set(have))):
@@ -159,7 +159,7 @@
         transfers,
         key=lambda one: (
             not one.drops,
-            sequence.left(one.drops) if one.drops else 0,
+            sequence.free_at_end(one.drops) if one.drops else 0,
             -shards[one.shard].size,
             one.shard,
             one.target,
@@ -197,7 +197,7 @@
             best = list(way)
             if len(best) == len(pending):
                 break
-        room = {one.target: sequence.left(one.target) for one in pending}
+        room = {one.target: sequence.free_at_end(one.target) for one in pending}
         for number in way:
             one = pending[number]
             room[one.target] -= sizes[number]
@@ -223,11 +223,11 @@
         if one.drops not in targets or one.shard in aside:
             continue
         have, shard = set(sequence.sources(one.shard)), world.shards[one.shard]
-        for engine in sorted(sequence.room, key=lambda name: (-sequence.left(name), name)):
+        for engine in sorted(sequence.room, key=lambda name: (-sequence.free_at_end(name), name)):
             rest = have - {one.drops} | {engine}
             if (
                 takes(world.homes[engine], shard)
-                and engine not in view.holds[one.shard]
+                and engine not in view.holders[one.shard]
                 and engine not in have
                 and engine not in (one.target, one.drops)
                 and view.span(rest) >= min(span_wanted(shard), view.span(have))
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -869,7 +869,10 @@
         desk.index += 1
         answer = machine.apply(LogPosition(desk.index, clock), command, desk)
         assert not Answer.FromString(answer).refusal
-    assert machine.heats() == {"t/d=1": 2_000.0, "t/d=2": 3_000.0}  # a half-life on; one of no shard is left
+    assert machine.access_loads() == {
+        "t/d=1": 2_000.0,
+        "t/d=2": 3_000.0,
+    }  # a half-life on; one of no shard is left
     world = machine.world().heated()
     assert (world.shards["t/d=2"].heat, world.heat_unit) == (3_000.0, 1.0)
     assert machine.revision == revision and machine.state_at == desk.index
@@ -878,7 +881,7 @@
     later = LogPosition(desk.index + 1, 1_800_000 + 17 * access_load.PART_MS + 5)
     for one in (machine, other):
         one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), desk)
-    assert machine.snapshot() == other.snapshot() and machine.heats()
+    assert machine.snapshot() == other.snapshot() and machine.access_loads()
     assert all(
         abs(access_load.faded(10**9, n) - 10**9 * 0.5 ** (n / access_load.PARTS)) < 10**5 for n in range(200)
     )
@@ -890,7 +893,9 @@
     assert Answer.FromString(answer).refusal == Answer.TOO_MANY
     late = LogPosition(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
     machine.apply(late, pb.Command(counted=counted()).SerializeToString(), desk)
-    assert not machine.heats() and machine.world().heated().shards["t/d=2"].heat == 9.0  # too few to go by
+    assert (
+        not machine.access_loads() and machine.world().heated().shards["t/d=2"].heat == 9.0
+    )  # too few to go by
 
 
 def test_a_controller_tells_what_was_named_most_and_keeps_the_rest_faded():
--- a/tests/shards/test_shard_plan.py
+++ b/tests/shards/test_shard_plan.py
@@ -299,7 +299,7 @@
         """Return how many of 40 draws of the same rates, or of two shards' others, cause moves."""
         rates = dict.fromkeys(names, 5.0) | {"t/0": rate, "t/24": rate}
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr("fennelwind.shards.balance.CHANCE", deviations)
+            patch.setattr("fennelwind.shards.balance.CHANCE_DEVIATIONS", deviations)
             return sum(
                 bool(
                     clean(
