--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -1,161 +1,179 @@
-"""Evenness of disk and heat, where it is out of tolerance and a move takes away enough of it, without I/O."""
+"""Balance of disk use and access load: migrates replicas from engines that exceed the tolerance. No I/O."""
 
 import math
 
-from fennelwind.shards.constraints import heats, mean, span_wanted, takes, wanted
+from fennelwind.shards.constraints import (
+    accepts_replica,
+    access_load_by_engine,
+    mean_over_accepting,
+    replication_factor,
+    required_zones,
+)
 from fennelwind.shards.model import Bounds, Migration, Shard
-from fennelwind.shards.target_placement import Board
+from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
-MOVES_MOST = 64  # that one plan makes for evenness alone; the next one goes on
-STILL = 0.5  # part of a tolerance below which a planned move for evenness is no longer worth it
+MAX_BALANCE_MIGRATIONS = 64  # for balance alone in one plan; the next plan continues
+CANCEL_THRESHOLD = 0.5  # part of a tolerance below which a planned migration for balance is cancelled
 CHANCE_DEVIATIONS = (
-    4.0  # standard deviations that heat which was counted may be off by chance: once in 30,000 looks
+    4.0  # standard deviations allowed for chance in counted load: exceeded once in 30,000 plans
 )
-LOOKED_AT = 40  # shards of the engine that stands out, those with the most gain for their bytes
+# considered on the engine with the largest deviation, those with the most gain for their bytes
+MAX_CANDIDATE_SHARDS = 40
 
 
-class _Scale:
-    """What stands out of the mean, of disk and of heat, as the engines will be."""
+class _Deviations:
+    """Deviations of the engines from the mean disk use and access load, in the final placement."""
 
-    def __init__(self, board: Board, sequence: Sequence, bounds: Bounds) -> None:
-        self.board, self.sequence, self.bounds, self.view = board, sequence, bounds, board.view
-        places = {name: set(have) for name, have in sequence.have.items()}
-        self.places = {name: places.get(name, engines) for name, engines in self.view.good.items()}
-        heat = heats(self.view, self.places)
-        self.heat = heat
-        self.lying: dict[str, set[str]] = {engine: set() for engine in heat}  # shards by engine
+    def __init__(self, placement: Placement, sequence: Sequence, bounds: Bounds) -> None:
+        self.placement, self.sequence, self.bounds, self.view = placement, sequence, bounds, placement.view
+        places = {name: set(have) for name, have in sequence.available.items()}
+        self.places = {name: places.get(name, engines) for name, engines in self.view.good_at_end.items()}
+        heat = access_load_by_engine(self.view, self.places)
+        self.access_load = heat
+        self.shards_on: dict[str, set[str]] = {engine: set() for engine in heat}  # by engine
         for name, engines in self.places.items():
             for engine in engines:
-                self.lying[engine].add(name)
-        self.heat_mean = mean(heat, self.view)
+                self.shards_on[engine].add(name)
+        self.mean_access_load = mean_over_accepting(heat, self.view)
         self.disk_mean = 0.0
-        self.anew()
+        self.update_disk_mean()
 
-    def anew(self) -> None:
-        """Count the mean of the disks again, which a move between engines of two sizes changes."""
-        self.disk_mean = mean({engine: self.share(engine) for engine in self.heat}, self.view)
+    def update_disk_mean(self) -> None:
+        """Recompute the mean disk use, which a migration between engines of different sizes changes."""
+        self.disk_mean = mean_over_accepting(
+            {engine: self.disk_share(engine) for engine in self.access_load}, self.view
+        )
 
-    def share(self, engine: str, more: int = 0) -> float:
-        """Return the part of an engine's disk that is used, with some bytes more."""
+    def disk_share(self, engine: str, more: int = 0) -> float:
+        """Return the used share of an engine's disk, with `more` bytes added."""
         limit = self.view.limit[engine]
         return (limit - self.sequence.free_at_end(engine) + more) / limit if limit > 0 else 1.0
 
-    def out(self, engine: str, size: int = 0, heat: float = 0.0) -> tuple[float, float]:
-        """Return how far an engine is above the mean in disk and heat, in tolerances."""
-        disk = (self.share(engine, size) - self.disk_mean) / max(self.bounds.disk_tolerance, 1e-9)
-        warm = (self.heat[engine] + heat - self.heat_mean) / max(
-            self.bounds.heat_tolerance * self.heat_mean + self.chance(engine), 1e-9
+    def deviation(self, engine: str, size: int = 0, heat: float = 0.0) -> tuple[float, float]:
+        """Return how far an engine is above the mean in disk use and access load, in tolerances."""
+        disk = (self.disk_share(engine, size) - self.disk_mean) / max(self.bounds.disk_tolerance, 1e-9)
+        load_excess = (self.access_load[engine] + heat - self.mean_access_load) / max(
+            self.bounds.heat_tolerance * self.mean_access_load + self.random_deviation(engine), 1e-9
         )
-        return disk, warm
+        return disk, load_excess
 
-    def chance(self, engine: str) -> float:
-        """Return how far an engine's heat may lie off by chance alone.
+    def random_deviation(self, engine: str) -> float:
+        """Return the deviation of an engine's access load that chance alone may cause.
 
-        A count that fades has half the variance of its mean, in queries; of shards with several copies less.
+        A decaying count has half the variance of its mean, in queries; less with several replicas of a shard.
         """
         unit = self.view.world.heat_unit
-        return CHANCE_DEVIATIONS * math.sqrt(unit * max(self.heat[engine], self.heat_mean) / 2.0)
+        return CHANCE_DEVIATIONS * math.sqrt(
+            unit * max(self.access_load[engine], self.mean_access_load) / 2.0
+        )
 
 
-def still(board: Board, moves: list[Migration]) -> list[int]:
-    """Return the planned moves for evenness whose engine no longer stands out."""
-    view, bounds = board.view, board.bounds
-    share = {name: board.load[name] / max(1, view.limit[name]) for name in board.load}
-    warmth = heats(view, {name: board.where(name) for name in view.good})
-    disk, heat, idle = mean(share, view), mean(warmth, view), []
+def no_longer_needed(placement: Placement, moves: list[Migration]) -> list[int]:
+    """Return the planned migrations for balance whose engine no longer exceeds the tolerance."""
+    view, bounds = placement.view, placement.bounds
+    disk_share = {name: placement.load[name] / max(1, view.limit[name]) for name in placement.load}
+    loads = access_load_by_engine(view, {name: placement.assigned(name) for name in view.good_at_end})
+    disk, heat, idle = mean_over_accepting(disk_share, view), mean_over_accepting(loads, view), []
     for move in moves:
         shard, name = view.world.shards[move.shard], move.drops
-        over = share[name] + shard.size / max(1, view.limit[name]) - disk
-        warm = warmth[name] + shard.heat / wanted(shard) - heat
-        if over <= bounds.disk_tolerance * STILL and warm <= bounds.heat_tolerance * STILL * heat:
+        disk_excess = disk_share[name] + shard.size / max(1, view.limit[name]) - disk
+        load_excess = loads[name] + shard.heat / replication_factor(shard) - heat
+        if (
+            disk_excess <= bounds.disk_tolerance * CANCEL_THRESHOLD
+            and load_excess <= bounds.heat_tolerance * CANCEL_THRESHOLD * heat
+        ):
             idle.append(move.number)
     return idle
 
 
-def even(board: Board, sequence: Sequence, bounds: Bounds) -> None:
-    """List moves for evenness behind the others."""
-    scale = _Scale(board, sequence, bounds)
-    tired: set[str] = set()  # engines from which nothing can be moved as things are
-    most = len(sequence.moves) + MOVES_MOST
-    while len(sequence.moves) < most:
+def rebalance(placement: Placement, sequence: Sequence, bounds: Bounds) -> None:
+    """Append migrations for balance to the sequence."""
+    deviations = _Deviations(placement, sequence, bounds)
+    exhausted: set[str] = set()  # engines from which nothing can be migrated at present
+    max_moves = len(sequence.moves) + MAX_BALANCE_MIGRATIONS
+    while len(sequence.moves) < max_moves:
         worst = max(
             (
                 engine
-                for engine in sorted(scale.heat)
-                if engine not in tired and board.world.homes[engine].life in ("ready", "cold")
+                for engine in sorted(deviations.access_load)
+                if engine not in exhausted and placement.world.homes[engine].life in ("ready", "cold")
             ),
-            key=lambda engine: max(scale.out(engine)),
+            key=lambda engine: max(deviations.deviation(engine)),
             default="",
         )
-        if not worst or max(scale.out(worst)) <= 1.0:
+        if not worst or max(deviations.deviation(worst)) <= 1.0:
             return
-        if _away(scale, worst):
-            tired.clear()
-            scale.anew()
+        if _relieve_engine(deviations, worst):
+            exhausted.clear()
+            deviations.update_disk_mean()
         else:
-            tired.add(worst)
+            exhausted.add(worst)
 
 
-def _away(scale: _Scale, engine: str) -> bool:
-    """List the move that takes the most unevenness from an engine for its bytes, if one takes enough."""
-    board, view = scale.board, scale.view
+def _relieve_engine(deviations: _Deviations, engine: str) -> bool:
+    """Add the migration that reduces an engine's deviation most for its bytes, if one reduces it enough."""
+    placement, view = deviations.placement, deviations.view
     world = view.world
-    disk = scale.out(engine)[0] >= scale.out(engine)[1]
-    fixed = {move.shard for move in (*scale.sequence.moves, *view.kept.values())}
-    some = [
+    disk = deviations.deviation(engine)[0] >= deviations.deviation(engine)[1]
+    fixed = {move.shard for move in (*deviations.sequence.moves, *view.continuing.values())}
+    candidates = [
         world.shards[name]
-        for name in sorted(scale.lying[engine])
-        if engine in view.now[name]
+        for name in sorted(deviations.shards_on[engine])
+        if engine in view.good_now[name]
         and name not in fixed
-        and not board.fixed(world.shards[name])
+        and not placement.is_pinned(world.shards[name])
         and not view.doubtful[name]
-        and takes(world.homes[engine], world.shards[name])
-        and len(scale.places[name]) == len(view.now[name])
+        and accepts_replica(world.homes[engine], world.shards[name])
+        and len(deviations.places[name]) == len(view.good_now[name])
     ]
-    if disk:  # the smallest that is enough, then the largest
-        enough = [scale.out(engine, -shard.size)[0] <= 1.0 for shard in some]
-        ranks = [shard.size if does else -shard.size for shard, does in zip(some, enough, strict=True)]
-    else:  # the most heat for the bytes
-        enough = [True] * len(some)
-        ranks = [-shard.heat / wanted(shard) / max(1, shard.size) for shard in some]
-    some = [
+    if disk:  # the smallest shard that is sufficient, then the largest
+        sufficient = [deviations.deviation(engine, -shard.size)[0] <= 1.0 for shard in candidates]
+        ranks = [
+            shard.size if is_sufficient else -shard.size
+            for shard, is_sufficient in zip(candidates, sufficient, strict=True)
+        ]
+    else:  # the most load for the bytes
+        sufficient = [True] * len(candidates)
+        ranks = [-shard.heat / replication_factor(shard) / max(1, shard.size) for shard in candidates]
+    candidates = [
         shard
         for _, _, _, shard in sorted(
-            (not does, rank, shard.name, shard) for does, rank, shard in zip(enough, ranks, some, strict=True)
+            (not is_sufficient, rank, shard.name, shard)
+            for is_sufficient, rank, shard in zip(sufficient, ranks, candidates, strict=True)
         )
     ]
-    for shard in some[:LOOKED_AT]:
-        part = shard.heat / len(scale.places[shard.name])
-        before, after = scale.out(engine), scale.out(engine, -shard.size, -part)
-        which = 0 if disk else 1
-        gain = (before[which] - max(after[which], 0.0)) / before[which]
-        if gain < scale.bounds.gain_least or after[which] < -1.0:
+    for shard in candidates[:MAX_CANDIDATE_SHARDS]:
+        load_share = shard.heat / len(deviations.places[shard.name])
+        before, after = deviations.deviation(engine), deviations.deviation(engine, -shard.size, -load_share)
+        dimension = 0 if disk else 1
+        gain = (before[dimension] - max(after[dimension], 0.0)) / before[dimension]
+        if gain < deviations.bounds.min_gain or after[dimension] < -1.0:
             continue
-        target = _target(scale, shard, engine, part, before[which])
-        if target and scale.sequence.add(Transfer(shard.name, target, engine)):
-            scale.places[shard.name] = scale.places[shard.name] - {engine} | {target}
-            scale.lying[engine].discard(shard.name)
-            scale.lying[target].add(shard.name)
-            scale.heat[engine] -= part
-            scale.heat[target] += part
+        target = _best_target(deviations, shard, engine, load_share, before[dimension])
+        if target and deviations.sequence.add(Transfer(shard.name, target, engine)):
+            deviations.places[shard.name] = deviations.places[shard.name] - {engine} | {target}
+            deviations.shards_on[engine].discard(shard.name)
+            deviations.shards_on[target].add(shard.name)
+            deviations.access_load[engine] -= load_share
+            deviations.access_load[target] += load_share
             return True
     return False
 
 
-def _target(scale: _Scale, shard: Shard, engine: str, part: float, worst: float) -> str:
-    """Return the engine that stands out least with the copy, if it stays within tolerance."""
-    board, view = scale.board, scale.view
-    rest = scale.places[shard.name] - {engine}
+def _best_target(deviations: _Deviations, shard: Shard, engine: str, load_share: float, worst: float) -> str:
+    """Return the engine with the least deviation after the migration, if that is within tolerance."""
+    placement, view = deviations.placement, deviations.view
+    rest = deviations.places[shard.name] - {engine}
     best, least = "", 1.0
-    for target in board.fit(shard):
+    for target in placement.fitting_engines(shard):
         if (
             target in view.holders[shard.name]
-            or scale.sequence.free_at_end(target) < shard.size
-            or view.span(rest | {target}) < min(span_wanted(shard), view.span(rest | {engine}))
+            or deviations.sequence.free_at_end(target) < shard.size
+            or view.span(rest | {target}) < min(required_zones(shard), view.span(rest | {engine}))
         ):
             continue
-        out = max(scale.out(target, shard.size, part))
-        if out < least and out < worst:
-            best, least = target, out
+        deviation = max(deviations.deviation(target, shard.size, load_share))
+        if deviation < least and deviation < worst:
+            best, least = target, deviation
     return best
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -1,12 +1,12 @@
-"""What the shards need, and which moves stay right, without I/O.
+"""What the shards need and which running migrations remain valid. No I/O.
 
-A copy counts when it is `good` on an engine that is not gone. Copies on engines that are gone count for
-nothing: neither as good, nor as disk that is used, nor as something to drop. A copy that is `doubtful`,
-`coming` or `leaving` takes disk and counts for nothing else.
+A replica counts when it is `good` on an engine that is not gone. Replicas on engines that are gone count for
+nothing: neither as good, nor as used disk, nor as something to drop. A replica that is `doubtful`, `coming`
+or `leaving` takes disk space and counts for nothing else.
 
-A move is wrong, and cancelled, when its target may not or need not have the copy any more, when nobody has a
-good copy to read, when its table is frozen before it has begun, or when the space it was to have is gone. A
-move whose copy that was to go is needed after all goes on without its drop (`keeps`).
+A migration is cancelled when its target may not have or no longer needs the replica, when no engine has a
+good replica to read, when its table is frozen before it has begun, or when its space is no longer available.
+A migration whose old replica is needed after all continues without the drop (`keeps`).
 """
 
 from collections import Counter
@@ -16,84 +16,93 @@
 
 from fennelwind.shards.model import Migration, Replica, ReplicaHost, Shard, World
 
-ENDED = ("done", "undone")  # steps of a move that is over
-HELD = ("reserved", "copying", "checked")  # steps with space taken and a copy that is not good yet
-READING = ("planned", "reserved", "copying")  # steps that still need the source
+ENDED_STEPS = ("done", "undone")  # steps of a migration that has ended
+SPACE_HELD_STEPS = (
+    "reserved",
+    "copying",
+    "checked",
+)  # steps with space reserved and a replica that is not good yet
+READING_STEPS = ("planned", "reserved", "copying")  # steps that still need the source
 
 
-def wanted(shard: Shard) -> int:
-    """Return how many copies are wanted; never less than one, as the last good copy is never dropped."""
+def replication_factor(shard: Shard) -> int:
+    """Return the replication factor; at least 1, since the last good replica is never dropped."""
     return max(1, shard.copies)
 
 
-def span_wanted(shard: Shard) -> int:
-    """Return how many zones the copies have to span; no more than there are copies."""
-    return max(1, min(shard.zones, wanted(shard)))
+def required_zones(shard: Shard) -> int:
+    """Return the number of zones that the replicas have to span; at most one for each replica."""
+    return max(1, min(shard.zones, replication_factor(shard)))
 
 
-def takes(home: ReplicaHost, shard: Shard) -> bool:
-    """Return whether the engine may be given a copy of the shard, space aside."""
+def accepts_replica(home: ReplicaHost, shard: Shard) -> bool:
+    """Return whether the engine may be given a replica of the shard, regardless of space."""
     return home.life in ("ready", "cold") and (not shard.kinds or home.kind in shard.kinds)
 
 
 @dataclass(slots=True)
 class View:
-    """The world as it is, and as it will be when the moves that go on have ended."""
+    """The world as it is, and as it will be when the continuing migrations have ended."""
 
     world: World
-    live: dict[int, Migration] = field(default_factory=dict)  # moves that are not over, by number
-    kept: dict[int, Migration] = field(default_factory=dict)  # moves that go on, by number
-    cancels: dict[int, str] = field(default_factory=dict)  # and why
-    keeps: set[int] = field(default_factory=set)  # moves whose drop falls away
-    now: dict[str, set[str]] = field(default_factory=dict)  # by shard: engines with a good copy
-    good: dict[str, set[str]] = field(default_factory=dict)  # the same when the kept moves have ended
-    doubtful: dict[str, set[str]] = field(default_factory=dict)  # by shard: living engines
-    used: dict[str, int] = field(default_factory=dict)  # bytes by engine: all copies, whatever their state
-    limit: dict[str, int] = field(default_factory=dict)  # bytes by engine that copies may take
-    holders: dict[str, set[str]] = field(default_factory=dict)  # by shard: living engines with any copy
-    brought: dict[tuple[str, str], int] = field(
+    # migrations that have not ended, by number
+    unfinished: dict[int, Migration] = field(default_factory=dict)
+    continuing: dict[int, Migration] = field(default_factory=dict)  # migrations that continue, by number
+    cancels: dict[int, str] = field(default_factory=dict)  # reason by number
+    keeps: set[int] = field(default_factory=set)  # migrations that continue without their drop
+    good_now: dict[str, set[str]] = field(default_factory=dict)  # by shard: engines with a good replica
+    # the same, when the continuing migrations have ended
+    good_at_end: dict[str, set[str]] = field(default_factory=dict)
+    # by shard: live engines with a doubtful replica
+    doubtful: dict[str, set[str]] = field(default_factory=dict)
+    used: dict[str, int] = field(default_factory=dict)  # bytes by engine: all replicas, whatever their state
+    limit: dict[str, int] = field(default_factory=dict)  # bytes by engine that replicas may take
+    holders: dict[str, set[str]] = field(default_factory=dict)  # by shard: live engines with any replica
+    brought_by: dict[tuple[str, str], int] = field(
         default_factory=dict
-    )  # copies that kept moves bring, by which
-    clears: set[tuple[str, str]] = field(default_factory=set)  # copies that kept moves wait to have dropped
-    idle: list[Migration] = field(
+    )  # replicas that continuing migrations bring, and the migration
+    # replicas whose drop continuing migrations wait for
+    to_clear: set[tuple[str, str]] = field(default_factory=set)
+    balance_only: list[Migration] = field(
         default_factory=list
-    )  # planned ones that evenness alone can be the cause of
-    going: set[tuple[str, str]] = field(
+    )  # planned migrations that balance alone can be the reason for
+    cancelled_copies: set[tuple[str, str]] = field(
         default_factory=set
-    )  # copies of cancelled moves, that go by themselves
-    replaced: dict[str, set[str]] = field(
+    )  # replicas of cancelled migrations, dropped without a further migration
+    leaving_or_doubtful: dict[str, set[str]] = field(
         default_factory=dict
-    )  # by shard: engines whose copy goes or is doubtful
-    orphans: list[tuple[str, str]] = field(default_factory=list)  # coming or leaving, and no move knows of it
+    )  # by shard: engines whose replica is being dropped or is doubtful
+    # coming or leaving replicas without a migration
+    orphans: list[tuple[str, str]] = field(default_factory=list)
 
     def span(self, engines: set[str]) -> int:
-        """Return how many zones the engines span."""
+        """Return the number of zones that the engines span."""
         homes = self.world.homes
         return len({homes[engine].zone for engine in engines})
 
     def meets_needs(self, shard: Shard, engines: set[str]) -> bool:
-        """Return whether good copies on these engines are all that a shard needs."""
-        fit = {engine for engine in engines if takes(self.world.homes[engine], shard)}
-        return len(fit) >= wanted(shard) and self.span(fit) >= span_wanted(shard)
+        """Return whether good replicas on these engines meet the shard's needs."""
+        fitting = {engine for engine in engines if accepts_replica(self.world.homes[engine], shard)}
+        return len(fitting) >= replication_factor(shard) and self.span(fitting) >= required_zones(shard)
 
-    def released(self, move: Migration) -> int:
-        """Return the bytes that leave the engine that a move drops from."""
+    def freed_by_drop(self, move: Migration) -> int:
+        """Return the bytes that the migration's drop frees on its engine."""
         if move.drops not in self.used or move.number in self.keeps:
             return 0
         pair = (move.shard, move.drops)
-        there = (
+        is_present = (
             move.drops in self.holders.get(move.shard, ())
-            or self.brought.get(pair, move.number) < move.number
+            or self.brought_by.get(pair, move.number) < move.number
         )
-        return self.world.shards[move.shard].size if there else 0
+        return self.world.shards[move.shard].size if is_present else 0
 
 
-def read(world: World, idle: Iterable[int] = ()) -> View:
-    """Return the view of a world: what counts, what is used, which moves go on but for the `idle`."""
+def build_view(world: World, balance_only: Iterable[int] = ()) -> View:
+    """Return the view of a world. The migrations `balance_only` are cancelled as needless."""
     view = View(world)
-    view.cancels = dict.fromkeys(idle, "needless")
+    view.cancels = dict.fromkeys(balance_only, "needless")
     for name in sorted(world.shards):
-        view.now[name], view.holders[name], view.doubtful[name] = set(), set(), set()
+        view.good_now[name], view.holders[name], view.doubtful[name] = set(), set(), set()
     for name, home in sorted(world.homes.items()):
         if home.life != "gone":
             view.used[name], view.limit[name] = 0, home.disk - home.headroom
@@ -102,75 +111,79 @@
             view.used[engine] += world.shards[shard].size
             view.holders[shard].add(engine)
             if copy.state == "good":
-                view.now[shard].add(engine)
+                view.good_now[shard].add(engine)
             elif copy.state == "doubtful":
                 view.doubtful[shard].add(engine)
-    live = {
+    unfinished = {
         number: move
         for number, move in sorted(world.moves.items())
-        if move.step not in ENDED and move.shard in world.shards
+        if move.step not in ENDED_STEPS and move.shard in world.shards
     }
-    for move in live.values():
-        if move.step in HELD and move.target in view.used and move.target not in view.holders[move.shard]:
+    for move in unfinished.values():
+        if (
+            move.step in SPACE_HELD_STEPS
+            and move.target in view.used
+            and move.target not in view.holders[move.shard]
+        ):
             view.used[move.target] += world.shards[move.shard].size
             view.holders[move.shard].add(move.target)
-    view.live = live
-    _judge(view, live)
-    _strays(view, live)
-    for move in view.kept.values():
+    view.unfinished = unfinished
+    _select_continuing(view, unfinished)
+    _find_orphans(view, unfinished)
+    for move in view.continuing.values():
         if move.number not in view.keeps:
-            view.doubtful[move.shard].discard(move.drops)  # it goes by that move
-        elif _is_good(world.copies.get((move.shard, move.drops)), "leaving"):
-            view.now[move.shard].add(move.drops)  # it stays, and is as good as it was
-    view.replaced = {name: set(engines) for name, engines in view.doubtful.items()}
-    for shard, engine in (*view.going, *view.orphans, *view.clears):
-        view.replaced[shard].add(engine)
+            view.doubtful[move.shard].discard(move.drops)  # dropped by that migration
+        elif _is_known_good(world.copies.get((move.shard, move.drops)), "leaving"):
+            view.good_now[move.shard].add(move.drops)  # it stays, and was known to be good
+    view.leaving_or_doubtful = {name: set(engines) for name, engines in view.doubtful.items()}
+    for shard, engine in (*view.cancelled_copies, *view.orphans, *view.to_clear):
+        view.leaving_or_doubtful[shard].add(engine)
     return view
 
 
-def _strays(view: View, live: dict[int, Migration]) -> None:
-    """Find copies that go by themselves, and those that no move knows of."""
+def _find_orphans(view: View, unfinished: dict[int, Migration]) -> None:
+    """Find the replicas of cancelled migrations, and those without a migration."""
     for number in view.cancels:
         move = view.world.moves[number]
-        if move.step in HELD and move.target in view.used and move.shard in view.holders:
-            view.going.add((move.shard, move.target))
-    known = {(move.shard, move.target) for move in live.values()}
-    known |= {(move.shard, move.drops) for move in live.values() if move.step == "switched"}
+        if move.step in SPACE_HELD_STEPS and move.target in view.used and move.shard in view.holders:
+            view.cancelled_copies.add((move.shard, move.target))
+    known = {(move.shard, move.target) for move in unfinished.values()}
+    known |= {(move.shard, move.drops) for move in unfinished.values() if move.step == "switched"}
     for (shard, engine), copy in sorted(view.world.copies.items()):
-        stray = copy.state in ("coming", "leaving") and (shard, engine) not in known
-        fixed = shard not in view.world.shards or view.world.shards[shard].table in view.world.frozen
-        if stray and engine in view.used and not fixed:
+        is_orphan_state = copy.state in ("coming", "leaving") and (shard, engine) not in known
+        is_pinned = shard not in view.world.shards or view.world.shards[shard].table in view.world.frozen
+        if is_orphan_state and engine in view.used and not is_pinned:
             view.orphans.append((shard, engine))
 
 
-def _judge(view: View, live: dict[int, Migration]) -> None:
-    """Sort the moves that are not over into those that go on and those that have become wrong."""
+def _select_continuing(view: View, unfinished: dict[int, Migration]) -> None:
+    """Divide the migrations that have not ended into those that continue and those to cancel."""
     while True:
         before = len(view.cancels)
-        view.kept, view.clears = {}, set()
-        for number, move in live.items():
+        view.continuing, view.to_clear = {}, set()
+        for number, move in unfinished.items():
             if number in view.cancels:
                 continue
-            if move.step != "switched" and (why := _wrong(view, move)):
-                view.cancels[number] = why
+            if move.step != "switched" and (reason := _cancel_reason(view, move)):
+                view.cancels[number] = reason
             else:
-                view.kept[number] = move
-        view.brought = {(move.shard, move.target): number for number, move in view.kept.items()}
-        _settle(view)
-        _crowded(view)
+                view.continuing[number] = move
+        view.brought_by = {(move.shard, move.target): number for number, move in view.continuing.items()}
+        _compute_final_replicas(view)
+        _cancel_for_space(view)
         if len(view.cancels) == before:
-            _needless(view)
+            _cancel_needless(view)
         if len(view.cancels) == before:
             return
 
 
-def _wrong(view: View, move: Migration) -> str:
-    """Return why a move that has not been switched to can't go on, or nothing."""
+def _cancel_reason(view: View, move: Migration) -> str:
+    """Return why a migration that is not switched yet can't continue; "": it can."""
     world = view.world
     shard, target = world.shards[move.shard], world.homes.get(move.target)
     if target is None or target.life not in ("ready", "cold"):
         return "target"
-    if not takes(target, shard):
+    if not accepts_replica(target, shard):
         return "kinds"
     if move.step == "planned":
         if shard.table in world.frozen:
@@ -184,22 +197,22 @@
             move.target in view.holders[move.shard]
             and (move.shard, move.target) not in move.cleared
             and not any(
-                number in view.kept
-                and view.kept[number].shard == move.shard
-                and view.kept[number].drops == move.target
+                number in view.continuing
+                and view.continuing[number].shard == move.shard
+                and view.continuing[number].drops == move.target
                 for number in move.after
             )
         ):
             return "target"
-        if not all(_clears(view, move, pair) for pair in move.cleared):
+        if not all(_can_clear(view, move, pair) for pair in move.cleared):
             return "order"
     if (
-        move.step in READING
-        and move.source not in view.now[move.shard]
+        move.step in READING_STEPS
+        and move.source not in view.good_now[move.shard]
         and not any(
-            number in view.kept
-            and view.kept[number].shard == move.shard
-            and view.kept[number].target == move.source
+            number in view.continuing
+            and view.continuing[number].shard == move.shard
+            and view.continuing[number].target == move.source
             for number in move.after
         )
     ):
@@ -207,103 +220,118 @@
     return ""
 
 
-def _is_good(copy: Replica | None, state: str) -> bool:
-    """Tell whether a copy is in this state and was known to be good."""
+def _is_known_good(copy: Replica | None, state: str) -> bool:
+    """Return whether a replica is in this state and was known to be good."""
     return copy is not None and copy.state == state and not copy.wrong
 
 
-def _clears(view: View, move: Migration, pair: tuple[str, str]) -> bool:
-    """Return whether a copy that a planned move waits to have dropped is gone, going or may go."""
+def _can_clear(view: View, move: Migration, pair: tuple[str, str]) -> bool:
+    """Return whether a replica whose drop a planned migration waits for is gone, going or may be dropped."""
     world, (name, engine) = view.world, pair
-    if name not in world.shards or engine not in view.holders[name] or pair in view.clears:
+    if name not in world.shards or engine not in view.holders[name] or pair in view.to_clear:
         return True
     shard, state = world.shards[name], world.copies[pair].state if pair in world.copies else "coming"
-    anew = [other for other in view.live.values() if (other.shard, other.target) == pair]
-    if any(other.step in HELD and other.number not in view.cancels for other in anew):
-        return False  # the older copy has gone, and the same shard has come there again
+    update_disk_mean = [other for other in view.unfinished.values() if (other.shard, other.target) == pair]
+    if any(other.step in SPACE_HELD_STEPS and other.number not in view.cancels for other in update_disk_mean):
+        return False  # the older replica is gone, and the same shard came there again
     if state in ("coming", "leaving"):
         return True
-    read = any((one.shard, one.source) == pair and one.step in READING for one in view.kept.values())
-    if shard.table in world.frozen or name in world.aside or read:
+    is_read = any(
+        (one.shard, one.source) == pair and one.step in READING_STEPS for one in view.continuing.values()
+    )
+    if shard.table in world.frozen or name in world.aside or is_read:
         return False
-    left = {other for other in view.now[name] if (name, other) not in view.clears} - {engine}
-    comes = any(pair in other.cleared and other.number not in view.cancels for other in anew)
+    left = {other for other in view.good_now[name] if (name, other) not in view.to_clear} - {engine}
+    is_replaced = any(
+        pair in other.cleared and other.number not in view.cancels for other in update_disk_mean
+    )
     if state == "doubtful":
-        spare = (comes and bool(left)) or view.meets_needs(shard, left)
+        may_drop = (is_replaced and bool(left)) or view.meets_needs(shard, left)
     else:
-        zones = min(span_wanted(shard), view.span(left | {engine}))
-        spare = len(left) >= wanted(shard) and view.span(left) >= zones
-    if spare:
-        view.clears.add(pair)
+        zones = min(required_zones(shard), view.span(left | {engine}))
+        may_drop = len(left) >= replication_factor(shard) and view.span(left) >= zones
+    if may_drop:
+        view.to_clear.add(pair)
         return True
     return False
 
 
-def _settle(view: View) -> None:
-    """Say which good copies there will be, and which moves' drops would leave too few."""
+def _compute_final_replicas(view: View) -> None:
+    """Compute which good replicas there will be, and which migrations' drops would leave too few."""
     world = view.world
-    view.good = {
-        name: {engine for engine in engines if (name, engine) not in view.clears}
-        for name, engines in view.now.items()
+    view.good_at_end = {
+        name: {engine for engine in engines if (name, engine) not in view.to_clear}
+        for name, engines in view.good_now.items()
     }
     view.keeps = set()
-    came: dict[str, dict[str, int]] = {}  # by shard: target: the last move that brings it there
-    for number, move in sorted(view.kept.items()):
-        if move.step == "switched" and move.target not in view.now[move.shard]:
-            continue  # the engine has gone since, or its copy is doubted
-        view.good[move.shard].add(move.target)
-        came.setdefault(move.shard, {})[move.target] = number
-    waited = {other for move in view.kept.values() for other in move.after}
-    for number, move in sorted(view.kept.items()):
-        pair, shard, good = (move.shard, move.drops), world.shards[move.shard], view.good[move.shard]
-        copy = world.copies.get(pair) if view.released(move) else None
-        if not (_is_good(copy, "good") or (_is_good(copy, "leaving") and move.step == "switched")):
-            if number > came.get(move.shard, {}).get(move.drops, number):
-                good.discard(move.drops)  # by way of a third engine
+    # by shard and target: the last migration that brings a replica there
+    brought_last: dict[str, dict[str, int]] = {}
+    for number, move in sorted(view.continuing.items()):
+        if move.step == "switched" and move.target not in view.good_now[move.shard]:
+            continue  # the engine has gone since, or its replica is doubtful
+        view.good_at_end[move.shard].add(move.target)
+        brought_last.setdefault(move.shard, {})[move.target] = number
+    waited_for = {other for move in view.continuing.values() for other in move.after}
+    for number, move in sorted(view.continuing.items()):
+        pair, shard, good_at_end = (
+            (move.shard, move.drops),
+            world.shards[move.shard],
+            view.good_at_end[move.shard],
+        )
+        copy = world.copies.get(pair) if view.freed_by_drop(move) else None
+        if not (
+            _is_known_good(copy, "good") or (_is_known_good(copy, "leaving") and move.step == "switched")
+        ):
+            if number > brought_last.get(move.shard, {}).get(move.drops, number):
+                good_at_end.discard(move.drops)  # an intermediate replica on a third engine
             continue
-        rest, now = good - {move.drops}, view.now[move.shard] | {move.drops}
-        fewer = len(rest) < min(wanted(shard), len(now)) or view.span(rest) < min(
-            span_wanted(shard), view.span(now)
+        rest, good_now = good_at_end - {move.drops}, view.good_now[move.shard] | {move.drops}
+        loses_needed = len(rest) < min(replication_factor(shard), len(good_now)) or view.span(rest) < min(
+            required_zones(shard), view.span(good_now)
         )
-        then = set(now)  # when it is done and of the others only those that it waits for
+        good_when_done = set(good_now)  # when it is done and, of the others, only those that it waits for
         for other in (*move.after, number):
-            if other in view.kept and view.kept[other].shard == move.shard:
-                then = then - {view.kept[other].drops} | {view.kept[other].target}
-        fewer |= view.span(then) < min(span_wanted(shard), view.span(now))
+            if other in view.continuing and view.continuing[other].shard == move.shard:
+                good_when_done = good_when_done - {view.continuing[other].drops} | {
+                    view.continuing[other].target
+                }
+        loses_needed |= view.span(good_when_done) < min(required_zones(shard), view.span(good_now))
         over = view.used[move.drops] > view.limit[move.drops]
-        if takes(world.homes[move.drops], shard) and number not in waited and not over:
-            both = view.span(rest | {move.drops})
-            fewer |= len(rest) < wanted(shard) or view.span(rest) < min(span_wanted(shard), both)
-        if rest and not fewer:
-            if came.get(move.shard, {}).get(move.drops, 0) < number:
-                good.discard(move.drops)
+        if accepts_replica(world.homes[move.drops], shard) and number not in waited_for and not over:
+            zones_with_drop = view.span(rest | {move.drops})
+            loses_needed |= len(rest) < replication_factor(shard) or view.span(rest) < min(
+                required_zones(shard), zones_with_drop
+            )
+        if rest and not loses_needed:
+            if brought_last.get(move.shard, {}).get(move.drops, 0) < number:
+                good_at_end.discard(move.drops)
             continue
-        good.add(move.drops)
-        if move.step in READING and view.meets_needs(shard, good - {move.target}):
+        good_at_end.add(move.drops)
+        if move.step in READING_STEPS and view.meets_needs(shard, good_at_end - {move.target}):
             view.cancels[number] = "needless"
         view.keeps.add(number)
 
 
-def _crowded(view: View) -> None:
-    """Cancel moves whose target has lost the space they were to have: the last first."""
+def _cancel_for_space(view: View) -> None:
+    """Cancel migrations whose target no longer has space for them, the last first."""
     sizes = view.world.shards
     over = {engine: view.used[engine] - view.limit[engine] for engine in view.used}
     for number in view.cancels:
         move = view.world.moves[number]
-        if move.step in HELD and move.target in over:
+        if move.step in SPACE_HELD_STEPS and move.target in over:
             over[move.target] -= sizes[move.shard].size
-    for number, move in sorted(view.kept.items(), reverse=True):
+    for number, move in sorted(view.continuing.items(), reverse=True):
         if move.step in ("reserved", "copying") and over[move.target] > 0:
             view.cancels[number] = "space"
             over[move.target] -= sizes[move.shard].size
     room = {engine: view.limit[engine] - view.used[engine] for engine in view.used}
-    for number, move in sorted(view.kept.items()):
+    for number, move in sorted(view.continuing.items()):
         if move.step != "planned" or number in view.cancels:
             continue
         freed = sum(
-            view.released(view.kept[other])
+            view.freed_by_drop(view.continuing[other])
             for other in move.after
-            if other in view.kept and view.kept[other].drops == move.target
+            if other in view.continuing and view.continuing[other].drops == move.target
         )
         freed += sum(
             sizes[shard].size
@@ -316,39 +344,44 @@
             room[move.target] -= sizes[move.shard].size
 
 
-def _needless(view: View) -> None:
-    """Cancel planned moves, and begun ones that drop nothing, whose cause has gone: the last first."""
+def _cancel_needless(view: View) -> None:
+    """Cancel planned migrations, and running ones without a drop, that are needless now; the last first."""
     world = view.world
-    waited = Counter(other for move in view.kept.values() for other in move.after)
+    waited_for = Counter(other for move in view.continuing.values() for other in move.after)
     load = dict(view.used)
-    for move in view.kept.values():
+    for move in view.continuing.values():
         if move.step == "planned":
             load[move.target] += world.shards[move.shard].size
         if move.drops in load:
-            load[move.drops] -= view.released(move)
-    view.idle = []
-    for number, move in sorted(view.kept.items(), reverse=True):
+            load[move.drops] -= view.freed_by_drop(move)
+    view.balance_only = []
+    for number, move in sorted(view.continuing.items(), reverse=True):
         shard = world.shards[move.shard]
-        drops = move.drops if view.released(move) and number not in view.keeps else ""
-        if waited[number] or move.step not in READING or (move.step != "planned" and drops):
+        drops = move.drops if view.freed_by_drop(move) and number not in view.keeps else ""
+        if waited_for[number] or move.step not in READING_STEPS or (move.step != "planned" and drops):
             continue
-        without = view.good[move.shard] - {move.target} | ({drops} & view.now[move.shard])
+        without = view.good_at_end[move.shard] - {move.target} | ({drops} & view.good_now[move.shard])
         if not view.meets_needs(shard, without):
             continue
-        if drops and (not takes(world.homes[drops], shard) or load[drops] + shard.size > view.limit[drops]):
+        if drops and (
+            not accepts_replica(world.homes[drops], shard) or load[drops] + shard.size > view.limit[drops]
+        ):
             continue
-        if drops in view.now[move.shard]:
-            view.idle.append(move)
+        if drops in view.good_now[move.shard]:
+            view.balance_only.append(move)
             continue
         view.cancels[number] = "needless"
-        view.good[move.shard] = without
-        waited.subtract(move.after)
+        view.good_at_end[move.shard] = without
+        waited_for.subtract(move.after)
         if drops:
             load[drops] += shard.size
 
 
-def heats(view: View, places: Mapping[str, AbstractSet[str]]) -> dict[str, float]:
-    """Return the part of the queries' work that each living engine has with good copies in these places."""
+def access_load_by_engine(view: View, places: Mapping[str, AbstractSet[str]]) -> dict[str, float]:
+    """Return each live engine's access load, given engines with good replicas by shard.
+
+    The load of a shard is divided evenly among its replicas.
+    """
     heat = dict.fromkeys(view.used, 0.0)
     for name, engines in sorted(places.items()):
         if engines:
@@ -358,11 +391,11 @@
     return heat
 
 
-def mean(values: dict[str, float], view: View) -> float:
-    """Return the mean over the engines that may take copies."""
-    some = [
+def mean_over_accepting(values: dict[str, float], view: View) -> float:
+    """Return the mean over the engines that accept replicas."""
+    accepting_values = [
         value
         for engine, value in sorted(values.items())
         if view.world.homes[engine].life in ("ready", "cold")
     ]
-    return sum(some) / len(some) if some else 0.0
+    return sum(accepting_values) / len(accepting_values) if accepting_values else 0.0
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -400,7 +400,7 @@
         if not self._is_known(move.target):
             return self._again(work)
         if self._begins is None:
-            self._begins = transfer_throttle.begin(
+            self._begins = transfer_throttle.startable(
                 self.machine, self.bounds, self._spent(), self._copies_asked(), self._may_take
             )
         if move.number in self._begins:
@@ -455,9 +455,14 @@
         if not move.attempt and move.source in good:
             first = good.index(move.source)
         size, asked = self.machine.shards[move.shard].size, self._copies_asked()
-        source = transfer_throttle.source(self.machine, self.bounds, move, good[first:] + good[:first], asked)
-        paid = not move.attempt or transfer_throttle.affords(  # the first was paid for when it was reserved
-            self.bounds, self._spent() + transfer_throttle.soon(self.machine, asked), size
+        source = transfer_throttle.available_source(
+            self.machine, self.bounds, move, good[first:] + good[:first], asked
+        )
+        paid = (
+            not move.attempt
+            or transfer_throttle.fits_hourly_budget(  # the first was paid for when it was reserved
+                self.bounds, self._spent() + transfer_throttle.uncounted_bytes(self.machine, asked), size
+            )
         )
         if not source or not paid:
             work.tries, work.wait_until = self.timing.tries, self._now + self.timing.again_ms
--- a/fennelwind/shards/model.py
+++ b/fennelwind/shards/model.py
@@ -1,104 +1,110 @@
-"""What is known of shards, engines and moves: plain values, between the machine, the planner and the carrier.
+"""Plain values that describe shards, engines and migrations.
 
-Sizes are bytes. Names are unique: a shard's is `TABLE/PARTITION` (`TABLE/` for a whole table), an engine's is
-its address, a move's the record's number.
+The state machine, the planner and the migration driver share them. Sizes are in bytes. Names are unique: a
+shard is named `TABLE/PARTITION` (`TABLE/` for a whole table), an engine by its address, and a migration by
+the number that the replicated state gave it.
 """
 
 from dataclasses import dataclass, field, replace
 
 LIVES = ("ready", "cold", "draining", "gone")
-# From `planned` on to `done`, or by `undoing` (a half copy is being dropped) to `undone`. What is done or
-# undone is no longer among the moves of a world.
+# Steps go from `planned` to `done`, or by `undoing` (the partial replica is being dropped) to `undone`.
+# A migration that is done or undone is no longer in a world.
 STEPS = ("planned", "reserved", "copying", "checked", "switched", "dropping", "done", "undoing", "undone")
-# A copy that is not `good` may not be read: it is coming in, or what an engine that was away still holds.
+# Only a `good` replica may be read. A `coming` one is being copied, a `leaving` one waits for its drop, and a
+# `doubtful` one is what an engine that was away may still hold.
 COPY_STATES = ("coming", "good", "leaving", "doubtful")
 
 
 @dataclass(slots=True, frozen=True)
 class Shard:
-    """A partition of a table, or a whole one."""
+    """A partition of a table, or a whole table."""
 
     name: str
     table: str
     size: int
-    copies: int = 1  # wanted
-    zones: int = 1  # that the copies have to span at least
-    kinds: tuple[str, ...] = ()  # engine kinds allowed; none: all
-    heat: float = 0.0  # queries that name it, or what was declared; any unit, the same for all
-    rows: int = -1  # what its good copies hold, as last agreed by a check; -1: none was made yet
+    copies: int = 1  # replication factor
+    zones: int = 1  # minimum number of zones that the replicas span
+    kinds: tuple[str, ...] = ()  # engine kinds allowed; empty: all
+    # access load: queries that name the shard, or a declared figure; any unit, the same for all shards
+    heat: float = 0.0
+    rows: int = -1  # rows of its good replicas, as agreed by the last check; -1: not checked yet
     checksum: int = 0  # of the same check
 
 
 @dataclass(slots=True, frozen=True)
 class ReplicaHost:
-    """An engine as a place for copies."""
+    """An engine as a host of replicas."""
 
     name: str
     zone: str
     kind: str
     disk: int
-    headroom: int  # that has to stay free at every moment
+    headroom: int  # bytes that have to stay free at all times
     life: str = "ready"
-    generation: int = 0  # counts up when it comes back empty, or under the same name as another
-    mark: str = ""  # written on its disk when it was first met; another one is another generation
-    spilled: int = 0  # bytes on its disk that are no copies; up to the headroom they are expected
+    generation: int = 0  # incremented when the engine returns with another disk
+    mark: str = ""  # identifies the disk: written on it when the engine was first seen
+    spilled: int = 0  # bytes on its disk that are not replicas; expected to fit in the headroom
 
 
 @dataclass(slots=True, frozen=True)
 class Replica:
-    """A copy of a shard on an engine."""
+    """A replica of a shard on an engine."""
 
     shard: str
     engine: str
     state: str = "good"
-    wrong: bool = False  # a check found that a doubtful one differs; one that leaves was not known to be good
+    wrong: bool = False  # doubtful: a check found different content; leaving: it was not good before
 
 
 @dataclass(slots=True, frozen=True)
 class Migration:
-    """A copy that comes in, and the one that goes for it, if any; without a target only one goes."""
+    """A replica to create and the one it replaces, if any; without a target, only a replica to drop."""
 
     number: int
     shard: str
-    source: str  # engine with a good copy to read from
+    source: str  # engine with a good replica to read from
     target: str
-    drops: str = ""  # engine whose copy goes when this one has been switched to; "": none does
+    drops: str = ""  # engine whose replica is dropped after the switch; "": none
     step: str = "planned"
-    after: tuple[int, ...] = ()  # moves that have to be done before it begins: it waits for their space
-    cleared: tuple[tuple[str, str], ...] = ()  # copies (shard, engine) that have to be off the disk before
-    attempt: int = 0  # how often its copying was begun
-    generation: int = 0  # the target's, when its space was reserved
-    at_ms: int = 0  # the record's clock when its step was taken
-    rested: bool = False  # switched for so long that nobody sends queries by an older view
+    after: tuple[int, ...] = ()  # migrations that have to end first, since it waits for their space
+    cleared: tuple[tuple[str, str], ...] = ()  # replicas (shard, engine) that have to be off the disk first
+    attempt: int = 0  # number of copy attempts begun
+    generation: int = 0  # the target's generation when its space was reserved
+    at_ms: int = 0  # clock of the replicated state when it took its current step
+    rested: bool = False  # switched for so long that no query is sent by an older view
 
 
 @dataclass(slots=True, frozen=True)
 class Bounds:
-    """What moves may take at a time."""
+    """Limits on concurrent migrations, and tolerances for balance."""
 
     streams_per_engine: int = 2  # copies that one engine reads or writes at once
-    streams_per_link: int = 4  # between two zones at once
-    bytes_per_hour: float = float("inf")  # over the fleet
-    disk_tolerance: float = 0.1  # how far an engine's used share may lie from the mean
-    heat_tolerance: float = 0.25  # the same of its part of the heat, of the mean
-    gain_least: float = 0.05  # part of its unevenness that a move for evenness has to take away
+    streams_per_link: int = 4  # copies between two zones at once
+    bytes_per_hour: float = float("inf")  # over the whole fleet
+    disk_tolerance: float = 0.1  # largest deviation of an engine's used share of its disk from the mean
+    # largest deviation of an engine's access load from the mean, as a part of the mean
+    heat_tolerance: float = 0.25
+    min_gain: float = 0.05  # part of an engine's deviation that a migration for balance has to remove
 
 
 @dataclass(slots=True)
 class World:
-    """All of it, by name."""
+    """Shards, engines, replicas and migrations by name, and what restricts the planner."""
 
     shards: dict[str, Shard] = field(default_factory=dict)
     homes: dict[str, ReplicaHost] = field(default_factory=dict)
     copies: dict[tuple[str, str], Replica] = field(default_factory=dict)  # by shard and engine
     moves: dict[int, Migration] = field(default_factory=dict)
-    frozen: frozenset[str] = frozenset()  # tables whose schema changes: none of their shards is moved
-    aside: frozenset[str] = frozenset()  # shards whose last move failed: none is begun for some time
-    heat_unit: float = 0.0  # heat of a query, where it was counted and so has chance in it; 0: stated
-    counted: dict[str, float] = field(default_factory=dict)  # heat by shard, in place of what was declared
-
-    def heated(self) -> "World":
-        """Return the world whose shards have the heat that was counted, if any was."""
+    frozen: frozenset[str] = frozenset()  # tables under schema change: none of their shards is migrated
+    aside: frozenset[str] = frozenset()  # shards whose last migration failed: suspended for some time
+    # load of one query where load was counted, and thus is subject to chance; 0: declared
+    heat_unit: float = 0.0
+    # access load by shard, in place of the declared one
+    counted: dict[str, float] = field(default_factory=dict)
+
+    def with_counted_load(self) -> "World":
+        """Return the world with the counted access load of its shards, if any was counted."""
         if not self.counted:
             return self
         shards = {name: replace(s, heat=self.counted.get(name, 0.0)) for name, s in self.shards.items()}
@@ -106,23 +112,23 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Short:
-    """A need that can't be met, said plainly."""
+class UnmetNeed:
+    """A need that can't be met, and why."""
 
     shard: str
     reason: str  # "space", "zones", "kinds", "source", "frozen", "aside"
-    engines: tuple[str, ...] = ()  # that were looked at
+    engines: tuple[str, ...] = ()  # engines that were considered
     bytes_short: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class MigrationPlan:
-    """What the planner wants: moves in an order in which they may begin, and what it can't do."""
+    """The planner's result: migrations in an order in which they may begin, and unmet needs."""
 
     moves: tuple[Migration, ...] = ()
-    drops: tuple[tuple[str, str], ...] = ()  # copies (shard, engine) that are over what is wanted
-    cancels: tuple[int, ...] = ()  # moves under way that have become wrong
-    short: tuple[Short, ...] = ()
-    bytes: int = 0  # that the moves transfer
-    reasons: tuple[str, ...] = ()  # why, for each of the cancels: "target", "kinds", "source", "frozen", ..
-    keeps: tuple[int, ...] = ()  # moves under way whose drop falls away: the copy that was to go stays good
+    drops: tuple[tuple[str, str], ...] = ()  # surplus replicas (shard, engine)
+    cancels: tuple[int, ...] = ()  # running migrations that are no longer valid
+    short: tuple[UnmetNeed, ...] = ()
+    bytes: int = 0  # that the migrations transfer
+    reasons: tuple[str, ...] = ()  # for each of the cancels: "target", "kinds", "source", "frozen", ..
+    keeps: tuple[int, ...] = ()  # running migrations without their drop: the old replica stays good
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -1,44 +1,56 @@
-"""The planner of shard moves: to a world whose needs are met, with few bytes, without I/O.
+"""Plans shard migrations that meet the needs of all shards with few bytes transferred. No I/O.
 
-No clock and no chance: the same world gives the same plan. Moves under way stay as they are unless they
-have become wrong; what can't be met is said and the rest is planned. First each shard's needs are met
-greedily; where that leaves something unmet, or an engine over its headroom, or an order that takes more
-bytes, better places are searched for: of all shards in a small world, around the trouble in a large one.
-Evenness comes last.
+There is no clock and no randomness: the same world gives the same plan. Running migrations continue unless
+they are no longer valid; needs that can't be met are reported and all others are planned. First each shard's
+needs are met greedily. Where that leaves a need unmet or an engine over its headroom, or where ordering the
+transfers takes more bytes, better placements are searched for: over all shards of a small world, near the
+problem in a large one. Balance comes last.
 """
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from fennelwind.shards.balance import even, still
-from fennelwind.shards.constraints import View, read, span_wanted, takes, wanted
-from fennelwind.shards.exhaustive_search import Way, Ways
-from fennelwind.shards.model import Bounds, MigrationPlan, Shard, Short, World
-from fennelwind.shards.search import STRICT, choices, neighbours, spread
-from fennelwind.shards.target_placement import Board
+from fennelwind.shards.balance import no_longer_needed, rebalance
+from fennelwind.shards.constraints import (
+    View,
+    accepts_replica,
+    build_view,
+    replication_factor,
+    required_zones,
+)
+from fennelwind.shards.exhaustive_search import Path, PathSearch
+from fennelwind.shards.model import Bounds, MigrationPlan, Shard, UnmetNeed, World
+from fennelwind.shards.search import (
+    PROHIBITIVE_WEIGHT,
+    candidate_engines,
+    cheapest_assignments,
+    movable_shards,
+)
+from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer, arrange
 
-SMALL_SHARDS, SMALL_ENGINES = 14, 8  # up to which all places are searched at once
-NODES = 10000  # choices that a search of a small world extends, about 0.3 s
-LEAVES = 200  # whole choices of a small world that are put in order
-STATES = 8_000  # that one search of places and order at once extends, some 0.5 s; there are three at most
-NODES_NEAR = 200  # choices that one search around a trouble extends
-TROUBLES = 200  # that are searched around in one plan; the rest is said to be short
-NEAR = 6  # shards and engines that are looked at around one trouble
+MAX_SMALL_SHARDS, MAX_SMALL_ENGINES = 14, 8  # sizes up to which all placements are searched at once
+MAX_NODES = 10000  # nodes that the search of a small world expands, about 0.3 s
+MAX_ORDERED_PLACEMENTS = 200  # complete placements of a small world for which an order is sought
+# expanded by one search of placement and order together, some 0.5 s; there are at most three
+MAX_STATES = 8_000
+MAX_LOCAL_NODES = 200  # nodes that one local search expands
+MAX_REPAIRS = 200  # local searches in one plan; further problems are reported as unmet
+LOCAL_CANDIDATES = 6  # shards and engines considered by one local search
 
 
 def plan(world: World, bounds: Bounds | None = None, first: int = 1) -> MigrationPlan:
-    """Return what has to be moved and dropped, in an order in which it may begin.
+    """Return the migrations and drops that are needed, in an order in which they may begin.
 
-    New moves are numbered from above those of the world, from `first` at least. They wait for moves of the
-    world and for one another by `after`, and for copies that go without a move by `cleared`.
+    New migrations are numbered above those of the world, from `first` at least. `after` names the migrations
+    that they wait for, in the world or in the plan; `cleared` names replicas dropped without a migration.
     """
-    return _Planner(world.heated(), bounds or Bounds(), first).run()
+    return _Planner(world.with_counted_load(), bounds or Bounds(), first).run()
 
 
 @dataclass(slots=True)
 class _Attempt:
-    """Places that were put in order: what came of it."""
+    """The result of ordering the transfers of a placement."""
 
     sequence: Sequence
     drops: list[tuple[str, str]]
@@ -48,217 +60,232 @@
 
 
 class _Planner:
-    """One round of planning."""
+    """One planning run."""
 
     def __init__(self, world: World, bounds: Bounds, first: int) -> None:
         self.world, self.bounds = world, bounds
         self.first = max([first, *(number + 1 for number in world.moves)])
-        self.view, self.board = self._read(())
-        if idle := still(self.board, self.view.idle):
-            self.view, self.board = self._read(idle)
+        self.view, self.placement = self._prepare(())
+        if idle := no_longer_needed(self.placement, self.view.balance_only):
+            self.view, self.placement = self._prepare(idle)
 
-    def _read(self, idle: Iterable[int]) -> tuple[View, Board]:
-        view = read(self.world, idle)
-        board = Board(view, self.bounds)
-        board.greedy()
-        return view, board
+    def _prepare(self, idle: Iterable[int]) -> tuple[View, Placement]:
+        view = build_view(self.world, idle)
+        placement = Placement(view, self.bounds)
+        placement.assign_greedily()
+        return view, placement
 
     def run(self) -> MigrationPlan:
         """Return the plan."""
         best = self._attempt()
-        if best.unmet > self._unmet_least() or best.bytes > self._bytes_least():
+        if best.unmet > self._min_unmet() or best.bytes > self._min_bytes():
             best = self._search(best) if self._is_small() else self._repair(best)
-        even(self.board, best.sequence, self.bounds)
+        rebalance(self.placement, best.sequence, self.bounds)
         moves = tuple(best.sequence.moves)
         cancels = sorted(self.view.cancels)
         return MigrationPlan(
             moves,
-            tuple(sorted({*best.drops, *self.view.orphans, *self.view.clears})),
+            tuple(sorted({*best.drops, *self.view.orphans, *self.view.to_clear})),
             tuple(cancels),
-            tuple(self._short(best)),
+            tuple(self._unmet_needs(best)),
             sum(self.world.shards[move.shard].size for move in moves),
             tuple(self.view.cancels[number] for number in cancels),
             tuple(sorted(self.view.keeps)),
         )
 
     def _is_small(self) -> bool:
-        return len(self.world.shards) <= SMALL_SHARDS and len(self.view.used) <= SMALL_ENGINES
+        return len(self.world.shards) <= MAX_SMALL_SHARDS and len(self.view.used) <= MAX_SMALL_ENGINES
 
-    def _unmet_least(self) -> int:
-        """Return what no plan can meet, whatever the space."""
+    def _min_unmet(self) -> int:
+        """Return the needs that no plan can meet, regardless of space."""
         return sum(
-            self.board.lacking(shard) for shard in self.world.shards.values() if not self.board.fixed(shard)
+            self.placement.lacking(shard)
+            for shard in self.world.shards.values()
+            if not self.placement.is_pinned(shard)
         )
 
-    def _bytes_least(self) -> int:
-        """Return the bytes that each plan takes that meets what can be met."""
+    def _min_bytes(self) -> int:
+        """Return a lower bound on the bytes of any plan that meets the needs that can be met."""
         return sum(
-            shard.size * (min(wanted(shard), len(self.board.fit(shard))) - len(self.board.least(shard)))
+            shard.size
+            * (
+                min(replication_factor(shard), len(self.placement.fitting_engines(shard)))
+                - len(self.placement.largest_kept_set(shard))
+            )
             for shard in self.world.shards.values()
-            if not self.board.fixed(shard)
+            if not self.placement.is_pinned(shard)
         )
 
     def _attempt(self) -> _Attempt:
-        """Put the board's places in order."""
-        board, drops, transfers, unmet = self.board, [], [], 0
-        for name, places in sorted(board.places.items()):
-            outcome = board.outcome(name, places)
+        """Order the transfers of the current placement."""
+        placement, drops, transfers, unmet = self.placement, [], [], 0
+        for name, places in sorted(placement.places.items()):
+            outcome = placement.outcome(name, places)
             transfers += outcome.transfers
             drops += [(name, engine) for engine in outcome.drops]
             unmet += outcome.unmet
-        sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.clears))
+        sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.to_clear))
         rest = arrange(sequence, transfers)
-        over = sum(sequence.free_at_end(engine) < 0 for engine in sequence.room)
+        overfull = sum(sequence.free_at_end(engine) < 0 for engine in sequence.free_bytes)
         size = sum(self.world.shards[move.shard].size for move in sequence.moves)
-        return _Attempt(sequence, drops, rest, unmet + len(rest) + over, size)
+        return _Attempt(sequence, drops, rest, unmet + len(rest) + overfull, size)
 
     def _search(self, best: _Attempt) -> _Attempt:
-        """Search all places of a small world, cheapest first, for some that can be put in order."""
-        board = self.board
-        shards = [shard for shard in self.world.shards.values() if not board.fixed(shard)]
-        chosen = dict(board.places)
-        seen, floor = False, (self._unmet_least(), self._bytes_least())
+        """Search the placements of a small world, cheapest first, for one whose transfers can be ordered."""
+        placement = self.placement
+        shards = [shard for shard in self.world.shards.values() if not placement.is_pinned(shard)]
+        chosen_places = dict(placement.places)
+        found_any, lower_bound = False, (self._min_unmet(), self._min_bytes())
         largest = max((shard.size for shard in shards), default=0)
-        for relaxed, weight in ((False, STRICT), (False, largest), (True, STRICT)):
-            if relaxed and seen:
+        for relaxed, weight in ((False, PROHIBITIVE_WEIGHT), (False, largest), (True, PROHIBITIVE_WEIGHT)):
+            if relaxed and found_any:
                 break
-            leaves = 0
-            for unmet, cost, places in choices(board, shards, sorted(board.load), NODES, weight, relaxed):
-                if weight == STRICT and not relaxed and not leaves and unmet == floor[0]:
-                    floor = unmet, cost  # the cheapest of all places that meet all, whatever the order
-                if leaves >= LEAVES or (weight == STRICT and (unmet, cost) >= (best.unmet, best.bytes)):
+            ordered = 0
+            for unmet, cost, places in cheapest_assignments(
+                placement, shards, sorted(placement.load), MAX_NODES, weight, relaxed
+            ):
+                if weight == PROHIBITIVE_WEIGHT and not relaxed and not ordered and unmet == lower_bound[0]:
+                    # the cheapest placement that meets all needs, regardless of order
+                    lower_bound = unmet, cost
+                if ordered >= MAX_ORDERED_PLACEMENTS or (
+                    weight == PROHIBITIVE_WEIGHT and (unmet, cost) >= (best.unmet, best.bytes)
+                ):
                     break
-                leaves, seen = leaves + 1, True
+                ordered, found_any = ordered + 1, True
                 if (unmet, cost) >= (best.unmet, best.bytes):
                     continue
-                before = dict(board.places)
+                before = dict(placement.places)
                 for name, where in places.items():
-                    board.put(name, where)
+                    placement.assign(name, where)
                 attempt = self._attempt()
                 if (attempt.unmet, attempt.bytes) < (best.unmet, best.bytes):
-                    best, chosen = attempt, dict(board.places)
+                    best, chosen_places = attempt, dict(placement.places)
                 for name, where in before.items():
-                    board.put(name, where)
-        for name, where in chosen.items():
-            board.put(name, where)
-        return self._way(best, floor)
+                    placement.assign(name, where)
+        for name, where in chosen_places.items():
+            placement.assign(name, where)
+        return self._search_with_order(best, lower_bound)
 
-    def _way(self, best: _Attempt, floor: tuple[int, int]) -> _Attempt:
-        """Search places and order at once where no order was found for the cheapest places."""
-        view, loose = self.view, (*self.view.orphans, *self.view.clears)
-        if (best.unmet, best.bytes) <= floor:
+    def _search_with_order(self, best: _Attempt, lower_bound: tuple[int, int]) -> _Attempt:
+        """Search placement and order together where the cheapest placement could not be ordered."""
+        view, unordered_drops = self.view, (*self.view.orphans, *self.view.to_clear)
+        if (best.unmet, best.bytes) <= lower_bound:
             return best
-        ways = Ways(self.board, Sequence(view, self.first, loose))
-        rough = ways.explore(floor[0], STATES)  # with little unmet, at whatever cost
-        best = self._taken(best, ways, rough)
-        best = self._taken(best, ways, ways.cheapest(best.unmet, best.bytes, STATES))
-        if best.unmet > floor[0]:
-            best = self._taken(best, ways, ways.cheapest(best.unmet - 1, None, STATES))
+        path_search = PathSearch(self.placement, Sequence(view, self.first, unordered_drops))
+        first_path = path_search.explore(lower_bound[0], MAX_STATES)  # few unmet needs, whatever the bytes
+        best = self._better_path(best, path_search, first_path)
+        best = self._better_path(best, path_search, path_search.cheapest(best.unmet, best.bytes, MAX_STATES))
+        if best.unmet > lower_bound[0]:
+            best = self._better_path(
+                best, path_search, path_search.cheapest(best.unmet - 1, None, MAX_STATES)
+            )
         return best
 
-    def _taken(self, best: _Attempt, ways: Ways, found: Way | None) -> _Attempt:
-        """Return a way as an attempt, with its places on the board, if it is better."""
+    def _better_path(self, best: _Attempt, path_search: PathSearch, found: Path | None) -> _Attempt:
+        """Return the path found as an attempt, with its replicas in the placement, if it is better."""
         if found is None or (found.unmet, found.bytes) >= (best.unmet, best.bytes):
             return best
-        drops, transfers = found.split(self.view.doubtful)
-        sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.clears))
+        drops, transfers = found.drops_and_transfers(self.view.doubtful)
+        sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.to_clear))
         if not all(sequence.add(one) for one in transfers):
             return best
-        for name, where in ways.places(found.state).items():
-            self.board.put(name, where)
+        for name, where in path_search.places(found.state).items():
+            self.placement.assign(name, where)
         return _Attempt(sequence, drops, [], found.unmet, found.bytes)
 
     def _repair(self, best: _Attempt) -> _Attempt:
-        """Search around each trouble of a large world."""
-        board, done = self.board, 0
-        over = [engine for engine in sorted(board.load) if board.free(engine) < 0]
-        for engine in over:
+        """Search near each problem of a large world."""
+        placement, repairs = self.placement, 0
+        overfull = [engine for engine in sorted(placement.load) if placement.free_at_end(engine) < 0]
+        for engine in overfull:
             self._relieve(engine)
-        for shard in board.troubled():
-            places = board.where(shard.name)
-            if done >= TROUBLES or not board.outcome(shard.name, places).unmet:
+        for shard in placement.needing_change():
+            places = placement.assigned(shard.name)
+            if repairs >= MAX_REPAIRS or not placement.outcome(shard.name, places).unmet:
                 continue
-            if board.outcome(shard.name, places).unmet <= board.lacking(shard):
+            if placement.outcome(shard.name, places).unmet <= placement.lacking(shard):
                 continue
-            done += 1
-            engines = spread(board, shard, NEAR)
-            near = {shard.name: shard}
+            repairs += 1
+            engines = candidate_engines(placement, shard, LOCAL_CANDIDATES)
+            nearby = {shard.name: shard}
             for engine in engines[:2]:
-                for other in neighbours(board, engine, NEAR, shard.size - board.free(engine)):
-                    near[other.name] = other
-            self._near(list(near.values()), engines)
+                for other in movable_shards(
+                    placement, engine, LOCAL_CANDIDATES, shard.size - placement.free_at_end(engine)
+                ):
+                    nearby[other.name] = other
+            self._place_locally(list(nearby.values()), engines)
         attempt = self._attempt()
         return attempt if (attempt.unmet, attempt.bytes) < (best.unmet, best.bytes) else best
 
-    def _near(self, shards: list[Shard], engines: list[str]) -> None:
-        """Take the best places of a few shards."""
-        board = self.board
-        for _, _, places in choices(board, shards, engines, NODES_NEAR):
+    def _place_locally(self, shards: list[Shard], engines: list[str]) -> None:
+        """Assign the cheapest places of a few shards."""
+        placement = self.placement
+        for _, _, places in cheapest_assignments(placement, shards, engines, MAX_LOCAL_NODES):
             for name, where in places.items():
-                board.put(name, where)
+                placement.assign(name, where)
             return
 
     def _relieve(self, engine: str) -> None:
-        """Take copies from an engine that is over its headroom: large ones, then one that just does."""
-        board, shards = self.board, self.world.shards
-        some = [
+        """Take replicas from an engine that is over its headroom: large ones, then one that just suffices."""
+        placement, shards = self.placement, self.world.shards
+        candidates = [
             shard
-            for shard in neighbours(board, engine, len(shards), 0)
-            if shard.name not in board.places and takes(self.world.homes[engine], shard)
+            for shard in movable_shards(placement, engine, len(shards), 0)
+            if shard.name not in placement.places and accepts_replica(self.world.homes[engine], shard)
         ]
-        some.sort(key=lambda shard: (-shard.size, shard.name))
-        while board.free(engine) < 0 and some:
-            lacking = -board.free(engine)
-            shard = next((one for one in some if one.size <= lacking), None)
-            shard = shard or min(some, key=lambda one: (one.size, one.name))
-            enough = [one for one in some if one.size >= lacking]
-            if enough and enough[-1].size <= lacking * 1.05:
-                shard = enough[-1]
-            some.remove(shard)
-            rest = board.where(shard.name) - {engine}
-            zones = min(span_wanted(shard), self.view.span(set(rest | {engine})))
-            for target in spread(board, shard, NEAR):
+        candidates.sort(key=lambda shard: (-shard.size, shard.name))
+        while placement.free_at_end(engine) < 0 and candidates:
+            lacking = -placement.free_at_end(engine)
+            shard = next((one for one in candidates if one.size <= lacking), None)
+            shard = shard or min(candidates, key=lambda one: (one.size, one.name))
+            sufficient = [one for one in candidates if one.size >= lacking]
+            if sufficient and sufficient[-1].size <= lacking * 1.05:
+                shard = sufficient[-1]
+            candidates.remove(shard)
+            rest = placement.assigned(shard.name) - {engine}
+            zones = min(required_zones(shard), self.view.span(set(rest | {engine})))
+            for target in candidate_engines(placement, shard, LOCAL_CANDIDATES):
                 if (
                     target not in self.view.holders[shard.name]
                     and target not in rest
-                    and board.free(target) >= shard.size
+                    and placement.free_at_end(target) >= shard.size
                     and self.view.span(set(rest | {target})) >= zones
                 ):
-                    board.put(shard.name, rest | {target})
+                    placement.assign(shard.name, rest | {target})
                     break
 
-    def _short(self, best: _Attempt) -> list[Short]:
-        """Say which needs are not met, and why."""
-        board, found = self.board, []
+    def _unmet_needs(self, best: _Attempt) -> list[UnmetNeed]:
+        """Return the needs that are not met, with reasons."""
+        placement, found = self.placement, []
         blocked: dict[str, list[Transfer]] = {}
         for one in best.rest:
             blocked.setdefault(one.shard, []).append(one)
-        lying: dict[str, list[str]] = {}
+        replica_engines: dict[str, list[str]] = {}
         for name, engine in sorted(self.world.copies):
-            lying.setdefault(name, []).append(engine)
+            replica_engines.setdefault(name, []).append(engine)
         for name, shard in sorted(self.world.shards.items()):
-            good, count, zones = self.view.good[name], wanted(shard), span_wanted(shard)
-            if board.fixed(shard):
+            good, count, zones = self.view.good_at_end[name], replication_factor(shard), required_zones(shard)
+            if placement.is_pinned(shard):
                 if not good:
-                    found.append(Short(name, "source", tuple(lying.get(name, ()))))
+                    found.append(UnmetNeed(name, "source", tuple(replica_engines.get(name, ()))))
                 elif len(good) < count or not self.view.meets_needs(shard, good):
                     reason = "frozen" if shard.table in self.world.frozen else "aside"
-                    found.append(Short(name, reason, tuple(sorted(good))))
+                    found.append(UnmetNeed(name, reason, tuple(sorted(good))))
                 continue
-            places, fit = board.where(name), board.fit(shard)
+            places, fit = placement.assigned(name), placement.fitting_engines(shard)
             if len(fit) < count:
-                found.append(Short(name, "kinds", tuple(fit)))
-            if board.zones(shard) < zones:
-                found.append(Short(name, "zones", tuple(fit)))
+                found.append(UnmetNeed(name, "kinds", tuple(fit)))
+            if placement.reachable_zones(shard) < zones:
+                found.append(UnmetNeed(name, "zones", tuple(fit)))
             if name in blocked or (
-                name in board.places and board.outcome(name, places).unmet > board.lacking(shard)
+                name in placement.places and placement.outcome(name, places).unmet > placement.lacking(shard)
             ):
                 others = [engine for engine in fit if engine not in places] or [
                     one.target for one in blocked[name]
                 ]
                 lacking = min(shard.size - best.sequence.free_at_end(engine) for engine in others)
-                found.append(Short(name, "space", tuple(others), max(0, lacking)))
-        for engine in sorted(best.sequence.room):
+                found.append(UnmetNeed(name, "space", tuple(others), max(0, lacking)))
+        for engine in sorted(best.sequence.free_bytes):
             if best.sequence.free_at_end(engine) < 0:
-                found.append(Short("", "space", (engine,), -best.sequence.free_at_end(engine)))
+                found.append(UnmetNeed("", "space", (engine,), -best.sequence.free_at_end(engine)))
         return found
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -1,40 +1,42 @@
-"""The search for better places of a few shards at once, cheapest first, without I/O.
+"""Best-first search for better places of a few shards together. No I/O.
 
-Each shard has a list of places that its copies could have, with what is then unmet and the bytes it
-takes. Choices are extended shard by shard, the cheapest first by what it has cost and the least that the
-rest must cost; those that overfill an engine whatever the rest does are left out. So whole choices come
-out in order of their cost.
+Each shard has a list of options: places for its replicas with the needs that they leave unmet and the bytes
+that they take. Partial assignments are extended shard by shard, the cheapest first by their cost so far plus
+a lower bound for the other shards. Those that overfill an engine whatever the other shards get are dropped.
+So complete assignments are yielded in order of cost.
 """
 
 import heapq
 from collections.abc import Iterator
 from itertools import combinations
 
-from fennelwind.shards.constraints import span_wanted, wanted
+from fennelwind.shards.constraints import replication_factor, required_zones
 from fennelwind.shards.model import Shard
-from fennelwind.shards.target_placement import Board, Outcome, Places
+from fennelwind.shards.target_placement import Outcome, Placement, Places
 
-STRICT = 1 << 60  # bytes that outweigh all others: nothing is left unmet to save any
-Option = tuple[int, int, Places, Outcome]  # unmet, bytes, where, how
+PROHIBITIVE_WEIGHT = 1 << 60  # bytes that outweigh all others: no need is left unmet to save bytes
+Option = tuple[int, int, Places, Outcome]  # unmet, bytes, places, transfers and drops
 
 
-def options(board: Board, shard: Shard, engines: list[str]) -> list[Option]:
-    """Return all places that a shard's copies could have on some engines, cheapest first."""
-    view, name = board.view, shard.name
-    good, held = view.good[name], view.holders[name] - view.replaced[name]
-    some = [
-        engine for engine in board.fit(shard) if engine in good or (engine in engines and engine not in held)
+def placement_options(placement: Placement, shard: Shard, engines: list[str]) -> list[Option]:
+    """Return all places that a shard's replicas could have on some engines, cheapest first."""
+    view, name = placement.view, shard.name
+    good, held = view.good_at_end[name], view.holders[name] - view.leaving_or_doubtful[name]
+    candidates = [
+        engine
+        for engine in placement.fitting_engines(shard)
+        if engine in good or (engine in engines and engine not in held)
     ]
     found: list[Option] = []
-    for count in range(min(wanted(shard), len(some)) + 1):
-        for places in combinations(some, count):
-            outcome = board.outcome(name, frozenset(places))
+    for count in range(min(replication_factor(shard), len(candidates)) + 1):
+        for places in combinations(candidates, count):
+            outcome = placement.outcome(name, frozenset(places))
             found.append((outcome.unmet, outcome.bytes, frozenset(places), outcome))
     found.sort(
         key=lambda option: (
             option[0],
             option[1],
-            sum(board.load[engine] / max(1, view.limit[engine]) for engine in option[2]),
+            sum(placement.load[engine] / max(1, view.limit[engine]) for engine in option[2]),
             sorted(option[2]),
         )
     )
@@ -44,84 +46,98 @@
     return list(best.values())
 
 
-def choices(
-    board: Board,
+def cheapest_assignments(
+    placement: Placement,
     shards: list[Shard],
     engines: list[str],
-    nodes: int,
-    weight: int = STRICT,
+    max_nodes: int,
+    weight: int = PROHIBITIVE_WEIGHT,
     relaxed: bool = False,
 ) -> Iterator[tuple[int, int, dict[str, Places]]]:
-    """Yield what is unmet, the bytes and the places of some shards, cheapest first; others stay.
+    """Yield unmet needs, bytes and places of some shards, cheapest first; the other shards stay.
 
-    At most `nodes` choices are extended. `weight`: bytes that one unmet need is worth; with less than
-    `STRICT` cheap choices that leave something unmet come before dear ones that meet it.
-    `relaxed`: an engine that is over may stay as full as it is.
+    At most `max_nodes` assignments are extended. `weight` is the bytes that one unmet need counts for; below
+    `PROHIBITIVE_WEIGHT`, cheap assignments with unmet needs come before expensive ones that meet them.
+    `relaxed`: an engine that is over its limit may stay as full as it is.
     """
-    view = board.view
-    names = sorted(board.load)
+    view = placement.view
+    names = sorted(placement.load)
     index = {name: number for number, name in enumerate(names)}
-    start = [board.load[name] for name in names]
+    start = [placement.load[name] for name in names]
     for shard in shards:
-        if shard.name in board.places:
-            for engine, size in board.outcome(shard.name, board.places[shard.name]).change:
+        if shard.name in placement.places:
+            for engine, size in placement.outcome(shard.name, placement.places[shard.name]).change:
                 start[index[engine]] -= size
-    caps = [view.limit[name] for name in names]
+    limits = [view.limit[name] for name in names]
     if relaxed:
-        caps = [max(cap, view.used[name]) for cap, name in zip(caps, names, strict=True)]
-    lists = [options(board, shard, engines) for shard in shards]
-    order = sorted(range(len(shards)), key=lambda i: (-shards[i].size * wanted(shards[i]), shards[i].name))
-    lists, shards = [lists[i] for i in order], [shards[i] for i in order]
-    least = [[0] * len(names) for _ in range(len(shards) + 1)]  # that the rest adds to each engine at least
-    rest = [0] * (len(shards) + 1)  # that the rest must cost at least
+        limits = [max(cap, view.used[name]) for cap, name in zip(limits, names, strict=True)]
+    options_by_shard = [placement_options(placement, shard, engines) for shard in shards]
+    order = sorted(
+        range(len(shards)), key=lambda i: (-shards[i].size * replication_factor(shards[i]), shards[i].name)
+    )
+    options_by_shard, shards = [options_by_shard[i] for i in order], [shards[i] for i in order]
+    min_added = [
+        [0] * len(names) for _ in range(len(shards) + 1)
+    ]  # lower bound of what the later shards add to each engine
+    min_remaining_cost = [0] * (len(shards) + 1)  # lower bound of the cost of the later shards
     for i in range(len(shards) - 1, -1, -1):
-        vectors = [dict(option[3].change) for option in lists[i]]
-        least[i] = [
-            least[i + 1][n] + min(vector.get(name, 0) for vector in vectors) for n, name in enumerate(names)
+        vectors = [dict(option[3].change) for option in options_by_shard[i]]
+        min_added[i] = [
+            min_added[i + 1][n] + min(vector.get(name, 0) for vector in vectors)
+            for n, name in enumerate(names)
         ]
-        rest[i] = rest[i + 1] + min(unmet * weight + size for unmet, size, _, _ in lists[i])
+        min_remaining_cost[i] = min_remaining_cost[i + 1] + min(
+            unmet * weight + size for unmet, size, _, _ in options_by_shard[i]
+        )
     serial = 0
     heap: list[tuple[int, int, int, int, int, tuple[int, ...], tuple[Places, ...]]] = [
-        (rest[0], 0, serial, 0, 0, tuple(start), ())
+        (min_remaining_cost[0], 0, serial, 0, 0, tuple(start), ())
     ]
-    while heap and nodes > 0:
+    while heap and max_nodes > 0:
         _, depth, _, unmet, cost, loads, places = heapq.heappop(heap)
         depth = -depth
         if depth == len(shards):
-            yield unmet, cost, {shard.name: place for shard, place in zip(shards, places, strict=True)}
+            yield unmet, cost, {shard.name: chosen for shard, chosen in zip(shards, places, strict=True)}
             continue
-        nodes -= 1
-        after = least[depth + 1]
-        for more, size, place, outcome in lists[depth]:
-            now = list(loads)
+        max_nodes -= 1
+        min_added_after = min_added[depth + 1]
+        for extra_unmet, size, chosen, outcome in options_by_shard[depth]:
+            loads_after = list(loads)
             for engine, change in outcome.change:
-                now[index[engine]] += change
-            if any(load + further > cap for load, further, cap in zip(now, after, caps, strict=True)):
+                loads_after[index[engine]] += change
+            if any(
+                load + added > cap
+                for load, added, cap in zip(loads_after, min_added_after, limits, strict=True)
+            ):
                 continue
             serial += 1
-            lacking, paid = unmet + more, cost + size
-            key = lacking * weight + paid + rest[depth + 1]
-            heapq.heappush(heap, (key, -depth - 1, serial, lacking, paid, tuple(now), (*places, place)))
+            lacking, paid = unmet + extra_unmet, cost + size
+            key = lacking * weight + paid + min_remaining_cost[depth + 1]
+            heapq.heappush(
+                heap, (key, -depth - 1, serial, lacking, paid, tuple(loads_after), (*places, chosen))
+            )
 
 
-def neighbours(board: Board, engine: str, most: int, lacking: int) -> list[Shard]:
-    """Return shards of which a copy could go from an engine: those that just free enough first."""
-    shards = board.world.shards
-    some = [
+def movable_shards(placement: Placement, engine: str, max_count: int, lacking: int) -> list[Shard]:
+    """Return shards with a replica that could leave an engine, those that free just enough first."""
+    shards = placement.world.shards
+    candidates = [
         shards[name]
         for name in sorted(shards)
-        if engine in board.where(name) and not board.fixed(shards[name])
+        if engine in placement.assigned(name) and not placement.is_pinned(shards[name])
     ]
-    some.sort(key=lambda shard: (shard.size < lacking, abs(shard.size - lacking), shard.name))
-    return some[:most]
+    candidates.sort(key=lambda shard: (shard.size < lacking, abs(shard.size - lacking), shard.name))
+    return candidates[:max_count]
 
 
-def spread(board: Board, shard: Shard, most: int) -> list[str]:
+def candidate_engines(placement: Placement, shard: Shard, max_count: int) -> list[str]:
     """Return the emptiest engines for a shard, some of each zone."""
-    homes, seen, found = board.world.homes, {}, []
-    for engine in sorted(board.fit(shard), key=lambda name: (-board.free(name), name)):
+    homes, seen, found = placement.world.homes, {}, []
+    for engine in sorted(
+        placement.fitting_engines(shard), key=lambda name: (-placement.free_at_end(name), name)
+    ):
         zone = homes[engine].zone
-        if seen.setdefault(zone, 0) < max(2, most // max(1, span_wanted(shard) + 1)):
+        if seen.setdefault(zone, 0) < max(2, max_count // max(1, required_zones(shard) + 1)):
             seen[zone] += 1
             found.append(engine)
-    return found[:most]
+    return found[:max_count]
--- a/fennelwind/shards/target_placement.py
+++ b/fennelwind/shards/target_placement.py
@@ -1,109 +1,120 @@
-"""Where the copies of each shard are to lie in the end, and the disk that this takes, without I/O."""
+"""The final placement of each shard's replicas and the disk space that it takes. No I/O."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
 from functools import cached_property
 from itertools import islice
 
-from fennelwind.shards.constraints import View, heats, mean, span_wanted, takes, wanted
+from fennelwind.shards.constraints import (
+    View,
+    accepts_replica,
+    access_load_by_engine,
+    mean_over_accepting,
+    replication_factor,
+    required_zones,
+)
 from fennelwind.shards.model import Bounds, Shard
 from fennelwind.shards.transfer_order import Transfer
 
-Places = frozenset  # of engines with a good copy in the end
-RANKED_ANEW = 32  # shards after which engines are ranked anew by how far they stand out
-LOOKED_AT = 12  # engines of the first in that rank that are weighed for a copy
+Places = frozenset  # of engines with a good replica in the end
+RERANK_INTERVAL = 32  # shards after which the engines are ranked again by deviation
+MAX_CANDIDATES = 12  # engines at the head of that ranking that are compared for a replica
 
 
 @dataclass(slots=True, frozen=True)
 class Outcome:
-    """What it takes to have one shard's good copies in certain places."""
+    """The transfers and drops needed to have one shard's good replicas in certain places."""
 
     transfers: tuple[Transfer, ...]
-    drops: tuple[str, ...]  # engines whose copy goes without a move
-    change: tuple[tuple[str, int], ...]  # bytes by engine, against all that lies there now
-    unmet: int  # copies and zones that are lacking
+    drops: tuple[str, ...]  # engines whose replica is dropped without a migration
+    change: tuple[tuple[str, int], ...]  # bytes by engine, relative to the current replicas
+    unmet: int  # missing replicas and zones
     bytes: int
 
 
-class Board:
-    """The places of all shards, by a change of which loads are kept up to date."""
+class Placement:
+    """The places of all shards; each change keeps the engines' loads up to date."""
 
     def __init__(self, view: View, bounds: Bounds) -> None:
         self.view, self.bounds = view, bounds
         self.world = view.world
         self.load = dict(view.used)  # bytes by engine in the end
-        for move in view.kept.values():
+        for move in view.continuing.values():
             if move.step == "planned":
                 self.load[move.target] += self.world.shards[move.shard].size
             if move.drops in self.load:
-                self.load[move.drops] -= view.released(move)
-        for shard, engine in (*view.going, *view.orphans, *view.clears):
+                self.load[move.drops] -= view.freed_by_drop(move)
+        for shard, engine in (*view.cancelled_copies, *view.orphans, *view.to_clear):
             self.load[engine] -= self.world.shards[shard].size
-        self.heat = heats(view, view.good)
-        self.read = {
+        self.access_load = access_load_by_engine(view, view.good_at_end)
+        self.read_replicas = {
             (move.shard, move.source)
-            for move in view.kept.values()
+            for move in view.continuing.values()
             if move.step in ("planned", "reserved", "copying")
         }
-        self.places: dict[str, Places] = {}  # of the shards that are changed
+        self.places: dict[str, Places] = {}  # of the shards that change
         self.outcomes: dict[tuple[str, Places], Outcome] = {}
-        self._fit: dict[tuple[str, ...], list[str]] = {}
+        self._fitting_by_kinds: dict[tuple[str, ...], list[str]] = {}
         self._zones: dict[tuple[str, ...], int] = {}
 
     @cached_property
-    def heat_mean(self) -> float:
-        """Return the mean of the heat over the engines that may take copies."""
-        return mean(self.heat, self.view) or 1.0
-
-    def fit(self, shard: Shard) -> list[str]:
-        """Return the engines that may hold a shard's copies, space aside."""
-        if shard.kinds not in self._fit:
-            self._fit[shard.kinds] = [
-                name for name in sorted(self.load) if takes(self.world.homes[name], shard)
+    def mean_access_load(self) -> float:
+        """Return the mean access load of the engines that accept replicas."""
+        return mean_over_accepting(self.access_load, self.view) or 1.0
+
+    def fitting_engines(self, shard: Shard) -> list[str]:
+        """Return the engines that may hold the shard's replicas, regardless of space."""
+        if shard.kinds not in self._fitting_by_kinds:
+            self._fitting_by_kinds[shard.kinds] = [
+                name for name in sorted(self.load) if accepts_replica(self.world.homes[name], shard)
             ]
-            self._zones[shard.kinds] = self.view.span(set(self._fit[shard.kinds]))
-        return self._fit[shard.kinds]
+            self._zones[shard.kinds] = self.view.span(set(self._fitting_by_kinds[shard.kinds]))
+        return self._fitting_by_kinds[shard.kinds]
 
-    def zones(self, shard: Shard) -> int:
-        """Return how many zones a shard's copies can span, space aside."""
-        self.fit(shard)
+    def reachable_zones(self, shard: Shard) -> int:
+        """Return how many zones the shard's replicas can span, regardless of space."""
+        self.fitting_engines(shard)
         return self._zones[shard.kinds]
 
     def lacking(self, shard: Shard) -> int:
-        """Return the copies and zones that a shard lacks whatever the space."""
-        return max(0, wanted(shard) - len(self.fit(shard))) + max(0, span_wanted(shard) - self.zones(shard))
+        """Return how many replicas and zones the shard lacks, whatever the space."""
+        return max(0, replication_factor(shard) - len(self.fitting_engines(shard))) + max(
+            0, required_zones(shard) - self.reachable_zones(shard)
+        )
 
-    def free(self, engine: str) -> int:
+    def free_at_end(self, engine: str) -> int:
         """Return the bytes that are free on an engine in the end."""
         return self.view.limit[engine] - self.load[engine]
 
-    def spare(self, engine: str) -> int:
-        """Return the bytes that are free on an engine now: what is planned does not change it."""
+    def free_now(self, engine: str) -> int:
+        """Return the bytes that are free on an engine now: planned migrations don't change it."""
         return self.view.limit[engine] - self.view.used[engine]
 
-    def fixed(self, shard: Shard) -> bool:
-        """Return whether nothing of a shard may be moved: it is frozen, aside, or nobody has it."""
-        held = shard.table in self.world.frozen or shard.name in self.world.aside
-        return held or not self.view.good[shard.name]
+    def is_pinned(self, shard: Shard) -> bool:
+        """Return whether the shard must not be changed: it is frozen, suspended, or has no good replica."""
+        is_held = shard.table in self.world.frozen or shard.name in self.world.aside
+        return is_held or not self.view.good_at_end[shard.name]
 
-    def least(self, shard: Shard) -> set[str]:
-        """Return the good copies that stay where they are if space is no matter: as many as may."""
+    def largest_kept_set(self, shard: Shard) -> set[str]:
+        """Return the largest set of good replicas that may stay in place, regardless of space."""
         homes, kept, seen = self.world.homes, set(), set()
-        count, zones = wanted(shard), span_wanted(shard)
-        staying = [engine for engine in self.view.good[shard.name] if takes(homes[engine], shard)]
-        ranked = sorted(staying, key=lambda engine: (-self.spare(engine), engine))
+        count, zones = replication_factor(shard), required_zones(shard)
+        staying = [
+            engine for engine in self.view.good_at_end[shard.name] if accepts_replica(homes[engine], shard)
+        ]
+        ranked = sorted(staying, key=lambda engine: (-self.free_now(engine), engine))
         for engine in ranked:
             if homes[engine].zone not in seen and len(kept) < count:
                 seen.add(homes[engine].zone)
                 kept.add(engine)
-        zones = min(zones, self.zones(shard))
+        zones = min(zones, self.reachable_zones(shard))
         for engine in ranked:
             if engine not in kept and len(kept) < count and len(seen) + count - len(kept) - 1 >= zones:
                 kept.add(engine)
         return kept
 
     def outcome(self, name: str, places: Places) -> Outcome:
-        """Return what it takes to have a shard's good copies there."""
+        """Return the transfers and drops needed to have a shard's good replicas in these places."""
         key = (name, places)
         if key not in self.outcomes:
             self.outcomes[key] = self._outcome(name, places)
@@ -111,50 +122,52 @@
 
     def _outcome(self, name: str, places: Places) -> Outcome:
         view, shard = self.view, self.world.shards[name]
-        good, zones, count = view.good[name], span_wanted(shard), wanted(shard)
-        now = {engine for engine in view.now[name] if (name, engine) not in view.clears}
-        adds, outs = sorted(places - good), sorted(good - places, key=lambda e: (self.spare(e), e))
-        doubtful = sorted(e for e in view.doubtful[name] - good if (name, e) not in view.clears)
-        drops = [engine for engine in doubtful if engine in places]  # it comes to the same engine anew
+        good, zones, count = view.good_at_end[name], required_zones(shard), replication_factor(shard)
+        now = {engine for engine in view.good_now[name] if (name, engine) not in view.to_clear}
+        adds, removed = sorted(places - good), sorted(good - places, key=lambda e: (self.free_now(e), e))
+        doubtful = sorted(e for e in view.doubtful[name] - good if (name, e) not in view.to_clear)
+        drops = [engine for engine in doubtful if engine in places]  # copied again to the same engine
         doubtful = [engine for engine in doubtful if engine not in places]
-        have, transfers, change = set(good), [], dict.fromkeys(drops, -shard.size)
+        good_after, transfers, change = set(good), [], dict.fromkeys(drops, -shard.size)
         homes = self.world.homes
         for target in adds:
-            most = min(zones, view.span(have))
-            some = [out for out in outs if view.span(have - {out} | {target}) >= most]
-            spared = len(outs) > len(adds)  # then some go at once: rather those whose space can be used
-            out = min(
-                some,
+            zones_spanned = min(zones, view.span(good_after))
+            candidates = [old for old in removed if view.span(good_after - {old} | {target}) >= zones_spanned]
+            has_spares = len(removed) > len(
+                adds
+            )  # some are dropped at once: prefer those whose space can be used
+            old = min(
+                candidates,
                 key=lambda e: (
-                    spared and homes[e].life in ("ready", "cold"),
+                    has_spares and homes[e].life in ("ready", "cold"),
                     homes[e].zone != homes[target].zone,
-                    outs.index(e),
+                    removed.index(e),
                 ),
                 default="",
             )
-            have.add(target)
-            if out:
-                have.discard(out)
-                outs.remove(out)
+            good_after.add(target)
+            if old:
+                good_after.discard(old)
+                removed.remove(old)
             elif doubtful:
-                out = doubtful.pop(0)
-            transfers.append(Transfer(name, target, out))
+                old = doubtful.pop(0)
+            transfers.append(Transfer(name, target, old))
             change[target] = change.get(target, 0) + shard.size
-            if out:
-                change[out] = change.get(out, 0) - shard.size
+            if old:
+                change[old] = change.get(old, 0) - shard.size
         rest = set(now)
-        for out in outs:
-            less = rest - {out}
+        for old in removed:
+            fewer = rest - {old}
             if (
-                out in now
-                and len(less & (good | places)) >= count
-                and view.span(less) >= min(zones, view.span(rest))
-                and view.span(have - {out}) >= min(zones, view.span(have))
-                and (name, out) not in self.read
+                old in now
+                and len(fewer & (good | places)) >= count
+                and view.span(fewer) >= min(zones, view.span(rest))
+                and view.span(good_after - {old}) >= min(zones, view.span(good_after))
+                and (name, old) not in self.read_replicas
             ):
-                rest, have = less, have - {out}
-                drops.append(out)
-                change[out] = change.get(out, 0) - shard.size
+                rest, good_after = fewer, good_after - {old}
+                drops.append(old)
+                change[old] = change.get(old, 0) - shard.size
         if view.meets_needs(shard, rest & places):
             drops += doubtful
             change.update((engine, change.get(engine, 0) - shard.size) for engine in doubtful)
@@ -163,8 +176,8 @@
             tuple(transfers), tuple(drops), tuple(sorted(change.items())), unmet, shard.size * len(transfers)
         )
 
-    def put(self, name: str, places: Iterable[str]) -> None:
-        """Have a shard's good copies in these places in the end."""
+    def assign(self, name: str, places: Iterable[str]) -> None:
+        """Assign the final places of a shard's good replicas."""
         if name in self.places:
             for engine, size in self.outcome(name, self.places[name]).change:
                 self.load[engine] -= size
@@ -172,80 +185,89 @@
         for engine, size in self.outcome(name, self.places[name]).change:
             self.load[engine] += size
 
-    def where(self, name: str) -> Places:
-        """Return where a shard's good copies will lie."""
-        return self.places[name] if name in self.places else frozenset(self.view.good[name])
+    def assigned(self, name: str) -> Places:
+        """Return the final places of a shard's good replicas."""
+        return self.places[name] if name in self.places else frozenset(self.view.good_at_end[name])
 
-    def troubled(self) -> list[Shard]:
-        """Return the shards whose copies are not as they should be, largest first."""
+    def needing_change(self) -> list[Shard]:
+        """Return the shards whose replicas are too few, surplus, doubtful or misplaced, largest first."""
         view = self.view
         found = [
             shard
             for name, shard in sorted(self.world.shards.items())
-            if not self.fixed(shard)
+            if not self.is_pinned(shard)
             and (
-                len(view.good[name]) != wanted(shard)
+                len(view.good_at_end[name]) != replication_factor(shard)
                 or view.doubtful[name]
-                or not view.meets_needs(shard, view.good[name])
+                or not view.meets_needs(shard, view.good_at_end[name])
             )
         ]
         return sorted(found, key=lambda shard: (-shard.size, shard.name))
 
-    def greedy(self) -> None:
-        """Meet each shard's needs in turn where there is space: on the engine that stands out the least."""
+    def assign_greedily(self) -> None:
+        """Meet each shard's needs in turn where there is space, on the engine with the least deviation."""
         homes = self.world.homes
-        common = mean(
+        mean_disk_share = mean_over_accepting(
             {name: self.load[name] / max(1, self.view.limit[name]) for name in self.load}, self.view
         )
-        for number, shard in enumerate(self.troubled()):
-            if number % RANKED_ANEW == 0:
+        for number, shard in enumerate(self.needing_change()):
+            if number % RERANK_INTERVAL == 0:
                 ranks = {
                     name: rank
                     for rank, name in enumerate(
-                        sorted(self.load, key=lambda name: (self._stands_out(name, 0, 0.0, common), name))
+                        sorted(
+                            self.load, key=lambda name: (self._deviation(name, 0, 0.0, mean_disk_share), name)
+                        )
                     )
                 }
-                ranked = {kinds: sorted(fit, key=ranks.__getitem__) for kinds, fit in self._fit.items()}
-            name, count, zones = shard.name, wanted(shard), span_wanted(shard)
-            kept = self.least(shard)
-            self.put(name, kept)
-            doubtful, part = self.view.replaced[name], shard.heat / count
+                ranked = {
+                    kinds: sorted(fitting_engines, key=ranks.__getitem__)
+                    for kinds, fitting_engines in self._fitting_by_kinds.items()
+                }
+            name, count, zones = shard.name, replication_factor(shard), required_zones(shard)
+            kept = self.largest_kept_set(shard)
+            self.assign(name, kept)
+            doubtful, part = self.view.leaving_or_doubtful[name], shard.heat / count
             while len(kept) < count:
                 seen = {homes[engine].zone for engine in kept}
-                apart = len(seen) + count - len(kept) - 1 < min(zones, self.zones(shard))
-                some = list(
+                needs_new_zone = len(seen) + count - len(kept) - 1 < min(zones, self.reachable_zones(shard))
+                candidates = list(
                     islice(
                         (
                             engine
-                            for engine in ranked.get(shard.kinds) or self.fit(shard)
+                            for engine in ranked.get(shard.kinds) or self.fitting_engines(shard)
                             if engine not in kept
-                            and not (apart and homes[engine].zone in seen)
-                            and self.free(engine) >= (0 if engine in self.view.doubtful[name] else shard.size)
+                            and not (needs_new_zone and homes[engine].zone in seen)
+                            and self.free_at_end(engine)
+                            >= (0 if engine in self.view.doubtful[name] else shard.size)
                             and (
                                 engine not in self.view.holders[name]
                                 or engine in doubtful
-                                or engine in self.view.good[name]
+                                or engine in self.view.good_at_end[name]
                             )
                         ),
-                        LOOKED_AT,
+                        MAX_CANDIDATES,
                     )
                 )
-                if not some:
+                if not candidates:
                     break
                 best = min(
-                    some,
+                    candidates,
                     key=lambda engine: (
                         engine in doubtful,
-                        self._stands_out(engine, shard.size, part, common),
+                        self._deviation(engine, shard.size, part, mean_disk_share),
                         engine,
                     ),
                 )
                 kept = kept | {best}
-                self.put(name, kept)
-                self.heat[best] += part
+                self.assign(name, kept)
+                self.access_load[best] += part
 
-    def _stands_out(self, engine: str, size: int, heat: float, share: float) -> float:
-        """Return how far an engine will be from the mean, in tolerances, with a copy more."""
+    def _deviation(self, engine: str, size: int, heat: float, share: float) -> float:
+        """Return an engine's deviation from the mean with one more replica, in tolerances."""
         disk = (self.load[engine] + size) / max(1, self.view.limit[engine]) - share
-        warm = (self.heat[engine] + heat) / self.heat_mean - 1
-        return max(disk / max(self.bounds.disk_tolerance, 0.01), warm / max(self.bounds.heat_tolerance, 0.01))
+        load_deviation = (self.access_load[engine] + heat) / self.mean_access_load - 1
+        return max(
+            disk / max(self.bounds.disk_tolerance, 0.01),
+            load_deviation / max(self.bounds.heat_tolerance, 0.01),
+        )
--- a/fennelwind/shards/transfer_throttle.py
+++ b/fennelwind/shards/transfer_throttle.py
@@ -1,4 +1,4 @@
-"""Which copies may begin now: streams of engines and links, and bytes an hour, are bounded. No I/O."""
+"""Which copies may start now, under limits on streams of engines and links and on bytes per hour. No I/O."""
 
 from collections import Counter
 from collections.abc import Callable, Iterable, Mapping
@@ -7,95 +7,106 @@
 
 from fennelwind.shards.model import Bounds, Migration, ReplicaHost, Shard
 
-STREAMING = ("reserved", "copying")  # steps that take a stream at the source and at the target
-Asked = Mapping[int, str]  # moves whose copy was asked to begin, or to begin anew, and from which engine
-NONE: Asked = MappingProxyType({})
-Takes = tuple[str, str, tuple[str, ...]]  # what a stream counts for: two engines, and the zones of both
+STREAMING_STEPS = ("reserved", "copying")  # steps that take a stream at the source and at the target
+# migrations whose copy, or next attempt, was requested, and the requested source
+RequestedSources = Mapping[int, str]
+NO_REQUESTS: RequestedSources = MappingProxyType({})
+# what a stream counts for: two engines and the pair of their zones
+StreamUse = tuple[str, str, tuple[str, ...]]
 
 
-class Known(Protocol):
-    """What the record says, as far as it is read here."""
+class MigrationState(Protocol):
+    """The part of the replicated state that is read here."""
 
     shards: Mapping[str, Shard]
     homes: Mapping[str, ReplicaHost]
     moves: Mapping[int, Migration]
 
 
-def begin(
-    known: Known,
+def startable(
+    state: MigrationState,
     bounds: Bounds,
-    spent: int,
-    asked: Asked = NONE,
-    may: Callable[[Migration], bool] = lambda move: True,
+    bytes_started: int,
+    requested: RequestedSources = NO_REQUESTS,
+    is_allowed: Callable[[Migration], bool] = lambda move: True,
 ) -> tuple[int, ...]:
-    """Return the planned moves that may be asked to begin together now, the first planned first.
+    """Return the planned migrations that may be requested to start together now, the first planned first.
 
-    `spent`: bytes that copies have begun to transfer within the last hour, as the record knows them. `asked`:
-    what was asked to begin and is not seen on the record yet. `may`: what else keeps a move back. A move
-    larger than the bytes of an hour begins when nothing has been spent, as it never could otherwise. Space,
-    source and target are judged by the record: one that it refuses is tried again, and undone in the end.
+    `bytes_started` is what copies have begun to transfer within the last hour, by the replicated state;
+    `requested` is what was requested and is not in that state yet; `is_allowed` tells whether anything else
+    holds a migration back. A migration larger than the bytes of an hour starts when nothing was transferred,
+    as it could never start otherwise. Space, source and target are checked by the state machine: a migration
+    that it refuses is retried, and undone in the end.
     """
-    streams, begun = _streams(known, asked), []
-    spent += soon(known, asked)
-    for number, move in sorted(known.moves.items()):
+    streams, started = _streams(state, requested), []
+    bytes_started += uncounted_bytes(state, requested)
+    for number, move in sorted(state.moves.items()):
         if (
             move.step != "planned"
-            or number in asked
-            or any(ahead in known.moves for ahead in move.after)
-            or not may(move)
+            or number in requested
+            or any(ahead in state.moves for ahead in move.after)
+            or not is_allowed(move)
         ):
             continue
-        size, takes = known.shards[move.shard].size, _takes(known, move.source, move.target)
-        if _free(streams, takes, bounds) and affords(bounds, spent, size):
-            begun.append(number)
-            streams.update(takes)
-            spent += size
-    return tuple(begun)
+        size, use = state.shards[move.shard].size, _stream_use(state, move.source, move.target)
+        if _has_free_stream(streams, use, bounds) and fits_hourly_budget(bounds, bytes_started, size):
+            started.append(number)
+            streams.update(use)
+            bytes_started += size
+    return tuple(started)
 
 
-def soon(known: Known, asked: Asked = NONE) -> int:
-    """Return the bytes of copies that are certain to begin and that the record does not count yet."""
+def uncounted_bytes(state: MigrationState, requested: RequestedSources = NO_REQUESTS) -> int:
+    """Return the bytes of copies certain to start that the replicated state does not count yet."""
     return sum(
-        known.shards[move.shard].size
-        for number, move in known.moves.items()
-        if move.step == "reserved" or number in asked
+        state.shards[move.shard].size
+        for number, move in state.moves.items()
+        if move.step == "reserved" or number in requested
     )
 
 
-def affords(bounds: Bounds, spent: int, size: int) -> bool:
-    """Tell whether the hour has room for so many bytes more."""
-    return not spent or spent + size <= bounds.bytes_per_hour
+def fits_hourly_budget(bounds: Bounds, bytes_started: int, size: int) -> bool:
+    """Return whether the hourly budget has room for `size` more bytes."""
+    return not bytes_started or bytes_started + size <= bounds.bytes_per_hour
 
 
-def source(known: Known, bounds: Bounds, move: Migration, engines: Iterable[str], asked: Asked = NONE) -> str:
-    """Return the first of some engines that a copy under way may be read from; "": none has a stream free."""
-    streams = _streams(known, asked)
-    streams.subtract(_takes(known, move.source, move.target))
-    return next((e for e in engines if _free(streams, _takes(known, e, move.target), bounds)), "")
+def available_source(
+    state: MigrationState,
+    bounds: Bounds,
+    move: Migration,
+    engines: Iterable[str],
+    requested: RequestedSources = NO_REQUESTS,
+) -> str:
+    """Return the first of some engines that a running copy may be read from; "": none has a free stream."""
+    streams = _streams(state, requested)
+    streams.subtract(_stream_use(state, move.source, move.target))
+    return next(
+        (e for e in engines if _has_free_stream(streams, _stream_use(state, e, move.target), bounds)), ""
+    )
 
 
-def _streams(known: Known, asked: Asked) -> Counter:
+def _streams(state: MigrationState, requested: RequestedSources) -> Counter:
     """Return how many copies each engine reads or writes, and each pair of zones carries.
 
-    One that was asked to read from another engine counts for both, until the record says which.
+    A copy requested from another engine counts for both sources until the replicated state has the new one.
     """
     streams = Counter()
-    for number, move in known.moves.items():
-        if move.step in STREAMING or number in asked:
-            streams.update(_takes(known, move.source, move.target))
-        if asked.get(number, move.source) != move.source:
-            reads, _, link = _takes(known, asked[number], move.target)
+    for number, move in state.moves.items():
+        if move.step in STREAMING_STEPS or number in requested:
+            streams.update(_stream_use(state, move.source, move.target))
+        if requested.get(number, move.source) != move.source:
+            reads, _, link = _stream_use(state, requested[number], move.target)
             streams.update((reads, link))
     return streams
 
 
-def _takes(known: Known, reads: str, writes: str) -> Takes:
-    """Return what a stream counts for; one that reads from an engine that was removed counts for the rest."""
-    return reads, writes, tuple(sorted(known.homes[e].zone for e in (reads, writes) if e in known.homes))
+def _stream_use(state: MigrationState, reads: str, writes: str) -> StreamUse:
+    """Return what a stream counts for; the zone of an engine that was removed is left out."""
+    return reads, writes, tuple(sorted(state.homes[e].zone for e in (reads, writes) if e in state.homes))
 
 
-def _free(streams: Counter, takes: Takes, bounds: Bounds) -> bool:
-    reads, writes, link = takes
+def _has_free_stream(streams: Counter, use: StreamUse, bounds: Bounds) -> bool:
+    reads, writes, link = use
     return (
         streams[link] < bounds.streams_per_link
         and max(streams[reads], streams[writes]) < bounds.streams_per_engine
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -873,7 +873,7 @@
         "t/d=1": 2_000.0,
         "t/d=2": 3_000.0,
     }  # a half-life on; one of no shard is left
-    world = machine.world().heated()
+    world = machine.world().with_counted_load()
     assert (world.shards["t/d=2"].heat, world.heat_unit) == (3_000.0, 1.0)
     assert machine.revision == revision and machine.state_at == desk.index
     other = ShardMachine()
@@ -894,7 +894,7 @@
     late = LogPosition(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
     machine.apply(late, pb.Command(counted=counted()).SerializeToString(), desk)
     assert (
-        not machine.access_loads() and machine.world().heated().shards["t/d=2"].heat == 9.0
+        not machine.access_loads() and machine.world().with_counted_load().shards["t/d=2"].heat == 9.0
     )  # too few to go by
 
 
@@ -934,7 +934,7 @@
         None,
         mock.patch.object(MigrationDriver, "_copies_asked", lambda self: {}),
         mock.patch(
-            "fennelwind.shards.transfer_throttle.source",
+            "fennelwind.shards.transfer_throttle.available_source",
             lambda known, bounds, move, engines, asked: engines[0],
         ),
     ],
--- a/tests/shards/test_shard_plan.py
+++ b/tests/shards/test_shard_plan.py
@@ -20,7 +20,7 @@
 from fennelwind.shards.plan import __file__ as plan_file
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import check, finished
-from fennelwind.shards.transfer_throttle import begin
+from fennelwind.shards.transfer_throttle import startable
 
 SHARDS = Path(plan_file).parent
 STATES = {"?": "doubtful", "+": "coming", "-": "leaving"}
@@ -239,7 +239,7 @@
     assert 0 < planned.bytes <= 6 and all(move.target == "b" for move in planned.moves)
     assert clean(finished(one, planned), Bounds()) == MigrationPlan()  # and is at rest then
     assert not clean(one, Bounds(disk_tolerance=0.5)).moves
-    assert not clean(one, Bounds(gain_least=0.9)).moves
+    assert not clean(one, Bounds(min_gain=0.9)).moves
     hot = world(
         {"a": 20, "b": 20}, {"t/1": (2,), "t/2": (2,), "u/1": (2,), "u/2": (2,)}, "t/1a t/2a u/1b u/2b"
     )
@@ -269,16 +269,16 @@
     )
     one = adopt(one, clean(one))
     bounds = Bounds(streams_per_engine=3)
-    begun = begin(one, bounds, 0)
-    assert len(begun) == 3 and len(begin(one, replace(bounds, streams_per_link=1), 0)) == 2
-    assert len(begin(one, replace(bounds, bytes_per_hour=4), 0)) == 2
-    assert not begin(one, replace(bounds, bytes_per_hour=4), 4)
+    begun = startable(one, bounds, 0)
+    assert len(begun) == 3 and len(startable(one, replace(bounds, streams_per_link=1), 0)) == 2
+    assert len(startable(one, replace(bounds, bytes_per_hour=4), 0)) == 2
+    assert not startable(one, replace(bounds, bytes_per_hour=4), 4)
     hour = Bounds(bytes_per_hour=1)
-    assert begin(one, hour, 0) == begun[:1] and not begin(one, hour, 1)  # larger than that: alone
-    assert not begin(one, bounds, 0, dict.fromkeys(begun, "a"))  # as if the record said so
+    assert startable(one, hour, 0) == begun[:1] and not startable(one, hour, 1)  # larger than that: alone
+    assert not startable(one, bounds, 0, dict.fromkeys(begun, "a"))  # as if the record said so
     for number in begun:
         step(one, number)
-    assert not begin(one, bounds, 0)
+    assert not startable(one, bounds, 0)
 
 
 def test_places_and_order_are_searched_at_once_where_the_cheapest_places_have_no_order():
@@ -321,7 +321,7 @@
 def few_states():
     """Search less: properties hold however much is searched."""
     with pytest.MonkeyPatch.context() as patch:
-        patch.setattr("fennelwind.shards.plan.STATES", 500)
+        patch.setattr("fennelwind.shards.plan.MAX_STATES", 500)
         yield
 
 
