--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -175,7 +175,7 @@
             for s in told.shards
         ]
         router = self.driver.router
-        book = router.opened
+        book = router.in_flight
         book.on_replica_locations = self.driver.update_replicas
         book.on_excluded_engines = self.driver.update_quiesced
 
@@ -189,7 +189,7 @@
             bounds,
             shards,
             book,
-            router.named,
+            router.access_counter,
             cleared=told.clearances,
         )
         keeper.moves.launched = launched
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -22,7 +22,7 @@
 Quiet = Mapping[str, frozenset[str]]  # by table, in lower case: engines that get no new query of it
 
 
-class Opened(Protocol):
+class AttemptTracker(Protocol):
     """Who counts the attempts that are out (`quiescence.in_flight`)."""
 
     def attempt_started(self, attempt: tuple[int, int], shards: Iterable[str], engine: str) -> None:
@@ -74,15 +74,15 @@
 class Routing:
     """One controller's part: which slot a query needs, and what the module is told of engines."""
 
-    def __init__(self, settings: policy.Settings, slots: int, opened: Opened | None = None) -> None:
+    def __init__(self, settings: policy.Settings, slots: int, in_flight: AttemptTracker | None = None) -> None:
         self.classes = len(settings.classes)
         self.slots = [_Slot() for _ in range(min(slots, MAX_SLOTS))]
         self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery told them
         self.places: Places = {}
-        self.quiet: Quiet = {}
-        self.opened = opened
+        self.quiesced: Quiet = {}
+        self.in_flight = in_flight
         self.overflows = 0  # queries for which no slot was left
-        self.named = AccessCounter()  # how often queries named each shard that the record knows
+        self.access_counter = AccessCounter()  # how often queries named each shard that the record knows
         self._of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}  # what is told of has a place
         self._named: dict[int, tuple[str, ...]] = {}  # all that a query named
         self._uses = 0
@@ -94,9 +94,9 @@
 
     def update_quiesced(self, quiet: Quiet) -> list[policy.EngineListUpdate]:
         """Take a newer view of engines that get no query of some tables; return what the module is told."""
-        if quiet == self.quiet:
+        if quiet == self.quiesced:
             return []
-        self.quiet = quiet
+        self.quiesced = quiet
         return self._turned()
 
     def _turned(self) -> list[policy.EngineListUpdate]:
@@ -114,9 +114,9 @@
 
     def _kept_away(self, shards: Iterable[str]) -> frozenset[str]:
         """Return the engines that are quiet for a table of these shards."""
-        if not self.quiet:
+        if not self.quiesced:
             return frozenset()
-        return frozenset().union(*(self.quiet.get(s.partition("/")[0].lower(), ()) for s in shards))
+        return frozenset().union(*(self.quiesced.get(s.partition("/")[0].lower(), ()) for s in shards))
 
     def rewrite_list(self, event: policy.EngineListUpdate) -> policy.EngineListUpdate:
         """Return a list of engines as the module is to be told it."""
@@ -139,8 +139,8 @@
         self, query: int, cls: int, shards: Iterable[str]
     ) -> tuple[int, list[policy.EngineListUpdate]]:
         """Return the class by which a query is handed to the module, and what it is told ahead of it."""
-        self.named.count(shard for shard in set(shards) if shard in self.places)
-        if self.opened is not None and shards:
+        self.access_counter.count(shard for shard in set(shards) if shard in self.places)
+        if self.in_flight is not None and shards:
             self._named[query] = tuple(shards)
         named = tuple(
             sorted(shard for shard in set(shards) if shard in self.places or self._kept_away((shard,)))
@@ -167,7 +167,7 @@
         """Tell whether a query may be sent to an engine now; where not, the attempt is `moot`: never sent."""
         _, shards = self._of_query.get(query, (None, ()))
         holders = self.holders(shards)
-        if self.quiet and engine in self._kept_away(self._named.get(query, shards)):
+        if self.quiesced and engine in self._kept_away(self._named.get(query, shards)):
             return False
         return holders is None or engine in holders
 
@@ -189,15 +189,15 @@
 
     def attempt_started(self, query: int, number: int, engine: str) -> None:
         """An attempt that may be sent is about to be; asked for in the same turn as `may_send`."""
-        if self.opened is not None and query in self._named:
-            self.opened.attempt_started((query, number), self._named[query], engine)
+        if self.in_flight is not None and query in self._named:
+            self.in_flight.attempt_started((query, number), self._named[query], engine)
 
     def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
         """An attempt has ended; with `until`, its engine may run it on until then at the longest."""
-        if self.opened is not None and until:
-            self.opened.attempt_abandoned((query, number), until)
-        elif self.opened is not None:
-            self.opened.attempt_ended((query, number))
+        if self.in_flight is not None and until:
+            self.in_flight.attempt_abandoned((query, number), until)
+        elif self.in_flight is not None:
+            self.in_flight.attempt_ended((query, number))
 
     def query_ended(self, query: int) -> None:
         """Forget a query that has its answer."""
--- a/tests/cluster/test_quiescence_program.py
+++ b/tests/cluster/test_quiescence_program.py
@@ -140,7 +140,7 @@
         version = scene.record().machines["contracts"].tables["sales.orders"].version
         task = scene.host.spawn(publish, scene.fleet.client(), WIDER, version)
         scene.until(lambda: scene.record().machines["contracts"].quiet("sales.orders") == {busy.name})
-        scene.until(lambda: scene.fleet.program.driver.router.quiet)
+        scene.until(lambda: scene.fleet.program.driver.router.quiesced)
         for _ in range(5):
             execute(scene.link, "select 1", **named)
             assert scene.fleet.seen.attempts[-1][2] != busy.name and columns(busy) == 2
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -72,13 +72,13 @@
         )
     ],
     "a query whose answer nobody waits for is over": [
-        Line(Routing.attempt_ended, "self.opened is not None and until", "False")
+        Line(Routing.attempt_ended, "self.in_flight is not None and until", "False")
     ],
     "a query is over with its client's answer": [
         Line(
             Routing.query_ended,
             "self._named.pop(query, None)",
-            "if self.opened is not None:\n        self.opened.attempt_ended((query, 0))\n"
+            "if self.in_flight is not None:\n        self.in_flight.attempt_ended((query, 0))\n"
             "    self._named.pop(query, None)",
         )
     ],
