--- a/fennelwind/shards/access_load.py
+++ b/fennelwind/shards/access_load.py
@@ -1,17 +1,17 @@
-"""How often queries name each shard: counted by each controller, faded by half an hour, without I/O.
+"""Access load: how often queries name each shard, counted by each controller with a half-life. No I/O.
 
-On the record it is whole numbers and a clock in parts of a half-life alone, so that it comes to the same on
-every machine. Copies of a shard share its queries alike.
+The replicated state keeps integers and a clock in steps of the half-life only, so that all members compute
+the same values. The replicas of a shard share its queries evenly.
 """
 
 from collections.abc import Iterable
 from itertools import accumulate
 
-HALF_LIFE_MS = 1_800_000  # ms; days differ by their hours, and a move that is begun is over in some minutes
-PARTS = 16  # of a half-life: heat on the record fades by steps of 4%
-PART_MS = HALF_LIFE_MS // PARTS
-UNITS_PER_QUERY = 1000  # in which the record counts a query
-FADES = (
+HALF_LIFE_MS = 1_800_000  # ms; load varies with the hour of the day, and a migration takes some minutes
+STEPS_PER_HALF_LIFE = 16  # load in the replicated state decays by 4% in each step
+STEP_MS = HALF_LIFE_MS // STEPS_PER_HALF_LIFE
+UNITS_PER_QUERY = 1000  # units in which the replicated state counts a query
+DECAY_FACTORS = (
     65536,
     62757,
     60097,
@@ -28,55 +28,57 @@
     37316,
     35734,
     34219,
-)  # of 65536, after so many parts: 2 ** (-n / 16)
-TOLD_MOST = 256  # shards that a controller tells at a time, those named most
-TOLD_BYTES = 65_536  # of their names, a quarter of what the record takes in one command
-COUNT_MOST = 2**40  # thousandths of a query that one controller can mean; sums stay far from 2**64
-NAMED_MOST = 4_096  # shards that a controller counts; one more is not, until others have faded
-LEAST = 0.05  # of a query: below that nothing is kept
-ENOUGH = (
+)  # of 65536, after n steps: 2 ** (-n / 16)
+MAX_REPORTED_SHARDS = 256  # shards in one report of a controller, those named most
+MAX_REPORTED_NAME_BYTES = 65_536  # of the names in a report, a quarter of the maximum size of a command
+MAX_REPORTED_COUNT = 2**40  # units that one controller may report for a shard; sums stay far below 2**64
+MAX_COUNTED_SHARDS = 4_096  # shards that a controller counts; others are ignored until some have decayed
+MIN_KEPT_QUERIES = 0.05  # queries; lower counts are dropped
+MIN_COUNT_TO_USE = (
     1_000 * UNITS_PER_QUERY
-)  # queries that the record must know of before heat that was declared counts no longer
+)  # units known to the replicated state from which on counted load replaces declared load
 
 
-def faded(count: int, parts: int) -> int:
-    """Return what is left of a count after so many parts of a half-life."""
-    return (count >> min(parts // PARTS, 64)) * FADES[parts % PARTS] >> 16
+def decayed(count: int, steps: int) -> int:
+    """Return a count after so many steps of decay."""
+    return (count >> min(steps // STEPS_PER_HALF_LIFE, 64)) * DECAY_FACTORS[steps % STEPS_PER_HALF_LIFE] >> 16
 
 
 class AccessCounter:
-    """What one controller has counted and not told yet. Times in ms on its own clock."""
+    """Counts of one controller that are not reported yet. Times in ms on its own clock."""
 
     def __init__(self) -> None:
-        self.counts: dict[str, float] = {}  # queries, faded up to a time
-        self.uncounted = 0  # since too many shards were named
-        self._at = 0.0
+        self.counts: dict[str, float] = {}  # queries by shard, decayed up to `_decayed_to_ms`
+        self.uncounted = 0  # queries ignored because too many shards were named
+        self._decayed_to_ms = 0.0
 
     def count(self, shards: Iterable[str]) -> None:
-        """Count a query that names these."""
+        """Count a query that names these shards."""
         for shard in shards:
-            if shard in self.counts or len(self.counts) < NAMED_MOST:
+            if shard in self.counts or len(self.counts) < MAX_COUNTED_SHARDS:
                 self.counts[shard] = self.counts.get(shard, 0.0) + 1.0
             else:
                 self.uncounted += 1
 
     def batch(self, now: float) -> list[tuple[str, int]]:
-        """Return what is worth telling now, the most first, in thousandths of a query."""
-        left, self._at = 0.5 ** (max(0.0, now - self._at) / HALF_LIFE_MS), now
-        self.counts = {shard: count * left for shard, count in self.counts.items() if count * left >= LEAST}
-        first = sorted(self.counts, key=lambda shard: (-self.counts[shard], shard))[:TOLD_MOST]
-        sizes = accumulate(len(shard.encode()) for shard in first)
+        """Return the counts worth reporting now, highest first, in thousandths of a query."""
+        decay, self._decayed_to_ms = 0.5 ** (max(0.0, now - self._decayed_to_ms) / HALF_LIFE_MS), now
+        self.counts = {
+            shard: count * decay for shard, count in self.counts.items() if count * decay >= MIN_KEPT_QUERIES
+        }
+        most_named = sorted(self.counts, key=lambda shard: (-self.counts[shard], shard))[:MAX_REPORTED_SHARDS]
+        total_name_bytes = accumulate(len(shard.encode()) for shard in most_named)
         return [
-            (shard, min(COUNT_MOST, int(self.counts[shard] * UNITS_PER_QUERY)))
-            for shard, size in zip(first, sizes, strict=True)
-            if size <= TOLD_BYTES
+            (shard, min(MAX_REPORTED_COUNT, int(self.counts[shard] * UNITS_PER_QUERY)))
+            for shard, size in zip(most_named, total_name_bytes, strict=True)
+            if size <= MAX_REPORTED_NAME_BYTES
         ]
 
     def discard_reported(self, batch: Iterable[tuple[str, int]]) -> None:
-        """The record has these: only what has come since is left to be told."""
+        """Subtract the counts of a batch that the replicated state has accepted."""
         for shard, count in batch:
-            rest = self.counts.get(shard, 0.0) - count / UNITS_PER_QUERY
-            if rest >= LEAST:
-                self.counts[shard] = rest
+            remaining = self.counts.get(shard, 0.0) - count / UNITS_PER_QUERY
+            if remaining >= MIN_KEPT_QUERIES:
+                self.counts[shard] = remaining
             else:
                 self.counts.pop(shard, None)
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -21,7 +21,7 @@
 from fennelwind.shards import migration_statements, transfer_throttle
 from fennelwind.shards import shards_pb2 as pb
 from fennelwind.shards.model import Bounds, Migration, MigrationPlan, ReplicaHost, Shard, World
-from fennelwind.shards.state_machine import HOUR_MS, MAX_ENTRIES_PER_COMMAND, MOVES_MOST, ShardMachine
+from fennelwind.shards.state_machine import HOUR_MS, MAX_ENTRIES_PER_COMMAND, MAX_MIGRATIONS, ShardMachine
 
 Step, Answer = pb.Step, pb.Answer
 NEW = 2**62  # numbers of moves in a plan from here on, apart from the record's
@@ -434,7 +434,7 @@
         """
         while self._begun and self._begun[0][0] + HOUR_MS <= self._now:
             self._begun.popleft()
-        return max(self.machine.spent(), sum(size for _, size in self._begun))
+        return max(self.machine.bytes_started(), sum(size for _, size in self._begun))
 
     def _is_known(self, engine: str) -> bool:
         """Tell whether an engine was listed and holds nothing that the record doesn't count."""
@@ -488,7 +488,7 @@
         if work.tries >= self.timing.tries:
             return self._begin_copy(move, work)
         shard, t = self.machine.shards[move.shard], self.timing
-        path = migration_statements.folder(self.staging, move.number, self.fence, move.attempt)
+        path = migration_statements.export_folder(self.staging, move.number, self.fence, move.attempt)
         within = self._copy_ms(shard.name)
         if work.phase == "clear":
             self._run(
@@ -579,7 +579,7 @@
     def _may_go(self, move: Migration) -> bool:
         """Tell whether the copy that goes is still there and not needed again."""
         copy = self.machine.copies.get(move.shard, {}).get(move.drops)
-        return copy is not None and copy.state == "leaving" and self.machine.spared(move.shard, move.drops)
+        return copy is not None and copy.state == "leaving" and self.machine.may_drop(move.shard, move.drops)
 
     def _at_dropping(self, move: Migration, work: _Work) -> None:
         if not self._may_go(move):
@@ -780,7 +780,7 @@
                 shard not in begun
                 and shard not in coming
                 and self._may_begin(shard)
-                and machine.spared(shard, engine)
+                and machine.may_drop(shard, engine)
             ):
                 begun.add(shard)
                 clears[shard, engine] = NEW + len(wanted)
@@ -804,7 +804,7 @@
                     after=after,
                 )
             )
-        wanted = wanted[: max(0, min(MAX_ENTRIES_PER_COMMAND, MOVES_MOST - len(machine.moves)))]
+        wanted = wanted[: max(0, min(MAX_ENTRIES_PER_COMMAND, MAX_MIGRATIONS - len(machine.moves)))]
         if wanted:
             self._propose(None, "plan", plan=pb.Plan(moves=wanted))
 
--- a/fennelwind/shards/migration_statements.py
+++ b/fennelwind/shards/migration_statements.py
@@ -1,110 +1,117 @@
-"""The statements of moves, as published HiveQL, and what their answers say.
+"""The HiveQL statements of migrations, and the form of their answers.
 
-A shard's name is `TABLE/PARTITION`, its partition as Hive writes it in paths (`day=2026-12-01/hour=5`); with
-nothing behind the slash it is a whole table. Sources: the language manual's pages on import and export, on
+A shard is named `TABLE/PARTITION`, its partition as Hive writes it in paths (`day=2026-12-01/hour=5`); with
+nothing after the slash it is a whole table. Sources: the language manual's pages on import and export, on
 `ALTER TABLE .. DROP PARTITION` and on built-in functions (`count`, `sum`, `hash`).
 
-A partition is dropped with PURGE: in the trash it would still take the space that was counted as free.
+A partition is dropped with PURGE: in the trash it would still take space that is counted as free.
 """
 
 from collections.abc import Sequence
 from urllib.parse import unquote
 
-FENCE = "fennelwind.fence"  # the configuration that tells an engine which holder's statement this is
-TIMEOUT = "hive.query.timeout.seconds"  # Hive's own end to a statement nobody waits for any more
-MARK_TABLE = "fennelwind_mark"  # one row on each engine's disk: another row, or none, is another disk
+# the configuration key with the lease and fencing token that a statement is sent under
+FENCE = "fennelwind.fence"
+TIMEOUT = "hive.query.timeout.seconds"  # Hive's own time-out, for statements whose sender is gone
+MARK_TABLE = "fennelwind_mark"  # one row on each engine's disk: another row, or none, means another disk
 
 
-def name(text: str) -> str:
-    """Quote a name, its database apart: in backticks, which are doubled within."""
+def quote_name(text: str) -> str:
+    """Quote a name, each part of it separately, in backticks; backticks within are doubled."""
     return ".".join("`" + part.replace("`", "``") + "`" for part in text.split("."))
 
 
-def literal(text: str) -> str:
-    """Quote a string: backslashes and quotes are escaped."""
+def quote_string(text: str) -> str:
+    """Quote a string literal; backslashes and quotes are escaped."""
     return "'" + text.replace("\\", "\\\\").replace("'", "\\'") + "'"
 
 
 def partition(shard: str) -> list[tuple[str, str]]:
-    """Return a shard's partition as columns and values, in their order; none: it is a whole table."""
+    """Return a shard's partition as pairs of column and value, in their order; empty: a whole table."""
     _, _, path = shard.partition("/")
     pairs = [part.partition("=") for part in path.split("/") if part]
     return [(unquote(column), unquote(value)) for column, _, value in pairs]
 
 
-def spec(shard: str) -> str:
-    """Return the clause that names a shard's partition, with a space ahead; "": a whole table."""
+def partition_clause(shard: str) -> str:
+    """Return the clause that names a shard's partition, with a leading space; "": a whole table."""
     pairs = partition(shard)
     if not pairs:
         return ""
-    return " PARTITION (" + ", ".join(f"{name_of(column)}={literal(value)}" for column, value in pairs) + ")"
+    return (
+        " PARTITION ("
+        + ", ".join(f"{quote_column(column)}={quote_string(value)}" for column, value in pairs)
+        + ")"
+    )
 
 
-def name_of(column: str) -> str:
-    """Quote a column: a dot is part of its name."""
+def quote_column(column: str) -> str:
+    """Quote a column name, in which a dot does not separate parts."""
     return "`" + column.replace("`", "``") + "`"
 
 
 def table(shard: str) -> str:
-    """Return a shard's table."""
+    """Return the table of a shard."""
     return shard.partition("/")[0]
 
 
 def export(shard: str, path: str) -> str:
-    """Return what writes a copy into an empty folder that source and target both reach."""
-    return f"EXPORT TABLE {name(table(shard))}{spec(shard)} TO {literal(path)}"
+    """Return the statement that exports a replica to an empty folder that source and target both reach."""
+    return f"EXPORT TABLE {quote_name(table(shard))}{partition_clause(shard)} TO {quote_string(path)}"
 
 
 def load(shard: str, path: str) -> str:
-    """Return what reads an exported copy in; it fails where the partition exists already."""
-    return f"IMPORT TABLE {name(table(shard))}{spec(shard)} FROM {literal(path)}"
+    """Return the statement that imports an exported replica; it fails if the partition already exists."""
+    return f"IMPORT TABLE {quote_name(table(shard))}{partition_clause(shard)} FROM {quote_string(path)}"
 
 
 def drop(shard: str) -> str:
-    """Return what takes a copy away, or does nothing where there is none."""
+    """Return the statement that drops a replica; it has no effect where there is none."""
     if not partition(shard):
-        return f"DROP TABLE IF EXISTS {name(table(shard))} PURGE"
-    return f"ALTER TABLE {name(table(shard))} DROP IF EXISTS{spec(shard)} PURGE"
+        return f"DROP TABLE IF EXISTS {quote_name(table(shard))} PURGE"
+    return f"ALTER TABLE {quote_name(table(shard))} DROP IF EXISTS{partition_clause(shard)} PURGE"
 
 
 def check(shard: str) -> str:
-    """Return what counts a copy's rows and sums their hashes, both as text.
+    """Return the query for a replica's row count and the sum of its row hashes, both as text.
 
-    The sum finds lost, doubled, cut and stale rows; it is no guard against rows made to deceive.
+    The sum reveals lost, duplicated, truncated and stale rows; it is no protection against forged rows.
     """
-    where = " AND ".join(f"{name_of(column)}={literal(value)}" for column, value in partition(shard))
+    where = " AND ".join(
+        f"{quote_column(column)}={quote_string(value)}" for column, value in partition(shard)
+    )
     return (
         f"SELECT CAST(COUNT(*) AS STRING), CAST(COALESCE(SUM(CAST(HASH(*) AS BIGINT)), 0) AS STRING) "
-        f"FROM {name(table(shard))}" + (f" WHERE {where}" if where else "")
+        f"FROM {quote_name(table(shard))}" + (f" WHERE {where}" if where else "")
     )
 
 
-def listing(table: str, whole: bool) -> str:
-    """Return what lists a table's partitions on an engine; of a whole one, the table itself."""
-    if not whole:
-        return f"SHOW PARTITIONS {name(table)}"
+def listing(table: str, is_whole: bool) -> str:
+    """Return the statement that lists a table's partitions on an engine, or the table if `is_whole`."""
+    if not is_whole:
+        return f"SHOW PARTITIONS {quote_name(table)}"
     database, _, plain = table.rpartition(".")
-    return f"SHOW TABLES{' IN ' + name(database) if database else ''} LIKE {literal(plain)}"
+    return f"SHOW TABLES{' IN ' + quote_name(database) if database else ''} LIKE {quote_string(plain)}"
 
 
-def folder(base: str, move: int, fence: int, attempt: int) -> str:
-    """Return where an attempt's export goes: its own, as an export wants an empty folder."""
+def export_folder(base: str, move: int, fence: int, attempt: int) -> str:
+    """Return the export folder of one copy attempt: each needs its own, as an export needs an empty one."""
     return f"{base.rstrip('/')}/move-{move}-{fence}-{attempt}"
 
 
 def mark_read() -> str:
-    """Return what reads the mark on an engine's disk."""
-    return f"SELECT mark FROM {name(MARK_TABLE)} LIMIT 1"
+    """Return the query for the mark on an engine's disk."""
+    return f"SELECT mark FROM {quote_name(MARK_TABLE)} LIMIT 1"
 
 
 def mark_write(mark: str) -> Sequence[str]:
-    """Return what marks an engine's disk, where it has no mark."""
+    """Return the statements that write a mark to an engine's disk that has none."""
     return (
-        f"CREATE TABLE IF NOT EXISTS {name(MARK_TABLE)} (mark STRING)",
-        f"INSERT INTO TABLE {name(MARK_TABLE)} VALUES ({literal(mark)})",
+        f"CREATE TABLE IF NOT EXISTS {quote_name(MARK_TABLE)} (mark STRING)",
+        f"INSERT INTO TABLE {quote_name(MARK_TABLE)} VALUES ({quote_string(mark)})",
     )
 
 
 def overlay(fence: int, timeout_ms: float) -> dict[str, str]:
-    """Return a statement's configuration: the holder's fence, and when the engine itself gives it up."""
+    """Return a statement's configuration: the holder's fencing token and the engine's own time-out."""
     return {FENCE: f"moves:{fence}", TIMEOUT: str(max(1, round(timeout_ms / 1000.0)))}
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -1,12 +1,13 @@
-"""Queries that name tables go to engines with good copies, by what the module knows already. No I/O or clock.
+"""Routes queries that name shards to engines with good replicas, through the policy module. No I/O, no clock.
 
-The module places a query by its class's machine kinds, whenever it sends it: at once, after waiting, after a
-failure. So each kind is split by which of a few slots an engine holds, and each class by the slot that its
-query needs. A slot stands for the shards that some queries name; which engines hold it is told by changes of
-the list of engines. Queries that name no shards keep their class; without slots all is as before.
+The module selects engines for a query by its class's engine kinds, whenever it sends it: at once, after
+waiting, or after a failure. So each kind is split by which of a few slots an engine belongs to, and each
+class by the slot that its query needs. A slot stands for a set of shards that queries name; updates of the
+endpoint list say which engines belong to it. Queries that name no shards keep their class, and without slots
+nothing changes.
 
-What the slots can't hold any more is left to `may_send`, asked ahead of each attempt in any case: a copy may
-have begun to leave meanwhile.
+Queries for which no slot is available depend on `may_send`, which is called before each attempt in any case:
+a replica may have started to leave in the meantime.
 """
 
 from collections.abc import Iterable, Mapping
@@ -16,27 +17,30 @@
 from fennelwind import policy
 from fennelwind.shards.access_load import AccessCounter
 
-MAX_SLOTS = 6  # kinds are split by every set of slots, 64 ways then; a look at a class's kinds stays short
+# kinds are split by every set of slots, 64 ways at this maximum, so that lookups of a class's kinds stay
+# short
+MAX_SLOTS = 6
 
-Places = Mapping[str, tuple[str, ...]]  # by shard: the engines with good copies
-Quiet = Mapping[str, frozenset[str]]  # by table, in lower case: engines that get no new query of it
+Places = Mapping[str, tuple[str, ...]]  # by shard: the engines with good replicas
+# by table in lower case: engines that get no new queries of it
+QuiescedEngines = Mapping[str, frozenset[str]]
 
 
 class AttemptTracker(Protocol):
-    """Who counts the attempts that are out (`quiescence.in_flight`)."""
+    """Tracks attempts in flight (`quiescence.in_flight`)."""
 
     def attempt_started(self, attempt: tuple[int, int], shards: Iterable[str], engine: str) -> None:
-        """An attempt is about to be sent."""
+        """Record an attempt that is about to be sent."""
 
     def attempt_ended(self, attempt: tuple[int, int]) -> None:
-        """Nothing of it is left at its engine."""
+        """Record that nothing of an attempt remains at its engine."""
 
     def attempt_abandoned(self, attempt: tuple[int, int], until: float) -> None:
-        """Its engine may run it on, until then at the longest."""
+        """Record that the engine may run an attempt until then at the latest."""
 
 
 def widen(settings: policy.Settings, slots: int) -> policy.Settings:
-    """Return a controller's settings with its classes and kinds split by slots; 0: as they are."""
+    """Return a controller's settings with its classes and kinds split by slots; 0: unchanged."""
     if not slots:
         return settings
     parts = 2 ** min(slots, MAX_SLOTS)
@@ -63,162 +67,165 @@
 
 
 class _Slot:
-    __slots__ = ("shards", "engines", "open", "used")
+    __slots__ = ("shards", "engines", "open_queries", "last_use")
 
     def __init__(self) -> None:
         self.shards: tuple[str, ...] = ()
         self.engines: frozenset[str] = frozenset()
-        self.open = self.used = 0
+        self.open_queries = self.last_use = 0
 
 
 class Routing:
-    """One controller's part: which slot a query needs, and what the module is told of engines."""
+    """One controller's routing: which slot a query needs, and the endpoint list that the module gets."""
 
-    def __init__(self, settings: policy.Settings, slots: int, in_flight: AttemptTracker | None = None) -> None:
+    def __init__(
+        self, settings: policy.Settings, slots: int, in_flight: AttemptTracker | None = None
+    ) -> None:
         self.classes = len(settings.classes)
         self.slots = [_Slot() for _ in range(min(slots, MAX_SLOTS))]
-        self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery told them
+        self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery reported them
         self.places: Places = {}
-        self.quiesced: Quiet = {}
+        self.quiesced: QuiescedEngines = {}
         self.in_flight = in_flight
-        self.overflows = 0  # queries for which no slot was left
-        self.access_counter = AccessCounter()  # how often queries named each shard that the record knows
-        self._of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}  # what is told of has a place
-        self._named: dict[int, tuple[str, ...]] = {}  # all that a query named
-        self._uses = 0
+        self.overflows = 0  # queries for which no slot was available
+        # queries by shard, for the shards that the replicated state knows
+        self.access_counter = AccessCounter()
+        self._slot_of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}  # shards that can be routed
+        self._named_by_query: dict[int, tuple[str, ...]] = {}  # all shards that a query named
+        self._use_count = 0
 
     def update_replicas(self, places: Places) -> list[policy.EngineListUpdate]:
-        """Take a newer view of the record; return what the module is to be told."""
+        """Take a newer view of the replica locations; return the updates for the module."""
         self.places = places
-        return self._turned()
+        return self._reassign_engines()
 
-    def update_quiesced(self, quiet: Quiet) -> list[policy.EngineListUpdate]:
-        """Take a newer view of engines that get no query of some tables; return what the module is told."""
-        if quiet == self.quiesced:
+    def update_quiesced(self, quiesced: QuiescedEngines) -> list[policy.EngineListUpdate]:
+        """Take a newer view of the engines quiesced by table; return the updates for the module."""
+        if quiesced == self.quiesced:
             return []
-        self.quiesced = quiet
-        return self._turned()
+        self.quiesced = quiesced
+        return self._reassign_engines()
 
-    def _turned(self) -> list[policy.EngineListUpdate]:
-        before = self._masks()
+    def _reassign_engines(self) -> list[policy.EngineListUpdate]:
+        before = self._slot_masks()
         for slot in self.slots:
             slot.engines = self._allowed(slot.shards)
-        return self._told(before)
+        return self._changed_entries(before)
 
     def _allowed(self, shards: tuple[str, ...]) -> frozenset[str]:
-        """Return the engines for queries that name these; all, less quiet ones, where no shard is known."""
+        """Return the engines for queries that name these; all but quiesced ones where no shard is known."""
         if not shards:
             return frozenset()
         holders = self.holders(shards)
-        return (frozenset(self.entries) if holders is None else holders) - self._kept_away(shards)
+        return (frozenset(self.entries) if holders is None else holders) - self._quiesced_engines(shards)
 
-    def _kept_away(self, shards: Iterable[str]) -> frozenset[str]:
-        """Return the engines that are quiet for a table of these shards."""
+    def _quiesced_engines(self, shards: Iterable[str]) -> frozenset[str]:
+        """Return the engines that are quiesced for a table of these shards."""
         if not self.quiesced:
             return frozenset()
         return frozenset().union(*(self.quiesced.get(s.partition("/")[0].lower(), ()) for s in shards))
 
     def rewrite_list(self, event: policy.EngineListUpdate) -> policy.EngineListUpdate:
-        """Return a list of engines as the module is to be told it."""
+        """Return an endpoint list as the module has to get it."""
         if not self.slots:
             return event
         if event.form != "failed":
             if event.form != "delta":
                 self.entries = {}
             self.entries.update((entry.engine, entry) for entry in event.engines)
-            for slot in self.slots:  # of tables alone, which any of them may serve
+            for slot in self.slots:  # shards without known replicas: any of the engines may serve them
                 slot.engines = self._allowed(slot.shards)
-        return replace(event, engines=tuple(self._split(entry) for entry in event.engines))
+        return replace(event, engines=tuple(self._with_slot_mask(entry) for entry in event.engines))
 
     def holders(self, shards: Iterable[str]) -> frozenset[str] | None:
-        """Return the engines with good copies of all these shards; None: the record knows none of them."""
+        """Return the engines with good replicas of all these shards; None: none of the shards is known."""
         known = [frozenset(self.places[shard]) for shard in shards if shard in self.places]
         return frozenset.intersection(*known) if known else None
 
     def classify(
         self, query: int, cls: int, shards: Iterable[str]
     ) -> tuple[int, list[policy.EngineListUpdate]]:
-        """Return the class by which a query is handed to the module, and what it is told ahead of it."""
+        """Return the class to submit a query under, and the updates that the module needs first."""
         self.access_counter.count(shard for shard in set(shards) if shard in self.places)
         if self.in_flight is not None and shards:
-            self._named[query] = tuple(shards)
-        named = tuple(
-            sorted(shard for shard in set(shards) if shard in self.places or self._kept_away((shard,)))
+            self._named_by_query[query] = tuple(shards)
+        named_shards = tuple(
+            sorted(shard for shard in set(shards) if shard in self.places or self._quiesced_engines((shard,)))
         )
-        if not self.slots or not named:
+        if not self.slots or not named_shards:
             return cls, []
-        self._uses += 1
-        slot = next((s for s in self.slots if s.shards == named), None)
-        told: list[policy.EngineListUpdate] = []
+        self._use_count += 1
+        slot = next((s for s in self.slots if s.shards == named_shards), None)
+        updates: list[policy.EngineListUpdate] = []
         if slot is None:
-            slot = min((s for s in self.slots if not s.open), key=lambda s: s.used, default=None)
+            slot = min((s for s in self.slots if not s.open_queries), key=lambda s: s.last_use, default=None)
             if slot is not None:
-                before = self._masks()
-                slot.shards, slot.engines = named, self._allowed(named)
-                told = self._told(before)
-        self._of_query[query] = slot, named
+                before = self._slot_masks()
+                slot.shards, slot.engines = named_shards, self._allowed(named_shards)
+                updates = self._changed_entries(before)
+        self._slot_of_query[query] = slot, named_shards
         if slot is None:
             self.overflows += 1
             return cls, []
-        slot.open, slot.used = slot.open + 1, self._uses
-        return cls + self.classes * (1 + self.slots.index(slot)), told
+        slot.open_queries, slot.last_use = slot.open_queries + 1, self._use_count
+        return cls + self.classes * (1 + self.slots.index(slot)), updates
 
     def may_send(self, query: int, engine: str) -> bool:
-        """Tell whether a query may be sent to an engine now; where not, the attempt is `moot`: never sent."""
-        _, shards = self._of_query.get(query, (None, ()))
+        """Return whether a query may be sent to an engine now; if not, its attempt is `moot`: never sent."""
+        _, shards = self._slot_of_query.get(query, (None, ()))
         holders = self.holders(shards)
-        if self.quiesced and engine in self._kept_away(self._named.get(query, shards)):
+        if self.quiesced and engine in self._quiesced_engines(self._named_by_query.get(query, shards)):
             return False
         return holders is None or engine in holders
 
     def replica_missing(self, query: int, engine: str) -> list[policy.EngineListUpdate] | None:
-        """Take an engine's word that it has not what a query reads; return what the module is to be told.
+        """Take an engine's report that it lacks a replica that a query reads; return updates for the module.
 
-        The engine knows better than the view, until that is told anew. None: the view does not say otherwise,
-        or nobody else has it; then the engine's word is the query's answer.
+        The engine overrides the view until the next view arrives. None: the view agrees with the engine, or
+        no other engine has the replica; then the engine's answer is the query's answer.
         """
-        _, shards = self._of_query.get(query, (None, ()))
-        left = {
+        _, shards = self._slot_of_query.get(query, (None, ()))
+        remaining = {
             shard: tuple(name for name in self.places[shard] if name != engine)
             for shard in shards
             if engine in self.places.get(shard, ())
         }
-        if not left or not all(left.values()):
+        if not remaining or not all(remaining.values()):
             return None
-        return self.update_replicas({**self.places, **left})
+        return self.update_replicas({**self.places, **remaining})
 
     def attempt_started(self, query: int, number: int, engine: str) -> None:
-        """An attempt that may be sent is about to be; asked for in the same turn as `may_send`."""
-        if self.in_flight is not None and query in self._named:
-            self.in_flight.attempt_started((query, number), self._named[query], engine)
+        """Record an attempt about to be sent; called in the same turn of the loop as `may_send`."""
+        if self.in_flight is not None and query in self._named_by_query:
+            self.in_flight.attempt_started((query, number), self._named_by_query[query], engine)
 
     def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
-        """An attempt has ended; with `until`, its engine may run it on until then at the longest."""
+        """Record that an attempt ended; with `until`, its engine may run it until then at the latest."""
         if self.in_flight is not None and until:
             self.in_flight.attempt_abandoned((query, number), until)
         elif self.in_flight is not None:
             self.in_flight.attempt_ended((query, number))
 
     def query_ended(self, query: int) -> None:
-        """Forget a query that has its answer."""
-        self._named.pop(query, None)
-        slot, _ = self._of_query.pop(query, (None, ()))
+        """Forget a query that has been answered."""
+        self._named_by_query.pop(query, None)
+        slot, _ = self._slot_of_query.pop(query, (None, ()))
         if slot is not None:
-            slot.open -= 1
+            slot.open_queries -= 1
 
-    def _masks(self) -> dict[str, int]:
+    def _slot_masks(self) -> dict[str, int]:
         masks: dict[str, int] = {}
         for bit, slot in enumerate(self.slots):
             for engine in slot.engines:
                 masks[engine] = masks.get(engine, 0) | 1 << bit
         return masks
 
-    def _split(self, entry: policy.EngineEndpoint) -> policy.EngineEndpoint:
+    def _with_slot_mask(self, entry: policy.EngineEndpoint) -> policy.EngineEndpoint:
         mask = sum(1 << bit for bit, slot in enumerate(self.slots) if entry.engine in slot.engines)
         return replace(entry, kind=entry.kind * 2 ** len(self.slots) + mask)
 
-    def _told(self, before: dict[str, int]) -> list[policy.EngineListUpdate]:
-        after = self._masks()
+    def _changed_entries(self, before: dict[str, int]) -> list[policy.EngineListUpdate]:
+        after = self._slot_masks()
         changed = [name for name in sorted({*before, *after}) if before.get(name) != after.get(name)]
-        entries = tuple(self._split(self.entries[name]) for name in changed if name in self.entries)
+        entries = tuple(self._with_slot_mask(self.entries[name]) for name in changed if name in self.entries)
         return [policy.EngineListUpdate("delta", entries)] if entries else []
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -1,12 +1,12 @@
-"""Shards on the record: where copies lie, what engines have room for, and the moves with their steps.
+"""The replicated state of shards: replica locations, engines' capacity, and migrations with their steps.
 
-Every command but an operator's declaration carries the fence of the lease `moves`; one of an earlier holder
-is refused. A move's step is taken from the step before it and only while it is right: the record is the one
-place that decides it, whoever asks and however late. What a step allows (statements to engines) comes after
-its commit and never before.
+Every command but an operator's declaration carries the fencing token of the lease `moves`; a command with an
+earlier holder's token is refused. A migration's step is taken from the step before it and only while it is
+valid: this state alone decides that, whoever asks and however late. What a step allows (statements to
+engines) happens after its commit and never before.
 
-Space counts from a copy's reservation until its drop was answered, so a coming copy and the one that goes for
-it count side by side. A copy may be read while it is `good`, and in no other state.
+Space counts from a replica's reservation until its drop was answered, so a coming replica and the one that it
+replaces both count. A replica may be read while it is `good`, and in no other state.
 """
 
 import math
@@ -22,134 +22,154 @@
 from fennelwind.shards.model import LIVES, Migration, Replica, ReplicaHost, Shard, World
 
 LEASE = "moves"  # the task whose holder writes here
-SHARDS_MOST = 65_536  # shards; three times what two hundred engines are planned for
-HOMES_MOST = 4_096  # engines, those that are gone for good among them until they are removed
-COPIES_MOST = 16  # copies of one shard, whatever their state
-MOVES_MOST = 4_096  # moves that have not ended
-MAX_ENTRIES_PER_COMMAND = 1_024  # moves in one command, far within the record's bound on a command
-NAME_MOST = 512  # characters of a name
-SIZE_MOST = 2**60  # bytes of a shard or a disk; sums of them stay far from 2**64
-PLACES_MOST = 3_072  # shards in one answer of where copies are; with the longest names and
-LEAVING_MOST = 512  # copies that wait for their drop beside them, it fills a frame
-PIECE_MOST = 1024 * 1024  # bytes of its state in one answer, half of what a frame holds
-CLEARED_LEVEL = 2  # the record's level from which on a copy may go once its holder heard that it is cleared
-REST_MS = 60_000  # ms from a switch until the old copy may go: who is cut off for less may still send to it
-HOUR_MS = 3_600_000  # ms over which bytes are bounded
-BEGUN_MS = 300_000  # ms of one part of it: what began in a part counts until an hour after the part's end
+MAX_SHARDS = 65_536  # shards; three times what two hundred engines are planned for
+MAX_ENGINES = 4_096  # engines, including those that are gone for good until they are removed
+MAX_REPLICAS_PER_SHARD = 16  # replicas of one shard, whatever their state
+MAX_MIGRATIONS = 4_096  # migrations that have not ended
+# migrations, shards or engines in one command; far below the maximum size of a command
+MAX_ENTRIES_PER_COMMAND = 1_024
+MAX_NAME_CHARS = 512  # characters of a name
+MAX_SIZE_BYTES = 2**60  # bytes of a shard or a disk; sums of them stay far below 2**64
+MAX_PLACES_PER_ANSWER = 3_072  # shards in one answer with replica locations; with the longest names and
+MAX_LEAVING_PER_ANSWER = 512  # replicas that wait for their drop beside them, it fills a frame
+MAX_PIECE_BYTES = 1024 * 1024  # bytes of the state in one answer, half of what a frame holds
+CLEARED_MIN_LEVEL = (
+    2  # level of the replicated state from which on a cleared replica may be dropped before its rest
+)
+# ms from a switch until the old replica may be dropped: a controller cut off for less may still send to it
+REST_MS = 60_000
+HOUR_MS = 3_600_000  # ms over which transferred bytes are limited
+TRANSFER_BUCKET_MS = 300_000  # ms of one bucket of these bytes: a bucket counts until an hour after its end
 ACCESS_COUNTS_MIN_LEVEL = (
-    2  # level of the record from which on it keeps bytes of the hour, and heat that was counted
+    2  # level of the replicated state from which on it keeps bytes of the hour and counted access load
 )
-ASIDE_FIRST_MS, ASIDE_MOST_MS = 30_000, 3_600_000  # ms that a shard rests after a failed move; it doubles
+INITIAL_SUSPENSION_MS, MAX_SUSPENSION_MS = (
+    30_000,
+    3_600_000,
+)  # ms for which a shard is suspended after a failed migration; doubles each time
 
 Step, Answer = pb.Step, pb.Answer
-UNDER_WAY = ("reserved", "copying", "checked", "switched", "dropping", "undoing")  # steps that hold the table
-TAKES = ("ready", "cold")  # lives in which an engine takes copies
+# steps that keep the table's schema from changing
+UNDER_WAY = ("reserved", "copying", "checked", "switched", "dropping", "undoing")
+ACCEPTING_LIVES = ("ready", "cold")  # lives in which an engine accepts replicas
 
 
 class ShardMachine:
-    """The machine `shards` of the record; also what planner, carrier and routing read."""
+    """The state machine `shards`; also what the planner, the migration driver and routing read."""
 
     name, kinds = "shards", ("moving",)
-    rest_ms = REST_MS  # the same on all controllers, so no setting; plays have a shorter one
+    rest_ms = REST_MS  # the same on all controllers, so not a setting; simulations use a shorter one
 
     def __init__(self) -> None:
         self.shards: dict[str, Shard] = {}
         self.homes: dict[str, ReplicaHost] = {}
         self.copies: dict[str, dict[str, Replica]] = {}  # by shard and engine
         self.moves: dict[int, Migration] = {}
-        self.asides: dict[str, tuple[int, int]] = {}  # until when (0: no longer), how often in a row
-        self.used: dict[str, int] = {}  # bytes of copies by engine, whatever their state
+        # suspended shards: until when (0: no longer), failures in a row
+        self.asides: dict[str, tuple[int, int]] = {}
+        self.used: dict[str, int] = {}  # bytes of replicas by engine, whatever their state
         self.last_move = 0
-        self.changes = 0  # counts what may call for another plan
-        self.revision = 0  # the entry that last changed anything but heat, which calls for no look
-        self._begun: dict[int, int] = {}  # bytes that copies began to transfer, by part of time
-        self._faded: dict[str, tuple[int, int]] = {}  # by shard: queries that named it, as of a part of time
-        self._faded_part = self._faded_entry = 0  # when heat was told last, and the entry that told it
-        self._touched: dict[str, int] = {}  # by shard: the entry of its last step, or of its last figures
-        self._doubted_at: dict[str, int] = {}  # by shard: when a good copy came in doubt, for a rest
-        self._heard_at: dict[str, int] = {}  # by engine: the entry of the last news
-        self._told: tuple[int, bytes] | None = None  # the state as it was asked for last
-        self._placed: dict[str, int] = {}  # by shard: the entry behind which its good copies are as they are
-        self._whole_before = 0  # the entry behind which changes are known here; older views get all
-        self._entry = 0  # that is applied
-        self._of_table: dict[str, dict[str, None]] = {}  # shards by table
-        self._of_shard: dict[str, int] = {}  # the one move of a shard
-        self._due: int | None = None
-
-    # What others read.
+        self.changes = 0  # counts changes that may call for another plan
+        self.revision = 0  # the entry that last changed anything but access load, for which no watch is woken
+        self._started_bytes: dict[int, int] = {}  # bytes that copies began to transfer, by bucket of time
+        self._access_counts: dict[
+            str, tuple[int, int]
+        ] = {}  # by shard: count of queries that named it, as of a step of time
+        self._access_step = self._access_entry = 0  # step of time and entry of the last access report
+        self._content_entry: dict[
+            str, int
+        ] = {}  # by shard: the entry of its last step, or of its last row count and checksum
+        # by shard: when a good replica became doubtful, kept for the rest period
+        self._doubtful_since: dict[str, int] = {}
+        self._engine_entry: dict[str, int] = {}  # by engine: the entry of its last report
+        # revision and bytes of the last snapshot that was read
+        self._cached_snapshot: tuple[int, bytes] | None = None
+        self._placed_entry: dict[str, int] = {}  # by shard: the entry that last changed its good replicas
+        self._history_from = 0  # the entry after which changes are known here; older views get the full state
+        self._applied_index = 0  # the entry being applied
+        self._shards_of_table: dict[str, dict[str, None]] = {}  # shards by table
+        self._migration_of_shard: dict[str, int] = {}  # number of the shard's migration
+        self._next_expiry_ms: int | None = None
+
+    # Reads.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return how many shards of a table, whose name's case says nothing, are under way.
+        """Return how many shards of a table are under migration; the case of its name is ignored.
 
-        A shard is so too while a copy that just came in doubt may still be read by an older view: were the
-        table changed now, that copy would miss it.
+        A shard also counts while a replica that just became doubtful may still be read by an older view: if
+        the table were changed now, that replica would miss the change.
         """
-        shards = {m.shard for m in self.moves.values() if m.step in UNDER_WAY}.union(self._doubted_at)
+        shards = {m.shard for m in self.moves.values() if m.step in UNDER_WAY}.union(self._doubtful_since)
         return sum(self.shards[shard].table.lower() == key.lower() for shard in shards)
 
     def good(self, shard: str) -> tuple[str, ...]:
-        """Return the engines whose copy of a shard may be read, in order of their names."""
-        held = self.copies.get(shard, {})
-        return tuple(sorted(engine for engine, copy in held.items() if copy.state == "good"))
+        """Return the engines whose replica of a shard may be read, in order of their names."""
+        replicas = self.copies.get(shard, {})
+        return tuple(sorted(engine for engine, replica in replicas.items() if replica.state == "good"))
 
     def places(self, table: str) -> dict[str, tuple[str, ...]]:
-        """Return the engines with good copies of each shard of a table."""
-        return {shard: self.good(shard) for shard in sorted(self._of_table.get(table, ()))}
+        """Return the engines with good replicas of each shard of a table."""
+        return {shard: self.good(shard) for shard in sorted(self._shards_of_table.get(table, ()))}
 
     def leaving(self, shard: str) -> str:
-        """Return the engine whose copy gets no further queries and waits for its drop; "": none."""
-        held = self.copies.get(shard, {})
-        return next((engine for engine, copy in sorted(held.items()) if copy.state == "leaving"), "")
+        """Return the engine whose replica gets no further queries and waits for its drop; "": none."""
+        replicas = self.copies.get(shard, {})
+        return next(
+            (engine for engine, replica in sorted(replicas.items()) if replica.state == "leaving"), ""
+        )
 
     def waiting(self) -> list[tuple[str, str]]:
-        """Return the copies that get no further queries and wait for their drop, by shard and engine."""
+        """Return the replicas that get no further queries and wait for their drop, by shard and engine."""
         moves = (move for _, move in sorted(self.moves.items()) if move.step == "switched")
         return [(m.shard, m.drops) for m in moves if self.leaving(m.shard) == m.drops]
 
     def touched(self, shard: str) -> int:
-        """Return the entry of a shard's last step, or of a later word on what it holds; 0: there was none."""
-        return self._touched.get(shard, 0)
+        """Return the entry of a shard's last step or of a later report on its content; 0: there was none."""
+        return self._content_entry.get(shard, 0)
 
-    def room(self, engine: str) -> int:
-        """Return the bytes that further copies may take on an engine; below 0 where it holds too much."""
-        home = self.homes[engine]
-        return effective(home) - home.headroom - self.used.get(engine, 0)
+    def free_bytes(self, engine: str) -> int:
+        """Return the bytes available for further replicas on an engine; negative where it holds too much."""
+        host = self.homes[engine]
+        return usable_disk(host) - host.headroom - self.used.get(engine, 0)
 
-    def spent(self) -> int:
-        """Return the bytes that copies began to transfer within the last hour, and some minutes before."""
-        return sum(self._begun.values())
+    def bytes_started(self) -> int:
+        """Return the bytes that copies began to transfer within the last hour and some minutes before."""
+        return sum(self._started_bytes.values())
 
     @property
     def state_at(self) -> int:
         """The entry that last changed anything at all."""
-        return max(self.revision, self._faded_entry)
+        return max(self.revision, self._access_entry)
 
     def access_loads(self) -> dict[str, float]:
-        """Return the queries that named each shard, faded up to when they were told last; {}: too few.
+        """Return the queries that named each shard, decayed up to the last report; {}: too few.
 
-        Too few are chance, and what was declared is better.
+        With too few queries the counts are mostly chance, and the declared load is better.
         """
         found = {
-            shard: access_load.faded(count, self._faded_part - part)
-            for shard, (count, part) in self._faded.items()
+            shard: access_load.decayed(count, self._access_step - part)
+            for shard, (count, part) in self._access_counts.items()
             if shard in self.shards
         }
-        enough = sum(found.values()) >= access_load.ENOUGH
+        is_enough = sum(found.values()) >= access_load.MIN_COUNT_TO_USE
         return (
-            {shard: count / access_load.UNITS_PER_QUERY for shard, count in found.items()} if enough else {}
+            {shard: count / access_load.UNITS_PER_QUERY for shard, count in found.items()}
+            if is_enough
+            else {}
         )
 
     def move_of(self, shard: str) -> Migration | None:
-        """Return the move of a shard that has not ended."""
-        return self.moves.get(self._of_shard.get(shard, 0))
+        """Return the shard's migration that has not ended."""
+        return self.moves.get(self._migration_of_shard.get(shard, 0))
 
     def world(self, frozen: Iterable[str] = ()) -> World:
-        """Return all of it as the planner reads it.
+        """Return the world that the planner reads.
 
-        What spills took beyond the headroom is no disk. Drops without a copy that comes in, and half copies
-        that are being cleared, are no moves to it: their copies are `leaving` or `coming`, and take space.
+        Spilled bytes beyond the headroom are subtracted from the disk. Drops without a target and partial
+        replicas being dropped are not migrations there: their replicas are `leaving` or `coming`, and take
+        space.
         """
-        copies = {(c.shard, c.engine): c for held in self.copies.values() for c in held.values()}
+        copies = {(c.shard, c.engine): c for replicas in self.copies.values() for c in replicas.values()}
         moves = {}
         for number, move in self.moves.items():
             pair = (move.shard, move.drops)
@@ -162,348 +182,384 @@
             shards=dict(self.shards),
             counted=counted,
             heat_unit=1.0 if counted else 0.0,
-            homes={name: replace(home, disk=effective(home)) for name, home in self.homes.items()},
+            homes={name: replace(host, disk=usable_disk(host)) for name, host in self.homes.items()},
             copies=copies,
             moves=moves,
             frozen=frozenset(frozen),
-            aside=frozenset(shard for shard, (until, _) in self.asides.items() if until),
+            aside=frozenset(shard for shard, (until_ms, _) in self.asides.items() if until_ms),
         )
 
     def asked(self, query: bytes) -> bytes:
-        """Answer a `ShardQuery` with a `ShardSeen` or `Places`; nothing changes. b"": it can't be read."""
+        """Answer a `ShardQuery` with a `ShardSeen` or `Places`; nothing changes. b"": unreadable."""
         try:
-            told = pb.ShardQuery.FromString(query)
+            message = pb.ShardQuery.FromString(query)
         except DecodeError:
             return b""
-        if told.HasField("places"):
-            return self._changed_places(told.places).SerializeToString()
-        skip = told.skip
-        if self._told is None or self._told[0] != self.state_at:
-            self._told = self.state_at, self.snapshot()
-        revision, state = self._told
+        if message.HasField("places"):
+            return self._changed_places(message.places).SerializeToString()
+        skip = message.skip
+        if self._cached_snapshot is None or self._cached_snapshot[0] != self.state_at:
+            self._cached_snapshot = self.state_at, self.snapshot()
+        revision, state = self._cached_snapshot
         return pb.ShardSeen(
-            revision=revision, size=len(state), piece=state[skip : skip + PIECE_MOST]
+            revision=revision, size=len(state), piece=state[skip : skip + MAX_PIECE_BYTES]
         ).SerializeToString()
 
-    def _changed_places(self, asked: pb.PlacesQuery) -> pb.Places:
-        whole = asked.after < self._whole_before
+    def _changed_places(self, request: pb.PlacesQuery) -> pb.Places:
+        is_full = request.after < self._history_from
         names = (
             sorted(self.shards)
-            if whole
+            if is_full
             else sorted(
-                shard for shard, at in self._placed.items() if at > asked.after and shard in self.shards
+                shard
+                for shard, at in self._placed_entry.items()
+                if at > request.after and shard in self.shards
             )
         )
-        names = names[bisect_right(names, asked.name) :]
-        answer, numbers = pb.Places(revision=self.revision, whole=whole, more=len(names) > PLACES_MOST), {}
-        if not asked.name:
+        names = names[bisect_right(names, request.name) :]
+        answer, numbers = (
+            pb.Places(revision=self.revision, whole=is_full, more=len(names) > MAX_PLACES_PER_ANSWER),
+            {},
+        )
+        if not request.name:
             waiting = self.waiting()
-            answer.cut = len(waiting) > LEAVING_MOST
-            answer.leaving.extend(pb.Places.Leaving(shard=s, engine=e) for s, e in waiting[:LEAVING_MOST])
-        for shard in names[:PLACES_MOST]:
+            answer.cut = len(waiting) > MAX_LEAVING_PER_ANSWER
+            answer.leaving.extend(
+                pb.Places.Leaving(shard=s, engine=e) for s, e in waiting[:MAX_LEAVING_PER_ANSWER]
+            )
+        for shard in names[:MAX_PLACES_PER_ANSWER]:
             engines = [numbers.setdefault(engine, len(numbers)) for engine in self.good(shard)]
             answer.places.add(shard=shard, engines=engines)
         answer.engines.extend(numbers)
         return answer
 
-    # The record's side.
+    # Commands.
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
-        """Carry a command out; its answer tells a refusal. Raises `UnreadableCommandError`."""
+        """Apply a command; return its answer, which has any refusal. Raises `UnreadableCommandError`."""
         try:
-            asked = pb.Command.FromString(command)
+            request = pb.Command.FromString(command)
         except DecodeError as exc:
             raise UnreadableCommandError(str(exc)) from exc
-        self._entry = at.index
-        what = asked.WhichOneof("what")
-        if what is None or what == "counted" and facts.fact("level", "") < ACCESS_COUNTS_MIN_LEVEL:
+        self._applied_index = at.index
+        kind = request.WhichOneof("what")
+        if kind is None or kind == "counted" and facts.fact("level", "") < ACCESS_COUNTS_MIN_LEVEL:
             raise UnreadableCommandError("a command of no kind")
-        if what == "counted":  # nobody who waits for where copies are is woken for it
-            return self._counted(asked.counted, at).SerializeToString(deterministic=True)
-        if what in ("declare", "remove"):
-            answer = getattr(self, "_" + what)(getattr(asked, what), at)
-        elif not self._fenced(asked.fence, facts):
+        if kind == "counted":  # watches of replica locations are not woken for it
+            return self._counted(request.counted, at).SerializeToString(deterministic=True)
+        if kind in ("declare", "remove"):
+            answer = getattr(self, "_" + kind)(getattr(request, kind), at)
+        elif not self._has_valid_fence(request.fence, facts):
             answer = Answer(refusal=Answer.FENCE)
         else:
-            answer = getattr(self, "_" + what)(getattr(asked, what), at, facts)
-        self._look_ahead()
+            answer = getattr(self, "_" + kind)(getattr(request, kind), at, facts)
+        self._update_next_expiry()
         if not answer.refusal and (not answer.refusals or 0 in answer.refusals):
             self.revision = at.index
         return answer.SerializeToString(deterministic=True)
 
-    def _fenced(self, fence: int, facts: Facts) -> bool:
+    def _has_valid_fence(self, fence: int, facts: Facts) -> bool:
         return bool(fence) and facts.fact("fence", LEASE) == fence
 
     def expire_due(self, at: LogPosition) -> None:
-        """Let rests after switches end, and shards come back that were set aside."""
+        """End rest periods after switches, suspensions of shards, and buckets of transferred bytes."""
         for number, move in self.moves.items():
-            if _rests(move) and move.at_ms + self.rest_ms <= at.clock_ms:
+            if _is_resting(move) and move.at_ms + self.rest_ms <= at.clock_ms:
                 self.moves[number] = replace(move, rested=True)
         self.revision = at.index
-        for shard in [s for s, since in self._doubted_at.items() if since + self.rest_ms <= at.clock_ms]:
-            del self._doubted_at[shard]
-        for part in [part for part in self._begun if _part_ends(part) <= at.clock_ms]:
-            del self._begun[part]
-        for shard, (until, times) in self.asides.items():
-            if until and until <= at.clock_ms:
+        for shard in [s for s, since in self._doubtful_since.items() if since + self.rest_ms <= at.clock_ms]:
+            del self._doubtful_since[shard]
+        for part in [part for part in self._started_bytes if _bucket_expiry_ms(part) <= at.clock_ms]:
+            del self._started_bytes[part]
+        for shard, (until_ms, failures) in self.asides.items():
+            if until_ms and until_ms <= at.clock_ms:
                 self.changes += 1
-                self.asides[shard] = (0, times)
-        self._look_ahead()
+                self.asides[shard] = (0, failures)
+        self._update_next_expiry()
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when a rest or a time aside ends next."""
-        return self._due
+        """Return when the next rest period, suspension or bucket ends."""
+        return self._next_expiry_ms
 
-    def _look_ahead(self) -> None:
-        ends = [until for until, _ in self.asides.values() if until]
-        ends += [move.at_ms + self.rest_ms for move in self.moves.values() if _rests(move)]
-        ends += [since + self.rest_ms for since in self._doubted_at.values()]
-        ends += map(_part_ends, self._begun)
-        self._due = min(ends, default=None)
+    def _update_next_expiry(self) -> None:
+        expiries = [until_ms for until_ms, _ in self.asides.values() if until_ms]
+        expiries += [move.at_ms + self.rest_ms for move in self.moves.values() if _is_resting(move)]
+        expiries += [since + self.rest_ms for since in self._doubtful_since.values()]
+        expiries += map(_bucket_expiry_ms, self._started_bytes)
+        self._next_expiry_ms = min(expiries, default=None)
 
-    # Operators and news.
+    # Declarations and reports.
 
-    def _declare(self, asked: pb.Declare, at: LogPosition) -> pb.Answer:
-        if len(asked.shards) > MAX_ENTRIES_PER_COMMAND:
+    def _declare(self, request: pb.Declare, at: LogPosition) -> pb.Answer:
+        if len(request.shards) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
-        return Answer(refusals=[self._declared(told, at) for told in asked.shards])
+        return Answer(refusals=[self._declare_shard(message, at) for message in request.shards])
 
-    def _declared(self, told: pb.Shard, at: LogPosition) -> int:
-        named = told.table and told.name.startswith(told.table + "/") and len(told.name) <= NAME_MOST
+    def _declare_shard(self, message: pb.Shard, at: LogPosition) -> int:
+        is_named = (
+            message.table
+            and message.name.startswith(message.table + "/")
+            and len(message.name) <= MAX_NAME_CHARS
+        )
         if not (
-            named
-            and 0 < told.size <= SIZE_MOST
-            and 1 <= told.copies <= COPIES_MOST
-            and 1 <= told.zones <= told.copies
-            and _sane(told.heat)
-            and len(told.kinds) <= COPIES_MOST
-            and all(map(_named, told.kinds))
+            is_named
+            and 0 < message.size <= MAX_SIZE_BYTES
+            and 1 <= message.copies <= MAX_REPLICAS_PER_SHARD
+            and 1 <= message.zones <= message.copies
+            and _is_valid_load(message.heat)
+            and len(message.kinds) <= MAX_REPLICAS_PER_SHARD
+            and all(map(_is_valid_name, message.kinds))
         ):
             return Answer.BAD
-        known = self.shards.get(told.name)
-        if known is None and len(self.shards) >= SHARDS_MOST:
+        known = self.shards.get(message.name)
+        if known is None and len(self.shards) >= MAX_SHARDS:
             return Answer.TOO_MANY
-        if told.name in self._of_shard and known.size != told.size:
-            return Answer.UNDER_WAY  # its space was reserved by the size that it had
-        shard = Shard(told.name, told.table, told.size, told.copies, told.zones, tuple(told.kinds), told.heat)
+        if message.name in self._migration_of_shard and known.size != message.size:
+            return Answer.UNDER_WAY  # its space was reserved by its current size
+        shard = Shard(
+            message.name,
+            message.table,
+            message.size,
+            message.copies,
+            message.zones,
+            tuple(message.kinds),
+            message.heat,
+        )
         if known is not None and known.size == shard.size:
             shard = replace(shard, rows=known.rows, checksum=known.checksum)
         elif known is not None:
-            for engine in self.copies.get(told.name, ()):
+            for engine in self.copies.get(message.name, ()):
                 self.used[engine] += shard.size - known.size
-        if told.checked:  # a load's own word: all good copies hold this now
-            shard = replace(shard, rows=told.rows, checksum=told.checksum)
-            self._touched[shard.name] = at.index
-        self.shards[told.name] = shard
+        if message.checked:  # reported by a load job: all good replicas hold this content now
+            shard = replace(shard, rows=message.rows, checksum=message.checksum)
+            self._content_entry[shard.name] = at.index
+        self.shards[message.name] = shard
         self.changes += 1
         if known is None:
-            self._placed[shard.name] = at.index
-        self._of_table.setdefault(shard.table, {})[shard.name] = None
+            self._placed_entry[shard.name] = at.index
+        self._shards_of_table.setdefault(shard.table, {})[shard.name] = None
         return Answer.NONE
 
-    def _remove(self, asked: pb.Remove, at: LogPosition) -> pb.Answer:
-        if asked.engine:
-            return self._remove_home(asked.engine)
-        shard = self.shards.get(asked.shard)
+    def _remove(self, request: pb.Remove, at: LogPosition) -> pb.Answer:
+        if request.engine:
+            return self._remove_engine(request.engine)
+        shard = self.shards.get(request.shard)
         if shard is None:
             return Answer(refusal=Answer.UNKNOWN)
-        if shard.name in self._of_shard:
+        if shard.name in self._migration_of_shard:
             return Answer(refusal=Answer.UNDER_WAY)
         if self.copies.get(shard.name):
             return Answer(refusal=Answer.HELD)
         del self.shards[shard.name]
         self.asides.pop(shard.name, None)
-        self._faded.pop(shard.name, None)
-        self._placed.pop(shard.name, None)
-        self._doubted_at.pop(shard.name, None)
-        self._whole_before = at.index  # what was told of it can be taken back by telling all alone
-        self._touched.pop(shard.name, None)
-        of_table = self._of_table[shard.table]
+        self._access_counts.pop(shard.name, None)
+        self._placed_entry.pop(shard.name, None)
+        self._doubtful_since.pop(shard.name, None)
+        self._history_from = at.index  # a removed shard can only be reported by sending the full state
+        self._content_entry.pop(shard.name, None)
+        of_table = self._shards_of_table[shard.table]
         del of_table[shard.name]
         if not of_table:
-            del self._of_table[shard.table]
+            del self._shards_of_table[shard.table]
         return Answer()
 
-    def _remove_home(self, engine: str) -> pb.Answer:
-        home = self.homes.get(engine)
-        if home is None:
+    def _remove_engine(self, engine: str) -> pb.Answer:
+        host = self.homes.get(engine)
+        if host is None:
             return Answer(refusal=Answer.UNKNOWN)
-        if home.life != "gone":
+        if host.life != "gone":
             return Answer(refusal=Answer.HELD)
         if any(engine in (move.target, move.drops) for move in self.moves.values()):
             return Answer(refusal=Answer.UNDER_WAY)
-        self._emptied(engine)
+        self._discard_replicas_on(engine)
         del self.homes[engine]
-        del self._heard_at[engine]
+        del self._engine_entry[engine]
         return Answer()
 
-    def _news(self, asked: pb.News, at: LogPosition, facts: Facts) -> pb.Answer:
-        if len(asked.homes) > MAX_ENTRIES_PER_COMMAND:
+    def _news(self, request: pb.News, at: LogPosition, facts: Facts) -> pb.Answer:
+        if len(request.homes) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
-        return Answer(refusals=[self._heard(told, asked.seen, at) for told in asked.homes])
+        return Answer(refusals=[self._update_engine(message, request.seen, at) for message in request.homes])
 
-    def _heard(self, told: pb.Home, seen: int, at: LogPosition) -> int:
+    def _update_engine(self, message: pb.Home, seen: int, at: LogPosition) -> int:
         if not (
-            _named(told.name)
-            and all(len(t) <= NAME_MOST for t in (told.zone, told.kind, told.mark))
-            and told.disk <= SIZE_MOST
-            and told.headroom <= SIZE_MOST
-            and told.spilled <= SIZE_MOST
-            and told.life in LIVES
+            _is_valid_name(message.name)
+            and all(len(t) <= MAX_NAME_CHARS for t in (message.zone, message.kind, message.mark))
+            and message.disk <= MAX_SIZE_BYTES
+            and message.headroom <= MAX_SIZE_BYTES
+            and message.spilled <= MAX_SIZE_BYTES
+            and message.life in LIVES
         ):
             return Answer.BAD
-        known = self.homes.get(told.name)
-        if seen < self._heard_at.get(told.name, 0):
+        known = self.homes.get(message.name)
+        if seen < self._engine_entry.get(message.name, 0):
             return Answer.WAITS  # it may be older than what is known
-        if known is None and len(self.homes) >= HOMES_MOST:
+        if known is None and len(self.homes) >= MAX_ENGINES:
             return Answer.TOO_MANY
-        home = ReplicaHost(
-            told.name, told.zone, told.kind, told.disk, told.headroom, told.life, 0, told.mark, told.spilled
+        host = ReplicaHost(
+            message.name,
+            message.zone,
+            message.kind,
+            message.disk,
+            message.headroom,
+            message.life,
+            0,
+            message.mark,
+            message.spilled,
         )
         if known is not None:
-            home = replace(home, generation=known.generation, mark=told.mark or known.mark)
-            if known.mark and home.mark != known.mark:
-                home = replace(home, generation=known.generation + 1)
-                self._emptied(home.name)
-        self.changes += home != known
-        self.homes[home.name], self._heard_at[home.name] = home, at.index
-        if home.life == "gone" and known is not None and known.life != "gone":
-            self._doubted(home.name, at)
+            host = replace(host, generation=known.generation, mark=message.mark or known.mark)
+            if known.mark and host.mark != known.mark:
+                host = replace(host, generation=known.generation + 1)
+                self._discard_replicas_on(host.name)
+        self.changes += host != known
+        self.homes[host.name], self._engine_entry[host.name] = host, at.index
+        if host.life == "gone" and known is not None and known.life != "gone":
+            self._mark_doubtful(host.name, at)
         return Answer.NONE
 
-    def _emptied(self, engine: str) -> None:
-        """An engine's disk is another: nothing is on it, but what a move's statements may still put there."""
-        for shard in [shard for shard, held in self.copies.items() if engine in held]:
+    def _discard_replicas_on(self, engine: str) -> None:
+        """Forget the replicas of an engine with a new disk, except what a migration may still write there."""
+        for shard in [shard for shard, replicas in self.copies.items() if engine in replicas]:
             move = self.move_of(shard)
             if move is None or move.target != engine or move.step not in ("copying", "checked", "undoing"):
-                self._forget(shard, engine)
-
-    def _doubted(self, engine: str, at: LogPosition) -> None:
-        """What an engine held is not read until it was checked again; it may come back with old copies."""
-        for shard, held in self.copies.items():
-            copy = held.get(engine)
-            if copy is not None and copy.state in ("good", "leaving"):
-                self._hold(shard, replace(copy, state="doubtful"))
-                self._doubted_at[shard] = at.clock_ms
-
-    def _heat(self, asked: pb.Heat, at: LogPosition, facts: Facts) -> pb.Answer:
-        if not all(map(_sane, asked.heat.values())):
+                self._remove_replica(shard, engine)
+
+    def _mark_doubtful(self, engine: str, at: LogPosition) -> None:
+        """Mark the replicas of an engine that is gone as doubtful: it may return with outdated ones."""
+        for shard, replicas in self.copies.items():
+            replica = replicas.get(engine)
+            if replica is not None and replica.state in ("good", "leaving"):
+                self._set_replica(shard, replace(replica, state="doubtful"))
+                self._doubtful_since[shard] = at.clock_ms
+
+    def _heat(self, request: pb.Heat, at: LogPosition, facts: Facts) -> pb.Answer:
+        if not all(map(_is_valid_load, request.heat.values())):
             return Answer(refusal=Answer.BAD)
-        for shard in sorted(asked.heat):
+        for shard in sorted(request.heat):
             if shard in self.shards:
-                self.shards[shard] = replace(self.shards[shard], heat=asked.heat[shard])
+                self.shards[shard] = replace(self.shards[shard], heat=request.heat[shard])
         return Answer()
 
-    def _counted(self, asked: pb.Counted, at: LogPosition) -> pb.Answer:
-        """Take what a controller counted; the clock is the record's, so all fades alike whoever tells it."""
-        if len(asked.queries) > access_load.TOLD_MOST:
+    def _counted(self, request: pb.Counted, at: LogPosition) -> pb.Answer:
+        """Add a controller's counts; they decay by the replicated clock, whoever reports them."""
+        if len(request.queries) > access_load.MAX_REPORTED_SHARDS:
             return Answer(refusal=Answer.TOO_MANY)
-        if any(told.count > access_load.COUNT_MOST for told in asked.queries):
+        if any(message.count > access_load.MAX_REPORTED_COUNT for message in request.queries):
             return Answer(refusal=Answer.BAD)
-        self._faded_part, self._faded_entry = at.clock_ms // access_load.PART_MS, at.index
-        for told in asked.queries:
-            if told.shard in self.shards:
-                count, part = self._faded.get(told.shard, (0, self._faded_part))
-                count = access_load.faded(count, self._faded_part - part) + told.count
-                self._faded[told.shard] = min(count, SIZE_MOST), self._faded_part
+        self._access_step, self._access_entry = at.clock_ms // access_load.STEP_MS, at.index
+        for message in request.queries:
+            if message.shard in self.shards:
+                count, part = self._access_counts.get(message.shard, (0, self._access_step))
+                count = access_load.decayed(count, self._access_step - part) + message.count
+                self._access_counts[message.shard] = min(count, MAX_SIZE_BYTES), self._access_step
         return Answer()
 
-    def _found(self, asked: pb.Found, at: LogPosition, facts: Facts) -> pb.Answer:
-        shard = self.shards.get(asked.shard)
-        if shard is not None and _barred(shard, facts, begins=False):
-            return Answer(refusal=Answer.CHANGING)  # who changes the table counts on the good copies it saw
-        return Answer(refusal=self._checked(asked))
+    def _found(self, request: pb.Found, at: LogPosition, facts: Facts) -> pb.Answer:
+        shard = self.shards.get(request.shard)
+        if shard is not None and _is_barred(shard, facts, is_start=False):
+            # a schema change relies on the good replicas that it has seen
+            return Answer(refusal=Answer.CHANGING)
+        return Answer(refusal=self._record_check(request))
 
-    def _checked(self, asked: pb.Found) -> int:
-        shard, home = self.shards.get(asked.shard), self.homes.get(asked.engine)
-        if shard is None or home is None:
+    def _record_check(self, request: pb.Found) -> int:
+        shard, host = self.shards.get(request.shard), self.homes.get(request.engine)
+        if shard is None or host is None:
             return Answer.UNKNOWN
-        if home.generation != asked.generation or home.life == "gone":
+        if host.generation != request.generation or host.life == "gone":
             return Answer.TARGET
-        if asked.seen < self._touched.get(shard.name, 0):
-            return Answer.WAITS  # for another check: copies have come or gone since this one began
+        if request.seen < self._content_entry.get(shard.name, 0):
+            return Answer.WAITS  # needs another check: replicas were added or dropped since this one began
         move = self.move_of(shard.name)
-        if move is not None and move.step in UNDER_WAY and home.name in (move.target, move.drops):
+        if move is not None and move.step in UNDER_WAY and host.name in (move.target, move.drops):
             return Answer.UNDER_WAY
-        copy = self.copies.get(shard.name, {}).get(home.name)
-        if not asked.present:
-            if copy is not None:
-                self._forget(shard.name, home.name)
+        replica = self.copies.get(shard.name, {}).get(host.name)
+        if not request.present:
+            if replica is not None:
+                self._remove_replica(shard.name, host.name)
             return Answer.NONE
-        if copy is None and len(self.copies.get(shard.name, ())) >= COPIES_MOST:
+        if replica is None and len(self.copies.get(shard.name, ())) >= MAX_REPLICAS_PER_SHARD:
             return Answer.TOO_MANY
         good = self.good(shard.name)
-        if shard.rows < 0 and (not good or home.name in good):  # the first that is known of it
-            shard = self.shards[shard.name] = replace(shard, rows=asked.rows, checksum=asked.checksum)
+        if shard.rows < 0 and (not good or host.name in good):  # the first content known of the shard
+            shard = self.shards[shard.name] = replace(shard, rows=request.rows, checksum=request.checksum)
         elif shard.rows < 0:
-            return Answer.WAITS  # for a check of a good copy, to compare with
-        same = (shard.rows, shard.checksum) == (asked.rows, asked.checksum)
-        if not same and good == (home.name,):
-            return Answer.DIFFERS  # the only good copy is not given up for a figure
-        self._hold(shard.name, Replica(shard.name, home.name, "good" if same else "doubtful", not same))
+            return Answer.WAITS  # needs a check of a good replica to compare with
+        is_equal = (shard.rows, shard.checksum) == (request.rows, request.checksum)
+        if not is_equal and good == (host.name,):
+            return Answer.DIFFERS  # the only good replica is not given up for a checksum
+        self._set_replica(
+            shard.name, Replica(shard.name, host.name, "good" if is_equal else "doubtful", not is_equal)
+        )
         return Answer.NONE
 
     # Plans and steps.
 
-    def _plan(self, asked: pb.Plan, at: LogPosition, facts: Facts) -> pb.Answer:
-        if len(asked.moves) > MAX_ENTRIES_PER_COMMAND:
+    def _plan(self, request: pb.Plan, at: LogPosition, facts: Facts) -> pb.Answer:
+        if len(request.moves) > MAX_ENTRIES_PER_COMMAND:
             return Answer(refusal=Answer.TOO_MANY)
-        answer, numbers, own = Answer(), {}, {told.number for told in asked.moves}
-        for told in asked.moves:
-            refusal = self._wanted(told, facts)
-            if any(ahead in own and not numbers.get(ahead) for ahead in told.after):
-                refusal = refusal or Answer.WAITS  # for space that another move won't make
+        answer, numbers, plan_numbers = Answer(), {}, {message.number for message in request.moves}
+        for message in request.moves:
+            refusal = self._migration_refusal(message, facts)
+            if any(
+                predecessor in plan_numbers and not numbers.get(predecessor) for predecessor in message.after
+            ):
+                refusal = refusal or Answer.WAITS  # it depends on the space of a migration that was refused
             if not refusal:
                 self.last_move += 1
-                after = {numbers.get(ahead, ahead) for ahead in told.after}
+                after = {numbers.get(predecessor, predecessor) for predecessor in message.after}
                 self.moves[self.last_move] = Migration(
                     self.last_move,
-                    told.shard,
-                    told.source,
-                    told.target,
-                    told.drops,
+                    message.shard,
+                    message.source,
+                    message.target,
+                    message.drops,
                     "planned",
-                    tuple(sorted(ahead for ahead in after if ahead in self.moves)),
+                    tuple(sorted(predecessor for predecessor in after if predecessor in self.moves)),
                     at_ms=at.clock_ms,
                 )
-                self._of_shard[told.shard] = numbers[told.number] = self.last_move
+                self._migration_of_shard[message.shard] = numbers[message.number] = self.last_move
             answer.numbers.append(0 if refusal else self.last_move)
             answer.refusals.append(refusal)
         return answer
 
-    def _wanted(self, told: pb.Move, facts: Facts) -> int:
-        """Return why a planned move is not taken; 0: it is."""
-        shard, held = self.shards.get(told.shard), self.copies.get(told.shard, {})
+    def _migration_refusal(self, message: pb.Move, facts: Facts) -> int:
+        """Return why a planned migration is refused; 0: it is accepted."""
+        shard, replicas = self.shards.get(message.shard), self.copies.get(message.shard, {})
         if shard is None:
             return Answer.UNKNOWN
-        if len(self.moves) >= MOVES_MOST:
+        if len(self.moves) >= MAX_MIGRATIONS:
             return Answer.TOO_MANY
-        if shard.name in self._of_shard:
+        if shard.name in self._migration_of_shard:
             return Answer.UNDER_WAY
         if self.asides.get(shard.name, (0, 0))[0]:
             return Answer.ASIDE
-        if _barred(shard, facts, begins=True):
+        if _is_barred(shard, facts, is_start=True):
             return Answer.CHANGING
-        if told.drops == told.target or told.drops and told.drops not in held:
+        if message.drops == message.target or message.drops and message.drops not in replicas:
             return Answer.BAD
-        if told.target and told.source not in self.good(shard.name):
+        if message.target and message.source not in self.good(shard.name):
             return Answer.SOURCE
-        return self._taken(shard, told.target) if told.target else 0
+        return self._target_refusal(shard, message.target) if message.target else 0
 
-    def _taken(self, shard: Shard, target: str) -> int:
-        """Return why an engine takes no copy of a shard, its space aside; 0: it does."""
-        home = self.homes.get(target)
-        if home is None:
+    def _target_refusal(self, shard: Shard, target: str) -> int:
+        """Return why an engine can't accept a replica of a shard, regardless of space; 0: it can."""
+        host = self.homes.get(target)
+        if host is None:
             return Answer.UNKNOWN
-        fits = home.life in TAKES and (not shard.kinds or home.kind in shard.kinds)
-        held = self.copies.get(shard.name, {})
-        return 0 if fits and target not in held and len(held) < COPIES_MOST else Answer.TARGET
+        is_suitable = host.life in ACCEPTING_LIVES and (not shard.kinds or host.kind in shard.kinds)
+        replicas = self.copies.get(shard.name, {})
+        return (
+            0
+            if is_suitable and target not in replicas and len(replicas) < MAX_REPLICAS_PER_SHARD
+            else Answer.TARGET
+        )
 
-    def _step(self, asked: pb.Step, at: LogPosition, facts: Facts) -> pb.Answer:
-        move = self.moves.get(asked.move)
+    def _step(self, request: pb.Step, at: LogPosition, facts: Facts) -> pb.Answer:
+        move = self.moves.get(request.move)
         if move is None:
             return Answer(refusal=Answer.UNKNOWN)
-        take = {
+        handler = {
             Step.RESERVE: self._reserve,
             Step.COPY: self._copy,
             Step.CHECK: self._check,
@@ -513,211 +569,215 @@
             Step.KEEP: self._keep,
             Step.UNDO: self._undo,
             Step.UNDONE: self._undone,
-        }.get(asked.kind)
-        if take is None:
+        }.get(request.kind)
+        if handler is None:
             return Answer(refusal=Answer.BAD)
-        forth = asked.kind in (Step.RESERVE, Step.COPY, Step.CHECK, Step.SWITCH, Step.DROP)
-        if forth and _barred(self.shards[move.shard], facts, begins=move.step == "planned"):
+        is_forward = request.kind in (Step.RESERVE, Step.COPY, Step.CHECK, Step.SWITCH, Step.DROP)
+        if is_forward and _is_barred(self.shards[move.shard], facts, is_start=move.step == "planned"):
             return Answer(refusal=Answer.CHANGING)
         if (
             move.step == "switched"
-            and asked.kind == Step.DROP
-            and not (move.rested or (asked.cleared and facts.fact("level", "") >= CLEARED_LEVEL))
+            and request.kind == Step.DROP
+            and not (move.rested or (request.cleared and facts.fact("level", "") >= CLEARED_MIN_LEVEL))
         ):
             return Answer(refusal=Answer.WAITS)  # an older view may still send queries there
-        refusal = take(move, asked, at)
+        refusal = handler(move, request, at)
         if not refusal:
-            self._touched[move.shard] = at.index
-            if asked.kind == Step.COPY and facts.fact("level", "") >= ACCESS_COUNTS_MIN_LEVEL:
-                part = at.clock_ms // BEGUN_MS
-                self._begun[part] = self._begun.get(part, 0) + self.shards[move.shard].size
+            self._content_entry[move.shard] = at.index
+            if request.kind == Step.COPY and facts.fact("level", "") >= ACCESS_COUNTS_MIN_LEVEL:
+                part = at.clock_ms // TRANSFER_BUCKET_MS
+                self._started_bytes[part] = self._started_bytes.get(part, 0) + self.shards[move.shard].size
         return Answer(refusal=refusal)
 
-    def _at(self, move: Migration, step: str, at: LogPosition, **more: object) -> None:
+    def _set_step(self, move: Migration, step: str, at: LogPosition, **more: object) -> None:
         self.moves[move.number] = replace(move, step=step, at_ms=at.clock_ms, **more)
 
-    def _reserve(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _reserve(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step != "planned" or not move.target:
             return Answer.STEP
         shard = self.shards[move.shard]
-        if any(ahead in self.moves for ahead in move.after):
+        if any(predecessor in self.moves for predecessor in move.after):
             return Answer.WAITS
         if not self.good(shard.name):
             return Answer.SOURCE
-        refusal = self._taken(shard, move.target)
+        refusal = self._target_refusal(shard, move.target)
         if refusal:
             return refusal
-        if not self._fits(shard, move.target):
+        if not self._has_space(shard, move.target):
             return Answer.HEADROOM
-        self._hold(shard.name, Replica(shard.name, move.target, "coming"))
-        self._at(move, "reserved", at, generation=self.homes[move.target].generation)
+        self._set_replica(shard.name, Replica(shard.name, move.target, "coming"))
+        self._set_step(move, "reserved", at, generation=self.homes[move.target].generation)
         return Answer.NONE
 
-    def _fits(self, shard: Shard, target: str) -> bool:
-        return shard.size <= self.room(target)
+    def _has_space(self, shard: Shard, target: str) -> bool:
+        return shard.size <= self.free_bytes(target)
 
-    def _coming(self, move: Migration) -> bool:
-        """Tell whether a move's target is the engine that it was, with the copy that comes in."""
-        home, copy = self.homes[move.target], self.copies.get(move.shard, {}).get(move.target)
+    def _is_target_valid(self, move: Migration) -> bool:
+        """Return whether the migration's target still has the same disk, with the coming replica."""
+        host, replica = self.homes[move.target], self.copies.get(move.shard, {}).get(move.target)
         return (
-            home.life != "gone"
-            and home.generation == move.generation
-            and copy is not None
-            and copy.state == "coming"
+            host.life != "gone"
+            and host.generation == move.generation
+            and replica is not None
+            and replica.state == "coming"
         )
 
-    def _copy(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
-        if move.step not in ("reserved", "copying") or asked.attempt != move.attempt + 1:
+    def _copy(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
+        if move.step not in ("reserved", "copying") or request.attempt != move.attempt + 1:
             return Answer.STEP
-        if asked.source not in self.good(move.shard):
+        if request.source not in self.good(move.shard):
             return Answer.SOURCE
-        if not self._coming(move):
+        if not self._is_target_valid(move):
             return Answer.TARGET
-        self._at(move, "copying", at, attempt=asked.attempt, source=asked.source)
+        self._set_step(move, "copying", at, attempt=request.attempt, source=request.source)
         return Answer.NONE
 
-    def _check(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
-        if move.step != "copying" or asked.attempt != move.attempt:
+    def _check(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
+        if move.step != "copying" or request.attempt != move.attempt:
             return Answer.STEP
-        if not self._coming(move):
+        if not self._is_target_valid(move):
             return Answer.TARGET
         shard = self.shards[move.shard]
-        if shard.rows >= 0 and (shard.rows, shard.checksum) != (asked.rows, asked.checksum):
+        if shard.rows >= 0 and (shard.rows, shard.checksum) != (request.rows, request.checksum):
             return Answer.DIFFERS
-        self.shards[shard.name] = replace(shard, rows=asked.rows, checksum=asked.checksum)
-        self._at(move, "checked", at)
+        self.shards[shard.name] = replace(shard, rows=request.rows, checksum=request.checksum)
+        self._set_step(move, "checked", at)
         return Answer.NONE
 
-    def _switch(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
-        held = self.copies.get(move.shard, {})
-        old = held.get(move.drops)
+    def _switch(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
+        replicas = self.copies.get(move.shard, {})
+        old_replica = replicas.get(move.drops)
         if not move.target:
             if move.step != "planned":
                 return Answer.STEP
-            if any(ahead in self.moves for ahead in move.after):
+            if any(predecessor in self.moves for predecessor in move.after):
                 return Answer.WAITS
-            if old is not None and not self.spared(move.shard, move.drops):
+            if old_replica is not None and not self.may_drop(move.shard, move.drops):
                 return Answer.LAST
         elif move.step != "checked":
             return Answer.STEP
-        elif not self._coming(move):
+        elif not self._is_target_valid(move):
             return Answer.TARGET
         else:
-            self._hold(move.shard, replace(held[move.target], state="good"))
-        if old is None or not self.spared(move.shard, move.drops):
-            self._end(move, well=True)  # nothing to drop, or what goes is needed still
+            self._set_replica(move.shard, replace(replicas[move.target], state="good"))
+        if old_replica is None or not self.may_drop(move.shard, move.drops):
+            self._finish(move, succeeded=True)  # there is nothing to drop, or the old replica is still needed
             return Answer.NONE
-        self._hold(move.shard, replace(old, state="leaving", wrong=old.state != "good"))
-        self._at(move, "switched", at)
+        self._set_replica(
+            move.shard, replace(old_replica, state="leaving", wrong=old_replica.state != "good")
+        )
+        self._set_step(move, "switched", at)
         return Answer.NONE
 
-    def spared(self, shard: str, engine: str) -> bool:
-        """Tell whether a copy may go: all that is wanted is there without it.
+    def may_drop(self, shard: str, engine: str) -> bool:
+        """Return whether a replica may be dropped: the shard's needs are met without it.
 
-        One that is not known to be good is no copy: for it to go, one good copy is enough.
+        A replica with different content does not count: to drop it, one good replica is enough.
         """
-        copy = self.copies.get(shard, {}).get(engine)
-        if copy is None:
+        replica = self.copies.get(shard, {}).get(engine)
+        if replica is None:
             return False
-        wanted, others = self.shards[shard], [e for e in self.good(shard) if e != engine]
-        if copy.wrong:
+        needs, others = self.shards[shard], [e for e in self.good(shard) if e != engine]
+        if replica.wrong:
             return bool(others)
-        return len(others) >= wanted.copies and len({self.homes[e].zone for e in others}) >= wanted.zones
+        return len(others) >= needs.copies and len({self.homes[e].zone for e in others}) >= needs.zones
 
-    def _drop(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _drop(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step != "switched":
             return Answer.STEP
-        copy = self.copies.get(move.shard, {}).get(move.drops)
-        if copy is None or copy.state != "leaving":
-            return Answer.SOURCE  # it went with its engine, or is in doubt since
-        if not self.spared(move.shard, move.drops):
+        replica = self.copies.get(move.shard, {}).get(move.drops)
+        if replica is None or replica.state != "leaving":
+            return Answer.SOURCE  # it was lost with its engine, or has become doubtful
+        if not self.may_drop(move.shard, move.drops):
             return Answer.LAST
-        self._at(move, "dropping", at)
+        self._set_step(move, "dropping", at)
         return Answer.NONE
 
-    def _done(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _done(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step != "dropping":
             return Answer.STEP
-        self._forget(move.shard, move.drops)
-        self._end(move, well=True)
+        self._remove_replica(move.shard, move.drops)
+        self._finish(move, succeeded=True)
         return Answer.NONE
 
-    def _keep(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _keep(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step not in ("switched", "dropping"):
             return Answer.STEP
-        held = self.copies.get(move.shard, {})
-        copy = held.get(move.drops)
-        leaves = copy is not None and copy.state == "leaving"
-        if leaves and self.spared(move.shard, move.drops) and not asked.failed:
-            return Answer.STEP  # there is no reason to
-        if leaves:  # once its drop may have been sent, only a check can say whether it is there
-            sure = move.step == "switched" and not copy.wrong
-            self._hold(move.shard, replace(copy, state="good" if sure else "doubtful", wrong=False))
-        self._end(move, well=not asked.failed)
-        if asked.failed:
-            self._set_aside(move.shard, at)
+        replicas = self.copies.get(move.shard, {})
+        replica = replicas.get(move.drops)
+        is_leaving = replica is not None and replica.state == "leaving"
+        if is_leaving and self.may_drop(move.shard, move.drops) and not request.failed:
+            return Answer.STEP  # there is no reason to keep it
+        if is_leaving:  # once its drop may have been sent, only a check can tell whether it still exists
+            known_good = move.step == "switched" and not replica.wrong
+            self._set_replica(
+                move.shard, replace(replica, state="good" if known_good else "doubtful", wrong=False)
+            )
+        self._finish(move, succeeded=not request.failed)
+        if request.failed:
+            self._suspend(move.shard, at)
         return Answer.NONE
 
-    def _undo(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _undo(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step not in ("planned", "reserved", "copying", "checked"):
             return Answer.STEP
-        if asked.failed:
-            self._set_aside(move.shard, at)
+        if request.failed:
+            self._suspend(move.shard, at)
         if move.step == "reserved":
-            self._forget(move.shard, move.target)  # no statement was sent for it
+            self._remove_replica(move.shard, move.target)  # no statement was sent for it
         if move.step in ("planned", "reserved") or move.target not in self.copies.get(move.shard, {}):
-            self._end(move, well=False)
+            self._finish(move, succeeded=False)
         else:
-            self._at(move, "undoing", at)
+            self._set_step(move, "undoing", at)
         return Answer.NONE
 
-    def _undone(self, move: Migration, asked: pb.Step, at: LogPosition) -> int:
+    def _undone(self, move: Migration, request: pb.Step, at: LogPosition) -> int:
         if move.step != "undoing":
             return Answer.STEP
-        left = self.copies.get(move.shard, {}).get(move.target)
-        if left is not None and (asked.failed or self.homes[move.target].life == "gone"):
-            self._hold(move.shard, Replica(move.shard, move.target, "doubtful", asked.failed))
+        partial = self.copies.get(move.shard, {}).get(move.target)
+        if partial is not None and (request.failed or self.homes[move.target].life == "gone"):
+            self._set_replica(move.shard, Replica(move.shard, move.target, "doubtful", request.failed))
         else:
-            self._forget(move.shard, move.target)
-        self._end(move, well=False)
+            self._remove_replica(move.shard, move.target)
+        self._finish(move, succeeded=False)
         return Answer.NONE
 
-    def _set_aside(self, shard: str, at: LogPosition) -> None:
-        times = self.asides.get(shard, (0, 0))[1] + 1
-        rest = min(ASIDE_FIRST_MS * 2 ** min(times - 1, 16), ASIDE_MOST_MS)
-        self.asides[shard] = (at.clock_ms + rest, times)
+    def _suspend(self, shard: str, at: LogPosition) -> None:
+        failures = self.asides.get(shard, (0, 0))[1] + 1
+        pause_ms = min(INITIAL_SUSPENSION_MS * 2 ** min(failures - 1, 16), MAX_SUSPENSION_MS)
+        self.asides[shard] = (at.clock_ms + pause_ms, failures)
 
-    def _end(self, move: Migration, well: bool) -> None:
+    def _finish(self, move: Migration, succeeded: bool) -> None:
         self.changes += 1
         del self.moves[move.number]
-        del self._of_shard[move.shard]
-        if well:
+        del self._migration_of_shard[move.shard]
+        if succeeded:
             self.asides.pop(move.shard, None)
 
-    def _hold(self, shard: str, copy: Replica) -> None:
+    def _set_replica(self, shard: str, replica: Replica) -> None:
         self.changes += 1
-        self._placed[shard] = self._entry
-        held = self.copies.setdefault(shard, {})
-        if copy.engine not in held:
-            self.used[copy.engine] = self.used.get(copy.engine, 0) + self.shards[shard].size
-        held[copy.engine] = copy
-
-    def _forget(self, shard: str, engine: str) -> None:
-        held = self.copies.get(shard, {})
-        if held.pop(engine, None) is None:
+        self._placed_entry[shard] = self._applied_index
+        replicas = self.copies.setdefault(shard, {})
+        if replica.engine not in replicas:
+            self.used[replica.engine] = self.used.get(replica.engine, 0) + self.shards[shard].size
+        replicas[replica.engine] = replica
+
+    def _remove_replica(self, shard: str, engine: str) -> None:
+        replicas = self.copies.get(shard, {})
+        if replicas.pop(engine, None) is None:
             return
         self.changes += 1
-        self._placed[shard] = self._entry
+        self._placed_entry[shard] = self._applied_index
         self.used[engine] -= self.shards[shard].size
         if not self.used[engine]:
             del self.used[engine]
-        if not held:
+        if not replicas:
             del self.copies[shard]
 
-    # Its state as bytes.
+    # Snapshots.
 
     def snapshot(self) -> bytes:
-        """Return its state; equal states give equal bytes."""
+        """Return the state as bytes; equal states give equal bytes."""
         state = pb.State(last_move=self.last_move, changes=self.changes, revision=self.revision)
         for _, s in sorted(self.shards.items()):
             state.shards.add(
@@ -731,8 +791,8 @@
                 checked=s.rows >= 0,
                 rows=max(s.rows, 0),
                 checksum=s.checksum,
-                touched=self._touched.get(s.name, 0),
-                doubted_ms=self._doubted_at.get(s.name, -1) + 1,
+                touched=self._content_entry.get(s.name, 0),
+                doubted_ms=self._doubtful_since.get(s.name, -1) + 1,
             )
         for _, h in sorted(self.homes.items()):
             state.homes.add(
@@ -745,7 +805,7 @@
                 generation=h.generation,
                 mark=h.mark,
                 spilled=h.spilled,
-                heard=self._heard_at[h.name],
+                heard=self._engine_entry[h.name],
             )
         for shard in sorted(self.copies):
             for _, c in sorted(self.copies[shard].items()):
@@ -764,17 +824,17 @@
                 at_ms=m.at_ms,
                 rested=m.rested,
             )
-        for shard, (until, times) in sorted(self.asides.items()):
-            state.asides.add(shard=shard, until_ms=until, times=times)
-        for part, size in sorted(self._begun.items()):
+        for shard, (until_ms, failures) in sorted(self.asides.items()):
+            state.asides.add(shard=shard, until_ms=until_ms, times=failures)
+        for part, size in sorted(self._started_bytes.items()):
             state.begun.add(part=part, bytes=size)
-        for shard, (count, part) in sorted(self._faded.items()):
+        for shard, (count, part) in sorted(self._access_counts.items()):
             state.faded.add(shard=shard, count=count, part=part)
-        state.faded_part, state.faded_entry = self._faded_part, self._faded_entry
+        state.faded_part, state.faded_entry = self._access_step, self._access_entry
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
-        """Take a state in place of its own."""
+        """Replace the state by a snapshot."""
         state = pb.State.FromString(data)
         self.__init__()
         self.last_move = state.last_move
@@ -790,18 +850,18 @@
                 s.rows if s.checked else -1,
                 s.checksum,
             )
-            self._of_table.setdefault(s.table, {})[s.name] = None
+            self._shards_of_table.setdefault(s.table, {})[s.name] = None
             if s.touched:
-                self._touched[s.name] = s.touched
+                self._content_entry[s.name] = s.touched
             if s.doubted_ms:
-                self._doubted_at[s.name] = s.doubted_ms - 1
+                self._doubtful_since[s.name] = s.doubted_ms - 1
         for h in state.homes:
-            self._heard_at[h.name] = h.heard
+            self._engine_entry[h.name] = h.heard
             self.homes[h.name] = ReplicaHost(
                 h.name, h.zone, h.kind, h.disk, h.headroom, h.life, h.generation, h.mark, h.spilled
             )
         for c in state.copies:
-            self._hold(c.shard, Replica(c.shard, c.engine, c.state, c.wrong))
+            self._set_replica(c.shard, Replica(c.shard, c.engine, c.state, c.wrong))
         for m in state.moves:
             self.moves[m.number] = Migration(
                 m.number,
@@ -816,41 +876,41 @@
                 at_ms=m.at_ms,
                 rested=m.rested,
             )
-            self._of_shard[m.shard] = m.number
+            self._migration_of_shard[m.shard] = m.number
         self.asides = {a.shard: (a.until_ms, a.times) for a in state.asides}
         self.changes, self.revision = state.changes, state.revision
-        self._begun = {b.part: b.bytes for b in state.begun}
-        self._faded = {f.shard: (f.count, f.part) for f in state.faded}
-        self._faded_part, self._faded_entry = state.faded_part, state.faded_entry
-        self._placed, self._whole_before = {}, state.revision
-        self._look_ahead()
+        self._started_bytes = {b.part: b.bytes for b in state.begun}
+        self._access_counts = {f.shard: (f.count, f.part) for f in state.faded}
+        self._access_step, self._access_entry = state.faded_part, state.faded_entry
+        self._placed_entry, self._history_from = {}, state.revision
+        self._update_next_expiry()
 
 
-def effective(home: ReplicaHost) -> int:
-    """Return the bytes of an engine's disk that copies and headroom may count on.
+def usable_disk(host: ReplicaHost) -> int:
+    """Return the bytes of an engine's disk that are available to replicas and headroom.
 
-    Spills are what the headroom is for; only what they take beyond it is missing.
+    The headroom is there for spills; only what they take beyond it is subtracted.
     """
-    return home.disk - max(0, home.spilled - home.headroom)
+    return host.disk - max(0, host.spilled - host.headroom)
 
 
-def _barred(shard: Shard, facts: Facts, begins: bool) -> bool:
-    """Tell whether a change of its table keeps a shard where it is; a mere wish bars what would begin."""
-    return bool(facts.fact("changing", shard.table) or begins and facts.fact("wanted", shard.table))
+def _is_barred(shard: Shard, facts: Facts, is_start: bool) -> bool:
+    """Return whether a schema change of its table blocks the shard; a waiting one blocks only new starts."""
+    return bool(facts.fact("changing", shard.table) or is_start and facts.fact("wanted", shard.table))
 
 
-def _part_ends(part: int) -> int:
-    """Return when what began in a part of time is an hour old for certain, in ms of the record's clock."""
-    return (part + 1) * BEGUN_MS + HOUR_MS
+def _bucket_expiry_ms(part: int) -> int:
+    """Return when a bucket's bytes are certainly an hour old, in ms of the replicated clock."""
+    return (part + 1) * TRANSFER_BUCKET_MS + HOUR_MS
 
 
-def _rests(move: Migration) -> bool:
+def _is_resting(move: Migration) -> bool:
     return move.step == "switched" and not move.rested
 
 
-def _named(text: str) -> bool:
-    return 0 < len(text) <= NAME_MOST
+def _is_valid_name(text: str) -> bool:
+    return 0 < len(text) <= MAX_NAME_CHARS
 
 
-def _sane(figure: float) -> bool:
-    return math.isfinite(figure) and figure >= 0.0
+def _is_valid_load(value: float) -> bool:
+    return math.isfinite(value) and value >= 0.0
--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -40,7 +40,7 @@
 )
 from fennelwind.shards.model import Bounds
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state_machine import ASIDE_FIRST_MS, ASIDE_MOST_MS, REST_MS, ShardMachine
+from fennelwind.shards.state_machine import INITIAL_SUSPENSION_MS, MAX_SUSPENSION_MS, REST_MS, ShardMachine
 
 Answer, Step = pb.Answer, pb.Step
 SHARDS, ENGINES = ("t/d=1", "t/d=2", "u/"), ("e1", "e2", "e3", "e4")
@@ -311,7 +311,7 @@
     desk.home("e2", spilled=151)  # 51 of it beyond the headroom
     assert desk.step(Step.RESERVE, 2) == Answer.HEADROOM
     desk.home("e2", spilled=150)
-    assert desk.step(Step.RESERVE, 2) == 0 and desk.machine.room("e2") == 0
+    assert desk.step(Step.RESERVE, 2) == 0 and desk.machine.free_bytes("e2") == 0
 
 
 def test_the_last_good_copy_and_wanted_ones_stay():
@@ -369,7 +369,7 @@
 
 
 def test_the_state_is_told_in_pieces_of_one_revision(monkeypatch):
-    monkeypatch.setattr(machine_module, "PIECE_MOST", 50)
+    monkeypatch.setattr(machine_module, "MAX_PIECE_BYTES", 50)
     desk, data, seen = to_step(desk_with_copy(), "checked"), b"", pb.ShardSeen(size=1)
     while len(data) < seen.size:
         seen = pb.ShardSeen.FromString(desk.machine.asked(pb.ShardQuery(skip=len(data)).SerializeToString()))
@@ -381,7 +381,7 @@
 
 
 def test_where_copies_are_is_told_as_far_as_it_changed(monkeypatch):
-    monkeypatch.setattr(machine_module, "PLACES_MOST", 2)
+    monkeypatch.setattr(machine_module, "MAX_PLACES_PER_ANSWER", 2)
     desk, known, asks = desk_with_copy(), {}, []
 
     def look(after):
@@ -432,8 +432,8 @@
         assert desk.plan("t/d=1", "e1", "e2").refusals == [Answer.ASIDE]
         rests.append(desk.machine.next_expiry_clock_ms() - desk.clock)
         desk.wait(rests[-1])
-    assert rests[:3] == [ASIDE_FIRST_MS, ASIDE_FIRST_MS * 2, ASIDE_FIRST_MS * 4]
-    assert rests[-1] == ASIDE_MOST_MS
+    assert rests[:3] == [INITIAL_SUSPENSION_MS, INITIAL_SUSPENSION_MS * 2, INITIAL_SUSPENSION_MS * 4]
+    assert rests[-1] == MAX_SUSPENSION_MS
 
 
 @pytest.mark.parametrize(
@@ -459,7 +459,7 @@
 
 
 def test_bounds_are_refused_and_bytes_of_strangers_change_nothing(monkeypatch):
-    for bound in ("SHARDS_MOST", "HOMES_MOST", "MOVES_MOST", "COPIES_MOST"):
+    for bound in ("MAX_SHARDS", "MAX_ENGINES", "MAX_MIGRATIONS", "MAX_REPLICAS_PER_SHARD"):
         monkeypatch.setattr(machine_module, bound, 1)
     desk = Desk()
     assert [desk.declare(f"t/d={n}") for n in (1, 1, 2)] == [0, 0, Answer.TOO_MANY]
@@ -682,7 +682,7 @@
             and len(others) >= (1 if copy.wrong else self.desk.machine.shards[move.shard].copies)
         )
 
-    @rule(ms=st.sampled_from((100, REST_MS, ASIDE_FIRST_MS)))
+    @rule(ms=st.sampled_from((100, REST_MS, INITIAL_SUSPENSION_MS)))
     def wait(self, ms):
         before = self.see()
         self.desk.wait(ms + 1)
@@ -878,17 +878,18 @@
     assert machine.revision == revision and machine.state_at == desk.index
     other = ShardMachine()
     other.restore(machine.snapshot())
-    later = LogPosition(desk.index + 1, 1_800_000 + 17 * access_load.PART_MS + 5)
+    later = LogPosition(desk.index + 1, 1_800_000 + 17 * access_load.STEP_MS + 5)
     for one in (machine, other):
         one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), desk)
     assert machine.snapshot() == other.snapshot() and machine.access_loads()
     assert all(
-        abs(access_load.faded(10**9, n) - 10**9 * 0.5 ** (n / access_load.PARTS)) < 10**5 for n in range(200)
+        abs(access_load.decayed(10**9, n) - 10**9 * 0.5 ** (n / access_load.STEPS_PER_HALF_LIFE)) < 10**5
+        for n in range(200)
     )
     two_versions = mock.patch.object(Desk, "fact", lambda self, kind, key: int(kind == "level"))
     with two_versions, pytest.raises(UnreadableCommandError, match="of no kind"):
         machine.apply(later, pb.Command(counted=counted()).SerializeToString(), desk)
-    many = counted(*[(f"t/d={n}", 1) for n in range(access_load.TOLD_MOST + 1)])
+    many = counted(*[(f"t/d={n}", 1) for n in range(access_load.MAX_REPORTED_SHARDS + 1)])
     answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), desk)
     assert Answer.FromString(answer).refusal == Answer.TOO_MANY
     late = LogPosition(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
@@ -900,13 +901,13 @@
 
 def test_a_controller_tells_what_was_named_most_and_keeps_the_rest_faded():
     named = access_load.AccessCounter()
-    for n in range(access_load.NAMED_MOST + 1):
+    for n in range(access_load.MAX_COUNTED_SHARDS + 1):
         named.count([f"t/d={n}", "t/d=0"])
     batch = named.batch(access_load.HALF_LIFE_MS)
-    assert named.uncounted == 1 and batch[0] == ("t/d=0", (access_load.NAMED_MOST + 2) * 500)
-    assert len(batch) == access_load.TOLD_MOST and batch[1] == ("t/d=1", 500)
+    assert named.uncounted == 1 and batch[0] == ("t/d=0", (access_load.MAX_COUNTED_SHARDS + 2) * 500)
+    assert len(batch) == access_load.MAX_REPORTED_SHARDS and batch[1] == ("t/d=1", 500)
     named.discard_reported(batch)
-    assert len(named.counts) == access_load.NAMED_MOST - access_load.TOLD_MOST
+    assert len(named.counts) == access_load.MAX_COUNTED_SHARDS - access_load.MAX_REPORTED_SHARDS
     assert named.batch(7 * access_load.HALF_LIFE_MS) == []
 
 
--- a/tests/support/clearance_defects.py
+++ b/tests/support/clearance_defects.py
@@ -77,9 +77,9 @@
     "a query is over with its client's answer": [
         Line(
             Routing.query_ended,
-            "self._named.pop(query, None)",
+            "self._named_by_query.pop(query, None)",
             "if self.in_flight is not None:\n        self.in_flight.attempt_ended((query, 0))\n"
-            "    self._named.pop(query, None)",
+            "    self._named_by_query.pop(query, None)",
         )
     ],
     "an older view is taken": [
@@ -95,10 +95,10 @@
         Line(InFlightTracker.next_acknowledgement, " or not is_complete", "")
     ],
     "queries of shards that the record does not know are not kept away": [
-        Line(Routing.may_send, "self._named.get(query, shards)", "shards")
+        Line(Routing.may_send, "self._named_by_query.get(query, shards)", "shards")
     ],
     "tables are told apart by case": [
-        Line(Routing._kept_away, 's.partition("/")[0].lower()', 's.partition("/")[0].upper()')
+        Line(Routing._quiesced_engines, 's.partition("/")[0].lower()', 's.partition("/")[0].upper()')
     ],
 }
 
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -48,20 +48,20 @@
             DROP_NOW + "if not self._may_go(move):",
         )
     ],
-    "last good copy may go": [patch.object(ShardMachine, "spared", lambda self, shard, engine: True)],
+    "last good copy may go": [patch.object(ShardMachine, "may_drop", lambda self, shard, engine: True)],
     "headroom without the copy that comes in": [
         Line(
-            ShardMachine.room,
+            ShardMachine.free_bytes,
             "self.used.get(engine, 0)",
             "sum(self.shards[s].size for s, held in self.copies.items()"
             " if engine in held and held[engine].state != 'coming')",
         )
     ],
     "spills beyond the headroom not counted": [
-        patch.object(state_machine, "effective", lambda home: home.disk)
+        patch.object(state_machine, "usable_disk", lambda home: home.disk)
     ],
     "fence not checked by the record": [
-        patch.object(ShardMachine, "_fenced", lambda self, fence, facts: True)
+        patch.object(ShardMachine, "_has_valid_fence", lambda self, fence, facts: True)
     ],
     "drops on their way not waited for": [
         patch.object(MigrationDriver, "_drops_ended", lambda self, shard, engine: True)
@@ -77,32 +77,32 @@
         )
     ],
     "generation ignored: an empty disk passes for the old one": [
-        Line(ShardMachine._heard, "if known.mark and home.mark != known.mark:", "if False:")
+        Line(ShardMachine._update_engine, "if known.mark and host.mark != known.mark:", "if False:")
     ],
     "generation ignored by steps": [
         Line(
-            ShardMachine._coming,
-            "home, copy = self.homes[move.target],",
+            ShardMachine._is_target_valid,
+            "host, replica = self.homes[move.target],",
             "if move.target not in self.copies.get(move.shard, {}):\n"
-            "        self._hold(move.shard, Replica(move.shard, move.target, 'coming'))\n"
-            "    return True\n    home, copy = self.homes[move.target],",
+            "        self._set_replica(move.shard, Replica(move.shard, move.target, 'coming'))\n"
+            "    return True\n    host, replica = self.homes[move.target],",
         ),
         patch.object(MigrationDriver, "_target_there", lambda self, move: True),
     ],
     "a check's answer from an earlier disk is taken": [
-        Line(ShardMachine._checked, "home.generation != asked.generation or", "")
+        Line(ShardMachine._record_check, "host.generation != request.generation or", "")
     ],
     "a check's answer from before a move is taken": [
-        Line(ShardMachine._checked, "asked.seen < self._touched.get(shard.name, 0)", "False")
+        Line(ShardMachine._record_check, "request.seen < self._content_entry.get(shard.name, 0)", "False")
     ],
     "copies of a returned engine trusted unchecked": [
-        patch.object(ShardMachine, "_doubted", lambda self, engine, at: None)
+        patch.object(ShardMachine, "_mark_doubtful", lambda self, engine, at: None)
     ],
     "space of a half copy freed before its drop": [
         Line(
             ShardMachine._undo,
-            'self._at(move, "undoing", at)',
-            'self._at(move, "undoing", at)\n        self._undone(self.moves[move.number], asked, at)',
+            'self._set_step(move, "undoing", at)',
+            'self._set_step(move, "undoing", at)\n        self._undone(self.moves[move.number], request, at)',
         )
     ],
     "undone without the drop": [
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -69,15 +69,17 @@
 
 def plan(world: World, bounds: Bounds) -> MigrationPlan:
     """Plan simply: what is missing comes to the emptiest engine, what drains moves, what is over goes."""
-    room = {home.name: home.disk - home.headroom for home in world.homes.values() if home.life == "ready"}
+    free_bytes = {
+        home.name: home.disk - home.headroom for home in world.homes.values() if home.life == "ready"
+    }
     for copy in world.copies.values():
-        if copy.engine in room:
-            room[copy.engine] -= world.shards[copy.shard].size
+        if copy.engine in free_bytes:
+            free_bytes[copy.engine] -= world.shards[copy.shard].size
     moves, drops = [], []
     under_way = {move.shard for move in world.moves.values()}
     coming = Counter(move.target for move in world.moves.values() if move.step == "planned")
-    for engine in room:
-        room[engine] -= SIZE * coming[engine]
+    for engine in free_bytes:
+        free_bytes[engine] -= SIZE * coming[engine]
     for name, shard in sorted(world.shards.items()):
         if name in under_way or name in world.aside or shard.table in world.frozen:
             continue
@@ -88,10 +90,10 @@
             away = [engine for engine in good if engine not in ready] or ready[-1:]
             drops.append((name, away[0]))
         elif good and len(ready) < shard.copies:
-            fits = [e for e in sorted(room) if e not in held and room[e] >= shard.size]
-            target = max(fits, key=lambda e: room[e], default=None)
+            fits = [e for e in sorted(free_bytes) if e not in held and free_bytes[e] >= shard.size]
+            target = max(fits, key=lambda e: free_bytes[e], default=None)
             if target is not None:
-                room[target] -= shard.size
+                free_bytes[target] -= shard.size
                 away = [engine for engine in good if engine not in ready]
                 moves.append(
                     Migration(1_000_000 + len(moves), name, good[0], target, away[0] if away else "")
@@ -290,7 +292,7 @@
     def check_keeps(self, keeps):
         """Check that the record keeps what a plan made now says is to be kept: it is not asked to."""
         for move in (self.machine.moves[number] for number in keeps):
-            if move.step in ("switched", "dropping") and self.machine.spared(move.shard, move.drops):
+            if move.step in ("switched", "dropping") and self.machine.may_drop(move.shard, move.drops):
                 raise Broken(f"the planner keeps a copy of {move.shard} that the record lets go")
 
     def declare(self, name, copies, holds=None):
