--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -933,7 +933,7 @@
     "defect",
     [
         None,
-        mock.patch.object(MigrationDriver, "_copies_asked", lambda self: {}),
+        mock.patch.object(MigrationDriver, "_requested_copies", lambda self: {}),
         mock.patch(
             "fennelwind.shards.transfer_throttle.available_source",
             lambda known, bounds, move, engines, asked: engines[0],
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -22,30 +22,30 @@
 ACTIONS = 17  # of a play of one fault; the last ones have nothing left to break
 DROP_NOW = """if work.phase not in ("sent", "early") and move.drops:
         work.phase = "early"
-        return self._run(move.number, "early", move.shard, move.drops, migration_statements.drop(move.shard),
-                         self.timing.drop_ms)
+        return self._run_statement(move.number, "early", move.shard, move.drops,
+                                   migration_statements.drop(move.shard), self.timing.drop_ms)
     """
 DEFECTS = {
     "switched without a check": [
         Line(
             MigrationDriver._verify,
             "if work.target is not None and",
-            "return self._take(move, Step.CHECK, attempt=move.attempt, rows=max(shard.rows, 0),"
+            "return self._request_step(move, Step.CHECK, attempt=move.attempt, rows=max(shard.rows, 0),"
             " checksum=shard.checksum)\n    if work.target is not None and",
         )
     ],
     "old copy dropped before the switch": [
         Line(
             MigrationDriver._at_checked,
-            "self._take(move, Step.SWITCH)",
-            DROP_NOW + "self._take(move, Step.SWITCH)",
+            "self._request_step(move, Step.SWITCH)",
+            DROP_NOW + "self._request_step(move, Step.SWITCH)",
         )
     ],
     "old copy dropped before the record says so": [
         Line(
             MigrationDriver._at_switched,
-            "if not self._may_go(move):",
-            DROP_NOW + "if not self._may_go(move):",
+            "if not self._may_drop_old(move):",
+            DROP_NOW + "if not self._may_drop_old(move):",
         )
     ],
     "last good copy may go": [patch.object(ShardMachine, "may_drop", lambda self, shard, engine: True)],
@@ -87,7 +87,7 @@
             "        self._set_replica(move.shard, Replica(move.shard, move.target, 'coming'))\n"
             "    return True\n    host, replica = self.homes[move.target],",
         ),
-        patch.object(MigrationDriver, "_target_there", lambda self, move: True),
+        patch.object(MigrationDriver, "_is_target_valid", lambda self, move: True),
     ],
     "a check's answer from an earlier disk is taken": [
         Line(ShardMachine._record_check, "host.generation != request.generation or", "")
@@ -106,17 +106,17 @@
         )
     ],
     "undone without the drop": [
-        Line(MigrationDriver._at_undoing, 'work.phase == "dropped" or not there', "True")
+        Line(MigrationDriver._at_undoing, 'work.phase == "dropped" or not has_replica', "True")
     ],
     "no rest after a switch": [patch.object(QuickMachine, "rest_ms", 0)],
     "queries on the old copy not waited for": [
-        Line(MigrationDriver._at_switched, "if work.quiet or", "if True or")
+        Line(MigrationDriver._at_switched, "if work.is_quiesced or", "if True or")
     ],
     "table under change moved on": [
         Line(Play.fact, 'return int(kind == "changing" and key in self.changing)', "return 0")
     ],
     "acts on a copy of the record older than its answers": [
-        Line(MigrationDriver.step, "and self._index >= self._need_index", "")
+        Line(MigrationDriver.step, "and self._index >= self._min_index", "")
     ],
 }
 
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -49,7 +49,7 @@
     slack_ms=1_000,
     finish_ms=15_000,
     again_ms=500,
-    again_most_ms=8_000,
+    max_retry_delay_ms=8_000,
     tries=4,
     plan_ms=2_000,
 )
