--- a/fennelwind/shards/access_load.py
+++ b/fennelwind/shards/access_load.py
@@ -34,9 +34,8 @@
 MAX_REPORTED_COUNT = 2**40  # units that one controller may report for a shard; sums stay far below 2**64
 MAX_COUNTED_SHARDS = 4_096  # shards that a controller counts; others are ignored until some have decayed
 MIN_KEPT_QUERIES = 0.05  # queries; lower counts are dropped
-MIN_COUNT_TO_USE = (
-    1_000 * UNITS_PER_QUERY
-)  # units known to the replicated state from which on counted load replaces declared load
+# units known to the replicated state from which on counted load replaces declared load
+MIN_COUNT_TO_USE = 1_000 * UNITS_PER_QUERY
 
 
 def decayed(count: int, steps: int) -> int:
--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -15,9 +15,8 @@
 
 MAX_BALANCE_MIGRATIONS = 64  # for balance alone in one plan; the next plan continues
 CANCEL_THRESHOLD = 0.5  # part of a tolerance below which a planned migration for balance is cancelled
-CHANCE_DEVIATIONS = (
-    4.0  # standard deviations allowed for chance in counted load: exceeded once in 30,000 plans
-)
+# standard deviations allowed for chance in counted load: exceeded once in 30,000 plans
+CHANCE_DEVIATIONS = 4.0
 # considered on the engine with the largest deviation, those with the most gain for their bytes
 MAX_CANDIDATE_SHARDS = 40
 
@@ -27,7 +26,7 @@
 
     def __init__(self, placement: Placement, sequence: Sequence, bounds: Bounds) -> None:
         self.placement, self.sequence, self.bounds, self.view = placement, sequence, bounds, placement.view
-        places = {name: set(have) for name, have in sequence.available.items()}
+        places = {name: set(replicas) for name, replicas in sequence.available.items()}
         self.places = {name: places.get(name, engines) for name, engines in self.view.good_at_end.items()}
         heat = access_load_by_engine(self.view, self.places)
         self.access_load = heat
@@ -116,12 +115,12 @@
     placement, view = deviations.placement, deviations.view
     world = view.world
     disk = deviations.deviation(engine)[0] >= deviations.deviation(engine)[1]
-    fixed = {move.shard for move in (*deviations.sequence.moves, *view.continuing.values())}
+    migrating = {move.shard for move in (*deviations.sequence.moves, *view.continuing.values())}
     candidates = [
         world.shards[name]
         for name in sorted(deviations.shards_on[engine])
         if engine in view.good_now[name]
-        and name not in fixed
+        and name not in migrating
         and not placement.is_pinned(world.shards[name])
         and not view.doubtful[name]
         and accepts_replica(world.homes[engine], world.shards[name])
@@ -164,16 +163,16 @@
 def _best_target(deviations: _Deviations, shard: Shard, engine: str, load_share: float, worst: float) -> str:
     """Return the engine with the least deviation after the migration, if that is within tolerance."""
     placement, view = deviations.placement, deviations.view
-    rest = deviations.places[shard.name] - {engine}
-    best, least = "", 1.0
+    others = deviations.places[shard.name] - {engine}
+    best, lowest = "", 1.0
     for target in placement.fitting_engines(shard):
         if (
             target in view.holders[shard.name]
             or deviations.sequence.free_at_end(target) < shard.size
-            or view.span(rest | {target}) < min(required_zones(shard), view.span(rest | {engine}))
+            or view.span(others | {target}) < min(required_zones(shard), view.span(others | {engine}))
         ):
             continue
         deviation = max(deviations.deviation(target, shard.size, load_share))
-        if deviation < least and deviation < worst:
-            best, least = target, deviation
+        if deviation < lowest and deviation < worst:
+            best, lowest = target, deviation
     return best
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -17,11 +17,8 @@
 from fennelwind.shards.model import Migration, Replica, ReplicaHost, Shard, World
 
 ENDED_STEPS = ("done", "undone")  # steps of a migration that has ended
-SPACE_HELD_STEPS = (
-    "reserved",
-    "copying",
-    "checked",
-)  # steps with space reserved and a replica that is not good yet
+# steps with space reserved and a replica that is not good yet
+SPACE_HELD_STEPS = ("reserved", "copying", "checked")
 READING_STEPS = ("planned", "reserved", "copying")  # steps that still need the source
 
 
@@ -58,20 +55,16 @@
     used: dict[str, int] = field(default_factory=dict)  # bytes by engine: all replicas, whatever their state
     limit: dict[str, int] = field(default_factory=dict)  # bytes by engine that replicas may take
     holders: dict[str, set[str]] = field(default_factory=dict)  # by shard: live engines with any replica
-    brought_by: dict[tuple[str, str], int] = field(
-        default_factory=dict
-    )  # replicas that continuing migrations bring, and the migration
+    # replicas that continuing migrations bring, and the migration
+    brought_by: dict[tuple[str, str], int] = field(default_factory=dict)
     # replicas whose drop continuing migrations wait for
     to_clear: set[tuple[str, str]] = field(default_factory=set)
-    balance_only: list[Migration] = field(
-        default_factory=list
-    )  # planned migrations that balance alone can be the reason for
-    cancelled_copies: set[tuple[str, str]] = field(
-        default_factory=set
-    )  # replicas of cancelled migrations, dropped without a further migration
-    leaving_or_doubtful: dict[str, set[str]] = field(
-        default_factory=dict
-    )  # by shard: engines whose replica is being dropped or is doubtful
+    # planned migrations that balance alone can be the reason for
+    balance_only: list[Migration] = field(default_factory=list)
+    # replicas of cancelled migrations, dropped without a further migration
+    cancelled_copies: set[tuple[str, str]] = field(default_factory=set)
+    # by shard: engines whose replica is being dropped or is doubtful
+    leaving_or_doubtful: dict[str, set[str]] = field(default_factory=dict)
     # coming or leaving replicas without a migration
     orphans: list[tuple[str, str]] = field(default_factory=list)
 
@@ -237,19 +230,20 @@
     if state in ("coming", "leaving"):
         return True
     is_read = any(
-        (one.shard, one.source) == pair and one.step in READING_STEPS for one in view.continuing.values()
+        (reader.shard, reader.source) == pair and reader.step in READING_STEPS
+        for reader in view.continuing.values()
     )
     if shard.table in world.frozen or name in world.aside or is_read:
         return False
-    left = {other for other in view.good_now[name] if (name, other) not in view.to_clear} - {engine}
+    good_left = {other for other in view.good_now[name] if (name, other) not in view.to_clear} - {engine}
     is_replaced = any(
         pair in other.cleared and other.number not in view.cancels for other in update_disk_mean
     )
     if state == "doubtful":
-        may_drop = (is_replaced and bool(left)) or view.meets_needs(shard, left)
+        may_drop = (is_replaced and bool(good_left)) or view.meets_needs(shard, good_left)
     else:
-        zones = min(required_zones(shard), view.span(left | {engine}))
-        may_drop = len(left) >= replication_factor(shard) and view.span(left) >= zones
+        zones = min(required_zones(shard), view.span(good_left | {engine}))
+        may_drop = len(good_left) >= replication_factor(shard) and view.span(good_left) >= zones
     if may_drop:
         view.to_clear.add(pair)
         return True
@@ -285,8 +279,8 @@
             if number > brought_last.get(move.shard, {}).get(move.drops, number):
                 good_at_end.discard(move.drops)  # an intermediate replica on a third engine
             continue
-        rest, good_now = good_at_end - {move.drops}, view.good_now[move.shard] | {move.drops}
-        loses_needed = len(rest) < min(replication_factor(shard), len(good_now)) or view.span(rest) < min(
+        others, good_now = good_at_end - {move.drops}, view.good_now[move.shard] | {move.drops}
+        loses_needed = len(others) < min(replication_factor(shard), len(good_now)) or view.span(others) < min(
             required_zones(shard), view.span(good_now)
         )
         good_when_done = set(good_now)  # when it is done and, of the others, only those that it waits for
@@ -298,11 +292,11 @@
         loses_needed |= view.span(good_when_done) < min(required_zones(shard), view.span(good_now))
         over = view.used[move.drops] > view.limit[move.drops]
         if accepts_replica(world.homes[move.drops], shard) and number not in waited_for and not over:
-            zones_with_drop = view.span(rest | {move.drops})
-            loses_needed |= len(rest) < replication_factor(shard) or view.span(rest) < min(
+            zones_with_drop = view.span(others | {move.drops})
+            loses_needed |= len(others) < replication_factor(shard) or view.span(others) < min(
                 required_zones(shard), zones_with_drop
             )
-        if rest and not loses_needed:
+        if others and not loses_needed:
             if brought_last.get(move.shard, {}).get(move.drops, 0) < number:
                 good_at_end.discard(move.drops)
             continue
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -22,7 +22,7 @@
 
 
 @dataclass(slots=True)
-class _Part:
+class _MovableShard:
     """A shard that may be changed; engines are bits."""
 
     name: str
@@ -36,7 +36,7 @@
     firm: int  # of these, those whose replica no running migration reads
     doubtful: int
     goals: tuple[int, ...] = ()  # places that meet all needs that can be met
-    lacks: int = 0  # replicas and zones that are unmet even there
+    min_unmet: int = 0  # replicas and zones that are unmet even there
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,19 +52,19 @@
         self, doubtful: Mapping[str, Set[str]]
     ) -> tuple[list[tuple[str, str]], list[Transfer]]:
         """Return the replicas dropped without a migration, and the transfers in their order."""
-        steps, rest = [], self.steps
-        while rest:
-            step, rest = rest
+        steps, link = [], self.steps
+        while link:
+            step, link = link
             steps.append(step)
         drops: list[tuple[str, str]] = []
         transfers: list[Transfer] = []
-        for name, target, out in reversed(steps):
+        for name, target, dropped in reversed(steps):
             if not target:
-                drops.append((name, out))
+                drops.append((name, dropped))
                 continue
             if target in doubtful[name] and not any((t.shard, t.target) == (name, target) for t in transfers):
                 drops.append((name, target))  # copied again to the same engine
-            transfers.append(Transfer(name, target, out))
+            transfers.append(Transfer(name, target, dropped))
         return drops, transfers
 
 
@@ -78,7 +78,7 @@
         self.zone = [view.world.homes[engine].zone for engine in self.engines]
         self.spans: dict[int, int] = {}
         self.free_at_start = tuple(sequence.free_at_end(engine) for engine in self.engines)
-        self.parts: list[_Part] = []
+        self.movables: list[_MovableShard] = []
         for name, shard in sorted(view.world.shards.items()):
             if placement.is_pinned(shard):
                 continue
@@ -88,7 +88,7 @@
             doubtful = {
                 e for e in view.doubtful[name] - view.good_at_end[name] if (name, e) not in view.to_clear
             }
-            part = _Part(
+            movable = _MovableShard(
                 name,
                 shard.size,
                 replication_factor(shard),
@@ -100,9 +100,9 @@
                 self._bits(view.good_at_end[name] & view.good_now[name] - read),
                 self._bits(doubtful),
             )
-            self._set_goals(part)
-            self.parts.append(part)
-        self.lacks = sum(part.lacks for part in self.parts)
+            self._set_goals(movable)
+            self.movables.append(movable)
+        self.min_unmet = sum(movable.min_unmet for movable in self.movables)
         self._missing: dict[tuple[int, int], int] = {}
         self._unmet: dict[tuple[int, int], int] = {}
         self._options: dict[tuple[int, tuple[int, int]], list[tuple]] = {}
@@ -118,70 +118,82 @@
             self.spans[mask] = len({self.zone[number] for number in self._numbers(mask)})
         return self.spans[mask]
 
-    def _set_goals(self, part: _Part) -> None:
-        fit = self._numbers(part.fit)
-        some = [sum(1 << n for n in places) for places in combinations(fit, min(part.count, len(fit)))]
-        max_states = max(min(part.zones, self._span(mask)) for mask in some)
-        part.goals = tuple(mask for mask in some if min(part.zones, self._span(mask)) == max_states)
-        part.lacks = max(0, part.count - len(fit)) + part.zones - max_states
+    def _set_goals(self, movable: _MovableShard) -> None:
+        fit = self._numbers(movable.fit)
+        placements = [
+            sum(1 << n for n in places) for places in combinations(fit, min(movable.count, len(fit)))
+        ]
+        zones_spanned = max(min(movable.zones, self._span(mask)) for mask in placements)
+        movable.goals = tuple(
+            mask for mask in placements if min(movable.zones, self._span(mask)) == zones_spanned
+        )
+        movable.min_unmet = max(0, movable.count - len(fit)) + movable.zones - zones_spanned
 
     def missing(self, number: int, good: int) -> int:
         """Return the least bytes that still have to be copied for a shard."""
         key = number, good
         if key not in self._missing:
-            part = self.parts[number]
-            self._missing[key] = part.size * min((goal & ~good).bit_count() for goal in part.goals)
+            movable = self.movables[number]
+            self._missing[key] = movable.size * min((goal & ~good).bit_count() for goal in movable.goals)
         return self._missing[key]
 
     def unmet(self, number: int, good: int) -> int:
         """Return how many replicas and zones a shard lacks."""
         key = number, good
         if key not in self._unmet:
-            part, fit = self.parts[number], good & self.parts[number].fit
-            self._unmet[key] = max(0, part.count - fit.bit_count()) + max(0, part.zones - self._span(fit))
+            movable, fit = self.movables[number], good & self.movables[number].fit
+            self._unmet[key] = max(0, movable.count - fit.bit_count()) + max(
+                0, movable.zones - self._span(fit)
+            )
         return self._unmet[key]
 
     def explore(self, least: int, states: int) -> Path | None:
         """Return the path with the least unmet needs, then bytes, that so many states show."""
-        return self._search(states, lambda unmet, rest, paid: (unmet, rest, paid), least, None)
+        return self._search(
+            states, lambda unmet, min_remaining, bytes_paid: (unmet, min_remaining, bytes_paid), least, None
+        )
 
     def cheapest(self, allowed: int, below: int | None, states: int) -> Path | None:
         """Return the cheapest path to at most `allowed` unmet and under `below` bytes; None: not found."""
         return self._search(states, None, allowed, below)
 
     def _search(self, states: int, priority: Callable | None, allowed: int, below: int | None) -> Path | None:
-        max_states, unmet_allowance = states, max(0, allowed - self.lacks) if priority is None else 0
-        state: State = tuple((part.good, part.doubtful) for part in self.parts)
-        serial, paid, best, found = 0, 0, {state: 0}, None
+        max_states, unmet_allowance = states, max(0, allowed - self.min_unmet) if priority is None else 0
+        state: State = tuple((movable.good, movable.doubtful) for movable in self.movables)
+        serial, bytes_paid, best_bytes, found = 0, 0, {state: 0}, None
         heap = [((), 0, 0, state, self.free_at_start, None)]
-        while heap and states > 0 and len(best) < MAX_SEEN_PER_STATE * max_states:
-            _, _, paid, state, free, steps = heapq.heappop(heap)
-            if paid > best[state]:
+        while heap and states > 0 and len(best_bytes) < MAX_SEEN_PER_STATE * max_states:
+            _, _, bytes_paid, state, free, steps = heapq.heappop(heap)
+            if bytes_paid > best_bytes[state]:
                 continue
             states -= 1
             unmet = self._unmet_in(state, free)
-            if found is None or (unmet, paid) < (found.unmet, found.bytes):
-                found = Path(unmet, paid, state, steps)
+            if found is None or (unmet, bytes_paid) < (found.unmet, found.bytes):
+                found = Path(unmet, bytes_paid, state, steps)
                 if unmet <= allowed:
                     return found
             remaining = self._remaining_bytes(state, 0)
-            for number, after, changed, step in self._successors(state, free):
-                cost = paid + (self.parts[number].size if step[1] else 0)
-                next_state = (*state[:number], after, *state[number + 1 :])
-                if cost >= best.get(next_state, cost + 1):
+            for number, shard_state, changed, step in self._successors(state, free):
+                cost = bytes_paid + (self.movables[number].size if step[1] else 0)
+                next_state = (*state[:number], shard_state, *state[number + 1 :])
+                if cost >= best_bytes.get(next_state, cost + 1):
                     continue
-                rest = (
+                min_remaining = (
                     self._remaining_bytes(next_state, unmet_allowance)
                     if unmet_allowance
-                    else (remaining - self.missing(number, state[number][0]) + self.missing(number, after[0]))
+                    else (
+                        remaining
+                        - self.missing(number, state[number][0])
+                        + self.missing(number, shard_state[0])
+                    )
                 )
-                if below is not None and cost + rest >= below:
+                if below is not None and cost + min_remaining >= below:
                     continue
-                best[next_state] = cost
+                best_bytes[next_state] = cost
                 serial += 1
-                key = (cost + rest, rest)
+                key = (cost + min_remaining, min_remaining)
                 if priority is not None:
-                    key = priority(self._unmet_in(next_state, changed), rest, cost)
+                    key = priority(self._unmet_in(next_state, changed), min_remaining, cost)
                 heapq.heappush(heap, (key, -serial, cost, next_state, changed, (step, steps)))
         return found if priority is not None else None
 
@@ -197,9 +209,9 @@
             return sum(rests)
         sizes = sorted(
             (
-                part.size
-                for part, rest in zip(self.parts, rests, strict=True)
-                for _ in range(rest // part.size)
+                movable.size
+                for movable, min_remaining in zip(self.movables, rests, strict=True)
+                for _ in range(min_remaining // movable.size)
             ),
             reverse=True,
         )
@@ -209,58 +221,62 @@
         """Yield each step: the shard's number, its next state, the free bytes by engine, and the step."""
         for number, place in enumerate(state):
             if (number, place) not in self._options:
-                self._options[number, place] = list(self._steps(self.parts[number], *place))
-            for target, least, out, size, after, step in self._options[number, place]:
+                self._options[number, place] = list(self._steps(self.movables[number], *place))
+            for target, least, dropped, size, shard_state, step in self._options[number, place]:
                 if target >= 0 and free[target] < least:
                     continue
                 free_after = list(free)
                 if target >= 0:
                     free_after[target] -= least
-                if out >= 0:
-                    free_after[out] += size
-                yield number, after, tuple(free_after), step
+                if dropped >= 0:
+                    free_after[dropped] += size
+                yield number, shard_state, tuple(free_after), step
 
-    def _steps(self, part: _Part, good: int, doubtful: int) -> Iterator[tuple]:
+    def _steps(self, movable: _MovableShard, good: int, doubtful: int) -> Iterator[tuple]:
         """Yield a shard's steps: target, bytes it takes, engine that loses a replica, bytes freed, .."""
-        for n in self._numbers((part.free | part.doubtful & part.fit) & ~good):
-            size = 0 if doubtful >> n & 1 else part.size  # replaces a doubtful one
-            more, left = good | 1 << n, doubtful & ~(1 << n)
-            yield n, size, -1, 0, (more, left), (part.name, self.engines[n], "")
-            least = min(part.zones, self._span(good))
-            for out in self._numbers(good | left):
-                stays = more & ~(1 << out)
-                if self._span(stays) >= least:
+        for n in self._numbers((movable.free | movable.doubtful & movable.fit) & ~good):
+            size = 0 if doubtful >> n & 1 else movable.size  # replaces a doubtful one
+            good_next, doubtful_left = good | 1 << n, doubtful & ~(1 << n)
+            yield n, size, -1, 0, (good_next, doubtful_left), (movable.name, self.engines[n], "")
+            least = min(movable.zones, self._span(good))
+            for dropped in self._numbers(good | doubtful_left):
+                good_left = good_next & ~(1 << dropped)
+                if self._span(good_left) >= least:
                     yield (
                         n,
                         size,
-                        out,
-                        part.size,
-                        (stays, left & ~(1 << out)),
-                        (part.name, self.engines[n], self.engines[out]),
+                        dropped,
+                        movable.size,
+                        (good_left, doubtful_left & ~(1 << dropped)),
+                        (movable.name, self.engines[n], self.engines[dropped]),
                     )
-        if good & ~part.good:
+        if good & ~movable.good:
             return  # replicas dropped without a migration have to be surplus from the start
-        for out in self._numbers(good & part.firm | doubtful):
-            if self._may_drop_at_once(part, good & part.now, out):
+        for dropped in self._numbers(good & movable.firm | doubtful):
+            if self._may_drop_at_once(movable, good & movable.now, dropped):
                 yield (
                     -1,
                     0,
-                    out,
-                    part.size,
-                    (good & ~(1 << out), doubtful & ~(1 << out)),
-                    (part.name, "", self.engines[out]),
+                    dropped,
+                    movable.size,
+                    (good & ~(1 << dropped), doubtful & ~(1 << dropped)),
+                    (movable.name, "", self.engines[dropped]),
                 )
 
-    def _may_drop_at_once(self, part: _Part, now: int, out: int) -> bool:
+    def _may_drop_at_once(self, movable: _MovableShard, now: int, dropped: int) -> bool:
         """Return whether a replica may be dropped at once, given those that are good already."""
-        stays = now & ~(1 << out)
-        if stays == now:  # a doubtful one: dropped only when all needs are met
-            return (now & part.fit).bit_count() >= part.count and self._span(now & part.fit) >= part.zones
-        return stays.bit_count() >= part.count and self._span(stays) >= min(part.zones, self._span(now))
+        good_left = now & ~(1 << dropped)
+        if good_left == now:  # a doubtful one: dropped only when all needs are met
+            return (now & movable.fit).bit_count() >= movable.count and self._span(
+                now & movable.fit
+            ) >= movable.zones
+        return good_left.bit_count() >= movable.count and self._span(good_left) >= min(
+            movable.zones, self._span(now)
+        )
 
     def places(self, state: State) -> dict[str, frozenset[str]]:
         """Return the places of the good replicas that count, by shard."""
         return {
-            part.name: frozenset(self.engines[n] for n in self._numbers(good & part.fit))
-            for part, (good, _) in zip(self.parts, state, strict=True)
+            movable.name: frozenset(self.engines[n] for n in self._numbers(good & movable.fit))
+            for movable, (good, _) in zip(self.movables, state, strict=True)
         }
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -226,16 +226,14 @@
         # when a drop without an answer has certainly ended
         self._drop_expiry_ms: dict[tuple[str, str], float] = {}
         self._load_expiry_ms: dict[tuple[str, str], float] = {}  # the same of an import
-        self._held_since_ms = (
-            -1.0
-        )  # when the lease was acquired: statements of the last holder may be in flight
+        # when the lease was acquired: statements of the last holder may be in flight
+        self._held_since_ms = -1.0
         self._listed_shards: dict[str, frozenset[str]] = {}  # shards by engine, as last listed by the engines
         self._mismatches: dict[str, frozenset[str]] = {}  # where the list differs from the replicated state
         self._engine_reports: dict[str, ReplicaHost] = {}
         self._next_plan_ms = 0.0
-        self._planned_state: tuple[int, frozenset[str]] | None = (
-            None  # `changes` and frozen tables of the last plan
-        )
+        # `changes` and frozen tables of the last plan
+        self._planned_state: tuple[int, frozenset[str]] | None = None
         self._plan_last_move = 0  # the last migration's number when the plan was requested
         self._new_plan: MigrationPlan | None = None  # a computed plan that is not used yet
         self._now_ms = 0.0
@@ -726,8 +724,8 @@
         for engine, listed in event.held.items():
             held = {shard for shard, of in self.machine.copies.items() if engine in of}
             mismatched = frozenset(shard for shard in listed ^ held if shard in self.machine.shards)
-            # A list may be older than a drop or an import that the replicated state knows; a second mismatch in
-            # a row is checked.
+            # A list may be older than a drop or an import that the replicated state knows; a second mismatch
+            # in a row is checked.
             for shard in sorted(mismatched & self._mismatches.get(engine, frozenset())):
                 self._doubtful.setdefault((shard, engine), (0, 0.0))
             self._listed_shards[engine], self._mismatches[engine] = listed, mismatched
@@ -814,7 +812,7 @@
         tries = self._doubtful.get(pair, (0, 0.0))[0] + 1
         self._doubtful[pair] = tries, self._now_ms + self._retry_delay_ms(tries)
 
-    # Plans. The state may have changed since the plan's world was taken: each step is validated there and here.
+    # Plans. The state may have changed since the plan's world was taken: steps are validated there and here.
 
     def _on_plan_completed(self, event: PlanCompleted) -> None:
         pending = self._pending.get(event.token)
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -54,7 +54,7 @@
 
     sequence: Sequence
     drops: list[tuple[str, str]]
-    rest: list[Transfer]
+    unordered: list[Transfer]
     unmet: int
     bytes: int
 
@@ -125,10 +125,10 @@
             drops += [(name, engine) for engine in outcome.drops]
             unmet += outcome.unmet
         sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.to_clear))
-        rest = arrange(sequence, transfers)
+        unordered = arrange(sequence, transfers)
         overfull = sum(sequence.free_at_end(engine) < 0 for engine in sequence.free_bytes)
         size = sum(self.world.shards[move.shard].size for move in sequence.moves)
-        return _Attempt(sequence, drops, rest, unmet + len(rest) + overfull, size)
+        return _Attempt(sequence, drops, unordered, unmet + len(unordered) + overfull, size)
 
     def _search(self, best: _Attempt) -> _Attempt:
         """Search the placements of a small world, cheapest first, for one whose transfers can be ordered."""
@@ -187,7 +187,7 @@
             return best
         drops, transfers = found.drops_and_transfers(self.view.doubtful)
         sequence = Sequence(self.view, self.first, (*drops, *self.view.orphans, *self.view.to_clear))
-        if not all(sequence.add(one) for one in transfers):
+        if not all(sequence.add(transfer) for transfer in transfers):
             return best
         for name, where in path_search.places(found.state).items():
             self.placement.assign(name, where)
@@ -236,30 +236,30 @@
         candidates.sort(key=lambda shard: (-shard.size, shard.name))
         while placement.free_at_end(engine) < 0 and candidates:
             lacking = -placement.free_at_end(engine)
-            shard = next((one for one in candidates if one.size <= lacking), None)
-            shard = shard or min(candidates, key=lambda one: (one.size, one.name))
-            sufficient = [one for one in candidates if one.size >= lacking]
+            shard = next((candidate for candidate in candidates if candidate.size <= lacking), None)
+            shard = shard or min(candidates, key=lambda candidate: (candidate.size, candidate.name))
+            sufficient = [candidate for candidate in candidates if candidate.size >= lacking]
             if sufficient and sufficient[-1].size <= lacking * 1.05:
                 shard = sufficient[-1]
             candidates.remove(shard)
-            rest = placement.assigned(shard.name) - {engine}
-            zones = min(required_zones(shard), self.view.span(set(rest | {engine})))
+            others = placement.assigned(shard.name) - {engine}
+            zones = min(required_zones(shard), self.view.span(set(others | {engine})))
             for target in candidate_engines(placement, shard, LOCAL_CANDIDATES):
                 if (
                     target not in self.view.holders[shard.name]
-                    and target not in rest
+                    and target not in others
                     and placement.free_at_end(target) >= shard.size
-                    and self.view.span(set(rest | {target})) >= zones
+                    and self.view.span(set(others | {target})) >= zones
                 ):
-                    placement.assign(shard.name, rest | {target})
+                    placement.assign(shard.name, others | {target})
                     break
 
     def _unmet_needs(self, best: _Attempt) -> list[UnmetNeed]:
         """Return the needs that are not met, with reasons."""
         placement, found = self.placement, []
         blocked: dict[str, list[Transfer]] = {}
-        for one in best.rest:
-            blocked.setdefault(one.shard, []).append(one)
+        for transfer in best.unordered:
+            blocked.setdefault(transfer.shard, []).append(transfer)
         replica_engines: dict[str, list[str]] = {}
         for name, engine in sorted(self.world.copies):
             replica_engines.setdefault(name, []).append(engine)
@@ -281,7 +281,7 @@
                 name in placement.places and placement.outcome(name, places).unmet > placement.lacking(shard)
             ):
                 others = [engine for engine in fit if engine not in places] or [
-                    one.target for one in blocked[name]
+                    transfer.target for transfer in blocked[name]
                 ]
                 lacking = min(shard.size - best.sequence.free_at_end(engine) for engine in others)
                 found.append(UnmetNeed(name, "space", tuple(others), max(0, lacking)))
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -33,20 +33,16 @@
 MAX_PLACES_PER_ANSWER = 3_072  # shards in one answer with replica locations; with the longest names and
 MAX_LEAVING_PER_ANSWER = 512  # replicas that wait for their drop beside them, it fills a frame
 MAX_PIECE_BYTES = 1024 * 1024  # bytes of the state in one answer, half of what a frame holds
-CLEARED_MIN_LEVEL = (
-    2  # level of the replicated state from which on a cleared replica may be dropped before its rest
-)
+# level of the replicated state from which on a cleared replica may be dropped before its rest
+CLEARED_MIN_LEVEL = 2
 # ms from a switch until the old replica may be dropped: a controller cut off for less may still send to it
 REST_MS = 60_000
 HOUR_MS = 3_600_000  # ms over which transferred bytes are limited
 TRANSFER_BUCKET_MS = 300_000  # ms of one bucket of these bytes: a bucket counts until an hour after its end
-ACCESS_COUNTS_MIN_LEVEL = (
-    2  # level of the replicated state from which on it keeps bytes of the hour and counted access load
-)
-INITIAL_SUSPENSION_MS, MAX_SUSPENSION_MS = (
-    30_000,
-    3_600_000,
-)  # ms for which a shard is suspended after a failed migration; doubles each time
+# level of the replicated state from which on it keeps bytes of the hour and counted access load
+ACCESS_COUNTS_MIN_LEVEL = 2
+# ms for which a shard is suspended after a failed migration; doubles each time
+INITIAL_SUSPENSION_MS, MAX_SUSPENSION_MS = (30_000, 3_600_000)
 
 Step, Answer = pb.Step, pb.Answer
 # steps that keep the table's schema from changing
--- a/fennelwind/shards/target_placement.py
+++ b/fennelwind/shards/target_placement.py
@@ -123,19 +123,18 @@
     def _outcome(self, name: str, places: Places) -> Outcome:
         view, shard = self.view, self.world.shards[name]
         good, zones, count = view.good_at_end[name], required_zones(shard), replication_factor(shard)
-        now = {engine for engine in view.good_now[name] if (name, engine) not in view.to_clear}
-        adds, removed = sorted(places - good), sorted(good - places, key=lambda e: (self.free_now(e), e))
+        good_before = {engine for engine in view.good_now[name] if (name, engine) not in view.to_clear}
+        added, removed = sorted(places - good), sorted(good - places, key=lambda e: (self.free_now(e), e))
         doubtful = sorted(e for e in view.doubtful[name] - good if (name, e) not in view.to_clear)
         drops = [engine for engine in doubtful if engine in places]  # copied again to the same engine
         doubtful = [engine for engine in doubtful if engine not in places]
         good_after, transfers, change = set(good), [], dict.fromkeys(drops, -shard.size)
         homes = self.world.homes
-        for target in adds:
+        for target in added:
             zones_spanned = min(zones, view.span(good_after))
             candidates = [old for old in removed if view.span(good_after - {old} | {target}) >= zones_spanned]
-            has_spares = len(removed) > len(
-                adds
-            )  # some are dropped at once: prefer those whose space can be used
+            # some are dropped at once: prefer those whose space can be used
+            has_spares = len(removed) > len(added)
             old = min(
                 candidates,
                 key=lambda e: (
@@ -155,20 +154,20 @@
             change[target] = change.get(target, 0) + shard.size
             if old:
                 change[old] = change.get(old, 0) - shard.size
-        rest = set(now)
+        remaining = set(good_before)
         for old in removed:
-            fewer = rest - {old}
+            fewer = remaining - {old}
             if (
-                old in now
+                old in good_before
                 and len(fewer & (good | places)) >= count
-                and view.span(fewer) >= min(zones, view.span(rest))
+                and view.span(fewer) >= min(zones, view.span(remaining))
                 and view.span(good_after - {old}) >= min(zones, view.span(good_after))
                 and (name, old) not in self.read_replicas
             ):
-                rest, good_after = fewer, good_after - {old}
+                remaining, good_after = fewer, good_after - {old}
                 drops.append(old)
                 change[old] = change.get(old, 0) - shard.size
-        if view.meets_needs(shard, rest & places):
+        if view.meets_needs(shard, remaining & places):
             drops += doubtful
             change.update((engine, change.get(engine, 0) - shard.size) for engine in doubtful)
         unmet = max(0, count - len(places)) + max(0, zones - view.span(set(places)))
@@ -227,7 +226,7 @@
             name, count, zones = shard.name, replication_factor(shard), required_zones(shard)
             kept = self.largest_kept_set(shard)
             self.assign(name, kept)
-            doubtful, part = self.view.leaving_or_doubtful[name], shard.heat / count
+            doubtful, load_share = self.view.leaving_or_doubtful[name], shard.heat / count
             while len(kept) < count:
                 seen = {homes[engine].zone for engine in kept}
                 needs_new_zone = len(seen) + count - len(kept) - 1 < min(zones, self.reachable_zones(shard))
@@ -255,13 +254,13 @@
                     candidates,
                     key=lambda engine: (
                         engine in doubtful,
-                        self._deviation(engine, shard.size, part, mean_disk_share),
+                        self._deviation(engine, shard.size, load_share, mean_disk_share),
                         engine,
                     ),
                 )
                 kept = kept | {best}
                 self.assign(name, kept)
-                self.access_load[best] += part
+                self.access_load[best] += load_share
 
     def _deviation(self, engine: str, size: int, heat: float, share: float) -> float:
         """Return an engine's deviation from the mean with one more replica, in tolerances."""
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -35,14 +35,12 @@
     moves: list[Migration] = field(default_factory=list)
     # bytes when all listed migrations have begun and nothing is dropped
     free_bytes: dict[str, int] = field(default_factory=dict)
-    freed_by: dict[str, list[tuple[int, int | Pair]]] = field(
-        default_factory=dict
-    )  # by engine: size, and the migration or drop that frees it
+    # by engine: size, and the migration or drop that frees it
+    freed_by: dict[str, list[tuple[int, int | Pair]]] = field(default_factory=dict)
     # bytes freed when all listed migrations are done
     freed_bytes: dict[str, int] = field(default_factory=dict)
-    available: dict[str, dict[str, int]] = field(
-        default_factory=dict
-    )  # by shard and engine: the migration that brings it, 0: from the start
+    # by shard and engine: the migration that brings it, 0: from the start
+    available: dict[str, dict[str, int]] = field(default_factory=dict)
     readers: dict[Pair, list[int]] = field(default_factory=dict)  # migrations that read a replica
     read_counts: dict[str, int] = field(default_factory=dict)  # migrations that read from an engine
     moves_of_shard: dict[str, list[int]] = field(default_factory=dict)  # migrations by shard
@@ -114,11 +112,11 @@
         number = self.first + len(self.moves)
         after, cleared = {available[source]} - {0}, set()
         lacking = size - self.free_bytes[target]
-        for part, by in self.freed_by[target]:
+        for bytes_freed, by in self.freed_by[target]:
             if (shard, target) == by:  # the shard's own older replica there
                 cleared.add(by)
-                lacking -= part
-        for part, by in self.freed_by[target]:
+                lacking -= bytes_freed
+        for bytes_freed, by in self.freed_by[target]:
             if lacking <= 0:
                 break
             if isinstance(by, int):
@@ -127,7 +125,7 @@
                 cleared.add(by)
             else:
                 continue
-            lacking -= part
+            lacking -= bytes_freed
         for other in self.moves_of_shard.get(shard, ()):  # an earlier migration dropped it from there
             move = view.continuing[other] if other in view.continuing else self.moves[other - self.first]
             if move.drops == target:
@@ -173,12 +171,12 @@
         pending = _longest_feasible_order(sequence, pending)
     rerouted: set[str] = set()  # shards already moved via a third engine: once each
     while pending:
-        later = [transfer for transfer in pending if sequence.add(transfer) is None]
-        if len(later) == len(pending):
-            later = _move_via_third_engine(sequence, pending, rerouted)
-            if later is None:
+        blocked = [transfer for transfer in pending if sequence.add(transfer) is None]
+        if len(blocked) == len(pending):
+            blocked = _move_via_third_engine(sequence, pending, rerouted)
+            if blocked is None:
                 return pending
-        pending = later
+        pending = blocked
     return []
 
 
@@ -230,13 +228,13 @@
             continue
         available, shard = set(sequence.sources(transfer.shard)), world.shards[transfer.shard]
         for engine in sorted(sequence.free_bytes, key=lambda name: (-sequence.free_at_end(name), name)):
-            rest = available - {transfer.drops} | {engine}
+            available_after = available - {transfer.drops} | {engine}
             if (
                 accepts_replica(world.homes[engine], shard)
                 and engine not in view.holders[transfer.shard]
                 and engine not in available
                 and engine not in (transfer.target, transfer.drops)
-                and view.span(rest) >= min(required_zones(shard), view.span(available))
+                and view.span(available_after) >= min(required_zones(shard), view.span(available))
                 and sequence.add(replace(transfer, target=engine))
             ):
                 rerouted.add(transfer.shard)
