--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -1,4 +1,4 @@
-"""Moves of shards: the machine against a plain model, plays with faults, planted defects, statements."""
+"""Shard migrations: the state machine against a model, fault simulations, planted defects, statements."""
 
 from collections import Counter
 from unittest import mock
@@ -14,7 +14,7 @@
     rule,
     run_state_machine_as_test,
 )
-from move_defects import ACTIONS, DEFECTS, hunt, model, one_fault
+from move_defects import ACTIONS, DEFECTS, hunt, model, play_with_one_fault
 from move_play import ONE_FAULT, Broken, Play, play, play_careless
 from move_play import plan as simple_plan
 from planted import planted
@@ -47,8 +47,8 @@
 DISKS = {"e1": 350, "e2": 350, "e3": 350, "e4": 250}  # bytes; 100 are headroom, each shard has 100
 
 
-class Desk:
-    """A machine with a fence, a clock, and a table that changes, all by hand."""
+class StateMachineHarness:
+    """A state machine with a fencing token, a clock and tables under change, all set by the test."""
 
     def __init__(self):
         self.machine, self.fence = ShardMachine(), 1
@@ -118,18 +118,18 @@
         return self.ask(fence, step=Step(move=move, kind=kind, **more)).refusal
 
 
-def desk_with_copy():
-    desk = Desk()
-    desk.declare("t/d=1")
+def harness_with_replica():
+    harness = StateMachineHarness()
+    harness.declare("t/d=1")
     for name in ENGINES:
-        desk.home(name)
-    assert desk.found("t/d=1", "e1") == 0
-    return desk
+        harness.home(name)
+    assert harness.found("t/d=1", "e1") == 0
+    return harness
 
 
-def to_step(desk, step, drops="e1"):
-    """Take one move of t/d=1 from e1 to e2 up to a step."""
-    assert desk.plan("t/d=1", "e1", "e2", drops).numbers == [1]
+def to_step(harness, step, drops="e1"):
+    """Take one migration of t/d=1 from e1 to e2 to a step."""
+    assert harness.plan("t/d=1", "e1", "e2", drops).numbers == [1]
     for name, kind, more in (
         ("reserved", Step.RESERVE, {}),
         ("copying", Step.COPY, {"source": "e1", "attempt": 1}),
@@ -137,30 +137,30 @@
         ("switched", Step.SWITCH, {}),
         ("dropping", Step.DROP, {}),
     ):
-        if desk.machine.moves[1].step == step:
-            return desk
+        if harness.machine.moves[1].step == step:
+            return harness
         if kind == Step.DROP:
-            desk.wait(REST_MS)
-        assert desk.step(kind, **more) == 0, name
-        assert desk.machine.moves[1].step == name
-    return desk
+            harness.wait(REST_MS)
+        assert harness.step(kind, **more) == 0, name
+        assert harness.machine.moves[1].step == name
+    return harness
 
 
-# The machine alone.
+# The state machine alone.
 
 
-def test_a_move_goes_from_copy_to_copy_and_space_counts_for_both_until_the_drop():
-    desk = to_step(desk_with_copy(), "dropping")
-    assert desk.machine.good("t/d=1") == ("e2",) and desk.machine.leaving("t/d=1") == "e1"
-    assert desk.machine.used == {"e1": 100, "e2": 100} and desk.machine.fact("moving", "t") == 1
-    assert desk.step(Step.DONE) == 0
-    assert desk.machine.used == {"e2": 100} and not desk.machine.moves
-    assert not desk.machine.fact("moving", "t")
-    assert desk.machine.places("t") == {"t/d=1": ("e2",)}
+def test_space_counts_for_both_replicas_until_drop():
+    harness = to_step(harness_with_replica(), "dropping")
+    assert harness.machine.good("t/d=1") == ("e2",) and harness.machine.leaving("t/d=1") == "e1"
+    assert harness.machine.used == {"e1": 100, "e2": 100} and harness.machine.fact("moving", "t") == 1
+    assert harness.step(Step.DONE) == 0
+    assert harness.machine.used == {"e2": 100} and not harness.machine.moves
+    assert not harness.machine.fact("moving", "t")
+    assert harness.machine.places("t") == {"t/d=1": ("e2",)}
 
 
 @pytest.mark.parametrize("step", ["planned", "reserved", "copying", "checked", "switched", "dropping"])
-def test_each_step_is_taken_once_with_the_fence_of_the_holder_only(step):
+def test_each_step_is_taken_once_and_only_with_holders_fencing_token(step):
     after = {
         "planned": Step.RESERVE,
         "reserved": Step.COPY,
@@ -170,41 +170,41 @@
         "dropping": Step.DONE,
     }
     more = {Step.COPY: {"source": "e1", "attempt": 1}, Step.CHECK: {"attempt": 1, "rows": 5, "checksum": 7}}
-    desk = to_step(desk_with_copy(), step)
-    desk.fence = 2
-    before = desk.machine.snapshot()
+    harness = to_step(harness_with_replica(), step)
+    harness.fence = 2
+    before = harness.machine.snapshot()
     for kind in Step.Kind.values():
-        assert desk.step(kind, fence=1, **more.get(kind, {})) == Answer.FENCE
+        assert harness.step(kind, fence=1, **more.get(kind, {})) == Answer.FENCE
     for kind in (k for k in after.values() if k != after[step]):
-        assert desk.step(kind, **more.get(kind, {})) != 0, Step.Kind.Name(kind)
-    assert desk.machine.snapshot() == before
-    desk.fence = 0  # nobody holds it
-    assert desk.step(after[step], fence=0, **more.get(after[step], {})) == Answer.FENCE
-
-
-def test_a_table_under_change_is_not_moved_and_one_under_way_is_told():
-    desk = desk_with_copy()
-    desk.changing.add("t")
-    assert desk.plan("t/d=1", "e1", "e2").refusals == [Answer.CHANGING]
-    assert desk.found("t/d=1", "e1") == Answer.CHANGING
-    desk.changing.clear()
-    desk.plan("t/d=1", "e1", "e2", "e1")
-    assert desk.machine.fact("moving", "t") == 0  # planned alone keeps no change waiting
-    desk.changing.add("t")
-    assert desk.step(Step.RESERVE) == Answer.CHANGING
-    desk.changing.clear()
-    desk.wanted.add("t")  # a change waits for moves: none begins, and those under way go on
-    assert desk.step(Step.RESERVE) == Answer.CHANGING
-    desk.wanted.clear()
-    assert desk.step(Step.RESERVE) == 0 and desk.machine.fact("moving", "T") == 1
-    desk.wanted.add("t")
-    assert desk.step(Step.COPY, source="e1", attempt=1) == 0
-    assert desk.step(Step.UNDO) == 0 and desk.step(Step.UNDONE) == 0
-    assert desk.machine.fact("moving", "t") == 0
+        assert harness.step(kind, **more.get(kind, {})) != 0, Step.Kind.Name(kind)
+    assert harness.machine.snapshot() == before
+    harness.fence = 0  # no holder
+    assert harness.step(after[step], fence=0, **more.get(after[step], {})) == Answer.FENCE
+
+
+def test_table_under_change_is_not_migrated_and_running_migration_is_reported():
+    harness = harness_with_replica()
+    harness.changing.add("t")
+    assert harness.plan("t/d=1", "e1", "e2").refusals == [Answer.CHANGING]
+    assert harness.found("t/d=1", "e1") == Answer.CHANGING
+    harness.changing.clear()
+    harness.plan("t/d=1", "e1", "e2", "e1")
+    assert harness.machine.fact("moving", "t") == 0  # a planned migration delays no schema change
+    harness.changing.add("t")
+    assert harness.step(Step.RESERVE) == Answer.CHANGING
+    harness.changing.clear()
+    harness.wanted.add("t")  # a change waits: no migration starts, running ones continue
+    assert harness.step(Step.RESERVE) == Answer.CHANGING
+    harness.wanted.clear()
+    assert harness.step(Step.RESERVE) == 0 and harness.machine.fact("moving", "T") == 1
+    harness.wanted.add("t")
+    assert harness.step(Step.COPY, source="e1", attempt=1) == 0
+    assert harness.step(Step.UNDO) == 0 and harness.step(Step.UNDONE) == 0
+    assert harness.machine.fact("moving", "t") == 0
 
 
 class Changes:
-    """What the gate for schema changes does of the order, as a machine: a change that begins or ends."""
+    """A stand-in for the schema gate: a state machine whose changes begin and end."""
 
     name, kinds = "contracts", ("changing", "fence")
 
@@ -293,102 +293,107 @@
                 ).SerializeToString(),
             )
         assert not (machine.fact("moving", "t") and changes.under_change)
-    send("contracts", b"end t")  # whoever is there can end by itself
+    send("contracts", b"end t")  # any caller can end it
     move = machine.move_of("t/")
     for kind in (Step.UNDO, Step.UNDONE) if move is not None else ():
         send("shards", pb.Command(fence=1, step=Step(move=move.number, kind=kind)).SerializeToString())
     assert send("contracts", b"begin t") == b"done"
 
 
-def test_headroom_counts_what_comes_in_and_spills_beyond_it():
-    desk = desk_with_copy()
-    desk.declare("t/d=2", size=250)
-    desk.found("t/d=2", "e1")
-    to_step(desk, "reserved")
-    assert desk.plan("t/d=2", "e1", "e2").numbers == [2]
-    assert desk.step(Step.RESERVE, 2) == Answer.HEADROOM  # 100 are coming, 250 more than 300
-    assert desk.step(Step.UNDO) == 0
-    desk.home("e2", spilled=151)  # 51 of it beyond the headroom
-    assert desk.step(Step.RESERVE, 2) == Answer.HEADROOM
-    desk.home("e2", spilled=150)
-    assert desk.step(Step.RESERVE, 2) == 0 and desk.machine.free_bytes("e2") == 0
-
-
-def test_the_last_good_copy_and_wanted_ones_stay():
-    desk = desk_with_copy()
-    assert desk.plan("t/d=1", drops="e1").numbers == [1]
-    assert desk.step(Step.SWITCH) == Answer.LAST
-    assert desk.step(Step.UNDO) == 0
-    desk.found("t/d=1", "e2")
-    assert desk.plan("t/d=1", drops="e1").numbers == [2] and desk.step(Step.SWITCH, 2) == 0
-    assert desk.machine.good("t/d=1") == ("e2",)
-    assert desk.step(Step.DROP, 2) == Answer.WAITS  # a view may be as old as that
-    desk.wait(REST_MS)
-    desk.home("e2", mark="another")  # it came back empty
-    assert desk.step(Step.DROP, 2) == Answer.LAST
-    assert desk.step(Step.KEEP, 2) == 0 and desk.machine.good("t/d=1") == ("e1",)
-
-
-def test_the_same_name_back_empty_and_back_with_an_old_copy():
-    desk = to_step(desk_with_copy(), "checked")
-    desk.home("e2", mark="another")
-    assert desk.step(Step.SWITCH) == Answer.TARGET and desk.machine.homes["e2"].generation == 1
-    assert desk.step(Step.UNDO) == 0 and desk.machine.used["e2"] == 100  # a load may still land there
-    assert desk.step(Step.UNDONE) == 0 and not desk.machine.moves and "e2" not in desk.machine.used
-    desk.home("e1", life="gone", mark="")
-    assert desk.machine.good("t/d=1") == ()
-    desk.home("e1")
-    assert desk.machine.good("t/d=1") == () and desk.machine.used["e1"] == 100
-    assert desk.found("t/d=1", "e1", generation=1) == Answer.TARGET
-    assert desk.found("t/d=1", "e1", rows=4) == 0 and desk.machine.copies["t/d=1"]["e1"].wrong
-    assert desk.found("t/d=1", "e1") == 0 and desk.machine.good("t/d=1") == ("e1",)
-    assert desk.found("t/d=1", "e1", rows=4) == Answer.DIFFERS and desk.machine.good("t/d=1") == ("e1",)
-
-
-def test_a_copy_in_doubt_that_was_to_go_is_kept_in_doubt_only():
-    desk = desk_with_copy()
-    desk.found("t/d=1", "e2")
-    desk.home("e2", life="gone", mark="")
-    desk.home("e2")
-    assert desk.plan("t/d=1", drops="e2").numbers == [1] and desk.step(Step.SWITCH) == 0
-    desk.home("e1", mark="another")
-    assert desk.step(Step.KEEP) == 0
-    assert desk.machine.good("t/d=1") == () and desk.machine.copies["t/d=1"]["e2"].state == "doubtful"
-
-
-def test_what_a_check_found_before_a_move_and_news_older_than_the_last_are_not_taken():
-    desk = to_step(desk_with_copy(), "copying")
-    seen = desk.index
-    desk.step(Step.UNDO)
-    desk.step(Step.UNDONE)
-    assert desk.found("t/d=1", "e2", seen=seen) == Answer.WAITS and desk.machine.good("t/d=1") == ("e1",)
-    assert desk.found("t/d=1", "e2", present=False) == 0
-    old = pb.News(homes=[pb.Home(name="e1", disk=1, life="ready", mark="older")], seen=desk.index)
-    desk.home("e1", spilled=5)
-    assert desk.ask(news=old).refusals == [Answer.WAITS] and desk.machine.used["e1"] == 100
-
-
-def test_the_state_is_told_in_pieces_of_one_revision(monkeypatch):
+def test_headroom_counts_coming_replicas_and_spills_beyond_it():
+    harness = harness_with_replica()
+    harness.declare("t/d=2", size=250)
+    harness.found("t/d=2", "e1")
+    to_step(harness, "reserved")
+    assert harness.plan("t/d=2", "e1", "e2").numbers == [2]
+    assert harness.step(Step.RESERVE, 2) == Answer.HEADROOM  # 100 bytes are coming; 250 more exceed 300
+    assert harness.step(Step.UNDO) == 0
+    harness.home("e2", spilled=151)  # 51 bytes beyond the headroom
+    assert harness.step(Step.RESERVE, 2) == Answer.HEADROOM
+    harness.home("e2", spilled=150)
+    assert harness.step(Step.RESERVE, 2) == 0 and harness.machine.free_bytes("e2") == 0
+
+
+def test_last_good_replica_and_needed_ones_stay():
+    harness = harness_with_replica()
+    assert harness.plan("t/d=1", drops="e1").numbers == [1]
+    assert harness.step(Step.SWITCH) == Answer.LAST
+    assert harness.step(Step.UNDO) == 0
+    harness.found("t/d=1", "e2")
+    assert harness.plan("t/d=1", drops="e1").numbers == [2] and harness.step(Step.SWITCH, 2) == 0
+    assert harness.machine.good("t/d=1") == ("e2",)
+    assert harness.step(Step.DROP, 2) == Answer.WAITS  # a view may be that old
+    harness.wait(REST_MS)
+    harness.home("e2", mark="another")  # it returned empty
+    assert harness.step(Step.DROP, 2) == Answer.LAST
+    assert harness.step(Step.KEEP, 2) == 0 and harness.machine.good("t/d=1") == ("e1",)
+
+
+def test_engine_returns_empty_or_with_outdated_replica():
+    harness = to_step(harness_with_replica(), "checked")
+    harness.home("e2", mark="another")
+    assert harness.step(Step.SWITCH) == Answer.TARGET and harness.machine.homes["e2"].generation == 1
+    # an import may still write there
+    assert harness.step(Step.UNDO) == 0 and harness.machine.used["e2"] == 100
+    assert harness.step(Step.UNDONE) == 0 and not harness.machine.moves and "e2" not in harness.machine.used
+    harness.home("e1", life="gone", mark="")
+    assert harness.machine.good("t/d=1") == ()
+    harness.home("e1")
+    assert harness.machine.good("t/d=1") == () and harness.machine.used["e1"] == 100
+    assert harness.found("t/d=1", "e1", generation=1) == Answer.TARGET
+    assert harness.found("t/d=1", "e1", rows=4) == 0 and harness.machine.copies["t/d=1"]["e1"].wrong
+    assert harness.found("t/d=1", "e1") == 0 and harness.machine.good("t/d=1") == ("e1",)
+    assert harness.found("t/d=1", "e1", rows=4) == Answer.DIFFERS and harness.machine.good("t/d=1") == ("e1",)
+
+
+def test_kept_replica_that_was_doubtful_stays_doubtful():
+    harness = harness_with_replica()
+    harness.found("t/d=1", "e2")
+    harness.home("e2", life="gone", mark="")
+    harness.home("e2")
+    assert harness.plan("t/d=1", drops="e2").numbers == [1] and harness.step(Step.SWITCH) == 0
+    harness.home("e1", mark="another")
+    assert harness.step(Step.KEEP) == 0
+    assert harness.machine.good("t/d=1") == () and harness.machine.copies["t/d=1"]["e2"].state == "doubtful"
+
+
+def test_outdated_checks_and_engine_reports_are_refused():
+    harness = to_step(harness_with_replica(), "copying")
+    seen = harness.index
+    harness.step(Step.UNDO)
+    harness.step(Step.UNDONE)
+    assert harness.found("t/d=1", "e2", seen=seen) == Answer.WAITS and harness.machine.good("t/d=1") == (
+        "e1",
+    )
+    assert harness.found("t/d=1", "e2", present=False) == 0
+    old = pb.News(homes=[pb.Home(name="e1", disk=1, life="ready", mark="older")], seen=harness.index)
+    harness.home("e1", spilled=5)
+    assert harness.ask(news=old).refusals == [Answer.WAITS] and harness.machine.used["e1"] == 100
+
+
+def test_state_is_read_in_pieces_of_one_revision(monkeypatch):
     monkeypatch.setattr(machine_module, "MAX_PIECE_BYTES", 50)
-    desk, data, seen = to_step(desk_with_copy(), "checked"), b"", pb.ShardSeen(size=1)
+    harness, data, seen = to_step(harness_with_replica(), "checked"), b"", pb.ShardSeen(size=1)
     while len(data) < seen.size:
-        seen = pb.ShardSeen.FromString(desk.machine.asked(pb.ShardQuery(skip=len(data)).SerializeToString()))
+        seen = pb.ShardSeen.FromString(
+            harness.machine.asked(pb.ShardQuery(skip=len(data)).SerializeToString())
+        )
         data += seen.piece
-        assert seen.revision == desk.machine.revision and 0 < len(seen.piece) <= 50
-    assert data == desk.machine.snapshot() and desk.machine.asked(b"\xff") == b""
-    desk.step(Step.SWITCH)
-    assert pb.ShardSeen.FromString(desk.machine.asked(b"")).revision > seen.revision
+        assert seen.revision == harness.machine.revision and 0 < len(seen.piece) <= 50
+    assert data == harness.machine.snapshot() and harness.machine.asked(b"\xff") == b""
+    harness.step(Step.SWITCH)
+    assert pb.ShardSeen.FromString(harness.machine.asked(b"")).revision > seen.revision
 
 
-def test_where_copies_are_is_told_as_far_as_it_changed(monkeypatch):
+def test_only_changed_replica_locations_are_returned(monkeypatch):
     monkeypatch.setattr(machine_module, "MAX_PLACES_PER_ANSWER", 2)
-    desk, known, asks = desk_with_copy(), {}, []
+    harness, known, asks = harness_with_replica(), {}, []
 
     def look(after):
         name, first, heard = "", None, {}
         while True:
             query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name))
-            told = pb.Places.FromString(desk.machine.asked(query.SerializeToString()))
+            told = pb.Places.FromString(harness.machine.asked(query.SerializeToString()))
             heard |= {p.shard: tuple(told.engines[n] for n in p.engines) for p in told.places}
             first = first or told
             asks.append(len(told.places))
@@ -398,40 +403,40 @@
         if first.whole:
             known.clear()
         known.update(heard)
-        assert known == {shard: desk.machine.good(shard) for shard in desk.machine.shards}
+        assert known == {shard: harness.machine.good(shard) for shard in harness.machine.shards}
         return first.revision
 
     for n in range(2, 7):
-        desk.declare(f"t/d={n}")
-        desk.found(f"t/d={n}", "e3")
+        harness.declare(f"t/d={n}")
+        harness.found(f"t/d={n}", "e3")
     seen = look(0)
     assert asks == [2, 2, 2]
     seen = look(seen)
     assert asks[3:] == [0]
-    to_step(desk, "switched")
+    to_step(harness, "switched")
     seen = look(seen)
     assert asks[4:] == [1] and known["t/d=1"] == ("e2",)
-    desk.home("e2", life="gone", mark="")
+    harness.home("e2", life="gone", mark="")
     assert look(seen) and known["t/d=1"] == ()
-    desk.found("t/d=6", "e3", present=False)
-    desk.ask(remove=pb.Remove(shard="t/d=6"))
+    harness.found("t/d=6", "e3", present=False)
+    harness.ask(remove=pb.Remove(shard="t/d=6"))
     seen = look(seen)
     assert "t/d=6" not in known
     other = ShardMachine()
-    other.restore(desk.machine.snapshot())
-    desk.machine = other
-    desk.found("t/d=5", "e3", present=False)
+    other.restore(harness.machine.snapshot())
+    harness.machine = other
+    harness.found("t/d=5", "e3", present=False)
     assert look(seen) and known["t/d=5"] == ()
 
 
-def test_a_failed_move_sets_its_shard_aside_for_growing_times():
-    desk, rests = desk_with_copy(), []
+def test_failed_migrations_suspend_their_shard_with_backoff():
+    harness, rests = harness_with_replica(), []
     for number in range(1, 12):
-        assert desk.plan("t/d=1", "e1", "e2").numbers == [number]
-        desk.step(Step.UNDO, number, failed=True)
-        assert desk.plan("t/d=1", "e1", "e2").refusals == [Answer.ASIDE]
-        rests.append(desk.machine.next_expiry_clock_ms() - desk.clock)
-        desk.wait(rests[-1])
+        assert harness.plan("t/d=1", "e1", "e2").numbers == [number]
+        harness.step(Step.UNDO, number, failed=True)
+        assert harness.plan("t/d=1", "e1", "e2").refusals == [Answer.ASIDE]
+        rests.append(harness.machine.next_expiry_clock_ms() - harness.clock)
+        harness.wait(rests[-1])
     assert rests[:3] == [INITIAL_SUSPENSION_MS, INITIAL_SUSPENSION_MS * 2, INITIAL_SUSPENSION_MS * 4]
     assert rests[-1] == MAX_SUSPENSION_MS
 
@@ -453,27 +458,27 @@
         {"kinds": [""]},
     ],
 )
-def test_declarations_that_cannot_be_are_refused(bad):
+def test_invalid_declarations_are_refused(bad):
     told = {"name": "t/d=1", "table": "t", "size": 1, "copies": 1, "zones": 1, **bad}
-    assert Desk().ask(declare=pb.Declare(shards=[pb.Shard(**told)])).refusals == [Answer.BAD]
+    assert StateMachineHarness().ask(declare=pb.Declare(shards=[pb.Shard(**told)])).refusals == [Answer.BAD]
 
 
-def test_bounds_are_refused_and_bytes_of_strangers_change_nothing(monkeypatch):
+def test_limits_are_enforced_and_unreadable_commands_change_nothing(monkeypatch):
     for bound in ("MAX_SHARDS", "MAX_ENGINES", "MAX_MIGRATIONS", "MAX_REPLICAS_PER_SHARD"):
         monkeypatch.setattr(machine_module, bound, 1)
-    desk = Desk()
-    assert [desk.declare(f"t/d={n}") for n in (1, 1, 2)] == [0, 0, Answer.TOO_MANY]
-    assert [desk.home(name) for name in ("e1", "e1", "e2")] == [0, 0, Answer.TOO_MANY]
-    assert desk.found("t/d=1", "e1") == 0
-    before = desk.machine.snapshot()
+    harness = StateMachineHarness()
+    assert [harness.declare(f"t/d={n}") for n in (1, 1, 2)] == [0, 0, Answer.TOO_MANY]
+    assert [harness.home(name) for name in ("e1", "e1", "e2")] == [0, 0, Answer.TOO_MANY]
+    assert harness.found("t/d=1", "e1") == 0
+    before = harness.machine.snapshot()
     for data in (b"", b"\xff\xff", b"\x0a", pb.Command(fence=1).SerializeToString()):
         with pytest.raises(UnreadableCommandError):
-            desk.machine.apply(LogPosition(1, 1), data, desk)
-    assert desk.step(99) == Answer.UNKNOWN and desk.home("e9", life="odd") == Answer.BAD
-    assert desk.machine.snapshot() == before
+            harness.machine.apply(LogPosition(1, 1), data, harness)
+    assert harness.step(99) == Answer.UNKNOWN and harness.home("e9", life="odd") == Answer.BAD
+    assert harness.machine.snapshot() == before
 
 
-# The machine against a plain model: which state of a copy and which step may follow which, by which command.
+# The state machine against a model: transitions of replicas and of steps that each command allows.
 
 COPY_CHANGES = {
     "RESERVE": {("", "coming")},
@@ -508,22 +513,22 @@
 
 
 class Model(RuleBasedStateMachine):
-    """Random commands; every change of a copy or a step has to be in the tables above."""
+    """Random commands; each change of a replica or a step has to be in the tables above."""
 
     def __init__(self):
         super().__init__()
-        self.desk = Desk()
+        self.harness = StateMachineHarness()
         self.last_steps = {}  # by shard: the entry
-        self.doubted = {}  # by shard: when a copy that could be read came in doubt
+        self.doubted = {}  # by shard: when a readable replica became doubtful
         for n, name in enumerate(SHARDS):
-            self.desk.declare(name, copies=1 + n % 2)
+            self.harness.declare(name, copies=1 + n % 2)
         for name in ENGINES:
-            self.desk.home(name, disk=DISKS[name])
+            self.harness.home(name, disk=DISKS[name])
         for n, name in enumerate(SHARDS):
-            self.desk.found(name, ENGINES[n])
+            self.harness.found(name, ENGINES[n])
 
     def see(self):
-        m = self.desk.machine
+        m = self.harness.machine
         return ({(s, e): c for s, held in m.copies.items() for e, c in held.items()}, dict(m.moves))
 
     def did(self, by, answered, before, only=None):
@@ -535,7 +540,7 @@
             assert change[0] == change[1] or change in COPY_CHANGES.get(by, ()), (by, pair, change)
             assert change[0] == change[1] or only is None or pair[1] == only
             if by == "gone" and change[0] != change[1]:
-                self.doubted[pair[0]] = self.desk.clock
+                self.doubted[pair[0]] = self.harness.clock
         for number in {*moves, *before[1]}:
             change = tuple(seen[number].step if number in seen else "" for seen in (before[1], moves))
             assert change[0] == change[1] or change in STEP_CHANGES.get(by, ()), (by, number, change)
@@ -551,22 +556,22 @@
     )
     def news(self, engine, life, spilled):
         before = self.see()
-        self.desk.home(
+        self.harness.home(
             engine,
             disk=DISKS[engine],
             life=life,
             spilled=spilled,
-            mark=self.desk.machine.homes[engine].mark if life != "gone" else "",
+            mark=self.harness.machine.homes[engine].mark if life != "gone" else "",
         )
         self.did("gone" if life == "gone" else "", 0, before, engine)
 
     @rule(engine=st.sampled_from((*ENGINES, "e4", "e4")), number=st.integers(2, 9))
     def empty(self, engine, number):
         before = self.see()
-        self.desk.home(engine, disk=DISKS[engine], mark=f"m{number}")
+        self.harness.home(engine, disk=DISKS[engine], mark=f"m{number}")
         self.did("empty", 0, before, engine)
-        if before[0] and self.desk.machine.homes[engine].generation:
-            changed = self.desk.machine.homes[engine].mark
+        if before[0] and self.harness.machine.homes[engine].generation:
+            changed = self.harness.machine.homes[engine].mark
             assert changed == f"m{number}"
 
     @rule(
@@ -580,8 +585,8 @@
     def found(self, shard, engine, rows, present, late, old):
         if old and self.last_steps:  # of a shard that has taken a step since
             shard = max(self.last_steps, key=self.last_steps.get)
-        before, generation = self.see(), self.desk.machine.homes[engine].generation
-        refusal = self.desk.found(
+        before, generation = self.see(), self.harness.machine.homes[engine].generation
+        refusal = self.harness.found(
             shard,
             engine,
             rows,
@@ -602,13 +607,13 @@
         waits=st.booleans(),
     )
     def plan(self, shard, sure, source, to, drops, waits):
-        before, good = self.see(), self.desk.machine.good(shard)
+        before, good = self.see(), self.harness.machine.good(shard)
         if sure and good:
             source = drops = good[0]
-        answer = self.desk.plan(shard, source, to, drops, after=tuple(before[1]) if waits else ())
+        answer = self.harness.plan(shard, source, to, drops, after=tuple(before[1]) if waits else ())
         self.did("plan", answer.refusals[0], before)
 
-    @precondition(lambda self: self.desk.machine.moves)
+    @precondition(lambda self: self.harness.machine.moves)
     @rule(
         data=st.data(),
         forth=st.sampled_from((True, True, True, False)),
@@ -617,7 +622,7 @@
         rows=st.sampled_from((5, 5, 5, 6)),
     )
     def step(self, data, forth, old, failed, rows):
-        desk, m = self.desk, self.desk.machine
+        harness, m = self.harness, self.harness.machine
         move = m.moves[data.draw(st.sampled_from(sorted(m.moves)))]
         usual = {
             "planned": "RESERVE" if move.target else "SWITCH",
@@ -629,11 +634,11 @@
             "undoing": "UNDONE",
         }
         kind = usual[move.step] if forth else data.draw(st.sampled_from(Step.Kind.keys()))
-        before, changing = self.see(), desk.fact("changing", m.shards[move.shard].table)
-        refusal = desk.step(
+        before, changing = self.see(), harness.fact("changing", m.shards[move.shard].table)
+        refusal = harness.step(
             Step.Kind.Value(kind),
             move.number,
-            desk.fence - (not old),
+            harness.fence - (not old),
             source=move.source,
             attempt=move.attempt + (kind == "COPY"),
             rows=rows,
@@ -642,7 +647,7 @@
         )
         self.did(kind, refusal, before)
         if not refusal:
-            self.last_steps[move.shard] = desk.index
+            self.last_steps[move.shard] = harness.index
         if not old:
             assert refusal == Answer.FENCE
         elif changing and kind in ("RESERVE", "COPY", "CHECK", "SWITCH", "DROP"):
@@ -660,15 +665,15 @@
             assert len(m.good(move.shard)) >= (1 if left.wrong else m.shards[move.shard].copies)
 
     def may_reserve(self, move, before):
-        home, held = self.desk.machine.homes.get(move.target), before[0]
+        home, held = self.harness.machine.homes.get(move.target), before[0]
         if home is None or move.step != "planned" or (move.shard, move.target) in held:
             return False
-        used = sum(self.desk.machine.shards[s].size for s, e in held if e == move.target)
+        used = sum(self.harness.machine.shards[s].size for s, e in held if e == move.target)
         return (
             home.life in ("ready", "cold")
             and not any(a in before[1] for a in move.after)
             and any(c.state == "good" for (s, _), c in held.items() if s == move.shard)
-            and used + self.desk.machine.shards[move.shard].size + max(100, home.spilled) <= home.disk
+            and used + self.harness.machine.shards[move.shard].size + max(100, home.spilled) <= home.disk
         )
 
     def may_drop(self, move, before):
@@ -679,47 +684,47 @@
             and move.rested
             and copy is not None
             and copy.state == "leaving"
-            and len(others) >= (1 if copy.wrong else self.desk.machine.shards[move.shard].copies)
+            and len(others) >= (1 if copy.wrong else self.harness.machine.shards[move.shard].copies)
         )
 
     @rule(ms=st.sampled_from((100, REST_MS, INITIAL_SUSPENSION_MS)))
     def wait(self, ms):
         before = self.see()
-        self.desk.wait(ms + 1)
+        self.harness.wait(ms + 1)
         assert self.see()[0] == before[0]
 
     @rule(table=st.sampled_from(("t", "u")))
     def change(self, table):
-        if table in self.desk.changing:
-            self.desk.changing.discard(table)
-        elif not self.desk.machine.fact("moving", table):
-            self.desk.changing.add(table)
+        if table in self.harness.changing:
+            self.harness.changing.discard(table)
+        elif not self.harness.machine.fact("moving", table):
+            self.harness.changing.add(table)
 
     @rule()
     def next_holder(self):
-        self.desk.fence += 1
+        self.harness.fence += 1
 
     @rule()
     def restored(self):
-        data = self.desk.machine.snapshot()
+        data = self.harness.machine.snapshot()
         other = ShardMachine()
         other.restore(data)
         assert (
             other.snapshot() == data
-            and other.next_expiry_clock_ms() == self.desk.machine.next_expiry_clock_ms()
+            and other.next_expiry_clock_ms() == self.harness.machine.next_expiry_clock_ms()
         )
-        self.desk.machine = other
+        self.harness.machine = other
 
     @invariant()
     def sums(self):
-        m, (copies, moves) = self.desk.machine, self.see()
+        m, (copies, moves) = self.harness.machine, self.see()
         used = Counter()
         for shard, engine in copies:
             used[engine] += m.shards[shard].size
         assert m.used == used
         for table in ("t", "u"):
             under_way = {move.shard for move in moves.values() if move.step != "planned"}
-            under_way |= {s for s, since in self.doubted.items() if since + m.rest_ms > self.desk.clock}
+            under_way |= {s for s, since in self.doubted.items() if since + m.rest_ms > self.harness.clock}
             assert m.fact("moving", table) == sum(m.shards[shard].table == table for shard in under_way)
             for shard, engines in m.places(table).items():
                 assert engines == tuple(
@@ -731,13 +736,13 @@
                 )
 
 
-def test_the_machine_does_what_a_plain_model_allows():
+def test_state_machine_agrees_with_model():
     run_state_machine_as_test(
         Model, settings=settings(max_examples=50, stateful_step_count=50, deadline=None, derandomize=True)
     )
 
 
-# Statements, and the carrier's own promises.
+# Statements, and guarantees of the driver.
 
 names = st.text(st.characters(exclude_categories=["Cs", "Cc"]), min_size=1, max_size=12)
 
@@ -763,96 +768,96 @@
 
 
 def holder(index=5, since=5):
-    """A desk whose move is at a step, and a holder who sees it."""
+    """Return a driver and its step on the harness's state."""
     carrier = MigrationDriver(7, since, "/staging")
-    return carrier, lambda desk, now=0.0, *events: carrier.step(
-        now, [StateUpdated(index, desk.machine), *events]
+    return carrier, lambda harness, now=0.0, *events: carrier.step(
+        now, [StateUpdated(index, harness.machine), *events]
     )
 
 
-def test_a_holder_waits_until_its_copy_of_the_record_holds_its_lease():
-    desk = to_step(desk_with_copy(), "reserved")
+def test_driver_waits_until_its_state_includes_its_lease():
+    harness = to_step(harness_with_replica(), "reserved")
     _, early = holder(index=4)
-    assert not [a for a in early(desk) if isinstance(a, ProposeCommand | RunStatement)]
+    assert not [a for a in early(harness) if isinstance(a, ProposeCommand | RunStatement)]
     _, seen = holder(index=5)
-    command = pb.Command.FromString(next(a for a in seen(desk) if isinstance(a, ProposeCommand)).command)
+    command = pb.Command.FromString(next(a for a in seen(harness) if isinstance(a, ProposeCommand)).command)
     assert command.fence == 7 and command.step.kind == Step.COPY and command.step.source == "e1"
 
 
-def test_a_holder_that_is_told_of_another_does_nothing_any_more():
-    desk = to_step(desk_with_copy(), "reserved")
+def test_driver_stops_when_another_holds_the_lease():
+    harness = to_step(harness_with_replica(), "reserved")
     _, step = holder()
-    token = next(a for a in step(desk) if isinstance(a, ProposeCommand)).token
-    assert step(desk, 1.0, CommandAnswered(token, Answer(refusal=Answer.FENCE))) == [LeaseLost()]
-    assert step(desk, 99_000.0) == [LeaseLost()]
+    token = next(a for a in step(harness) if isinstance(a, ProposeCommand)).token
+    assert step(harness, 1.0, CommandAnswered(token, Answer(refusal=Answer.FENCE))) == [LeaseLost()]
+    assert step(harness, 99_000.0) == [LeaseLost()]
 
 
-def test_statements_carry_the_fence_and_a_time_out_and_are_stopped_and_repeated_after_growing_waits():
-    desk = to_step(desk_with_copy(), "dropping")
+def test_statements_carry_fence_and_timeout_and_are_cancelled_and_retried_with_backoff():
+    harness = to_step(harness_with_replica(), "dropping")
     _, step = holder()
-    run = next(a for a in step(desk) if isinstance(a, RunStatement))
+    run = next(a for a in step(harness) if isinstance(a, RunStatement))
     assert run.engine == "e1" and "DROP IF EXISTS PARTITION (`d`='1') PURGE" in run.statement
     assert run.overlay == {"fennelwind.fence": "moves:7", "hive.query.timeout.seconds": "30"}
     now, waits = 0.0, []
     for _ in range(4):
-        actions = step(desk, now + 35_000.0)
+        actions = step(harness, now + 35_000.0)
         assert CancelStatement(run.token) in actions
         now = ended = now + 35_000.0
         while not any(isinstance(a, RunStatement) for a in actions):
             now = next(a.at for a in actions if isinstance(a, WakeAt))
-            actions = step(desk, now)
+            actions = step(harness, now)
         waits.append(now - ended)
         run = next(a for a in actions if isinstance(a, RunStatement))
     assert waits == [1_000.0, 2_000.0, 4_000.0, 8_000.0]
     told = next(
-        a for a in step(desk, now + 1.0, StatementEnded(run.token, "ok")) if isinstance(a, ProposeCommand)
+        a for a in step(harness, now + 1.0, StatementEnded(run.token, "ok")) if isinstance(a, ProposeCommand)
     )
     assert pb.Command.FromString(told.command).step.kind == Step.DONE
 
 
-def test_bytes_an_hour_are_bounded_over_holders_and_a_new_source_has_a_stream_free():
-    desk = Desk()
+def test_bytes_per_hour_are_limited_across_holders_and_new_source_needs_free_stream():
+    harness = StateMachineHarness()
     for n in range(6):
-        desk.declare(f"t/d={n}", size=36)
+        harness.declare(f"t/d={n}", size=36)
     for name in ENGINES:
-        desk.home(name, disk=1_000)
+        harness.home(name, disk=1_000)
     for n in range(6):
-        desk.found(f"t/d={n}", "e1")
-        desk.plan(f"t/d={n}", "e1", "e2")
-    desk.found("t/d=0", "e3"), desk.found("t/d=1", "e3"), desk.found("t/d=2", "e3")
+        harness.found(f"t/d={n}", "e1")
+        harness.plan(f"t/d={n}", "e1", "e2")
+    harness.found("t/d=0", "e3"), harness.found("t/d=1", "e3"), harness.found("t/d=2", "e3")
     clock, bounds = 0, Bounds(2, 4, bytes_per_hour=100.0)
     carrier = MigrationDriver(1, 0, "/staging", bounds)
 
     def began(now, events=()):
         out, told = [], []
-        for action in carrier.step(now, [StateUpdated(desk.index, desk.machine), *events]):
+        for action in carrier.step(now, [StateUpdated(harness.index, harness.machine), *events]):
             if isinstance(action, ProposeCommand):
-                desk.index += 1
+                harness.index += 1
                 answer = Answer.FromString(
-                    desk.machine.apply(LogPosition(desk.index, clock), action.command, desk)
+                    harness.machine.apply(LogPosition(harness.index, clock), action.command, harness)
                 )
-                told.append(CommandAnswered(action.token, answer, desk.index))
+                told.append(CommandAnswered(action.token, answer, harness.index))
                 step = pb.Command.FromString(action.command).step
                 out.append((Step.Kind.Name(step.kind), step.source))
         return out, told
 
-    assert began(0.0)[0] == []  # nobody knows yet what is on the target's disk
+    assert began(0.0)[0] == []  # the contents of the target's disk are not known yet
     first, told = began(1_000.0, [EnginesReported((), {"e2": frozenset()})])
     assert first == [("RESERVE", "")] * 2  # streams of one engine, and 72 of 100 bytes
     assert began(1_001.0, told)[0] == [("COPY", "e1")] * 2
-    for move in list(desk.machine.moves.values())[:2]:
-        desk.step(Step.UNDO, move.number)
-        desk.step(Step.UNDONE, move.number)
+    for move in list(harness.machine.moves.values())[:2]:
+        harness.step(Step.UNDO, move.number)
+        harness.step(Step.UNDONE, move.number)
     carrier = MigrationDriver(
         1, 0, "/staging", bounds
-    )  # another holder, to whom the record alone tells of them
+    )  # another holder, which knows them from the replicated state only
     began(0.0)
     assert began(1_000.0, [EnginesReported((), {"e2": frozenset()})])[0] == []
     clock = 3_900_000
-    desk.machine.expire_due(LogPosition(desk.index + 1, clock))
+    harness.machine.expire_due(LogPosition(harness.index + 1, clock))
     found, told = began(2_000.0)
     assert found == [("RESERVE", "")] * 2
-    desk.home("e1", life="gone")  # both would go to the one copy that is left of them, besides its own stream
+    harness.home("e1", life="gone")  # both need the one remaining replica, in addition to its own stream
     assert began(2_001.0, told)[0].count(("COPY", "e3")) <= 2
 
 
@@ -860,46 +865,48 @@
     return pb.Counted(queries=[pb.Counted.Queries(shard=shard, count=count) for shard, count in pairs])
 
 
-def test_heat_fades_by_the_records_clock_alike_everywhere_and_wakes_no_watch():
-    desk = Desk()
-    desk.declare("t/d=1"), desk.declare("t/d=2", heat=9.0)
-    machine, revision = desk.machine, desk.machine.revision
+def test_access_load_decays_by_replicated_clock_and_wakes_no_watch():
+    harness = StateMachineHarness()
+    harness.declare("t/d=1"), harness.declare("t/d=2", heat=9.0)
+    machine, revision = harness.machine, harness.machine.revision
     for clock, told in ((0, [("t/d=1", 4_000_000), ("t/d=9", 7)]), (1_800_000, [("t/d=2", 3_000_000)])):
         command = pb.Command(counted=counted(*told)).SerializeToString()
-        desk.index += 1
-        answer = machine.apply(LogPosition(desk.index, clock), command, desk)
+        harness.index += 1
+        answer = machine.apply(LogPosition(harness.index, clock), command, harness)
         assert not Answer.FromString(answer).refusal
     assert machine.access_loads() == {
         "t/d=1": 2_000.0,
         "t/d=2": 3_000.0,
-    }  # a half-life on; one of no shard is left
+    }  # one half-life later; a count of an unknown shard is ignored
     world = machine.world().with_counted_load()
     assert (world.shards["t/d=2"].heat, world.heat_unit) == (3_000.0, 1.0)
-    assert machine.revision == revision and machine.state_at == desk.index
+    assert machine.revision == revision and machine.state_at == harness.index
     other = ShardMachine()
     other.restore(machine.snapshot())
-    later = LogPosition(desk.index + 1, 1_800_000 + 17 * access_load.STEP_MS + 5)
+    later = LogPosition(harness.index + 1, 1_800_000 + 17 * access_load.STEP_MS + 5)
     for one in (machine, other):
-        one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), desk)
+        one.apply(later, pb.Command(counted=counted(("t/d=1", 5))).SerializeToString(), harness)
     assert machine.snapshot() == other.snapshot() and machine.access_loads()
     assert all(
         abs(access_load.decayed(10**9, n) - 10**9 * 0.5 ** (n / access_load.STEPS_PER_HALF_LIFE)) < 10**5
         for n in range(200)
     )
-    two_versions = mock.patch.object(Desk, "fact", lambda self, kind, key: int(kind == "level"))
+    two_versions = mock.patch.object(
+        StateMachineHarness, "fact", lambda self, kind, key: int(kind == "level")
+    )
     with two_versions, pytest.raises(UnreadableCommandError, match="of no kind"):
-        machine.apply(later, pb.Command(counted=counted()).SerializeToString(), desk)
+        machine.apply(later, pb.Command(counted=counted()).SerializeToString(), harness)
     many = counted(*[(f"t/d={n}", 1) for n in range(access_load.MAX_REPORTED_SHARDS + 1)])
-    answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), desk)
+    answer = machine.apply(later, pb.Command(counted=many).SerializeToString(), harness)
     assert Answer.FromString(answer).refusal == Answer.TOO_MANY
     late = LogPosition(later.index + 1, later.clock_ms + 3 * access_load.HALF_LIFE_MS)
-    machine.apply(late, pb.Command(counted=counted()).SerializeToString(), desk)
+    machine.apply(late, pb.Command(counted=counted()).SerializeToString(), harness)
     assert (
         not machine.access_loads() and machine.world().with_counted_load().shards["t/d=2"].heat == 9.0
-    )  # too few to go by
+    )  # too few queries to use
 
 
-def test_a_controller_tells_what_was_named_most_and_keeps_the_rest_faded():
+def test_controller_reports_most_named_shards_and_keeps_others_decayed():
     named = access_load.AccessCounter()
     for n in range(access_load.MAX_COUNTED_SHARDS + 1):
         named.count([f"t/d={n}", "t/d=0"])
@@ -911,11 +918,11 @@
     assert named.batch(7 * access_load.HALF_LIFE_MS) == []
 
 
-# Plays.
+# Simulations.
 
 
 def streams(seed):
-    """Play one stream of each engine: more than one at any time is found."""
+    """Simulate with one stream for each engine; raises `Broken` if an engine ever has more."""
     one = Play(
         seed,
         engines=4,
@@ -941,7 +948,7 @@
     ],
     ids=["none", "what was asked is not counted", "a new source's streams are not counted"],
 )
-def test_streams_are_bounded_whatever_goes_wrong(defect):
+def test_streams_are_limited_under_faults(defect):
     if defect is None:
         for seed in range(8):
             streams(seed)
@@ -952,23 +959,23 @@
 
 
 @pytest.mark.parametrize("kind", ONE_FAULT)
-def test_from_every_crash_and_fault_ahead_of_any_action_all_needs_are_met(kind):
+def test_needs_are_met_after_crash_or_fault_before_any_action(kind):
     every = 1 if kind.startswith("crash") else 3
     for number in range(1, ACTIONS, every):
-        one_fault(number, kind)
+        play_with_one_fault(number, kind)
 
 
 @pytest.mark.parametrize("planner", [simple_plan, plan], ids=["a simple planner", "the planner"])
-def test_mixed_faults_break_no_invariant_and_all_needs_are_met_when_they_stop(planner):
+def test_mixed_faults_break_no_invariant_and_needs_are_met_afterwards(planner):
     for seed in range(40):
         play(seed, engines=4, shards=3, fault_ms=50_000.0, planner=planner)
 
 
-def test_the_record_keeps_headroom_whatever_the_planner_wants():
+def test_state_machine_keeps_headroom_with_careless_planner():
     assert all(play_careless(seed, fault_ms=80_000.0).headroom_refusals > 0 for seed in range(5))
 
 
-def test_a_move_without_faults_copies_once_and_waits_for_queries():
+def test_migration_without_faults_copies_once_and_waits_for_queries():
     one = Play(3, engines=4, shards=3, copies=1, faults=False)
     one.run(15_000.0)
     one.engines["e0"].draining = True
--- a/tests/shards/test_shard_routing.py
+++ b/tests/shards/test_shard_routing.py
@@ -1,4 +1,4 @@
-"""Routing by copies: exact where slots reach, guarded where not, and nothing at all without them."""
+"""Routing by replicas: exact where slots suffice, checked before sending where not, unused without slots."""
 
 from random import Random
 
@@ -21,8 +21,8 @@
 )
 
 
-class Rig:
-    """A module with its routing, or without."""
+class RoutingHarness:
+    """A policy module, with or without its routing."""
 
     def __init__(self, slots, places):
         self.routing = Routing(SETTINGS, slots)
@@ -47,8 +47,8 @@
         self.step(now, policy.AttemptEnded(query, number, engine, status, 20.0, status == "ok"))
 
 
-def day(rig, shards_of, steps=400):
-    """Let queries come and go for a while; some fail first."""
+def run_queries(rig, shards_of, steps=400):
+    """Simulate arriving and ending queries; some attempts fail."""
     draw, now = Random(3), 0.0
     for query in range(steps):
         now += draw.uniform(0.5, 6.0)
@@ -59,22 +59,22 @@
     return rig
 
 
-def test_without_slots_nothing_is_changed():
+def test_without_slots_nothing_changes():
     routing = Routing(SETTINGS, 0)
     assert widen(SETTINGS, 0) is SETTINGS and routing.rewrite_list(ENGINES) is ENGINES
     assert routing.update_replicas({"t/": ("e1",)}) == [] and routing.classify(1, 1, ["t/"]) == (1, [])
     assert routing.may_send(1, "e0")
 
 
-def test_with_slots_but_no_shards_named_the_module_decides_as_without():
-    plain, split = (day(Rig(slots, {"t/": ("e1",)}), lambda query: ()) for slots in (0, 3))
+def test_slots_do_not_affect_queries_without_shards():
+    plain, split = (run_queries(RoutingHarness(slots, {"t/": ("e1",)}), lambda query: ()) for slots in (0, 3))
     assert plain.log == split.log and len(plain.sent) > 300
 
 
-def test_queries_go_to_engines_with_good_copies_only_at_first_and_after_failures():
+def test_queries_and_retries_go_only_to_engines_with_good_replicas():
     places = {"a/d=1": ("e1", "e3"), "a/d=2": ("e3", "e5", "e7"), "b/": ("e0", "e1", "e2", "e3")}
     named = [("a/d=1",), ("a/d=2",), ("b/",), ("a/d=1", "a/d=2"), ()]
-    rig = day(Rig(4, places), lambda query: named[query % 5])
+    rig = run_queries(RoutingHarness(4, places), lambda query: named[query % 5])
     for query, engines in rig.sent.items():
         holders = rig.routing.holders(named[query % 5])
         assert holders is None or set(engines) <= holders, (query, engines)
@@ -82,9 +82,9 @@
     assert rig.routing.holders(("a/d=1", "a/d=2")) == {"e3"}
 
 
-def test_a_switch_moves_queries_that_wait_as_well():
-    rig = Rig(1, {"t/": ("e1",)})
-    for query in range(80):  # more than one engine takes
+def test_switch_redirects_waiting_queries():
+    rig = RoutingHarness(1, {"t/": ("e1",)})
+    for query in range(80):  # more than one engine can run
         rig.arrive(1.0, query, 0, ["t/"])
     first = len(rig.sent)
     assert {engine for sent in rig.sent.values() for engine in sent} == {"e1"} and first < 80
@@ -92,8 +92,8 @@
     assert {sent[0] for query, sent in rig.sent.items() if query >= first} == {"e6"}
 
 
-def test_a_copy_that_left_after_the_choice_is_not_sent_to():
-    rig = Rig(1, {"t/": ("e1", "e3")})
+def test_no_query_is_sent_to_replica_that_left_after_selection():
+    rig = RoutingHarness(1, {"t/": ("e1", "e3")})
     rig.arrive(1.0, 1, 0, ["t/"])
     chosen = rig.sent[1][0]
     assert rig.routing.may_send(1, chosen)
@@ -101,20 +101,21 @@
     assert not rig.routing.may_send(1, chosen)
 
 
-def test_an_engine_that_lacks_a_copy_is_believed_until_the_next_view():
-    rig = Rig(6, {"a": ("e1", "e2")})
+def test_missing_replica_report_holds_until_next_view():
+    rig = RoutingHarness(6, {"a": ("e1", "e2")})
     rig.arrive(0.0, 1, shards=("a",))
     first = rig.out[1][1]
     rig.step(1.0, *rig.routing.replica_missing(1, first))
     rig.end(1.0, 1, "moot")
     assert sorted(rig.sent[1]) == ["e1", "e2"] and not rig.routing.may_send(1, first)
-    assert rig.routing.replica_missing(1, rig.out[1][1]) is None  # nobody else has it: that is the answer
+    # no other engine has it, so the engine's answer is final
+    assert rig.routing.replica_missing(1, rig.out[1][1]) is None
     rig.routing.update_replicas({"a": ("e1", "e2")})
     assert rig.routing.may_send(1, first)
 
 
-def test_slots_are_given_anew_when_no_query_needs_them_and_overflow_is_guarded():
-    rig = Rig(2, {f"t/d={n}": (f"e{n}",) for n in range(4)})
+def test_unused_slots_are_reassigned_and_overflow_is_checked_before_sending():
+    rig = RoutingHarness(2, {f"t/d={n}": (f"e{n}",) for n in range(4)})
     for query in range(3):
         rig.arrive(1.0, query, 0, [f"t/d={query}"])
     assert rig.routing.overflows == 1
@@ -124,12 +125,12 @@
     assert rig.sent[3] == ["e3"] and rig.routing.overflows == 1
 
 
-def test_a_shard_without_any_good_copy_gets_no_query():
-    rig = Rig(1, {"t/": ()})
+def test_shard_without_good_replica_gets_no_query():
+    rig = RoutingHarness(1, {"t/": ()})
     rig.arrive(1.0, 1, 0, ["t/"])
     assert 1 not in rig.sent and not rig.routing.may_send(1, "e0")
 
 
-def test_slots_are_bounded():
+def test_slots_are_limited():
     assert len(Routing(SETTINGS, 50).slots) == MAX_SLOTS
     assert len(widen(SETTINGS, 50).kind_cores) == 2 * 2**MAX_SLOTS
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -1,9 +1,9 @@
-"""Planted defects of moves, and which play finds each after how many.
+"""Planted defects of shard migrations, and which simulation finds each, after how many.
 
 `python tests/support/move_defects.py [SEEDS]` prints the table.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - to run this file as a script
 
 # isort: split
 
@@ -19,7 +19,7 @@
 from fennelwind.shards.state_machine import ShardMachine
 
 QUICK_SEEDS = 10
-ACTIONS = 17  # of a play of one fault; the last ones have nothing left to break
+ACTIONS = 17  # of a simulation of one fault; the last ones leave nothing to disturb
 DROP_NOW = """if work.phase not in ("sent", "early") and move.drops:
         work.phase = "early"
         return self._run_statement(move.number, "early", move.shard, move.drops,
@@ -121,8 +121,8 @@
 }
 
 
-def one_fault(number, kind, **more):
-    """Play one fault; a copy that was read in before its holder's end is not read in again."""
+def play_with_one_fault(number, kind, **more):
+    """Simulate one fault; raise `Broken` if a replica imported before its holder's end is imported again."""
     one = play_one_fault(number, kind, **more)
     if kind.startswith("crash") and one.boundary >= number and 0 < one.loads_then < one.loads():
         raise Broken("a copy was read in twice")
@@ -130,20 +130,23 @@
 
 
 def model(most=400):
-    """Run the plain model beside the machine; return after how many examples they part, and how."""
+    """Run the model beside the state machine; return after how many examples they differ, and how."""
     from test_shard_moves import Model  # which imports this file
 
     return by_model(Model, most, 50)
 
 
 def plays(most):
-    """Return sorts of plays, cheap and pointed things first: a name, and what is played."""
+    """Yield kinds of simulations, cheap and specific ones first: a name, and the simulations."""
     for kind in ONE_FAULT:
-        yield f"one fault: {kind}", [partial(one_fault, number, kind) for number in range(1, ACTIONS)]
+        yield (
+            f"one fault: {kind}",
+            [partial(play_with_one_fault, number, kind) for number in range(1, ACTIONS)],
+        )
     yield (
         "one fault, quick copies",
         [
-            partial(one_fault, number, "late, crash target", seed=seed, quick=True)
+            partial(play_with_one_fault, number, "late, crash target", seed=seed, quick=True)
             for seed in range(QUICK_SEEDS)
             for number in range(1, 9)
         ],
@@ -154,7 +157,7 @@
 
 
 def hunt(title, most):
-    """Return the sort of play that finds a defect, after how many of it and of all, and what it says."""
+    """Return the kind of simulation that finds a defect, after how many of it and of all, and its message."""
     before = 0
     with planted(DEFECTS[title]):
         for sort, some in plays(most):
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -1,10 +1,10 @@
-"""A play of moves in virtual time: the record, one holder after another, engines' disks, queries, and faults.
+"""Simulation of shard migrations in virtual time: state machine, holders, disks, queries and faults.
 
-Everything goes by one heap of times and one seed. Invariants are looked at after every event; `Broken` tells
-the one that failed. `python tests/support/move_play.py mixed|careless|one [FIRST LAST]` plays many.
+All events are in one heap, drawn from one seed. Invariants are checked after every event; `Broken` names the
+violated one. `python tests/support/move_play.py mixed|careless|one [FIRST LAST]` runs many simulations.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - to run this file as a script
 
 # isort: split
 
@@ -38,8 +38,8 @@
 from fennelwind.shards.plan import plan as planned
 from fennelwind.shards.state_machine import ShardMachine
 
-SIZE, DISK, HEADROOM = 100, 1000, 200  # bytes, as good as any
-RATE = 0.01  # bytes per ms that an import or export carries: a copy takes 10 s
+SIZE, DISK, HEADROOM = 100, 1000, 200  # bytes
+RATE = 0.01  # bytes per ms of an export or import: a copy takes 10 s
 TIMING = Timing(
     answer_ms=2_000,
     drop_ms=3_000,
@@ -54,21 +54,21 @@
     plan_ms=2_000,
 )
 QUICK = replace(TIMING, drop_ms=8_000, copy_ms=8_000)  # with copies that take half a second
-VIEW_MS = 5_000.0  # how old a router's view may be
-QUERY_MS = 8_000.0  # the longest query
-TERM_MS = 4_000.0  # from a holder's end until the next one
+VIEW_MS = 5_000.0  # maximum age of a router's view
+QUERY_MS = 8_000.0  # longest query
+TERM_MS = 4_000.0  # from a holder's end until the next holder
 BOUNDS = Bounds(streams_per_engine=2, streams_per_link=4)
 FAULTS = ("crash", "down", "down", "wipe", "spill", "hang", "fail", "drain", "both", "change", "load")
-DRAIN_MS = 15_000.0  # when an engine is drained in plays of one fault
-CALM_MS = 150_000.0  # for what is left when faults have stopped
+DRAIN_MS = 15_000.0  # when an engine is drained in simulations of one fault
+CALM_MS = 150_000.0  # to meet all needs after faults have stopped
 
 
 class Broken(AssertionError):
-    """An invariant does not hold."""
+    """An invariant is violated."""
 
 
 def plan(world: World, bounds: Bounds) -> MigrationPlan:
-    """Plan simply: what is missing comes to the emptiest engine, what drains moves, what is over goes."""
+    """Plan simply: missing replicas go to the emptiest engine, draining engines empty, surplus goes."""
     free_bytes = {
         home.name: home.disk - home.headroom for home in world.homes.values() if home.life == "ready"
     }
@@ -107,21 +107,21 @@
 
 
 class QuickMachine(ShardMachine):
-    """The machine with a rest after switches that fits the play's views and queries."""
+    """The state machine with a rest period that fits the simulation's views and queries."""
 
     rest_ms = 10_000
 
 
 class Engine:
-    """An engine: its shelf, whether it is up, and which disk it has."""
+    """An engine: its emulated storage, whether it is up, and the number of its disk."""
 
     def __init__(self, name, zone, disk, staging):
         self.name, self.zone, self.disk, self.staging = name, zone, disk, staging
         self.shelf = Shelf(disk, staging)
         self.up, self.draining, self.disk_number, self.life_number = True, False, 0, 0
         self.hang = 0.0  # statements sent before this time get no answer
-        self.runs_late = False  # and do their work late, past the look at their fence
-        self.fail = 0.0  # and these an error
+        self.runs_late = False  # and are executed late, after the check of their fencing token
+        self.fail = 0.0  # statements begun before this time fail
 
     def home(self):
         life = "gone" if not self.up else "draining" if self.draining else "ready"
@@ -134,7 +134,7 @@
 
 
 class Play:
-    """One play."""
+    """One simulation."""
 
     def __init__(
         self,
@@ -169,7 +169,8 @@
         self.changing = set()
         self.running = Counter()  # queries by shard and engine
         self.counts = Counter()
-        self.at, self.boundary, self.lossy = at, 0, lossy  # at: the action from which on, and what goes wrong
+        # at: the number of an action, and the fault before it
+        self.at, self.boundary, self.lossy = at, 0, lossy
         self.faulty_until = fault_ms if faults else 0.0
         self.woken = None
         self.headroom_refusals, self.flying, self.undoing = 0, {}, ("", "")
@@ -190,7 +191,7 @@
     # Time.
 
     def loads(self):
-        """Return how many copies were read in."""
+        """Return how many imports were done."""
         return sum(n for what, n in self.counts.items() if what.startswith("import "))
 
     def later(self, delay, what, *args):
@@ -205,7 +206,7 @@
                 self.look()
         self.now = until
 
-    # The record.
+    # The replicated state.
 
     def fact(self, kind, key):
         if kind in ("fence", "level"):
@@ -233,7 +234,7 @@
         return answer
 
     def check_accepted(self, asked):
-        """Check what the record took with rules of the play's own."""
+        """Check an accepted command against the simulation's own rules."""
         if asked.WhichOneof("what") not in ("declare", "remove") and asked.fence != self.fence:
             raise Broken("an older fence was taken")
         if asked.WhichOneof("what") != "step":
@@ -281,7 +282,7 @@
                 raise Broken(f"{kind} took the last good copy of {shard}")
 
     def check_bounds(self):
-        """Check streams, and the bytes that began within an hour, by moves' steps alone."""
+        """Check the number of streams, given the steps of migrations."""
         streams = Counter()
         for move in self.machine.moves.values():
             if move.step in ("reserved", "copying"):
@@ -290,7 +291,7 @@
             raise Broken(f"more streams than may be: {streams}")
 
     def check_keeps(self, keeps):
-        """Check that the record keeps what a plan made now says is to be kept: it is not asked to."""
+        """Check that the state machine would not drop a replica that a plan made now keeps."""
         for move in (self.machine.moves[number] for number in keeps):
             if move.step in ("switched", "dropping") and self.machine.may_drop(move.shard, move.drops):
                 raise Broken(f"the planner keeps a copy of {move.shard} that the record lets go")
@@ -354,7 +355,8 @@
                 case RunStatement():
                     self.send_statement(action)
                 case ComputePlan(token, world, bounds):
-                    made = [PlanCompleted(token, self.planner(world, bounds))]  # told when much may differ
+                    # delivered when much may have changed
+                    made = [PlanCompleted(token, self.planner(world, bounds))]
                     if not self.lag:
                         self.check_keeps(made[0].planned.keeps)
                     self.later(self.random.choice((1.0, 100.0, 3_000.0)), self.step_holder, holder, made)
@@ -375,7 +377,7 @@
             return self.later(
                 TIMING.answer_ms, self.step_holder, holder, [CommandAnswered(action.token, None)]
             )
-        if self.lossy and self.random.random() < 0.05:  # on its way for so long that others may hold by then
+        if self.lossy and self.random.random() < 0.05:  # so late that another may hold the lease
             delay = self.random.uniform(3_000.0, 9_000.0)
 
         def arrive():
@@ -397,12 +399,12 @@
         delay = self.random.uniform(1.0, 20.0)
         hang = self.now < engine.hang
         if hang and not engine.runs_late and self.random.random() < 0.5:
-            return  # it never came
+            return  # it never arrived
         task = engine.shelf.read(action.statement)
         if task.kind == "import":
             until = self.now + action.timeout_ms
             self.flying[holder, action.token] = (task.shard, engine, engine.life_number, until)
-        if hang and not engine.runs_late and self.random.random() < 0.5:  # done late, within its time-out
+        if hang and not engine.runs_late and self.random.random() < 0.5:  # executed late, within its time-out
             delay = self.random.uniform(1.0, action.timeout_ms * 0.9)
         self.later(delay, self.begin_statement, engine, engine.life_number, action, holder, hang, self.now)
 
@@ -425,7 +427,7 @@
             self.flying.pop((holder, action.token), None)
             return self.answer(holder, action.token, hang, "failed")
         took = task.size / self.rate if task.size else self.random.uniform(5.0, 200.0)
-        if hang and (engine.runs_late or self.random.random() < 0.5):  # past the look at its fence
+        if hang and (engine.runs_late or self.random.random() < 0.5):  # after the check of its fencing token
             took = self.random.uniform(0.0, action.timeout_ms)
         if hang:
             took = min(took, max(0.0, sent + action.timeout_ms - self.now))
@@ -434,7 +436,7 @@
 
     def end_statement(self, engine, life, task, action, holder, hang):
         if self.asked.pop((action.token, holder), None) is None and holder == self.holder:
-            return self.answer(holder, action.token, hang, "unknown")  # it was stopped
+            return self.answer(holder, action.token, hang, "unknown")  # it was cancelled
         if not engine.up or engine.life_number != life:
             return self.answer(holder, action.token, hang, "unknown")
         self.counts[task.kind] += 1
@@ -478,14 +480,15 @@
         self.later(self.random.uniform(50.0, 400.0), self.query)
         shard = self.random.choice(sorted(self.truth))
         good = self.machine.good(shard)
-        if good:  # the view is that of now, the query is sent by it up to VIEW_MS later
+        if good:  # the view is current; the query is sent by it up to VIEW_MS later
             engine = self.engines[self.random.choice(good)]
             disk = self.machine.homes[engine.name].mark
             self.later(self.random.uniform(0.0, VIEW_MS), self.read, shard, engine, disk)
 
     def read(self, shard, engine, disk):
         if not engine.up or disk != engine.mark:
-            return  # refused by the connection, or the play took the disk away and the record can't know yet
+            # refused by the connection, or the disk was replaced and the replicated state can't know yet
+            return
         if engine.shelf.held.get(shard) != self.truth[shard]:
             raise Broken(f"a query of {shard} was sent to {engine.name}, which has no such copy")
         self.counts["queries"] += 1
@@ -507,7 +510,7 @@
         self.do(kind, engine)
 
     def planned_fault(self, kind):
-        """Cause one fault ahead of an action; tell whether the holder ends by it, without that action."""
+        """Cause one fault before an action; return whether the holder ends by it, without that action."""
         self.touched = True
         self.loads_then = self.loads()
         move = next((m for m in self.machine.moves.values() if m.target), None)
@@ -534,7 +537,8 @@
                 engine.draining = True
             elif what == "hang":
                 engine.hang = self.now + 12_000.0
-            elif what.startswith("late, crash"):  # what is sent now works late; the next holder is soon there
+            # what is sent now is executed late; the next holder starts soon
+            elif what.startswith("late, crash"):
                 engine.hang, engine.runs_late = self.now + 5.0, True
                 self.later(30.0, self.crash_holder, 20.0)
                 engine.draining |= what.endswith("drain")
@@ -543,7 +547,7 @@
         return False
 
     def wipe(self, engine, long):
-        """Take an engine's disk away, where each of its shards has another good copy; it returns empty."""
+        """Replace an engine's disk by an empty one, if each of its shards has another good replica."""
         if all(
             set(self.whole(shard)) & set(self.machine.good(shard)) - {engine.name}
             for shard in engine.shelf.held
@@ -586,7 +590,7 @@
                 self.later(long / 4, self.changing.discard, table)
 
     def load(self, shard):
-        """Let a load job change a shard's rows on every good copy, as one that holds its table may."""
+        """Let a load job change a shard's rows on all good replicas, as the owner of a table's lock may."""
         table, old = shard.split("/")[0], self.truth[shard]
         good = [self.engines[engine] for engine in self.machine.good(shard)]
         if (
@@ -634,7 +638,7 @@
         self.was_good = {shard: bool(self.machine.good(shard)) for shard in self.machine.shards}
 
     def settle(self):
-        """Play on without faults; check that all needs are met then."""
+        """Continue without faults; check that all needs are met in the end."""
         self.run(self.faulty_until)
         self.lossy = 0.0
         for engine in self.engines.values():
@@ -676,7 +680,7 @@
 
 
 def play_one_fault(number, kind, seed=0, **more):
-    """Drain an engine whose copies are the only ones; let one thing go wrong ahead of one action."""
+    """Drain an engine with the only replicas; cause one fault before one action."""
     one = Play(seed, engines=4, shards=3, copies=1, faults=False, at=(number, kind), **more)
     one.run(DRAIN_MS)
     one.engines["e0"].draining = True
@@ -686,7 +690,7 @@
 
 
 def careless(world, bounds):
-    """Plan as if disks had no bounds, and to make it worse, all to the same engine."""
+    """Plan as if disks had no limits, with all replicas on the same engine."""
     homes = {
         name: replace(home, disk=home.disk + 10_000 * (name > "e2")) for name, home in world.homes.items()
     }
@@ -694,7 +698,7 @@
 
 
 def play_careless(seed, **more):
-    """Play a planner that counts no space, on small disks: the record alone keeps the headroom."""
+    """Simulate a planner that ignores space, on small disks: only the state machine keeps the headroom."""
     one = Play(seed, planner=careless, disk=500, shards=8, copies=1, quick=bool(seed % 2), **more)
     one.run(DRAIN_MS)
     for name in ("e0", "e1", "e2"):
@@ -704,14 +708,14 @@
 
 
 def play(seed, **more):
-    """Play one seed of mixed faults to its end."""
+    """Simulate one seed of mixed faults to its end."""
     one = Play(seed, lossy=0.05, lag=300.0 * (seed % 2), quick=bool(seed // 2 % 2), **more)
     one.settle()
     return one
 
 
 def sorts(kind, first, last):
-    """Yield plays of a sort by name: `mixed` and `careless` by seed, `one` of each fault at each action."""
+    """Yield simulations by name: `mixed` and `careless` by seed, `one` of each fault before each action."""
     if kind == "one":
         for fault in ONE_FAULT:
             for number in range(1, 17):
