--- a/tests/cluster/test_moves_whole.py
+++ b/tests/cluster/test_moves_whole.py
@@ -208,7 +208,7 @@
     scene, named = Scene(4), [AccessCounter(), AccessCounter()]
 
     def told(shard):
-        return scene.machine()._faded.get(shard, (0, 0))[0]
+        return scene.machine()._access_counts.get(shard, (0, 0))[0]
 
     def call():
         for number, name in enumerate(("c0", "c1")):
