--- a/tests/shards/test_shard_moves.py
+++ b/tests/shards/test_shard_moves.py
@@ -927,7 +927,7 @@
         seed,
         engines=4,
         shards=8,
-        lossy=0.05,
+        loss_rate=0.05,
         fault_ms=60_000.0,
         quick=bool(seed // 2 % 2),
         bounds=Bounds(streams_per_engine=1),
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -124,8 +124,8 @@
 def play_with_one_fault(number, kind, **more):
     """Simulate one fault; raise `Broken` if a replica imported before its holder's end is imported again."""
     one = play_one_fault(number, kind, **more)
-    if kind.startswith("crash") and one.boundary >= number and 0 < one.loads_then < one.loads():
-        raise Broken("a copy was read in twice")
+    if kind.startswith("crash") and one.action_count >= number and 0 < one.loads_then < one.loads():
+        raise Broken("a replica was imported twice")
     return one
 
 
--- a/tests/support/move_play.py
+++ b/tests/support/move_play.py
@@ -118,12 +118,12 @@
     def __init__(self, name, zone, disk, staging):
         self.name, self.zone, self.disk, self.staging = name, zone, disk, staging
         self.shelf = Shelf(disk, staging)
-        self.up, self.draining, self.disk_number, self.life_number = True, False, 0, 0
-        self.hang = 0.0  # statements sent before this time get no answer
+        self.up, self.draining, self.disk_number, self.incarnation = True, False, 0, 0
+        self.hang_until_ms = 0.0  # statements sent before this time get no answer
         self.runs_late = False  # and are executed late, after the check of their fencing token
-        self.fail = 0.0  # statements begun before this time fail
+        self.fail_until_ms = 0.0  # statements begun before this time fail
 
-    def home(self):
+    def host_state(self):
         life = "gone" if not self.up else "draining" if self.draining else "ready"
         mark, spilled = (self.mark, self.shelf.spilled) if self.up else ("", 0)
         return ReplicaHost(self.name, self.zone, "", self.disk, HEADROOM, life, 0, mark, spilled)
@@ -146,11 +146,11 @@
         faults=True,
         fault_ms=120_000.0,
         machine=QuickMachine,
-        carrier=MigrationDriver,
+        driver=MigrationDriver,
         planner=plan,
-        at=None,
-        lossy=0.0,
-        lag=0.0,
+        fault_at=None,
+        loss_rate=0.0,
+        view_lag_ms=0.0,
         disk=DISK,
         quick=False,
         bounds=BOUNDS,
@@ -159,34 +159,34 @@
         self.random = random.Random(seed)
         self.now, self.clock, self.index, self.order = 0.0, 0, 0, 0
         self.heap = []
-        self.machine_type, self.carrier_type, self.planner = machine, carrier, planner
+        self.machine_type, self.driver_type, self.planner = machine, driver, planner
         self.machine = machine()
-        self.staging, self.asked, self.lag, self.replica = {}, {}, lag, None
+        self.staging, self.running_statements, self.view_lag_ms, self.replica = {}, {}, view_lag_ms, None
         self.rate, self.timing = (RATE * 20, QUICK) if quick else (RATE, TIMING)
         self.engines = {f"e{n}": Engine(f"e{n}", f"z{n % 3}", disk, self.staging) for n in range(engines)}
-        self.truth = {}
-        self.fence, self.carrier, self.holder = 0, None, 0
+        self.expected = {}
+        self.fence, self.driver, self.holder = 0, None, 0
         self.changing = set()
         self.running = Counter()  # queries by shard and engine
         self.counts = Counter()
         # at: the number of an action, and the fault before it
-        self.at, self.boundary, self.lossy = at, 0, lossy
-        self.faulty_until = fault_ms if faults else 0.0
-        self.woken = None
-        self.headroom_refusals, self.flying, self.undoing = 0, {}, ("", "")
-        self.steps, self.was_good, self.touched = [], {}, True
+        self.fault_at, self.action_count, self.loss_rate = fault_at, 0, loss_rate
+        self.faults_end_ms = fault_ms if faults else 0.0
+        self.scheduled_wake = None
+        self.headroom_refusals, self.imports_in_flight, self.undoing = 0, {}, ("", "")
+        self.steps, self.had_good_replica, self.needs_check = [], {}, True
         for n in range(shards):
             name = f"t{n % 2}/day={n}"
-            self.truth[name] = Content(10 + n, 1000 + n, SIZE)
+            self.expected[name] = Content(10 + n, 1000 + n, SIZE)
             self.declare(name, copies)
             for k in range(copies):
                 engine = self.engines[f"e{(n + k) % engines}"]
-                engine.shelf.held[name] = self.truth[name]
+                engine.shelf.held[name] = self.expected[name]
         self.begin_holder()
-        self.later(10.0, self.tell_news)
-        self.later(100.0, self.query)
+        self.schedule(10.0, self.report_engines)
+        self.schedule(100.0, self.query)
         if faults:
-            self.later(8_000.0, self.fault)
+            self.schedule(8_000.0, self.fault)
 
     # Time.
 
@@ -194,7 +194,7 @@
         """Return how many imports were done."""
         return sum(n for what, n in self.counts.items() if what.startswith("import "))
 
-    def later(self, delay, what, *args):
+    def schedule(self, delay, what, *args):
         self.order += 1
         heapq.heappush(self.heap, (self.now + delay, self.order, what, args))
 
@@ -202,8 +202,8 @@
         while self.heap and self.heap[0][0] <= until:
             self.now, _, what, args = heapq.heappop(self.heap)
             what(*args)
-            if self.touched:
-                self.look()
+            if self.needs_check:
+                self.check_invariants()
         self.now = until
 
     # The replicated state.
@@ -213,7 +213,7 @@
             return self.fence if kind == "fence" else 2
         return int(kind == "changing" and key in self.changing)
 
-    def pass_time(self):
+    def advance_clock(self):
         self.index += 1
         self.clock = int(self.now)
         due = self.machine.next_expiry_clock_ms()
@@ -221,42 +221,42 @@
             self.machine.expire_due(LogPosition(self.index, self.clock))
 
     def apply(self, command):
-        self.pass_time()
-        self.touched = True
-        asked = pb.Command.FromString(command)
-        move = self.machine.moves.get(asked.step.move)
+        self.advance_clock()
+        self.needs_check = True
+        request = pb.Command.FromString(command)
+        move = self.machine.moves.get(request.step.move)
         self.undoing = (move.shard, move.target) if move is not None else ("", "")
         self.undoing_step = move.step if move is not None else ""
         answer = pb.Answer.FromString(self.machine.apply(LogPosition(self.index, self.clock), command, self))
         self.headroom_refusals += answer.refusal == pb.Answer.HEADROOM
         if not answer.refusal:
-            self.check_accepted(asked)
+            self.check_accepted(request)
         return answer
 
-    def check_accepted(self, asked):
+    def check_accepted(self, request):
         """Check an accepted command against the simulation's own rules."""
-        if asked.WhichOneof("what") not in ("declare", "remove") and asked.fence != self.fence:
-            raise Broken("an older fence was taken")
-        if asked.WhichOneof("what") != "step":
+        if request.WhichOneof("what") not in ("declare", "remove") and request.fence != self.fence:
+            raise Broken("a command with an older fencing token was accepted")
+        if request.WhichOneof("what") != "step":
             return
-        move, step = self.machine.moves.get(asked.step.move), pb.Step
-        forth = (step.RESERVE, step.COPY, step.CHECK, step.SWITCH, step.DROP)
-        if asked.step.kind in forth and move and move.shard.split("/")[0] in self.changing:
-            raise Broken(f"{move.shard} went on while its table changes")
-        self.steps.append(pb.Step.Kind.Name(asked.step.kind))
+        move, step = self.machine.moves.get(request.step.move), pb.Step
+        is_forward = (step.RESERVE, step.COPY, step.CHECK, step.SWITCH, step.DROP)
+        if request.step.kind in is_forward and move and move.shard.split("/")[0] in self.changing:
+            raise Broken(f"{move.shard} advanced during a schema change of its table")
+        self.steps.append(pb.Step.Kind.Name(request.step.kind))
         machine = self.machine
-        if asked.step.kind in (step.RESERVE, step.COPY):
+        if request.step.kind in (step.RESERVE, step.COPY):
             self.check_bounds()
         given_back = self.undoing[1] not in self.machine.copies.get(self.undoing[0], {})
         if (
-            asked.step.kind == pb.Step.UNDONE
+            request.step.kind == pb.Step.UNDONE
             and given_back
             and any(
-                (shard, e.name) == self.undoing and e.up and e.life_number == life and until > self.now
-                for shard, e, life, until in self.flying.values()
+                (shard, e.name) == self.undoing and e.up and e.incarnation == life and until > self.now
+                for shard, e, life, until in self.imports_in_flight.values()
             )
         ):
-            raise Broken(f"space for {self.undoing} given back while a load of it may land")
+            raise Broken(f"space for {self.undoing} released while an import may still write to it")
         engine = self.engines.get(self.undoing[1])
         if (
             given_back
@@ -268,18 +268,18 @@
                 and self.undoing[0] in engine.shelf.held
             )
         ):
-            raise Broken(f"space for {self.undoing} given back while something of it is there")
-        if asked.step.kind == pb.Step.RESERVE:
+            raise Broken(f"space for {self.undoing} released while part of it is on the disk")
+        if request.step.kind == pb.Step.RESERVE:
             for name, home in machine.homes.items():
                 used = sum(machine.shards[s].size for s, held in machine.copies.items() if name in held)
                 over = used + max(home.headroom, home.spilled) > home.disk
-                move = machine.moves[asked.step.move]
+                move = machine.moves[request.step.move]
                 if over and move.target == name:
-                    raise Broken(f"headroom of {name} crossed")
+                    raise Broken(f"headroom of {name} violated")
         for shard in machine.shards:
-            kind = pb.Step.Kind.Name(asked.step.kind)
-            if kind in ("DROP", "DONE") and not machine.good(shard) and self.was_good.get(shard):
-                raise Broken(f"{kind} took the last good copy of {shard}")
+            kind = pb.Step.Kind.Name(request.step.kind)
+            if kind in ("DROP", "DONE") and not machine.good(shard) and self.had_good_replica.get(shard):
+                raise Broken(f"{kind} dropped the last good replica of {shard}")
 
     def check_bounds(self):
         """Check the number of streams, given the steps of migrations."""
@@ -288,13 +288,13 @@
             if move.step in ("reserved", "copying"):
                 streams.update((move.source, move.target))
         if max(streams.values(), default=0) > self.bounds.streams_per_engine:
-            raise Broken(f"more streams than may be: {streams}")
+            raise Broken(f"too many streams: {streams}")
 
     def check_keeps(self, keeps):
         """Check that the state machine would not drop a replica that a plan made now keeps."""
         for move in (self.machine.moves[number] for number in keeps):
             if move.step in ("switched", "dropping") and self.machine.may_drop(move.shard, move.drops):
-                raise Broken(f"the planner keeps a copy of {move.shard} that the record lets go")
+                raise Broken(f"the planner keeps a replica of {move.shard} that the state machine would drop")
 
     def declare(self, name, copies, holds=None):
         self.apply(
@@ -319,35 +319,35 @@
     # The holder.
 
     def begin_holder(self):
-        self.pass_time()
+        self.advance_clock()
         self.fence += 1
         self.holder += 1
-        self.carrier = self.carrier_type(self.fence, self.index, "/staging", self.bounds, self.timing)
+        self.driver = self.driver_type(self.fence, self.index, "/staging", self.bounds, self.timing)
         self.replica = None
-        self.later(5.0, self.step_holder, self.holder, [])
+        self.schedule(5.0, self.step_holder, self.holder, [])
 
     def crash_holder(self, after=None):
-        if self.carrier is not None:
-            self.carrier = None
+        if self.driver is not None:
+            self.driver = None
             self.holder += 1
             self.counts["crashes"] += 1
-            self.later(TERM_MS if after is None else after, self.begin_holder)
+            self.schedule(TERM_MS if after is None else after, self.begin_holder)
 
     def step_holder(self, holder, events):
-        if holder != self.holder or self.carrier is None:
+        if holder != self.holder or self.driver is None:
             return
-        if not self.lag:
+        if not self.view_lag_ms:
             events = [StateUpdated(self.index, self.machine, frozenset(self.changing)), *events]
-        elif self.replica is None or self.now >= self.replica[0] + self.lag:
+        elif self.replica is None or self.now >= self.replica[0] + self.view_lag_ms:
             copy = self.machine_type()
             copy.restore(self.machine.snapshot())
             self.replica = (self.now, copy)
             events = [StateUpdated(self.index, copy, frozenset(self.changing)), *events]
-        for action in self.carrier.step(self.now, events):
+        for action in self.driver.step(self.now, events):
             if isinstance(action, ProposeCommand | RunStatement) and self.now >= DRAIN_MS:
-                self.boundary += 1
-                number, kind = self.at or (0, "")
-                if self.boundary == number and self.planned_fault(kind):
+                self.action_count += 1
+                number, kind = self.fault_at or (0, "")
+                if self.action_count == number and self.planned_fault(kind):
                     return
             match action:
                 case ProposeCommand():
@@ -357,96 +357,98 @@
                 case ComputePlan(token, world, bounds):
                     # delivered when much may have changed
                     made = [PlanCompleted(token, self.planner(world, bounds))]
-                    if not self.lag:
+                    if not self.view_lag_ms:
                         self.check_keeps(made[0].planned.keeps)
-                    self.later(self.random.choice((1.0, 100.0, 3_000.0)), self.step_holder, holder, made)
+                    self.schedule(self.random.choice((1.0, 100.0, 3_000.0)), self.step_holder, holder, made)
                 case CancelStatement():
-                    self.later(2.0, self.stop, action.token, holder)
+                    self.schedule(2.0, self.stop, action.token, holder)
                 case WakeAt():
-                    if self.woken != (holder, action.at):
-                        self.woken = (holder, action.at)
-                        self.later(max(1.0, action.at - self.now), self.step_holder, holder, [])
+                    if self.scheduled_wake != (holder, action.at):
+                        self.scheduled_wake = (holder, action.at)
+                        self.schedule(max(1.0, action.at - self.now), self.step_holder, holder, [])
                 case LeaseLost():
-                    raise Broken("the one holder was told that it is not")
+                    raise Broken("the only holder lost its lease")
 
     def send_command(self, action):
         holder = self.holder
-        lost = self.random.random() < self.lossy
+        lost = self.random.random() < self.loss_rate
         delay = self.random.uniform(1.0, 30.0)
         if lost and self.random.random() < 0.5:
-            return self.later(
+            return self.schedule(
                 TIMING.answer_ms, self.step_holder, holder, [CommandAnswered(action.token, None)]
             )
-        if self.lossy and self.random.random() < 0.05:  # so late that another may hold the lease
+        if self.loss_rate and self.random.random() < 0.05:  # so late that another may hold the lease
             delay = self.random.uniform(3_000.0, 9_000.0)
 
         def arrive():
             answer = self.apply(action.command)
             if not lost:
-                self.later(
+                self.schedule(
                     self.random.uniform(1.0, 30.0),
                     self.step_holder,
                     holder,
                     [CommandAnswered(action.token, answer, self.index)],
                 )
 
-        self.later(delay, arrive)
+        self.schedule(delay, arrive)
 
     # Engines.
 
     def send_statement(self, action):
         engine, holder = self.engines[action.engine], self.holder
         delay = self.random.uniform(1.0, 20.0)
-        hang = self.now < engine.hang
+        hang = self.now < engine.hang_until_ms
         if hang and not engine.runs_late and self.random.random() < 0.5:
             return  # it never arrived
         task = engine.shelf.read(action.statement)
         if task.kind == "import":
             until = self.now + action.timeout_ms
-            self.flying[holder, action.token] = (task.shard, engine, engine.life_number, until)
+            self.imports_in_flight[holder, action.token] = (task.shard, engine, engine.incarnation, until)
         if hang and not engine.runs_late and self.random.random() < 0.5:  # executed late, within its time-out
             delay = self.random.uniform(1.0, action.timeout_ms * 0.9)
-        self.later(delay, self.begin_statement, engine, engine.life_number, action, holder, hang, self.now)
+        self.schedule(delay, self.begin_statement, engine, engine.incarnation, action, holder, hang, self.now)
 
     def answer(self, holder, token, hang, *ended):
-        if not hang and self.random.random() >= self.lossy:
-            self.later(
+        if not hang and self.random.random() >= self.loss_rate:
+            self.schedule(
                 self.random.uniform(1.0, 20.0), self.step_holder, holder, [StatementEnded(token, *ended)]
             )
 
     def begin_statement(self, engine, life, action, holder, hang, sent):
-        if not engine.up or engine.life_number != life:
+        if not engine.up or engine.incarnation != life:
             return self.answer(holder, action.token, hang, "unknown")
-        if self.now < engine.fail:
-            self.flying.pop((holder, action.token), None)
+        if self.now < engine.fail_until_ms:
+            self.imports_in_flight.pop((holder, action.token), None)
             return self.answer(holder, action.token, hang, "failed")
         try:
             task = engine.shelf.begin(action.statement, action.overlay)
         except Refused as exc:
             self.counts[str(exc).split(",")[0]] += 1
-            self.flying.pop((holder, action.token), None)
+            self.imports_in_flight.pop((holder, action.token), None)
             return self.answer(holder, action.token, hang, "failed")
         took = task.size / self.rate if task.size else self.random.uniform(5.0, 200.0)
         if hang and (engine.runs_late or self.random.random() < 0.5):  # after the check of its fencing token
             took = self.random.uniform(0.0, action.timeout_ms)
         if hang:
             took = min(took, max(0.0, sent + action.timeout_ms - self.now))
-        self.asked[action.token, holder] = task
-        self.later(took, self.end_statement, engine, life, task, action, holder, hang)
+        self.running_statements[action.token, holder] = task
+        self.schedule(took, self.end_statement, engine, life, task, action, holder, hang)
 
     def end_statement(self, engine, life, task, action, holder, hang):
-        if self.asked.pop((action.token, holder), None) is None and holder == self.holder:
+        if self.running_statements.pop((action.token, holder), None) is None and holder == self.holder:
             return self.answer(holder, action.token, hang, "unknown")  # it was cancelled
-        if not engine.up or engine.life_number != life:
+        if not engine.up or engine.incarnation != life:
             return self.answer(holder, action.token, hang, "unknown")
         self.counts[task.kind] += 1
-        self.flying.pop((holder, action.token), None)
-        self.touched = True
+        self.imports_in_flight.pop((holder, action.token), None)
+        self.needs_check = True
         if task.kind.startswith("drop") and task.shard in engine.shelf.held:
-            if engine.shelf.held[task.shard] == self.truth[task.shard]:
+            if engine.shelf.held[task.shard] == self.expected[task.shard]:
                 self.counts["whole dropped"] += 1
             if self.running[task.shard, engine.name]:
-                raise Broken(f"a query of {task.shard} on {engine.name} was cut, though there was time")
+                raise Broken(
+                    f"a query of {task.shard} on {engine.name} was running when its replica was dropped"
+                )
         try:
             content = engine.shelf.end(task)
         except Refused as exc:
@@ -458,42 +460,44 @@
         self.answer(holder, action.token, hang, "ok", *figures)
 
     def stop(self, token, holder):
-        self.asked.pop((token, holder), None)
+        self.running_statements.pop((token, holder), None)
 
-    def tell_news(self):
-        self.later(2_000.0, self.tell_news)
-        homes = tuple(engine.home() for engine in self.engines.values())
+    def report_engines(self):
+        self.schedule(2_000.0, self.report_engines)
+        homes = tuple(engine.host_state() for engine in self.engines.values())
         held = {name: frozenset(e.shelf.held) for name, e in self.engines.items() if e.up}
-        self.later(
+        self.schedule(
             self.random.uniform(5.0, 500.0), self.step_holder, self.holder, [EnginesReported(homes, held)]
         )
         if self.index % 3 == 0 or self.machine.next_expiry_clock_ms() is not None:
-            self.pass_time()
+            self.advance_clock()
         for shard in self.machine.shards:
             engine, move = self.machine.leaving(shard), self.machine.move_of(shard)
             if engine and move.rested and not self.running[shard, engine]:
-                self.later(5.0, self.step_holder, self.holder, [ReplicaQuiesced(shard, engine, move.number)])
+                self.schedule(
+                    5.0, self.step_holder, self.holder, [ReplicaQuiesced(shard, engine, move.number)]
+                )
 
     # Queries.
 
     def query(self):
-        self.later(self.random.uniform(50.0, 400.0), self.query)
-        shard = self.random.choice(sorted(self.truth))
+        self.schedule(self.random.uniform(50.0, 400.0), self.query)
+        shard = self.random.choice(sorted(self.expected))
         good = self.machine.good(shard)
         if good:  # the view is current; the query is sent by it up to VIEW_MS later
             engine = self.engines[self.random.choice(good)]
             disk = self.machine.homes[engine.name].mark
-            self.later(self.random.uniform(0.0, VIEW_MS), self.read, shard, engine, disk)
+            self.schedule(self.random.uniform(0.0, VIEW_MS), self.read, shard, engine, disk)
 
     def read(self, shard, engine, disk):
         if not engine.up or disk != engine.mark:
             # refused by the connection, or the disk was replaced and the replicated state can't know yet
             return
-        if engine.shelf.held.get(shard) != self.truth[shard]:
-            raise Broken(f"a query of {shard} was sent to {engine.name}, which has no such copy")
+        if engine.shelf.held.get(shard) != self.expected[shard]:
+            raise Broken(f"a query of {shard} was sent to {engine.name}, which lacks the replica")
         self.counts["queries"] += 1
         self.running[shard, engine.name] += 1
-        self.later(self.random.uniform(10.0, QUERY_MS), self.answered, shard, engine)
+        self.schedule(self.random.uniform(10.0, QUERY_MS), self.answered, shard, engine)
 
     def answered(self, shard, engine):
         self.running[shard, engine.name] -= 1
@@ -501,17 +505,17 @@
     # Faults.
 
     def fault(self):
-        if self.now >= self.faulty_until:
+        if self.now >= self.faults_end_ms:
             return
-        self.later(self.random.uniform(1_000.0, 12_000.0), self.fault)
+        self.schedule(self.random.uniform(1_000.0, 12_000.0), self.fault)
         engine = self.engines[self.random.choice(sorted(self.engines))]
         kind = self.random.choice(FAULTS)
         self.counts[f"fault {kind}"] += 1
-        self.do(kind, engine)
+        self.cause_fault(kind, engine)
 
     def planned_fault(self, kind):
         """Cause one fault before an action; return whether the holder ends by it, without that action."""
-        self.touched = True
+        self.needs_check = True
         self.loads_then = self.loads()
         move = next((m for m in self.machine.moves.values() if m.target), None)
         if kind in ("crash", "crash soon"):
@@ -532,32 +536,32 @@
                 self.take_down(engine, 9_000.0 if engine.name == move.source else 5_000.0)
             elif what == "spill":
                 engine.shelf.spilled = engine.shelf.free
-                self.later(20_000.0, self.unspill, engine)
+                self.schedule(20_000.0, self.unspill, engine)
             elif what == "drain":
                 engine.draining = True
             elif what == "hang":
-                engine.hang = self.now + 12_000.0
+                engine.hang_until_ms = self.now + 12_000.0
             # what is sent now is executed late; the next holder starts soon
             elif what.startswith("late, crash"):
-                engine.hang, engine.runs_late = self.now + 5.0, True
-                self.later(30.0, self.crash_holder, 20.0)
+                engine.hang_until_ms, engine.runs_late = self.now + 5.0, True
+                self.schedule(30.0, self.crash_holder, 20.0)
                 engine.draining |= what.endswith("drain")
             elif what == "fail":
-                engine.fail = self.now + 6_000.0
+                engine.fail_until_ms = self.now + 6_000.0
         return False
 
     def wipe(self, engine, long):
         """Replace an engine's disk by an empty one, if each of its shards has another good replica."""
         if all(
-            set(self.whole(shard)) & set(self.machine.good(shard)) - {engine.name}
+            set(self.intact_replicas(shard)) & set(self.machine.good(shard)) - {engine.name}
             for shard in engine.shelf.held
         ):
             engine.shelf = Shelf(engine.disk, self.staging)
             engine.disk_number += 1
             self.take_down(engine, long)
 
-    def do(self, kind, engine):
-        self.touched = True
+    def cause_fault(self, kind, engine):
+        self.needs_check = True
         long = self.random.uniform(1_000.0, 20_000.0)
         if kind == "crash":
             self.crash_holder(self.random.choice((TERM_MS, 50.0)))
@@ -572,26 +576,26 @@
         elif kind == "spill":
             bytes_ = self.random.choice((HEADROOM, HEADROOM, engine.disk * 2 // 3))
             engine.shelf.spilled = max(0, min(bytes_, engine.shelf.free + engine.shelf.spilled))
-            self.later(long, self.unspill, engine)
+            self.schedule(long, self.unspill, engine)
         elif kind == "hang":
-            engine.hang = self.now + long
+            engine.hang_until_ms = self.now + long
         elif kind == "fail":
-            engine.fail = self.now + long
+            engine.fail_until_ms = self.now + long
         elif kind == "drain":
             if sum(not e.draining for e in self.engines.values()) > 4:
                 engine.draining = True
-                self.later(long * 3, self.undrain, engine)
+                self.schedule(long * 3, self.undrain, engine)
         elif kind == "load":
-            self.load(self.random.choice(sorted(self.truth)))
+            self.load(self.random.choice(sorted(self.expected)))
         elif kind == "change":
             table = self.random.choice(("t0", "t1"))
             if not self.machine.fact("moving", table):
                 self.changing.add(table)
-                self.later(long / 4, self.changing.discard, table)
+                self.schedule(long / 4, self.changing.discard, table)
 
     def load(self, shard):
         """Let a load job change a shard's rows on all good replicas, as the owner of a table's lock may."""
-        table, old = shard.split("/")[0], self.truth[shard]
+        table, old = shard.split("/")[0], self.expected[shard]
         good = [self.engines[engine] for engine in self.machine.good(shard)]
         if (
             self.machine.fact("moving", table)
@@ -599,22 +603,22 @@
             or not all(e.up and self.machine.homes[e.name].mark == e.mark for e in good)
         ):
             return
-        self.truth[shard] = Content(old.rows + 1, old.checksum + 7, SIZE)
+        self.expected[shard] = Content(old.rows + 1, old.checksum + 7, SIZE)
         for engine in good:
-            engine.shelf.held[shard] = self.truth[shard]
+            engine.shelf.held[shard] = self.expected[shard]
         known = self.machine.shards[shard]
-        self.declare(shard, known.copies, self.truth[shard])
+        self.declare(shard, known.copies, self.expected[shard])
 
     def take_down(self, engine, long):
         if engine.up:
             engine.up = False
-            engine.life_number += 1
+            engine.incarnation += 1
             engine.shelf.spilled = 0
-            self.later(long, self.bring_up, engine)
+            self.schedule(long, self.bring_up, engine)
 
     def bring_up(self, engine):
         engine.up = True
-        engine.life_number += 1
+        engine.incarnation += 1
 
     def unspill(self, engine):
         engine.shelf.spilled = 0
@@ -622,28 +626,28 @@
     def undrain(self, engine):
         engine.draining = False
 
-    def whole(self, shard):
-        return [name for name, e in self.engines.items() if e.shelf.held.get(shard) == self.truth[shard]]
+    def intact_replicas(self, shard):
+        return [name for name, e in self.engines.items() if e.shelf.held.get(shard) == self.expected[shard]]
 
     # Invariants.
 
-    def look(self):
-        self.touched = False
-        for shard in self.truth:
-            if not self.whole(shard):
-                raise Broken(f"no copy of {shard} is left")
+    def check_invariants(self):
+        self.needs_check = False
+        for shard in self.expected:
+            if not self.intact_replicas(shard):
+                raise Broken(f"no replica of {shard} is left")
         for engine in self.engines.values():
             if sum(content.size for content in engine.shelf.held.values()) > engine.disk - HEADROOM:
-                raise Broken(f"the headroom of {engine.name} is taken by copies")
-        self.was_good = {shard: bool(self.machine.good(shard)) for shard in self.machine.shards}
+                raise Broken(f"replicas use the headroom of {engine.name}")
+        self.had_good_replica = {shard: bool(self.machine.good(shard)) for shard in self.machine.shards}
 
     def settle(self):
         """Continue without faults; check that all needs are met in the end."""
-        self.run(self.faulty_until)
-        self.lossy = 0.0
+        self.run(self.faults_end_ms)
+        self.loss_rate = 0.0
         for engine in self.engines.values():
-            engine.hang = engine.fail = 0.0
-        if self.carrier is None and not any(item[2] == self.begin_holder for item in self.heap):
+            engine.hang_until_ms = engine.fail_until_ms = 0.0
+        if self.driver is None and not any(item[2] == self.begin_holder for item in self.heap):
             self.begin_holder()
         end = self.now + CALM_MS
         while True:
@@ -656,15 +660,15 @@
 
     def check_needs(self):
         if self.machine.moves:
-            raise Broken(f"moves never end: {list(self.machine.moves.values())[:3]}")
+            raise Broken(f"migrations do not end: {list(self.machine.moves.values())[:3]}")
         for shard, wanted in self.machine.shards.items():
             ready = [e for e in self.machine.good(shard) if not self.engines[e].draining]
             if len(ready) < wanted.copies:
-                raise Broken(f"{shard} has {ready} only")
+                raise Broken(f"{shard} has only {ready}")
         for name, engine in self.engines.items():
             known = {shard for shard, held in self.machine.copies.items() if name in held}
             if known != set(engine.shelf.held):
-                raise Broken(f"{name}: the record knows {sorted(known)}, on disk {sorted(engine.shelf.held)}")
+                raise Broken(f"{name}: the state has {sorted(known)}, the disk {sorted(engine.shelf.held)}")
 
 
 ONE_FAULT = (
@@ -681,12 +685,12 @@
 
 def play_one_fault(number, kind, seed=0, **more):
     """Drain an engine with the only replicas; cause one fault before one action."""
-    one = Play(seed, engines=4, shards=3, copies=1, faults=False, at=(number, kind), **more)
-    one.run(DRAIN_MS)
-    one.engines["e0"].draining = True
-    one.run(DRAIN_MS + 10_000.0)
-    one.settle()
-    return one
+    simulation = Play(seed, engines=4, shards=3, copies=1, faults=False, fault_at=(number, kind), **more)
+    simulation.run(DRAIN_MS)
+    simulation.engines["e0"].draining = True
+    simulation.run(DRAIN_MS + 10_000.0)
+    simulation.settle()
+    return simulation
 
 
 def careless(world, bounds):
@@ -699,22 +703,22 @@
 
 def play_careless(seed, **more):
     """Simulate a planner that ignores space, on small disks: only the state machine keeps the headroom."""
-    one = Play(seed, planner=careless, disk=500, shards=8, copies=1, quick=bool(seed % 2), **more)
-    one.run(DRAIN_MS)
+    simulation = Play(seed, planner=careless, disk=500, shards=8, copies=1, quick=bool(seed % 2), **more)
+    simulation.run(DRAIN_MS)
     for name in ("e0", "e1", "e2"):
-        one.engines[name].draining = True
-    one.run(one.faulty_until)
-    return one
+        simulation.engines[name].draining = True
+    simulation.run(simulation.faults_end_ms)
+    return simulation
 
 
 def play(seed, **more):
     """Simulate one seed of mixed faults to its end."""
-    one = Play(seed, lossy=0.05, lag=300.0 * (seed % 2), quick=bool(seed // 2 % 2), **more)
-    one.settle()
-    return one
+    simulation = Play(seed, loss_rate=0.05, view_lag_ms=300.0 * (seed % 2), quick=bool(seed // 2 % 2), **more)
+    simulation.settle()
+    return simulation
 
 
-def sorts(kind, first, last):
+def simulations(kind, first, last):
     """Yield simulations by name: `mixed` and `careless` by seed, `one` of each fault before each action."""
     if kind == "one":
         for fault in ONE_FAULT:
@@ -732,12 +736,12 @@
 
 if __name__ == "__main__":
     total, broken, plays = Counter(), 0, 0
-    for title, run in sorts(sys.argv[1], *map(int, sys.argv[2:] or (0, 0))):
+    for title, run in simulations(sys.argv[1], *map(int, sys.argv[2:] or (0, 0))):
         plays += 1
         try:
-            one = run()
-            total.update({k: v for k, v in one.counts.items() if not k.startswith("import ")})
-            total["headroom refusals"] += one.headroom_refusals
+            simulation = run()
+            total.update({k: v for k, v in simulation.counts.items() if not k.startswith("import ")})
+            total["headroom refusals"] += simulation.headroom_refusals
         except Broken as exc:
             broken += 1
             print(f"{title}: {exc}", flush=True)
