--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -33,7 +33,7 @@
     free: int  # of these, those that may receive one: they have no replica of another state
     good: int  # engines with a good replica when running migrations have ended
     now: int  # of these, those that have it now
-    firm: int  # of these, those whose replica no running migration reads
+    unread: int  # of these, those whose replica no running migration reads
     doubtful: int
     goals: tuple[int, ...] = ()  # places that meet all needs that can be met
     min_unmet: int = 0  # replicas and zones that are unmet even there
@@ -252,7 +252,7 @@
                     )
         if good & ~movable.good:
             return  # replicas dropped without a migration have to be surplus from the start
-        for dropped in self._numbers(good & movable.firm | doubtful):
+        for dropped in self._numbers(good & movable.unread | doubtful):
             if self._may_drop_at_once(movable, good & movable.now, dropped):
                 yield (
                     -1,
--- a/fennelwind/shards/plan_checker.py
+++ b/fennelwind/shards/plan_checker.py
@@ -118,7 +118,9 @@
         being_dropped = {copy for copy, state in self.copies.items() if state in ("coming", "leaving")}
         freed = {(self.world.moves[n].shard, self.world.moves[n].target) for n in self.cancelled}
         leaving = {
-            (move.shard, move.drops): number for number, move in self.moves.items() if self._dropped(move)
+            (move.shard, move.drops): number
+            for number, move in self.moves.items()
+            if self._drops_replica(move)
         }
         for shard, engine in self.planned.drops:
             self.prerequisites["gone", shard, engine] = ()
@@ -173,7 +175,7 @@
                 todo.extend(self.prerequisites.get(event, ()))
         return found
 
-    def _dropped(self, move: Migration) -> bool:
+    def _drops_replica(self, move: Migration) -> bool:
         """Return whether a migration drops a replica when it is done."""
         return (
             bool(move.drops)
@@ -221,7 +223,7 @@
             size = self.world.shards[move.shard].size
             if move.target == engine and (number in self.new or move.step == "planned"):
                 weights["begin", number] = size
-            if move.drops == engine and self._dropped(move):
+            if move.drops == engine and self._drops_replica(move):
                 weights["done", number] = -size
         for event in self.prerequisites:
             if event[0] == "gone" and event[2] == engine and (event[1], engine) in self.copies:
@@ -231,12 +233,12 @@
             if (
                 move.drops == engine
                 and (move.shard, engine) not in self.copies
-                and (number in self.new or self._brought(move))
+                and (number in self.new or self._is_brought_earlier(move))
             ):
                 weights["done", number] = -self.world.shards[move.shard].size
         return weights
 
-    def _brought(self, move: Migration) -> bool:
+    def _is_brought_earlier(self, move: Migration) -> bool:
         """Return whether an earlier migration brings the replica that this one drops."""
         return move.number not in self.planned.keeps and any(
             other.target == move.drops and other.number < move.number
