--- a/fennelwind/benchmarks/heat.py
+++ b/fennelwind/benchmarks/heat.py
@@ -18,11 +18,11 @@
 from fennelwind.raft.state_machine import LogPosition
 from fennelwind.shards import balance
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.access_load import Named
-from fennelwind.shards.model import Bounds, Copy, Home, Shard, World
+from fennelwind.shards.access_load import AccessCounter
+from fennelwind.shards.model import Bounds, Replica, ReplicaHost, Shard, World
 from fennelwind.shards.plan import plan
 from fennelwind.shards.plan_checker import finished
-from fennelwind.shards.state_machine import COUNTED_SINCE, ShardMachine
+from fennelwind.shards.state_machine import ACCESS_COUNTS_MIN_LEVEL, ShardMachine
 
 MINUTE_MS = 60_000
 SIZE, ENGINES, CONTROLLERS, SHARDS = 1 << 30, 48, 6, 480
@@ -33,7 +33,7 @@
 
     def fact(self, kind: str, key: str) -> int:
         """Return the level."""
-        return COUNTED_SINCE if kind == "level" else 0
+        return ACCESS_COUNTS_MIN_LEVEL if kind == "level" else 0
 
 
 class Play:
@@ -48,14 +48,14 @@
         self.rates = {name: queries * weight / total / 60.0 for name, weight in weights.items()}  # a minute
         self.world = World()
         for n in range(ENGINES):
-            self.world.homes[f"e{n}"] = Home(f"e{n}", f"z{n % 3}", "", SIZE * SHARDS, SIZE)
+            self.world.homes[f"e{n}"] = ReplicaHost(f"e{n}", f"z{n % 3}", "", SIZE * SHARDS, SIZE)
         for n, name in enumerate(names):
             self.world.shards[name] = Shard(name, "t", SIZE, 2, 2)
             for engine in (f"e{n % ENGINES}", f"e{(n + 1 + n // ENGINES % 2 * 3) % ENGINES}"):
-                self.world.copies[name, engine] = Copy(name, engine)
+                self.world.copies[name, engine] = Replica(name, engine)
         self.machine = ShardMachine()
         self.machine.shards = dict(self.world.shards)
-        self.named = [Named() for _ in range(CONTROLLERS)]
+        self.named = [AccessCounter() for _ in range(CONTROLLERS)]
         self.at = [self.random.randrange(int(REPORT_INTERVAL_MS) // MINUTE_MS) for _ in range(CONTROLLERS)]
         for _ in range(8):  # even by the true rates, as far as the tolerances ask for it
             self._take(plan(replace(self.world, counted=self.rates), Bounds()))
@@ -77,12 +77,12 @@
             for n, named in enumerate(self.named):
                 if self.minute % (int(REPORT_INTERVAL_MS) // MINUTE_MS) == self.at[n]:
                     self._tell(named)
-            heats = self.machine.heats()
+            heats = self.machine.access_loads()
             if heats:
                 self._take(plan(replace(self.world, counted=heats, heat_unit=1.0), Bounds()))
         return self.moves["moves"] - before
 
-    def _tell(self, named: Named) -> None:
+    def _tell(self, named: AccessCounter) -> None:
         now = self.minute * MINUTE_MS
         batch = named.batch(now)
         counted = pb.Counted(queries=[pb.Counted.Queries(shard=s, count=c) for s, c in batch])
@@ -90,7 +90,7 @@
         self.machine.apply(
             LogPosition(self.index, now), pb.Command(counted=counted).SerializeToString(), Facts()
         )
-        named.told(batch)
+        named.discard_reported(batch)
 
     def unevenness(self) -> float:
         """Return how far the hottest engine is above the mean by the true rates, of the mean."""
@@ -110,7 +110,7 @@
 
 
 def measure(
-    seed: int, queries: float, hours: int, chance: float = balance.CHANCE
+    seed: int, queries: float, hours: int, chance: float = balance.CHANCE_DEVIATIONS
 ) -> tuple[float, float, int]:
     """Return moves an hour by chance, unevenness 2 h after an engine's shards doubled, and moves by that."""
     with mock.patch.object(balance, "CHANCE", chance):
@@ -131,7 +131,7 @@
     parser.add_argument("--hours", type=int, default=12, help="of heat that does not change")
     asked = parser.parse_args()
     for queries in (1_000.0, 3_000.0, 15_000.0, 60_000.0):
-        for chance in (balance.CHANCE, 0.0):
+        for chance in (balance.CHANCE_DEVIATIONS, 0.0):
             rows = [
                 measure(seed, queries, asked.hours, chance)
                 for seed in range(asked.first, asked.first + asked.count)
--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -129,24 +129,24 @@
         if not self.settings.file.HasField("moves"):
             return module, None
         from fennelwind.quiescence.in_flight import InFlightTracker
-        from fennelwind.shards.routing import SLOTS_MOST, Routing, widen
+        from fennelwind.shards.routing import MAX_SLOTS, Routing, widen
 
-        return widen(module, SLOTS_MOST), Routing(module, SLOTS_MOST, InFlightTracker())
+        return widen(module, MAX_SLOTS), Routing(module, MAX_SLOTS, InFlightTracker())
 
     def _serve_shards(self, keeper: "ClusterRuntime") -> None:
-        from fennelwind.shards.model import Bounds, Home
+        from fennelwind.shards.model import Bounds, ReplicaHost
         from fennelwind.shards.shards_pb2 import Shard
 
         told, kinds = self.settings.file.moves, self.settings.file.kinds
         parts = 2 ** len(self.driver.router.slots)
 
-        def homes() -> list[Home]:
+        def homes() -> list[ReplicaHost]:
             found = []
             for name, engine in self.driver.gateway.engines.items():
                 entry = engine.endpoint
                 kind = kinds[entry.kind // parts]
                 found.append(
-                    Home(
+                    ReplicaHost(
                         name,
                         self.settings.zones[entry.zone],
                         kind.name,
@@ -175,7 +175,7 @@
             for s in told.shards
         ]
         router = self.driver.router
-        book = router.opened
+        book = router.in_flight
         book.on_replica_locations = self.driver.update_replicas
         book.on_excluded_engines = self.driver.update_quiesced
 
@@ -189,7 +189,7 @@
             bounds,
             shards,
             book,
-            router.named,
+            router.access_counter,
             wait_for_acknowledgements=told.clearances,
         )
         keeper.migrations.engine_start_times = launched
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -31,8 +31,8 @@
 from fennelwind.raft.replicated_state import LEVEL, ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
 from fennelwind.raft_storage.store import StoreLimits
-from fennelwind.shards.access_load import Named
-from fennelwind.shards.model import Bounds, Home
+from fennelwind.shards.access_load import AccessCounter
+from fennelwind.shards.model import Bounds, ReplicaHost
 from fennelwind.shards.shards_pb2 import Shard
 
 ENGINES_CHECK_MS = 100.0  # ms between two checks for a first known engine
@@ -111,12 +111,12 @@
     def serve_shards(
         self,
         links: EngineClient,
-        homes: Callable[[], Iterable[Home]],
+        homes: Callable[[], Iterable[ReplicaHost]],
         staging: str,
         bounds: Bounds,
         shards: Iterable[Shard],
         in_flight: InFlightTracker,
-        named: Named,
+        named: AccessCounter,
         *,
         wait_for_acknowledgements: bool = False,
     ) -> None:
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -28,9 +28,9 @@
 from fennelwind.shards import migration as api
 from fennelwind.shards import migration_statements
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.model import Bounds, Home, Planned, World
+from fennelwind.shards.model import Bounds, MigrationPlan, ReplicaHost, World
 from fennelwind.shards.plan import plan
-from fennelwind.shards.state_machine import LEASE, PLAN_MOST, ShardMachine
+from fennelwind.shards.state_machine import LEASE, MAX_ENTRIES_PER_COMMAND, ShardMachine
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
@@ -115,12 +115,12 @@
         client: RaftClient,
         tasks: LeasedTasks,
         statements: EngineStatements,
-        homes: Callable[[], Iterable[Home]],
+        homes: Callable[[], Iterable[ReplicaHost]],
         staging: str,
         log: Callable[[str, dict], None],
         bounds: Bounds | None = None,
         timing: api.Timing | None = None,
-        planner: Callable[[World, Bounds], Planned] = plan,
+        planner: Callable[[World, Bounds], MigrationPlan] = plan,
         shards: Iterable[pb.Shard] = (),
         replicated_state: ReplicatedState | None = None,
     ) -> None:
@@ -172,7 +172,7 @@
             held,
             migrations.client,
         )
-        self.core = api.Carrier(
+        self.core = api.MigrationDriver(
             held.fencing_token, 0, migrations.staging, migrations.bounds, migrations.timing
         )
         self.machine: ShardMachine | None = None
@@ -204,17 +204,17 @@
                 wake_ms = self.loop.now() + ENGINE_CHECK_INTERVAL_MS
                 for action in self.core.step(self.loop.now(), self.work.events()):
                     match action:
-                        case api.Propose():
+                        case api.ProposeCommand():
                             self.work.spawn(self._propose, action)
-                        case api.Run():
+                        case api.RunStatement():
                             self._statements[action.token] = self.work.spawn(self._run_statement, action)
-                        case api.Plan():
+                        case api.ComputePlan():
                             self.work.spawn(self._plan, action)
-                        case api.Stop(token) if token in self._statements:
+                        case api.CancelStatement(token) if token in self._statements:
                             self._statements[token].cancel()
-                        case api.Wake(at_ms):
+                        case api.WakeAt(at_ms):
                             wake_ms = min(wake_ms, at_ms)
-                        case api.Over():
+                        case api.LeaseLost():
                             raise LeaseNotHeldError(
                                 f"{self.held.name}: another controller holds the lease", task=self.held.name
                             )
@@ -236,8 +236,8 @@
                 tuple(configured.kinds),
             ):
                 new.append(configured)
-        for start in range(0, len(new), PLAN_MOST):
-            command = pb.Command(declare=pb.Declare(shards=new[start : start + PLAN_MOST]))
+        for start in range(0, len(new), MAX_ENTRIES_PER_COMMAND):
+            command = pb.Command(declare=pb.Declare(shards=new[start : start + MAX_ENTRIES_PER_COMMAND]))
             try:
                 body = self.client.propose(
                     SHARDS, command.SerializeToString(deterministic=True), REQUEST_TIMEOUT_MS
@@ -271,7 +271,7 @@
         self.machine, self.index = state.machines[SHARDS], state.index
         tables = {shard.table for shard in self.machine.shards.values()}
         frozen = frozenset(table for table in tables if state.fact("changing", table))
-        self.work.post(api.Seen(self.index, self.machine, frozen))
+        self.work.post(api.StateUpdated(self.index, self.machine, frozen))
         return index
 
     def _read_remote_state(self) -> int:
@@ -297,7 +297,7 @@
                 self.machine.restore(data)
             self.index = read.index
             frozen = self._frozen_tables()
-            self.work.post(api.Seen(self.index, self.machine, frozen))
+            self.work.post(api.StateUpdated(self.index, self.machine, frozen))
         return read.index
 
     def _frozen_tables(self) -> frozenset[str]:
@@ -330,28 +330,28 @@
                 continue
             self._read_state()
 
-    def _propose(self, action: api.Propose) -> None:
+    def _propose(self, action: api.ProposeCommand) -> None:
         try:
             body = self.client.propose(SHARDS, action.command, REQUEST_TIMEOUT_MS)
         except ClusterError as exc:
             self.migrations.counts[exc.code] += 1
-            self.work.post(api.Proposed(action.token, None))
+            self.work.post(api.CommandAnswered(action.token, None))
             return
         index = self._read_state()  # includes the command
-        self.work.post(api.Proposed(action.token, pb.Answer.FromString(body), index))
+        self.work.post(api.CommandAnswered(action.token, pb.Answer.FromString(body), index))
 
-    def _plan(self, action: api.Plan) -> None:
+    def _plan(self, action: api.ComputePlan) -> None:
         """Make a plan outside the loop, one at a time; the core repeats a request that was ignored."""
         if not self.migrations.is_planning:
             self.migrations.is_planning = True
             self.loop.spawn(self._make_plan, action, name="plan of moves")  # not cancelled with the lease
 
-    def _make_plan(self, action: api.Plan) -> None:
+    def _make_plan(self, action: api.ComputePlan) -> None:
         try:
             planned = self.loop.aside(self.migrations.planner, action.world, action.bounds)
         finally:
             self.migrations.is_planning = False
-        self.work.post(api.Made(action.token, planned))
+        self.work.post(api.PlanCompleted(action.token, planned))
 
     def _check_quiescence(self) -> None:
         """Check by barrier requests which draining replicas all controllers have acknowledged."""
@@ -371,11 +371,11 @@
                 strict=True,
             ):
                 if state == clear.Heard.CLEARED:
-                    self.work.post(api.Quiet(barrier.name, barrier.engine, number))
+                    self.work.post(api.ReplicaQuiesced(barrier.name, barrier.engine, number))
 
     # Engines.
 
-    def _run_statement(self, action: api.Run) -> None:
+    def _run_statement(self, action: api.RunStatement) -> None:
         factory = self.migrations.statements
         statement, rows = (
             _AsyncStatement(factory.loop, factory.link_settings, factory.tls, action.engine),
@@ -405,9 +405,9 @@
                 totals = int(rows[0][0]), int(rows[0][1])
             except (IndexError, ValueError):
                 outcome = "failed"
-        self.work.post(api.Ended(action.token, outcome, *totals))
+        self.work.post(api.StatementEnded(action.token, outcome, *totals))
 
-    def _send(self, statement: _AsyncStatement, action: api.Run) -> str:
+    def _send(self, statement: _AsyncStatement, action: api.RunStatement) -> str:
         """Send a statement once a slot is free; if unanswered, it occupies the slot until its timeout."""
         self.send_slots.put(None)
         release_after_ms = 0.0
@@ -445,7 +445,9 @@
             self.listed_shards = declared
             reported = [replace(home, mark=self.marks.get(name, "")) for name, home in sorted(homes.items())]
             # A returned engine is not reported before its mark is known: it may have another disk.
-            self.work.post(api.Heard(tuple(home for home in reported if home.mark or home.life == "gone")))
+            self.work.post(
+                api.EnginesReported(tuple(home for home in reported if home.mark or home.life == "gone"))
+            )
             self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
 
     def _list_engines(self) -> None:
@@ -476,7 +478,7 @@
             )
             if held is not None:
                 self.marks[name] = mark
-                self.work.post(api.Heard((), {name: held}))
+                self.work.post(api.EnginesReported((), {name: held}))
 
     def _read_or_write_mark(self, engine: str) -> str:
         """Return the mark on an engine's disk, writing a new one if it has none; "" if that fails."""
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -1,9 +1,9 @@
-"""The search for the cheapest way of a small world to its needs: places and order at once, without I/O.
+"""Search for the cheapest plan of a small world: placement and order together. No I/O.
 
-For what the search of places alone can't put in order. A state is where each shard's good copies are, and
-which doubtful ones are left; a step brings one copy in, and drops one of the same shard for it, or drops one
-that is too many from the start. Each step keeps headroom, good copies and zones, so each path is an order.
-A*: the cheapest first by what it has cost and the least that is still to be copied.
+It is for worlds whose cheapest placement can't be ordered. A state is where each shard's good replicas are
+and which doubtful ones remain. A step creates one replica and may drop one of the same shard for it, or drops
+one that is surplus from the start. Each step keeps headroom, good replicas and zones, so each path is a valid
+order. The search is A*: the cheapest first by the cost so far plus the least bytes still to be copied.
 """
 
 import heapq
@@ -11,93 +11,98 @@
 from dataclasses import dataclass
 from itertools import combinations
 
-from fennelwind.shards.constraints import span_wanted, takes, wanted
-from fennelwind.shards.target_placement import Board
+from fennelwind.shards.constraints import accepts_replica, replication_factor, required_zones
+from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
-SEEN = 10  # states that are seen for each that is extended, at most
-State = tuple[tuple[int, int], ...]  # by shard: engines with a good copy and with a doubtful one, as bits
-Step = tuple[str, str, str]  # shard, engine that gets a copy, engine that loses one; "": none
+MAX_SEEN_PER_STATE = 10  # states seen for each state expanded, at most
+# by shard: bit masks of the engines with a good and with a doubtful replica
+State = tuple[tuple[int, int], ...]
+Step = tuple[str, str, str]  # shard, engine that gets a replica, engine that loses one; "": none
 
 
 @dataclass(slots=True)
-class _Part:
-    """A shard that may be moved, its engines as bits."""
+class _MovableShard:
+    """A shard that may be changed; engines are bits."""
 
     name: str
     size: int
     count: int
     zones: int
-    fit: int  # engines that may hold a copy
-    free: int  # of these, those where one may come in: no copy of an unknown state is there
-    good: int  # engines with a good copy when what is under way has ended
+    fit: int  # engines that may hold a replica
+    free: int  # of these, those that may receive one: they have no replica of another state
+    good: int  # engines with a good replica when running migrations have ended
     now: int  # of these, those that have it now
-    firm: int  # and of these, those whose copy no move under way reads
+    unread: int  # of these, those whose replica no running migration reads
     doubtful: int
-    goals: tuple[int, ...] = ()  # places that meet what can be met
-    lacks: int = 0  # copies and zones that are unmet even there
+    goals: tuple[int, ...] = ()  # places that meet all needs that can be met
+    min_unmet: int = 0  # replicas and zones that are unmet even there
 
 
 @dataclass(slots=True, frozen=True)
-class Way:
-    """Steps from the world as it is, the last one first, and where they lead."""
+class Path:
+    """Steps from the initial state, the last one first, and the state that they lead to."""
 
     unmet: int
     bytes: int
     state: State
     steps: tuple | None
 
-    def split(self, doubtful: Mapping[str, Set[str]]) -> tuple[list[tuple[str, str]], list[Transfer]]:
-        """Return the copies that go without a move, and the transfers in their order."""
-        steps, rest = [], self.steps
-        while rest:
-            step, rest = rest
+    def drops_and_transfers(
+        self, doubtful: Mapping[str, Set[str]]
+    ) -> tuple[list[tuple[str, str]], list[Transfer]]:
+        """Return the replicas dropped without a migration, and the transfers in their order."""
+        steps, link = [], self.steps
+        while link:
+            step, link = link
             steps.append(step)
         drops: list[tuple[str, str]] = []
         transfers: list[Transfer] = []
-        for name, target, out in reversed(steps):
+        for name, target, dropped in reversed(steps):
             if not target:
-                drops.append((name, out))
+                drops.append((name, dropped))
                 continue
             if target in doubtful[name] and not any((t.shard, t.target) == (name, target) for t in transfers):
-                drops.append((name, target))  # it comes to the same engine anew
-            transfers.append(Transfer(name, target, out))
+                drops.append((name, target))  # copied again to the same engine
+            transfers.append(Transfer(name, target, dropped))
         return drops, transfers
 
 
-class Ways:
+class PathSearch:
     """The states of one small world."""
 
-    def __init__(self, board: Board, sequence: Sequence) -> None:
-        """Make it; `sequence` holds what is under way and what goes by itself, and nothing else."""
-        view = self.view = board.view
+    def __init__(self, placement: Placement, sequence: Sequence) -> None:
+        """Prepare the search; `sequence` holds running migrations and their drops, and nothing else."""
+        view = self.view = placement.view
         self.engines = sorted(view.used)
         self.zone = [view.world.homes[engine].zone for engine in self.engines]
         self.spans: dict[int, int] = {}
-        self.rooms = tuple(sequence.left(engine) for engine in self.engines)
-        self.parts: list[_Part] = []
+        self.free_at_start = tuple(sequence.free_at_end(engine) for engine in self.engines)
+        self.movables: list[_MovableShard] = []
         for name, shard in sorted(view.world.shards.items()):
-            if board.fixed(shard):
+            if placement.is_pinned(shard):
                 continue
-            held = view.holds[name] - view.replaced[name]
-            read = {engine for one, engine in (*board.read, *view.clears) if one == name}
-            fit = {engine for engine in self.engines if takes(view.world.homes[engine], shard)}
-            doubtful = {e for e in view.doubtful[name] - view.good[name] if (name, e) not in view.clears}
-            part = _Part(
+            held = view.holders[name] - view.leaving_or_doubtful[name]
+            read = {engine for one, engine in (*placement.read_replicas, *view.to_clear) if one == name}
+            fit = {engine for engine in self.engines if accepts_replica(view.world.homes[engine], shard)}
+            doubtful = {
+                e for e in view.doubtful[name] - view.good_at_end[name] if (name, e) not in view.to_clear
+            }
+            movable = _MovableShard(
                 name,
                 shard.size,
-                wanted(shard),
-                span_wanted(shard),
+                replication_factor(shard),
+                required_zones(shard),
                 self._bits(fit),
-                self._bits(fit - (held - view.good[name])),
-                self._bits(view.good[name]),
-                self._bits(view.good[name] & view.now[name]),
-                self._bits(view.good[name] & view.now[name] - read),
+                self._bits(fit - (held - view.good_at_end[name])),
+                self._bits(view.good_at_end[name]),
+                self._bits(view.good_at_end[name] & view.good_now[name]),
+                self._bits(view.good_at_end[name] & view.good_now[name] - read),
                 self._bits(doubtful),
             )
-            self._aim(part)
-            self.parts.append(part)
-        self.lacks = sum(part.lacks for part in self.parts)
+            self._set_goals(movable)
+            self.movables.append(movable)
+        self.min_unmet = sum(movable.min_unmet for movable in self.movables)
         self._missing: dict[tuple[int, int], int] = {}
         self._unmet: dict[tuple[int, int], int] = {}
         self._options: dict[tuple[int, tuple[int, int]], list[tuple]] = {}
@@ -113,149 +118,165 @@
             self.spans[mask] = len({self.zone[number] for number in self._numbers(mask)})
         return self.spans[mask]
 
-    def _aim(self, part: _Part) -> None:
-        fit = self._numbers(part.fit)
-        some = [sum(1 << n for n in places) for places in combinations(fit, min(part.count, len(fit)))]
-        most = max(min(part.zones, self._span(mask)) for mask in some)
-        part.goals = tuple(mask for mask in some if min(part.zones, self._span(mask)) == most)
-        part.lacks = max(0, part.count - len(fit)) + part.zones - most
+    def _set_goals(self, movable: _MovableShard) -> None:
+        fit = self._numbers(movable.fit)
+        placements = [
+            sum(1 << n for n in places) for places in combinations(fit, min(movable.count, len(fit)))
+        ]
+        zones_spanned = max(min(movable.zones, self._span(mask)) for mask in placements)
+        movable.goals = tuple(
+            mask for mask in placements if min(movable.zones, self._span(mask)) == zones_spanned
+        )
+        movable.min_unmet = max(0, movable.count - len(fit)) + movable.zones - zones_spanned
 
     def missing(self, number: int, good: int) -> int:
-        """Return the least bytes that a shard must still be given."""
+        """Return the least bytes that still have to be copied for a shard."""
         key = number, good
         if key not in self._missing:
-            part = self.parts[number]
-            self._missing[key] = part.size * min((goal & ~good).bit_count() for goal in part.goals)
+            movable = self.movables[number]
+            self._missing[key] = movable.size * min((goal & ~good).bit_count() for goal in movable.goals)
         return self._missing[key]
 
     def unmet(self, number: int, good: int) -> int:
-        """Return the copies and zones that a shard lacks."""
+        """Return how many replicas and zones a shard lacks."""
         key = number, good
         if key not in self._unmet:
-            part, fit = self.parts[number], good & self.parts[number].fit
-            self._unmet[key] = max(0, part.count - fit.bit_count()) + max(0, part.zones - self._span(fit))
+            movable, fit = self.movables[number], good & self.movables[number].fit
+            self._unmet[key] = max(0, movable.count - fit.bit_count()) + max(
+                0, movable.zones - self._span(fit)
+            )
         return self._unmet[key]
 
-    def explore(self, least: int, states: int) -> Way | None:
-        """Return the way with the least unmet, and then the least bytes, that so many states show."""
-        return self._search(states, lambda unmet, rest, paid: (unmet, rest, paid), least, None)
+    def explore(self, least: int, states: int) -> Path | None:
+        """Return the path with the least unmet needs, then bytes, that so many states show."""
+        return self._search(
+            states, lambda unmet, min_remaining, bytes_paid: (unmet, min_remaining, bytes_paid), least, None
+        )
 
-    def cheapest(self, allowed: int, below: int | None, states: int) -> Way | None:
-        """Return the cheapest way to so much unmet at most and under so many bytes; none: not found."""
+    def cheapest(self, allowed: int, below: int | None, states: int) -> Path | None:
+        """Return the cheapest path to at most `allowed` unmet and under `below` bytes; None: not found."""
         return self._search(states, None, allowed, below)
 
-    def _search(self, states: int, eager: Callable | None, allowed: int, below: int | None) -> Way | None:
-        most, spared = states, max(0, allowed - self.lacks) if eager is None else 0
-        state: State = tuple((part.good, part.doubtful) for part in self.parts)
-        serial, paid, best, found = 0, 0, {state: 0}, None
-        heap = [((), 0, 0, state, self.rooms, None)]
-        while heap and states > 0 and len(best) < SEEN * most:
-            _, _, paid, state, rooms, way = heapq.heappop(heap)
-            if paid > best[state]:
+    def _search(self, states: int, priority: Callable | None, allowed: int, below: int | None) -> Path | None:
+        max_states, unmet_allowance = states, max(0, allowed - self.min_unmet) if priority is None else 0
+        state: State = tuple((movable.good, movable.doubtful) for movable in self.movables)
+        serial, bytes_paid, best_bytes, found = 0, 0, {state: 0}, None
+        heap = [((), 0, 0, state, self.free_at_start, None)]
+        while heap and states > 0 and len(best_bytes) < MAX_SEEN_PER_STATE * max_states:
+            _, _, bytes_paid, state, free, steps = heapq.heappop(heap)
+            if bytes_paid > best_bytes[state]:
                 continue
             states -= 1
-            unmet = self._lacking(state, rooms)
-            if found is None or (unmet, paid) < (found.unmet, found.bytes):
-                found = Way(unmet, paid, state, way)
+            unmet = self._unmet_in(state, free)
+            if found is None or (unmet, bytes_paid) < (found.unmet, found.bytes):
+                found = Path(unmet, bytes_paid, state, steps)
                 if unmet <= allowed:
                     return found
-            whole = self._rest(state, 0)
-            for number, after, changed, step in self._next(state, rooms):
-                cost = paid + (self.parts[number].size if step[1] else 0)
-                then = (*state[:number], after, *state[number + 1 :])
-                if cost >= best.get(then, cost + 1):
+            remaining = self._remaining_bytes(state, 0)
+            for number, shard_state, changed, step in self._successors(state, free):
+                cost = bytes_paid + (self.movables[number].size if step[1] else 0)
+                next_state = (*state[:number], shard_state, *state[number + 1 :])
+                if cost >= best_bytes.get(next_state, cost + 1):
                     continue
-                rest = (
-                    self._rest(then, spared)
-                    if spared
-                    else (whole - self.missing(number, state[number][0]) + self.missing(number, after[0]))
+                min_remaining = (
+                    self._remaining_bytes(next_state, unmet_allowance)
+                    if unmet_allowance
+                    else (
+                        remaining
+                        - self.missing(number, state[number][0])
+                        + self.missing(number, shard_state[0])
+                    )
                 )
-                if below is not None and cost + rest >= below:
+                if below is not None and cost + min_remaining >= below:
                     continue
-                best[then] = cost
+                best_bytes[next_state] = cost
                 serial += 1
-                key = (cost + rest, rest)
-                if eager is not None:
-                    key = eager(self._lacking(then, changed), rest, cost)
-                heapq.heappush(heap, (key, -serial, cost, then, changed, (step, way)))
-        return found if eager is not None else None
+                key = (cost + min_remaining, min_remaining)
+                if priority is not None:
+                    key = priority(self._unmet_in(next_state, changed), min_remaining, cost)
+                heapq.heappush(heap, (key, -serial, cost, next_state, changed, (step, steps)))
+        return found if priority is not None else None
 
-    def _lacking(self, state: State, rooms: tuple[int, ...]) -> int:
-        """Return what is unmet, engines over their headroom among it."""
-        over = sum(room < 0 for room in rooms)
+    def _unmet_in(self, state: State, free: tuple[int, ...]) -> int:
+        """Return the unmet needs, with one for each engine over its headroom."""
+        over = sum(free_after < 0 for free_after in free)
         return over + sum(self.unmet(number, good) for number, (good, _) in enumerate(state))
 
-    def _rest(self, state: State, spared: int) -> int:
-        """Return the least bytes that are still to be copied if so many copies may be left out."""
+    def _remaining_bytes(self, state: State, unmet_allowance: int) -> int:
+        """Return the least bytes still to be copied if `unmet_allowance` replicas may be left out."""
         rests = [self.missing(number, good) for number, (good, _) in enumerate(state)]
-        if not spared:
+        if not unmet_allowance:
             return sum(rests)
         sizes = sorted(
             (
-                part.size
-                for part, rest in zip(self.parts, rests, strict=True)
-                for _ in range(rest // part.size)
+                movable.size
+                for movable, min_remaining in zip(self.movables, rests, strict=True)
+                for _ in range(min_remaining // movable.size)
             ),
             reverse=True,
         )
-        return sum(sizes[spared:])
+        return sum(sizes[unmet_allowance:])
 
-    def _next(self, state: State, rooms: tuple[int, ...]) -> Iterator[tuple]:
-        """Yield each step: the shard's number, where it is then, what room there is, and the step."""
+    def _successors(self, state: State, free: tuple[int, ...]) -> Iterator[tuple]:
+        """Yield each step: the shard's number, its next state, the free bytes by engine, and the step."""
         for number, place in enumerate(state):
             if (number, place) not in self._options:
-                self._options[number, place] = list(self._steps(self.parts[number], *place))
-            for target, least, out, size, after, step in self._options[number, place]:
-                if target >= 0 and rooms[target] < least:
+                self._options[number, place] = list(self._steps(self.movables[number], *place))
+            for target, least, dropped, size, shard_state, step in self._options[number, place]:
+                if target >= 0 and free[target] < least:
                     continue
-                room = list(rooms)
+                free_after = list(free)
                 if target >= 0:
-                    room[target] -= least
-                if out >= 0:
-                    room[out] += size
-                yield number, after, tuple(room), step
+                    free_after[target] -= least
+                if dropped >= 0:
+                    free_after[dropped] += size
+                yield number, shard_state, tuple(free_after), step
 
-    def _steps(self, part: _Part, good: int, doubtful: int) -> Iterator[tuple]:
-        """Yield a shard's steps: where a copy comes, the bytes it takes, where one goes and its bytes, .."""
-        for n in self._numbers((part.free | part.doubtful & part.fit) & ~good):
-            size = 0 if doubtful >> n & 1 else part.size  # in place of a doubtful one
-            more, left = good | 1 << n, doubtful & ~(1 << n)
-            yield n, size, -1, 0, (more, left), (part.name, self.engines[n], "")
-            least = min(part.zones, self._span(good))
-            for out in self._numbers(good | left):
-                stays = more & ~(1 << out)
-                if self._span(stays) >= least:
+    def _steps(self, movable: _MovableShard, good: int, doubtful: int) -> Iterator[tuple]:
+        """Yield a shard's steps: target, bytes it takes, engine that loses a replica, bytes freed, .."""
+        for n in self._numbers((movable.free | movable.doubtful & movable.fit) & ~good):
+            size = 0 if doubtful >> n & 1 else movable.size  # replaces a doubtful one
+            good_next, doubtful_left = good | 1 << n, doubtful & ~(1 << n)
+            yield n, size, -1, 0, (good_next, doubtful_left), (movable.name, self.engines[n], "")
+            least = min(movable.zones, self._span(good))
+            for dropped in self._numbers(good | doubtful_left):
+                good_left = good_next & ~(1 << dropped)
+                if self._span(good_left) >= least:
                     yield (
                         n,
                         size,
-                        out,
-                        part.size,
-                        (stays, left & ~(1 << out)),
-                        (part.name, self.engines[n], self.engines[out]),
+                        dropped,
+                        movable.size,
+                        (good_left, doubtful_left & ~(1 << dropped)),
+                        (movable.name, self.engines[n], self.engines[dropped]),
                     )
-        if good & ~part.good:
-            return  # copies that go without a move have to be spare from the start
-        for out in self._numbers(good & part.firm | doubtful):
-            if self._spare(part, good & part.now, out):
+        if good & ~movable.good:
+            return  # replicas dropped without a migration have to be surplus from the start
+        for dropped in self._numbers(good & movable.unread | doubtful):
+            if self._may_drop_at_once(movable, good & movable.now, dropped):
                 yield (
                     -1,
                     0,
-                    out,
-                    part.size,
-                    (good & ~(1 << out), doubtful & ~(1 << out)),
-                    (part.name, "", self.engines[out]),
+                    dropped,
+                    movable.size,
+                    (good & ~(1 << dropped), doubtful & ~(1 << dropped)),
+                    (movable.name, "", self.engines[dropped]),
                 )
 
-    def _spare(self, part: _Part, now: int, out: int) -> bool:
-        """Tell whether a copy may go at once, by those that are good already."""
-        stays = now & ~(1 << out)
-        if stays == now:  # a doubtful one: for that, all has to be met
-            return (now & part.fit).bit_count() >= part.count and self._span(now & part.fit) >= part.zones
-        return stays.bit_count() >= part.count and self._span(stays) >= min(part.zones, self._span(now))
+    def _may_drop_at_once(self, movable: _MovableShard, now: int, dropped: int) -> bool:
+        """Return whether a replica may be dropped at once, given those that are good already."""
+        good_left = now & ~(1 << dropped)
+        if good_left == now:  # a doubtful one: dropped only when all needs are met
+            return (now & movable.fit).bit_count() >= movable.count and self._span(
+                now & movable.fit
+            ) >= movable.zones
+        return good_left.bit_count() >= movable.count and self._span(good_left) >= min(
+            movable.zones, self._span(now)
+        )
 
     def places(self, state: State) -> dict[str, frozenset[str]]:
-        """Return where the good copies that count are, by shard."""
+        """Return the places of the good replicas that count, by shard."""
         return {
-            part.name: frozenset(self.engines[n] for n in self._numbers(good & part.fit))
-            for part, (good, _) in zip(self.parts, state, strict=True)
+            movable.name: frozenset(self.engines[n] for n in self._numbers(good & movable.fit))
+            for movable, (good, _) in zip(self.movables, state, strict=True)
         }
--- a/tests/cluster/test_shard_migrations.py
+++ b/tests/cluster/test_shard_migrations.py
@@ -15,9 +15,9 @@
 from fennelwind.emulators.shelves import Content, Shelf
 from fennelwind.loop import Address
 from fennelwind.shards import shards_pb2 as pb
-from fennelwind.shards.access_load import UNIT, Named
+from fennelwind.shards.access_load import UNITS_PER_QUERY, AccessCounter
 from fennelwind.shards.migration import Timing
-from fennelwind.shards.model import Home
+from fennelwind.shards.model import ReplicaHost
 
 NAMES = [f"sales/day={n}" for n in range(3)]
 LINKS = settings_pb2.EngineLinks(transport=settings_pb2.EngineLinks.SASL, max_links=10, connect_ms=300.0)
@@ -102,7 +102,7 @@
 
     def homes(self):
         return [
-            Home(name, f"z{n % 2}", "", 1_000, 200, self.engine_states[name])
+            ReplicaHost(name, f"z{n % 2}", "", 1_000, 200, self.engine_states[name])
             for n, name in enumerate(self.engines)
         ]
 
@@ -205,10 +205,10 @@
 
 
 def test_controllers_report_access_load_once():
-    scene, named = Scene(4), [Named(), Named()]
+    scene, named = Scene(4), [AccessCounter(), AccessCounter()]
 
     def reported_count(shard):
-        return scene.machine()._faded.get(shard, (0, 0))[0]
+        return scene.machine()._access_counts.get(shard, (0, 0))[0]
 
     def call():
         for number, name in enumerate(("c0", "c1")):
@@ -216,10 +216,10 @@
             reporter = AccessLoadReporter(scene.cluster.hosts[name], client, named[number], number)
             scene.cluster.hosts[name].start(reporter.start)
             named[number].count(NAMES[:2])
-        scene.cluster.until(lambda: reported_count(NAMES[0]) > 1.9 * UNIT)
+        scene.cluster.until(lambda: reported_count(NAMES[0]) > 1.9 * UNITS_PER_QUERY)
         named[0].count(NAMES[2:])
         scene.cluster.until(lambda: reported_count(NAMES[2]))
-        assert reported_count(NAMES[1]) <= 2 * UNIT and not named[0].counts and not named[1].counts
+        assert reported_count(NAMES[1]) <= 2 * UNITS_PER_QUERY and not named[0].counts and not named[1].counts
 
     with mock.patch("fennelwind.cluster.access_load.REPORT_INTERVAL_MS", 2_000.0):
         scene.play(call)
--- a/tests/support/move_defects.py
+++ b/tests/support/move_defects.py
@@ -1,9 +1,9 @@
-"""Planted defects of moves, and which play finds each after how many.
+"""Planted defects of shard migrations, and which simulation finds each, after how many.
 
 `python tests/support/move_defects.py [SEEDS]` prints the table.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - to run this file as a script
 
 # isort: split
 
@@ -15,121 +15,138 @@
 from planted import Line, broken, by_model, planted, row
 
 from fennelwind.shards import state_machine
-from fennelwind.shards.migration import Carrier
+from fennelwind.shards.migration import MigrationDriver
 from fennelwind.shards.state_machine import ShardMachine
 
 QUICK_SEEDS = 10
-ACTIONS = 17  # of a play of one fault; the last ones have nothing left to break
+ACTIONS = 17  # of a simulation of one fault; the last ones leave nothing to disturb
 DROP_NOW = """if work.phase not in ("sent", "early") and move.drops:
         work.phase = "early"
-        return self._run(move.number, "early", move.shard, move.drops, migration_statements.drop(move.shard),
-                         self.timing.drop_ms)
+        return self._run_statement(move.number, "early", move.shard, move.drops,
+                                   migration_statements.drop(move.shard), self.timing.drop_ms)
     """
 DEFECTS = {
     "switched without a check": [
         Line(
-            Carrier._verify,
+            MigrationDriver._verify,
             "if work.target is not None and",
-            "return self._take(move, Step.CHECK, attempt=move.attempt, rows=max(shard.rows, 0),"
+            "return self._request_step(move, Step.CHECK, attempt=move.attempt, rows=max(shard.rows, 0),"
             " checksum=shard.checksum)\n    if work.target is not None and",
         )
     ],
     "old copy dropped before the switch": [
-        Line(Carrier._at_checked, "self._take(move, Step.SWITCH)", DROP_NOW + "self._take(move, Step.SWITCH)")
+        Line(
+            MigrationDriver._at_checked,
+            "self._request_step(move, Step.SWITCH)",
+            DROP_NOW + "self._request_step(move, Step.SWITCH)",
+        )
     ],
     "old copy dropped before the record says so": [
-        Line(Carrier._at_switched, "if not self._may_go(move):", DROP_NOW + "if not self._may_go(move):")
+        Line(
+            MigrationDriver._at_switched,
+            "if not self._may_drop_old(move):",
+            DROP_NOW + "if not self._may_drop_old(move):",
+        )
     ],
-    "last good copy may go": [patch.object(ShardMachine, "spared", lambda self, shard, engine: True)],
+    "last good copy may go": [patch.object(ShardMachine, "may_drop", lambda self, shard, engine: True)],
     "headroom without the copy that comes in": [
         Line(
-            ShardMachine.room,
+            ShardMachine.free_bytes,
             "self.used.get(engine, 0)",
             "sum(self.shards[s].size for s, held in self.copies.items()"
             " if engine in held and held[engine].state != 'coming')",
         )
     ],
     "spills beyond the headroom not counted": [
-        patch.object(state_machine, "effective", lambda home: home.disk)
+        patch.object(state_machine, "usable_disk", lambda home: home.disk)
     ],
     "fence not checked by the record": [
-        patch.object(ShardMachine, "_fenced", lambda self, fence, facts: True)
+        patch.object(ShardMachine, "_has_valid_fence", lambda self, fence, facts: True)
     ],
     "drops on their way not waited for": [
-        patch.object(Carrier, "_drops_ended", lambda self, shard, engine: True)
+        patch.object(MigrationDriver, "_drops_ended", lambda self, shard, engine: True)
+    ],
+    "loads on their way not waited for": [
+        patch.object(MigrationDriver, "_loads_ended", lambda self, move: True)
     ],
-    "loads on their way not waited for": [patch.object(Carrier, "_loads_ended", lambda self, move: True)],
     "resumed move copies again": [
         Line(
-            Carrier._at_copying,
+            MigrationDriver._at_copying,
             'work.phase, work.attempt = "verify", move.attempt',
             "return self._begin_copy(move, work)",
         )
     ],
     "generation ignored: an empty disk passes for the old one": [
-        Line(ShardMachine._heard, "if known.mark and home.mark != known.mark:", "if False:")
+        Line(ShardMachine._update_engine, "if known.mark and host.mark != known.mark:", "if False:")
     ],
     "generation ignored by steps": [
         Line(
-            ShardMachine._coming,
-            "home, copy = self.homes[move.target],",
+            ShardMachine._is_target_valid,
+            "host, replica = self.homes[move.target],",
             "if move.target not in self.copies.get(move.shard, {}):\n"
-            "        self._hold(move.shard, Copy(move.shard, move.target, 'coming'))\n"
-            "    return True\n    home, copy = self.homes[move.target],",
+            "        self._set_replica(move.shard, Replica(move.shard, move.target, 'coming'))\n"
+            "    return True\n    host, replica = self.homes[move.target],",
         ),
-        patch.object(Carrier, "_target_there", lambda self, move: True),
+        patch.object(MigrationDriver, "_is_target_valid", lambda self, move: True),
     ],
     "a check's answer from an earlier disk is taken": [
-        Line(ShardMachine._checked, "home.generation != asked.generation or", "")
+        Line(ShardMachine._record_check, "host.generation != request.generation or", "")
     ],
     "a check's answer from before a move is taken": [
-        Line(ShardMachine._checked, "asked.seen < self._touched.get(shard.name, 0)", "False")
+        Line(ShardMachine._record_check, "request.seen < self._content_entry.get(shard.name, 0)", "False")
     ],
     "copies of a returned engine trusted unchecked": [
-        patch.object(ShardMachine, "_doubted", lambda self, engine, at: None)
+        patch.object(ShardMachine, "_mark_doubtful", lambda self, engine, at: None)
     ],
     "space of a half copy freed before its drop": [
         Line(
             ShardMachine._undo,
-            'self._at(move, "undoing", at)',
-            'self._at(move, "undoing", at)\n        self._undone(self.moves[move.number], asked, at)',
+            'self._set_step(move, "undoing", at)',
+            'self._set_step(move, "undoing", at)\n        self._undone(self.moves[move.number], request, at)',
         )
     ],
-    "undone without the drop": [Line(Carrier._at_undoing, 'work.phase == "dropped" or not there', "True")],
+    "undone without the drop": [
+        Line(MigrationDriver._at_undoing, 'work.phase == "dropped" or not has_replica', "True")
+    ],
     "no rest after a switch": [patch.object(QuickMachine, "rest_ms", 0)],
-    "queries on the old copy not waited for": [Line(Carrier._at_switched, "if work.quiet or", "if True or")],
+    "queries on the old copy not waited for": [
+        Line(MigrationDriver._at_switched, "if work.is_quiesced or", "if True or")
+    ],
     "table under change moved on": [
         Line(Play.fact, 'return int(kind == "changing" and key in self.changing)', "return 0")
     ],
     "acts on a copy of the record older than its answers": [
-        Line(Carrier.step, "and self._index >= self._need_index", "")
+        Line(MigrationDriver.step, "and self._index >= self._min_index", "")
     ],
 }
 
 
-def one_fault(number, kind, **more):
-    """Play one fault; a copy that was read in before its holder's end is not read in again."""
+def play_with_one_fault(number, kind, **more):
+    """Simulate one fault; raise `Broken` if a replica imported before its holder's end is imported again."""
     one = play_one_fault(number, kind, **more)
-    if kind.startswith("crash") and one.boundary >= number and 0 < one.loads_then < one.loads():
-        raise Broken("a copy was read in twice")
+    if kind.startswith("crash") and one.action_count >= number and 0 < one.loads_then < one.loads():
+        raise Broken("a replica was imported twice")
     return one
 
 
 def model(most=400):
-    """Run the plain model beside the machine; return after how many examples they part, and how."""
+    """Run the model beside the state machine; return after how many examples they differ, and how."""
     from test_shard_moves import Model  # which imports this file
 
     return by_model(Model, most, 50)
 
 
 def plays(most):
-    """Return sorts of plays, cheap and pointed things first: a name, and what is played."""
+    """Yield kinds of simulations, cheap and specific ones first: a name, and the simulations."""
     for kind in ONE_FAULT:
-        yield f"one fault: {kind}", [partial(one_fault, number, kind) for number in range(1, ACTIONS)]
+        yield (
+            f"one fault: {kind}",
+            [partial(play_with_one_fault, number, kind) for number in range(1, ACTIONS)],
+        )
     yield (
         "one fault, quick copies",
         [
-            partial(one_fault, number, "late, crash target", seed=seed, quick=True)
+            partial(play_with_one_fault, number, "late, crash target", seed=seed, quick=True)
             for seed in range(QUICK_SEEDS)
             for number in range(1, 9)
         ],
@@ -140,7 +157,7 @@
 
 
 def hunt(title, most):
-    """Return the sort of play that finds a defect, after how many of it and of all, and what it says."""
+    """Return the kind of simulation that finds a defect, after how many of it and of all, and its message."""
     before = 0
     with planted(DEFECTS[title]):
         for sort, some in plays(most):
