--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -1,15 +1,18 @@
 """One attempt of a statement at an engine, and every way in which it can end.
 
-An attempt is ExecuteStatement (async), GetOperationStatus until the operation has ended, then the pages of
-its result. Nothing can have run before ExecuteStatement is written; that line decides how a failure counts:
-
-- before it, whatever breaks is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
-- an engine's word `fennelwind-not-run` is `OVERLOADED`: rejected unseen
-- an error that is the statement's own (`statement_status.py`) is an answer, `OK`: it would fail anywhere (so
-  too if `USE` fails)
-- after it, a broken connection or bytes that are no reply are `RESET`, an error status is `ERROR`
-- with no descriptors left here, `NOT_STARTED`: never sent, and no fault of the engine's
-- `TIMEOUT` when the time is up, `CANCELLED` when called off; the operation left behind is cancelled
+An attempt calls ExecuteStatement (asynchronously), polls GetOperationStatus until the operation has ended,
+then fetches the pages of its result. Nothing can have run before ExecuteStatement is written, so a failure is
+classified by whether it happened before or after that write:
+
+- before it, any failure is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
+- the engine's hint `fennelwind-not-run` means `OVERLOADED`: the statement was rejected without being run
+- an error caused by the statement itself (`statement_status.py`) is an answer, `OK`, since it would occur at
+  any engine; this includes a failed `USE`
+- after it, a broken connection or a malformed reply is `RESET`, an error status is `ERROR`
+- when this process has no file descriptors left, `NOT_STARTED`: nothing was sent, and the engine is not at
+  fault
+- `TIMEOUT` at the deadline, `CANCELLED` when the attempt's task is cancelled; the operation that remains at
+  the engine is cancelled
 """
 
 from collections.abc import Iterator
@@ -33,11 +36,11 @@
 from fennelwind.thrift.codec import Malformed, Structure
 from fennelwind.thrift.hiveserver2 import row_count
 
-MIN_POLL_MS, MAX_POLL_MS = 2.0, 50.0  # ms between polls of engines that answer a status at once
+MIN_POLL_MS, MAX_POLL_MS = 2.0, 50.0  # between polls of an engine without long polling
 
 
 class AttemptServices(Protocol):
-    """What an attempt needs of the client that makes it."""
+    """The parts of the engine client that an attempt uses."""
 
     loop: Loop
     settings: pb.EngineLinks
@@ -49,11 +52,11 @@
         """Return the load figures among a status's hints that the settings name."""
 
     def send_grant(self, attempt: "Attempt") -> None:
-        """Send the engine the attempt's grant, if it knows another one."""
+        """Send the engine the attempt's grant unless it already has this one."""
 
 
 class Attempt:
-    """One attempt under way."""
+    """One attempt in progress."""
 
     def __init__(self, services: AttemptServices, pool: ConnectionPool, request: AttemptRequest) -> None:
         self.services, self.pool, self.request, self.loop = services, pool, request, services.loop
@@ -61,9 +64,9 @@
         self.handle: Structure | None = None
         self.is_over = False
         self.is_grant_update_running = False
-        self.known_grant: dict[str, str] | None = None  # the grant that the engine knows
+        self.known_grant: dict[str, str] | None = None  # the last grant sent to the engine
         self._may_have_run = False  # the statement may have reached the engine
-        self._is_database_sent = False  # `USE` was sent for it
+        self._is_database_sent = False  # `USE` was sent for this statement
         self._load: dict[str, float] = {}
         self._cost: dict[str, float] = {}
 
@@ -75,9 +78,9 @@
         return grant
 
     def run(self) -> AttemptEnd:
-        """Make the attempt and wait for its end. Raises only what cancels its task."""
+        """Make the attempt and wait for its end. Raises only the cancellation of its own task."""
         try:
-            with self._leaving_nothing_behind(), self.loop.deadline_at(self.request.deadline_ms):
+            with self._release_on_early_end(), self.loop.deadline_at(self.request.deadline_ms):
                 self._connect()
                 self._enter_database()
                 reason = self.request.reason_not_to_start()
@@ -101,13 +104,13 @@
 
     def _end_by_error(self, error: RemoteError) -> AttemptEnd:
         self._read_hints(error.status)
-        meaning = StatementStatus.ENGINE_ERROR
+        statement_status = StatementStatus.ENGINE_ERROR
         if error.status is not None:
-            meaning = classify(error.status.sqlState, error.status.infoMessages)
+            statement_status = classify(error.status.sqlState, error.status.infoMessages)
         was_sent = self._may_have_run or self._is_database_sent
-        if meaning is StatementStatus.STATEMENT_ERROR and was_sent:
+        if statement_status is StatementStatus.STATEMENT_ERROR and was_sent:
             return self._end(AttemptStatus.OK, result=Result(error=_status_for_client(error.status)))
-        if meaning is StatementStatus.REJECTED or not self._may_have_run:
+        if statement_status is StatementStatus.REJECTED or not self._may_have_run:
             return self._end(AttemptStatus.OVERLOADED, str(error))
         return self._end(AttemptStatus.ERROR, str(error))
 
@@ -116,11 +119,11 @@
         return AttemptEnd(status, reason, result, cost.get("work_ms"), cost.get("memory_mb"), self._load)
 
     @contextmanager
-    def _leaving_nothing_behind(self) -> Iterator[None]:
-        """Whatever ends the attempt early, leave neither connection nor operation behind."""
+    def _release_on_early_end(self) -> Iterator[None]:
+        """Release the connection and the operation if the attempt ends early, for whatever reason."""
         try:
             yield
-        except RemoteError:  # replies are in step; the operation has ended, but may still be there
+        except RemoteError:  # the connection is still in sync; the operation has ended but may still be open
             if self.handle is not None:
                 self.services.cleanup.close_later(self.pool, self.connection, self.handle)
             elif self.connection is not None:
@@ -134,13 +137,13 @@
             raise
 
     def _connect(self) -> None:
-        began_ms = self.loop.now()
+        start_ms = self.loop.now()
         self.connection = self.pool.take(self.request.submission.database)
-        wait_us = int((self.loop.now() - began_ms) * 1000.0)
+        wait_us = int((self.loop.now() - start_ms) * 1000.0)
         self.services.connection_wait_us.record_value(max(1, wait_us))
 
     def _enter_database(self) -> None:
-        """Take the connection's session to the statement's database."""
+        """Switch the connection's session to the statement's database with `USE`."""
         connection, wanted = self.connection, self.request.submission.database
         if not wanted or connection.database == wanted:
             return
@@ -155,14 +158,14 @@
         connection.database, connection.operation_to_close = wanted, reply.operationHandle
 
     def _execute(self) -> Result:
-        order, connection = self.request, self.connection
-        submission = order.submission
+        attempt_request, connection = self.request, self.connection
+        submission = attempt_request.submission
         if submission.arguments is not None:
             return self._call_metadata(submission.method, submission.arguments)
         self.known_grant = self.grant()
         overlay = {
             **submission.overlay,
-            "fennelwind.attempt": f"{order.query}.{order.number}",
+            "fennelwind.attempt": f"{attempt_request.query}.{attempt_request.number}",
             **self.known_grant,
         }
         request = hs2.TExecuteStatementReq(
@@ -177,14 +180,14 @@
         self.handle = reply.operationHandle
         if self.handle is None:
             raise Malformed("an operation without a handle")
-        self.services.send_grant(self)  # it may have changed while the call was on its way
+        self.services.send_grant(self)  # it may have changed during the call
         self._wait()
         result = self._fetch() if self.handle.hasResultSet else Result()
         self._finish(result)
         return result
 
     def _call_metadata(self, method: str, arguments: Structure) -> Result:
-        """Make a metadata call; its operation has ended when it is answered."""
+        """Make a metadata call; its operation has ended by the time the call returns."""
         request = copy(arguments)
         request.sessionHandle = self.connection.session
         self._may_have_run = True
@@ -199,7 +202,7 @@
         return result
 
     def _finish(self, result: Result) -> None:
-        """Return the connection, unless rows still flow over it."""
+        """Return the connection to the pool unless rows are still streamed over it."""
         if result.stream is None:
             self.services.cleanup.close_later(self.pool, self.connection, self.handle)
 
@@ -219,7 +222,7 @@
             if state not in (hs2.INITIALIZED, hs2.RUNNING, hs2.PENDING):
                 raise _operation_error(reply)
             self._report_progress(reply)
-            if self.loop.now() - sent_ms < MIN_POLL_MS:  # the engine has no long poll
+            if self.loop.now() - sent_ms < MIN_POLL_MS:  # the engine doesn't support long polling
                 self.loop.sleep(pause_ms)
                 pause_ms = min(pause_ms * 2, MAX_POLL_MS)
 
@@ -238,7 +241,7 @@
             self.request.report_progress(ProgressKind(int(note["sort"])), note.get("value", 0.0))
 
     def _fetch(self) -> Result:
-        """Fetch the schema and the pages; past `max_result_bytes` the rest will flow."""
+        """Fetch the schema and the pages; stream what remains beyond `max_result_bytes`."""
         connection, settings = self.connection, self.services.settings
         received_before = connection.received_bytes
         request = hs2.TFetchResultsReq(
@@ -249,14 +252,14 @@
         try:
             schema = connection.reply(schema_sent).schema
         except RemoteError:
-            with suppress(RemoteError):  # the page's reply follows, and must not meet the next call
+            with suppress(RemoteError):  # consume the page's reply, or the next call would read it
                 connection.reply(page_sent)
             raise
         pages = []
         while True:
             reply = connection.reply(page_sent)
             if reply.results is not None:
-                row_count(reply.results)  # what is malformed has to be found before its query is served
+                row_count(reply.results)  # find malformed pages before the query counts as served
                 pages.append(reply.results)
             if not reply.hasMoreRows:
                 return Result(schema, tuple(pages))
@@ -267,11 +270,13 @@
     def _stream(self) -> RowStream:
         """Return a stream of the remaining rows.
 
-        Raises `RemoteError`, though the engine made no error, if our own limits forbid it; the attempt then
-        ends as `ERROR`.
+        Raises `RemoteError` if the controller's own limits forbid it, though the engine made no error; the
+        attempt then ends as `ERROR`.
         """
         settings = self.services.settings
-        if self.request.submission.request_id:  # several clients may wait for it, each at its own pace
+        if (
+            self.request.submission.request_id
+        ):  # several clients may wait for it, and they read at different speeds
             raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
         if not can_stream(self.pool.streams, settings.max_links):
             raise RemoteError(f"{self.pool.streams} large answers flow already")
@@ -288,7 +293,7 @@
 
 
 def _status_for_client(status: Structure) -> Structure:
-    """Return an engine's error in its own words, without its load figures."""
+    """Return an engine's error status unchanged except for the hints, which are removed."""
     return hs2.TStatus(
         statusCode=hs2.ERROR,
         infoMessages=hints.others(status.infoMessages) or None,
--- a/fennelwind/engines/connection.py
+++ b/fennelwind/engines/connection.py
@@ -1,6 +1,6 @@
 """One connection to an engine with its HiveServer2 session.
 
-Calls, replies in order, and operations to close.
+Sends calls, matches replies to them in order, and closes operations that have been answered.
 """
 
 import ssl
@@ -44,10 +44,10 @@
         self.stream: Stream | None = None
         self.session: Structure | None = None
         self.received_bytes = 0
-        self.database = ""  # the session's current one; "": the engine's default
+        self.database = ""  # current database of the session; "": the engine's default
         self.idle_since_ms = 0.0
-        self.operation_to_close: Structure | None = None  # answered, and still open at the engine
-        self._close_sequence: int | None = None  # of the call that closes it and awaits its reply
+        self.operation_to_close: Structure | None = None  # fully read, but still open at the engine
+        self._close_sequence: int | None = None  # sequence id of a CloseOperation call whose reply is pending
         self._replies: list[Message] = []
         self._prepared: list[bytes] = []
 
@@ -71,11 +71,11 @@
             raise Malformed("a session without a handle")
 
     def call(self, method: str, request: Structure) -> Structure:
-        """Make a call; return its reply. Raises `RemoteError` for what is no success."""
+        """Make a call and return its reply. Raises `RemoteError` if the call failed."""
         return self.reply(self.send(method, request))
 
     def send(self, method: str, request: Structure) -> int:
-        """Send a call; return its sequence id, to be given to `reply`, in the same order."""
+        """Send a call and return its sequence id. `reply` must be called with these ids in sending order."""
         sequence, raw = self.protocol.call(method, request)
         if self._prepared:
             raw = b"".join([*self._prepared, raw])
@@ -84,7 +84,7 @@
         return sequence
 
     def prepare(self, method: str, request: Structure) -> int:
-        """Make a call that goes out in the same write as the next one; return its sequence id."""
+        """Queue a call to be sent in the same write as the next one; return its sequence id."""
         sequence, raw = self.protocol.call(method, request)
         self._prepared.append(raw)
         return sequence
@@ -111,7 +111,7 @@
         return message.body
 
     def prepare_close(self) -> None:
-        """Let the next call close the operation that was answered last, if it is still open."""
+        """Send CloseOperation for the last answered operation, if still open, with the next call."""
         if self.operation_to_close is not None:
             handle, self.operation_to_close = self.operation_to_close, None
             self._close_sequence = self.prepare("CloseOperation", hs2.TCloseOperationReq(handle))
@@ -119,7 +119,7 @@
     def close_operation(self) -> None:
         """Close the operation that was answered last."""
         handle, self.operation_to_close = self.operation_to_close, None
-        with suppress(RemoteError):  # it is closed already; the connection is as good as before
+        with suppress(RemoteError):  # already closed; the connection remains usable
             self.call("CloseOperation", hs2.TCloseOperationReq(handle))
 
     def _receive(self) -> None:
@@ -130,7 +130,7 @@
         self._replies += self.protocol.receive(data)
 
     def is_broken(self) -> bool:
-        """Tell whether an idle connection can't be used any more: closed, or with bytes nobody asked for."""
+        """Return whether an idle connection is unusable: closed, or with unsolicited bytes received."""
         return bool(self._replies) or self.stream.broken()
 
     def drop(self) -> None:
--- a/fennelwind/engines/connection_pool.py
+++ b/fennelwind/engines/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pooled connections to one engine: bounded in number, kept for some time while idle."""
+"""The pooled connections to one engine: bounded in number, closed after some time idle."""
 
 import ssl
 from collections.abc import Sequence
@@ -26,12 +26,12 @@
         self, loop: Loop, address: Address, settings: pb.EngineLinks, tls: ssl.SSLContext | None = None
     ) -> None:
         self.loop, self.address, self.settings, self.tls = loop, address, settings, tls
-        self.idle: list[EngineConnection] = []  # the one used last is last
+        self.idle: list[EngineConnection] = []  # most recently used last
         self.count = 0  # idle and in use
-        self.streams = 0  # connections that carry an answer too large to be buffered
+        self.streams = 0  # connections over which a result too large to buffer is streamed
 
     def take(self, database: str = "") -> EngineConnection:
-        """Return a connection with a session, the one best for the database, or a new one.
+        """Return a connection with a session: the idle one that suits the database best, else a new one.
 
         Raises `PoolExhaustedError`, or what `EngineConnection.open` raises.
         """
@@ -60,7 +60,7 @@
         return connection
 
     def put(self, connection: EngineConnection) -> None:
-        """Keep a connection for later."""
+        """Return a connection to the pool."""
         connection.idle_since_ms = self.loop.now()
         self.idle.append(connection)
 
@@ -70,7 +70,7 @@
         connection.drop()
 
     def close_expired(self) -> None:
-        """Close connections that were idle for too long or have broken meanwhile."""
+        """Close connections that were idle for too long or were broken while idle."""
         oldest_ms = self.loop.now() - self.settings.idle_ms
         for connection in [c for c in self.idle if c.idle_since_ms <= oldest_ms or c.is_broken()]:
             self.idle.remove(connection)
@@ -78,11 +78,12 @@
 
 
 def choose_idle(databases: Sequence[str], wanted: str) -> int | None:
-    """Return which idle connection to use, given the database of each session; None: open a new one.
+    """Return the index of the idle connection to use, given each session's database; None: open a new one.
 
-    The one used last that is in the wanted database, else the one used last, which `USE` can take there.
-    A session that has left the engine's default database can't return to it, as nobody here knows its
-    name: so without a wanted database only a session in the default one will do.
+    Prefer the most recently used one in the wanted database, else the most recently used one, whose session
+    is then switched with `USE`. A session that has left the engine's default database can't return to it,
+    since the controller doesn't know its name; so without a wanted database only a session that is still in
+    the default one is usable.
     """
     for index in range(len(databases) - 1, -1, -1):
         if databases[index] == wanted:
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -1,11 +1,11 @@
 """The subscription to discovery: lists of engines and their changes, as lines of JSON.
 
-The controller always asks `{"subscribe": 0}`, so discovery answers with the complete list, then with changes
-as they come (`index` is not used): `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`.
+The controller always sends `{"subscribe": 0}`, so discovery answers with the complete list, then with changes
+as they occur (`index` is not used): `{"form": "full" | "delta", "index": N, "now_ms": T, "engines": [...]}`.
 An engine is `{"engine": "HOST:PORT", "state": "ready" | "draining" | "gone", "zone": NAME, "kind": NAME,
 "cell": N, "weight": X, "launched_ms": T}`, with times on discovery's own clock; only their differences to
-`now_ms` are used. A line that can't be used breaks the subscription: an incomplete view must not pass for a
-complete one.
+`now_ms` are used. An invalid line ends the subscription, as skipping it would leave an incomplete list that
+is taken for a complete one.
 """
 
 import json
@@ -16,15 +16,15 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset, Task, parse_address
 
-MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; some 20,000 engines
-CONNECT_TIMEOUT_MS = 2000.0  # ms to connect, and to get the first list
-# ms between subscriptions, doubled after a failure; half is jitter
+MAX_LINE_BYTES = 4 * 1024 * 1024  # about 20,000 engines
+CONNECT_TIMEOUT_MS = 2000.0  # to connect and receive the first list
+# Between subscriptions; doubled after each failure, with up to half of it as jitter.
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0
 FORMS = (policy.ListForm.FULL, policy.ListForm.DELTA)
 
 
 class DiscoveryError(FennelwindError, ValueError):
-    """A line that is no list."""
+    """A line from discovery is not a valid endpoint list."""
 
     code = "discovery-unreadable"
     advice = (
@@ -34,13 +34,13 @@
 
 
 class StartTimes:
-    """Times of engines' starts, put on the controller's clock once a start so that they stay comparable."""
+    """Engines' start times, converted to the controller's clock once per start so that they don't drift."""
 
     def __init__(self) -> None:
         self._known: dict[str, tuple[float, float]] = {}
 
     def local(self, engine: str, started_ms: float, remote_now_ms: float, now_ms: float) -> float:
-        """Return a start on the controller's clock, in ms; 0 means long ago."""
+        """Return a start time on the controller's clock, in ms; 0 means long ago."""
         if not started_ms:
             return 0.0
         known = self._known.get(engine)
@@ -54,7 +54,7 @@
 def read_list(
     line: bytes, zones: tuple[str, ...], kinds: tuple[str, ...], start_times: StartTimes, now_ms: float
 ) -> policy.EngineListUpdate:
-    """Turn a line into an event of the policy. Raises `DiscoveryError`."""
+    """Parse a line into an event for the policy. Raises `DiscoveryError`."""
     try:
         message = json.loads(line)
         form = message["form"]
@@ -93,9 +93,9 @@
 
 
 class DiscoveryClient:
-    """Keeps a subscription; lists go to `post`, as does each failure.
+    """Keeps a subscription; passes each list, and each failure, to `post`.
 
-    After the first list it waits for changes without a time limit: quiet is normal.
+    After the first list it waits for changes without a timeout, as long periods without changes are normal.
     """
 
     def __init__(
@@ -117,12 +117,12 @@
         self._jitter = seed & 0xFFFF
 
     def start(self) -> None:
-        """Subscribe and stay subscribed, where lists are pushed."""
+        """Subscribe and stay subscribed, if lists are pushed."""
         if self.pushed:
             self._task = self.loop.spawn(self._stay_subscribed, name="discovery")
 
     def request(self) -> None:
-        """Subscribe once, where lists have to be asked for; a failure is an event."""
+        """Subscribe once, if lists have to be requested; a failure is posted as an event."""
         if not self.pushed and (self._task is None or self._task.done):
             self._task = self.loop.spawn(self._subscribe, name="discovery")
 
@@ -135,11 +135,11 @@
             backoff_ms = MIN_BACKOFF_MS if made_progress else min(backoff_ms * 2, MAX_BACKOFF_MS)
             self._jitter = (
                 self._jitter * 25173 + 13849
-            ) & 0xFFFF  # spreads controllers that lost it together
+            ) & 0xFFFF  # so that controllers that lost discovery together don't reconnect together
             self.loop.sleep(backoff_ms * (0.5 + self._jitter / 0x20000))
 
     def _subscribe(self) -> None:
-        """Subscribe and hand lists on until the subscription breaks."""
+        """Subscribe and post lists until the subscription fails."""
         stream = None
         try:
             with self.loop.deadline(CONNECT_TIMEOUT_MS):
@@ -161,7 +161,7 @@
                 stream.close()
 
     def _read_line(self, stream: Stream, buffer: bytearray) -> bytearray:
-        """Read on until a complete line is there. Raises `DiscoveryError`, `StreamReset`."""
+        """Read until the buffer holds a complete line. Raises `DiscoveryError`, `StreamReset`."""
         while b"\n" not in buffer:
             if len(buffer) > MAX_LINE_BYTES:
                 raise DiscoveryError(f"a line of over {MAX_LINE_BYTES} bytes")
--- a/fennelwind/engines/engine_client.py
+++ b/fennelwind/engines/engine_client.py
@@ -1,7 +1,7 @@
-"""The controller's way to all engines: a pool of connections for each, attempts, grants and health checks.
+"""The controller's client for all engines: connection pools, attempts, grant updates and health checks.
 
-The driver calls it as `dispatch.types.Engines`. It owns the pools; what a restart of the controller loses
-here is ended by the engines' own time-outs.
+The driver uses it through `dispatch.types.Engines`. It owns the pools; operations that remain at engines when
+the controller restarts are ended by the engines' own timeouts.
 """
 
 import ssl
@@ -22,8 +22,8 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-MAX_WAIT_US = 60_000_000  # microseconds; the longest wait for a connection that the histogram tells apart
-HEALTH_CHECK_TIMEOUT_MS = 1000.0  # ms that a health check may take
+MAX_WAIT_US = 60_000_000  # longest wait for a connection that the histogram records exactly
+HEALTH_CHECK_TIMEOUT_MS = 1000.0  # for one health check
 
 
 class EngineClient:
@@ -39,11 +39,11 @@
         self.loop, self.settings, self.tls = loop, settings, tls
         self.report_fields = frozenset(report_fields)
         self.pools: dict[str, ConnectionPool] = {}
-        self.connection_wait_us = HdrHistogram(1, MAX_WAIT_US, 2)  # until an attempt had its connection
+        self.connection_wait_us = HdrHistogram(1, MAX_WAIT_US, 2)  # until an attempt got its connection
         self.stream_counts = StreamCounts()
         self.cleanup = OperationCleanup(loop)
         self.grant_updates = GrantUpdates(loop)
-        self._attempts: dict[int, list[Attempt]] = {}  # under way, by query
+        self._attempts: dict[int, list[Attempt]] = {}  # in progress, by query
 
     def start(self) -> None:
         """Start closing connections that are idle for too long."""
@@ -63,18 +63,18 @@
                 del self._attempts[request.query]
 
     def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
-        """Send a query's new grant to the engines at which attempts of it are under way."""
+        """Send a query's new grant to the engines that run attempts of it."""
         for attempt in self._attempts.get(query, ()):
             attempt.request.memory_mb, attempt.request.priority = memory_mb, priority
             if attempt.handle is not None:
                 self.send_grant(attempt)
 
     def send_grant(self, attempt: Attempt) -> None:
-        """Send an engine the grant of an attempt that is under way there, if it knows another one."""
+        """Send an engine the grant of an attempt that it runs, unless it already has this one."""
         self.grant_updates.send(attempt)
 
     def check_health(self, engine: str) -> AttemptEnd:
-        """Check an engine's health: ask for its name, over a connection as any other."""
+        """Check an engine's health by requesting its server name over a pooled connection."""
         pool = self.pool(engine)
         try:
             with self.loop.deadline(HEALTH_CHECK_TIMEOUT_MS):
@@ -95,7 +95,7 @@
         return AttemptEnd(AttemptStatus.OK, load=self.load(reply.status))
 
     def pool(self, engine: str) -> ConnectionPool:
-        """Return the connections to an engine."""
+        """Return the connection pool of an engine, creating it if needed."""
         pool = self.pools.get(engine)
         if pool is None:
             address = parse_address(engine)
--- a/fennelwind/engines/grant_updates.py
+++ b/fennelwind/engines/grant_updates.py
@@ -1,7 +1,8 @@
-"""New memory grants and priorities, sent to engines for attempts that are under way there.
+"""New memory grants and priorities, sent to engines for attempts that they run.
 
-They go by `SetClientInfo` on a further connection, as an attempt's own waits for its end. The last grant
-holds; one that can't be sent is dropped and counted, since no answer depends on it.
+They are sent as `SetClientInfo` over another connection, since the attempt's own connection is blocked in a
+call until the attempt ends. The latest grant applies; one that can't be sent is dropped and counted, since no
+answer depends on it.
 """
 
 from typing import Protocol
@@ -12,12 +13,12 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-MAX_UPDATES = 32  # updates under way at a time; what is over it is dropped, as it changes no answer
-UPDATE_TIMEOUT_MS = 1000.0  # ms for one update; a later one is hardly worth it
+MAX_UPDATES = 32  # concurrent updates; more are dropped, since no answer depends on them
+UPDATE_TIMEOUT_MS = 1000.0  # for one update; a later one would have little effect
 
 
 class GrantedAttempt(Protocol):
-    """What an update needs to know of an attempt."""
+    """The part of an attempt that a grant update uses."""
 
     pool: ConnectionPool
     handle: Structure | None
@@ -26,7 +27,7 @@
     known_grant: dict[str, str] | None
 
     def grant(self) -> dict[str, str]:
-        """Return the grant that the attempt is to have."""
+        """Return the attempt's current grant."""
 
 
 class GrantUpdates:
@@ -39,9 +40,9 @@
         self.dropped = 0
 
     def send(self, attempt: GrantedAttempt) -> None:
-        """Send an engine the grant of an attempt that is under way there, if it knows another one."""
+        """Send an engine the grant of an attempt that it runs, unless it already has this one."""
         if attempt.is_grant_update_running or attempt.known_grant == attempt.grant():
-            return  # an update on its way goes on with what came meanwhile
+            return  # a running update also sends grants that changed meanwhile
         if self.running >= MAX_UPDATES:
             self.dropped += 1
             return
--- a/fennelwind/engines/operation_cleanup.py
+++ b/fennelwind/engines/operation_cleanup.py
@@ -1,9 +1,9 @@
-"""Operations that are left at engines: answered ones are closed, abandoned ones cancelled and closed.
+"""Operations that remain at engines: answered ones are closed, abandoned ones cancelled and closed.
 
-An answered operation is closed by the next call over its connection, in the same write; a connection that
-nobody uses soon closes it with a call of its own. An abandoned operation is cancelled over another
-connection, within a time and a number: what can't be reached is counted, and the engine's own time-outs have
-to end it.
+An answered operation is closed together with the next call over its connection, in the same write; if no call
+follows soon, by a separate call. An abandoned operation is cancelled over another connection, with a timeout
+and a limit on concurrent cancellations. Operations that can't be cancelled are counted, and the engine's own
+timeouts have to end them.
 """
 
 from fennelwind.engines.connection import EngineConnection, RemoteError
@@ -12,25 +12,25 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-CLOSE_DELAY_MS = 25.0  # ms that an answered operation waits for the next statement to close it
-CLOSE_TIMEOUT_MS = 2000.0  # ms that closing an answered operation may take, else its connection is dropped
-CANCEL_TIMEOUT_MS = 5000.0  # ms that cancelling and closing an abandoned operation may take
-MAX_CANCELLATIONS = 64  # abandoned operations cancelled at once, over all engines
+CLOSE_DELAY_MS = 25.0  # how long an answered operation waits for a next call to be closed with
+CLOSE_TIMEOUT_MS = 2000.0  # to close an answered operation; past it its connection is dropped
+CANCEL_TIMEOUT_MS = 5000.0  # to cancel and close an abandoned operation
+MAX_CANCELLATIONS = 64  # concurrent, over all engines
 
 
 class OperationCleanup:
-    """Closes what is left at engines; for all engines of a controller."""
+    """Closes operations that remain at engines, for all engines of a controller."""
 
     def __init__(self, loop: Loop) -> None:
         self.loop = loop
         self.cancelling = 0  # abandoned operations being cancelled now
         self.cancelled = 0  # abandoned operations that were cancelled and closed
-        self.unreachable = 0  # those that could not be reached, or were too many
+        self.unreachable = 0  # abandoned operations that could not be cancelled, or exceeded the limit
         self._answered: list[tuple[ConnectionPool, EngineConnection]] = []
         self._is_close_scheduled = False
 
     def close_later(self, pool: ConnectionPool, connection: EngineConnection, handle: Structure) -> None:
-        """Return an answered operation's connection to its pool; the operation is closed soon."""
+        """Return an answered operation's connection to its pool and schedule the operation's closing."""
         connection.operation_to_close = handle
         pool.put(connection)
         self._answered.append((pool, connection))
@@ -39,7 +39,7 @@
             self.loop.after(CLOSE_DELAY_MS, self._close_answered)
 
     def _close_answered(self) -> None:
-        """Close what was answered a while ago on connections that nobody has used since."""
+        """Close answered operations on connections that have not been used since."""
         answered, self._answered, self._is_close_scheduled = self._answered, [], False
         for pool, connection in answered:
             if connection.operation_to_close is not None and connection in pool.idle:
--- a/fennelwind/engines/row_stream.py
+++ b/fennelwind/engines/row_stream.py
@@ -1,12 +1,12 @@
-"""Answers too large to be buffered: their pages flow from the engine as the client asks for them.
+"""Results too large to buffer: their pages are streamed from the engine as the client fetches them.
 
-An answer up to `max_result_bytes` is buffered before its query counts as served, so an engine that dies
-meanwhile costs an attempt and not the answer. A larger one begins to flow when that many bytes are here. From
-then on it is never retried elsewhere, as rows may come in another order there; if its engine dies, the client
-gets an error.
+A result of up to `max_result_bytes` is buffered before its query counts as served, so an engine that fails
+meanwhile costs an attempt and not the answer. A larger one is streamed once that many bytes have been
+received. From then on it is never retried at another engine, which may return the rows in another order; if
+the engine fails, the client gets an error.
 
-One page is requested ahead. So what a stream holds is bounded by what was buffered at its start and two
-pages, and a client that reads slowly slows the engine and not the controller.
+One page is requested ahead. So a stream holds at most the pages buffered at its start and two more, and a
+client that reads slowly slows the engine, not the controller.
 """
 
 from collections.abc import Callable
@@ -20,13 +20,13 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-PAGE_TIMEOUT_MS = 30_000.0  # ms that an engine may take for a page of an answer that it has finished
-IDLE_TIMEOUT_MS = 60_000.0  # ms without a client's request, after which connection and operation are given up
-MAX_STREAM_SHARE = 0.5  # of an engine's connections that may carry streams; the rest is for new statements
+PAGE_TIMEOUT_MS = 30_000.0  # for an engine to send a page of a finished result
+IDLE_TIMEOUT_MS = 60_000.0  # without a client's request; past it connection and operation are dropped
+MAX_STREAM_SHARE = 0.5  # of an engine's connections; the others are reserved for new statements
 
 
 class StreamLostError(FennelwindError):
-    """The rest of the rows can't be had any more; the text says why."""
+    """The remaining rows are no longer available; the text gives the reason."""
 
     code = "engine-stream-lost"
     advice = (
@@ -38,14 +38,14 @@
 
 @dataclass(slots=True)
 class StreamCounts:
-    """How many answers flowed, over all engines of a controller."""
+    """Number of streamed results, over all engines of a controller."""
 
     begun: int = 0
     lost: int = 0
 
 
 class RowStream:
-    """The pages of one answer that are still at its engine."""
+    """The pages of one result that are still at its engine."""
 
     def __init__(
         self,
@@ -59,10 +59,10 @@
     ) -> None:
         self.loop, self.cleanup, self.counts = loop, cleanup, counts
         self.pool, self.connection, self.handle, self.page_rows = pool, connection, handle, page_rows
-        self.on_end: Callable[[], None] = lambda: None  # called once, when nothing is left at the engine
-        self.lost = ""  # why no more rows can be had
+        self.on_end: Callable[[], None] = lambda: None  # called once, when the stream ends
+        self.lost_reason = ""  # reason why no more rows are available; "": they are
         self.is_over = False
-        self._sequence = self._request_page()  # one page ahead; if that fails, nothing has flowed yet
+        self._sequence = self._request_page()  # one page ahead; if this raises, no stream has been counted
         self._is_waiting = False
         pool.streams += 1
         counts.begun += 1
@@ -70,9 +70,9 @@
         self._timer = self.loop.after(IDLE_TIMEOUT_MS, self._check_idle)
 
     def next(self) -> tuple[Structure | None, bool]:
-        """Return the next page, and whether there are more; wait for it. Raises `StreamLostError`."""
-        if self.lost:
-            raise StreamLostError(self.lost)
+        """Wait for the next page; return it and whether there are more. Raises `StreamLostError`."""
+        if self.lost_reason:
+            raise StreamLostError(self.lost_reason)
         if self.is_over:
             return None, False
         if self._is_waiting:
@@ -84,15 +84,15 @@
                 if reply.hasMoreRows:
                     self._sequence = self._request_page()
         except DeadlineExceeded:
-            self._lose(f"its engine gave no rows within {PAGE_TIMEOUT_MS / 1000:.0f} s")
+            self._fail(f"its engine gave no rows within {PAGE_TIMEOUT_MS / 1000:.0f} s")
         except (OSError, Malformed) as exc:
-            self._lose(f"its engine was lost: {exc}")
-        except Exception as exc:  # an error of the engine's own
-            self._lose(f"its engine gave no more rows: {exc}")
+            self._fail(f"its engine was lost: {exc}")
+        except Exception as exc:  # an error returned by the engine
+            self._fail(f"its engine gave no more rows: {exc}")
         finally:
             self._is_waiting = False
-        if self.lost:
-            raise StreamLostError(self.lost)
+        if self.lost_reason:
+            raise StreamLostError(self.lost_reason)
         if not reply.hasMoreRows:
             self.is_over = True
             self._end()
@@ -100,8 +100,8 @@
         return reply.results, bool(reply.hasMoreRows)
 
     def close(self) -> None:
-        """Give up the remaining rows; the engine's operation ends with its connection."""
-        if not self.is_over and not self.lost:
+        """Discard the remaining rows; dropping the connection ends the engine's operation."""
+        if not self.is_over and not self.lost_reason:
             self._drop("it was closed")
 
     def _request_page(self) -> int:
@@ -112,13 +112,13 @@
             ),
         )
 
-    def _lose(self, reason: str) -> None:
-        if not self.lost:
+    def _fail(self, reason: str) -> None:
+        if not self.lost_reason:
             self.counts.lost += 1
             self._drop(reason)
 
     def _drop(self, reason: str) -> None:
-        self.lost = reason
+        self.lost_reason = reason
         self._end()
         self.pool.drop(self.connection)
 
@@ -128,14 +128,14 @@
         self.on_end()
 
     def _check_idle(self) -> None:
-        """Lose a stream whose client has gone silent: it keeps a connection and the engine's operation."""
+        """End a stream whose client is idle, as it holds a connection and the engine's operation."""
         since_ms = self.loop.now() if self._is_waiting else self._requested_ms
         if self.loop.now() - since_ms >= IDLE_TIMEOUT_MS:
-            self._lose(f"nobody asked for rows for {IDLE_TIMEOUT_MS / 1000:.0f} s")
+            self._fail(f"nobody asked for rows for {IDLE_TIMEOUT_MS / 1000:.0f} s")
         else:
             self._timer = self.loop.at(since_ms + IDLE_TIMEOUT_MS, self._check_idle)
 
 
 def can_stream(streams: int, max_connections: int) -> bool:
-    """Tell whether one more answer may flow from an engine that has so many streams."""
+    """Return whether an engine with this many streams may get another one."""
     return streams + 1 <= max(1.0, MAX_STREAM_SHARE * max_connections)
--- a/fennelwind/engines/statement_status.py
+++ b/fennelwind/engines/statement_status.py
@@ -1,9 +1,9 @@
 """What an engine's error status on a statement means; without I/O.
 
-Three things have to be told apart, or decisions go wrong: an engine that rejected the statement unseen (it
-never ran, another may take it), one that failed with it (it may have run, another might do better), and a
-statement that is itself at fault. The last is an answer: it would fail anywhere, so it is neither retried nor
-counted against the engine, and its client gets the engine's own words.
+Three cases have to be distinguished: the engine rejected the statement without running it (another engine may
+accept it), the engine failed while running it (it may have run; another engine may succeed), and the
+statement itself is wrong. The last is an answer: the statement would fail at any engine, so it is neither
+retried nor counted against the engine, and its client gets the engine's error unchanged.
 """
 
 from collections.abc import Sequence
@@ -11,7 +11,7 @@
 
 from fennelwind.thrift import hints
 
-# Classes of SQLSTATE (SQL:2016 part 2, 24.1) that are about the statement and not about who ran it.
+# Classes of SQLSTATE (SQL:2016 part 2, 24.1) that report an error of the statement and not of the engine.
 STATEMENT_ERROR_CLASSES = {
     "07",  # dynamic SQL error
     "0A",  # feature not supported
@@ -29,7 +29,7 @@
 class StatementStatus(Enum):
     """What an error status means for the attempt."""
 
-    STATEMENT_ERROR = auto()  # the statement's own fault: an answer
+    STATEMENT_ERROR = auto()  # the statement itself is wrong: an answer
     REJECTED = auto()  # the engine never ran it
     ENGINE_ERROR = auto()  # it may have run
 
