--- a/fennelwind/cli/program.py
+++ b/fennelwind/cli/program.py
@@ -12,8 +12,8 @@
 from fennelwind.dispatch.types import Router
 from fennelwind.engines.discovery import DiscoveryClient
 from fennelwind.engines.engine_client import EngineClient
-from fennelwind.frontends.hiveserver2 import Front
-from fennelwind.frontends.hiveserver2.http import HttpFront
+from fennelwind.frontends.hiveserver2 import Frontend
+from fennelwind.frontends.hiveserver2.http import HttpFrontend
 from fennelwind.frontends.hiveserver2.service import Service
 from fennelwind.limits.answer_margin import AnswerMargin
 from fennelwind.loop import Address, Loop
@@ -58,8 +58,8 @@
             )
         self.service = Service(loop, settings, self.driver)
         self.keeper = self._keeper(seed) if settings.council is not None else None
-        self.front: Front | None = None
-        self.http: HttpFront | None = None
+        self.front: Frontend | None = None
+        self.http: HttpFrontend | None = None
         self.metrics: MetricsFront | None = None
 
     @property
@@ -75,9 +75,9 @@
             self.discovery.start()
         if self.keeper is not None:
             self.keeper.start()
-        self.front = Front(self.loop, self.loop.listen(self.settings.listen), self.service)
+        self.front = Frontend(self.loop, self.loop.listen(self.settings.listen), self.service)
         if self.settings.http is not None:
-            self.http = HttpFront(self.loop, self.loop.listen(self.settings.http), self.service)
+            self.http = HttpFrontend(self.loop, self.loop.listen(self.settings.http), self.service)
             self.http.start()
         if self.settings.metrics is not None:
             self.metrics = MetricsFront(self.loop, self.loop.listen(self.settings.metrics), self)
@@ -215,18 +215,18 @@
 
     def reload_users(self) -> str:
         """Read the file of users anew; return what became of it. A file at fault changes nothing."""
-        listener, door = self.settings.file.listener, self.service.door
+        listener, authenticator = self.settings.file.listener, self.service.authenticator
         if not listener.users_file:
             return "the settings name no file of users"
         names = [c.name for c in self.settings.module.classes]
         try:
-            door.users = load_users(self.settings.folder / listener.users_file, names)
+            authenticator.users = load_users(self.settings.folder / listener.users_file, names)
         except UsersError as exc:
             return f"users are as before: {exc} ({exc.code}: {exc.advice})"
         except OSError as exc:
             return f"users are as before: {exc}"
-        door.logins.forget_verified()
-        return f"{len(door.users)} users"
+        authenticator.logins.forget_verified()
+        return f"{len(authenticator.users)} users"
 
     def _subscribe(self) -> None:
         if self.discovery is not None:
--- a/fennelwind/frontends/hiveserver2/__init__.py
+++ b/fennelwind/frontends/hiveserver2/__init__.py
@@ -1,5 +1,5 @@
 """HiveServer2-style Thrift towards clients."""
 
-from fennelwind.frontends.hiveserver2.server import Front
+from fennelwind.frontends.hiveserver2.server import Frontend
 
-__all__ = ["Front"]
+__all__ = ["Frontend"]
--- a/fennelwind/frontends/hiveserver2/authentication.py
+++ b/fennelwind/frontends/hiveserver2/authentication.py
@@ -28,7 +28,7 @@
         return False
 
 
-class Door:
+class Authenticator:
     """Who may come in. Without users everybody is believed."""
 
     def __init__(self, loop: Loop, users: dict[str, User] | None) -> None:
--- a/fennelwind/frontends/hiveserver2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -11,7 +11,7 @@
 import h11
 
 from fennelwind.dispatch.ledger import Entry
-from fennelwind.frontends.hiveserver2.server import Front
+from fennelwind.frontends.hiveserver2.server import Frontend
 from fennelwind.frontends.hiveserver2.service import NOT_BOUND
 from fennelwind.loop import Cancelled, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.thrift import messages
@@ -32,7 +32,7 @@
         self.status, self.headers = status, headers
 
 
-class HttpFront(Front):
+class HttpFrontend(Frontend):
     """Listens for clients that speak Thrift over HTTP."""
 
     def connection(self, stream: Stream) -> "HttpConnection":
@@ -43,7 +43,7 @@
 class HttpConnection:
     """One client's connection."""
 
-    def __init__(self, front: HttpFront, stream: Stream) -> None:
+    def __init__(self, front: HttpFrontend, stream: Stream) -> None:
         self.front, self.loop, self.stream = front, front.loop, stream
         self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
         self.worker: Task | None = None
@@ -141,12 +141,12 @@
 
     def _user(self, request: h11.Request) -> tuple[str, list[tuple[bytes, bytes]]]:
         """Return who asks, and the headers that the answer gets for it."""
-        door, user, password = self.front.service.door, "", ""
+        authenticator, user, password = self.front.service.authenticator, "", ""
         for name, value in request.headers:
             if name == b"cookie":
                 for part in value.decode("latin-1").split(";"):
                     key, _, cookie = part.strip().partition("=")
-                    bearer = door.bearer(cookie) if key == COOKIE else None
+                    bearer = authenticator.bearer(cookie) if key == COOKIE else None
                     if bearer is not None:
                         return bearer, []
             if name == b"authorization" and value[:6].lower() == b"basic ":
@@ -154,9 +154,9 @@
                     user, _, password = base64.b64decode(value[6:], validate=True).decode().partition(":")
                 except (binascii.Error, UnicodeDecodeError):
                     raise _Refused(400, "an Authorization header that can't be read") from None
-        if not door.enter(user, password, self.stream.peer.host):
+        if not authenticator.enter(user, password, self.stream.peer.host):
             raise _Refused(401, "who asks is not known", (b"www-authenticate", b'Basic realm="fennelwind"'))
-        cookie = f"{COOKIE}={door.cookie(user)}; Path=/; HttpOnly; SameSite=Strict"
+        cookie = f"{COOKIE}={authenticator.cookie(user)}; Path=/; HttpOnly; SameSite=Strict"
         return user, [(b"set-cookie", cookie.encode())]
 
     def _answer(self, message: messages.Message, user: str) -> tuple[bytes, Entry | None]:
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -30,7 +30,7 @@
 CLOSING_MS = 2000.0  # ms that replies under way get when the controller closes
 
 
-class Front:
+class Frontend:
     """Listens for clients and serves them."""
 
     def __init__(self, loop: Loop, listener: Listener, service: Service) -> None:
@@ -96,7 +96,7 @@
 class Connection:
     """One client's connection."""
 
-    def __init__(self, front: Front, stream: Stream) -> None:
+    def __init__(self, front: Frontend, stream: Stream) -> None:
         self.front, self.loop, self.stream = front, front.loop, stream
         self.side = ServerSide(front.settings.max_request_bytes)
         self.user, self.logged_in = "", False
@@ -167,7 +167,9 @@
         for event in events:
             self.partial_since = self.heard
             if isinstance(event, Login):
-                if not self.front.service.door.enter(event.user, event.password, self.stream.peer.host):
+                if not self.front.service.authenticator.enter(
+                    event.user, event.password, self.stream.peer.host
+                ):
                     self.side.reject("user or password is wrong")
                     raise Malformed("a login that failed")
                 self.user, self.logged_in = event.user, True
@@ -214,7 +216,7 @@
             )
             return None
         service = self.front.service
-        if service.door.users is not None and not self.logged_in:
+        if service.authenticator.users is not None and not self.logged_in:
             raise Malformed("calls without a login, where users have to log in")
         done = service.begin(message.method, message.body, self.user, self.sessions)
         if callable(done):
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -26,7 +26,7 @@
 from fennelwind.dispatch.types import Answer, AnswerKind, Result, Submission
 from fennelwind.engines.row_stream import StreamLostError
 from fennelwind.errors import FennelwindError
-from fennelwind.frontends.hiveserver2.authentication import Door
+from fennelwind.frontends.hiveserver2.authentication import Authenticator
 from fennelwind.frontends.hiveserver2.rows import Reader, by_rows, text_page
 from fennelwind.limits.admission import Admission, AdmissionLimits
 from fennelwind.loop import DeadlineExceeded, Loop, Once
@@ -194,7 +194,7 @@
         self.loop, self.settings, self.driver, self.gate = loop, settings, driver, gate
         self.sessions: dict[bytes, Session] = {}
         self.operations: dict[bytes, tuple[Session, Operation]] = {}
-        self.door = Door(loop, settings.users)
+        self.authenticator = Authenticator(loop, settings.users)
         self.idled = self.forgotten = 0  # sessions and operations that nobody used for too long
         bounds = settings.file.listener
         self.admission = Admission(
@@ -267,7 +267,7 @@
     ) -> Structure | Pending:
         protocol = min(max(request.client_protocol or 0, 0), hs2.PROTOCOL_NEWEST)
         who = request.username or user
-        if self.door.users is not None:
+        if self.authenticator.users is not None:
             who = user  # nobody may be somebody else
         against = self.admission.sessions.acquire(who)
         if against is not None:
@@ -545,7 +545,7 @@
 
     def _own(self, request: Structure, user: str) -> None:
         """Raise `UnknownHandleError` for a handle of another user, where users are told apart."""
-        if self.door.users is None:
+        if self.authenticator.users is None:
             return
         told, session = getattr(request, "operationHandle", None), None
         if told is not None and told.operationId is not None:
@@ -615,7 +615,7 @@
         if cls is None:
             raise BadRequestError("no selector names a class for this statement", "42000")
         name = self.settings.module.classes[cls].name
-        if not self.door.may_run(session.user, name):
+        if not self.authenticator.may_run(session.user, name):
             raise BadRequestError(f"{session.user} may not run queries of class {name}", "42501")
         timeout = self.settings.module.classes[cls].client_timeout_ms
         timeout = number(said, "timeout_ms", timeout)
--- a/fennelwind/observability/metrics.py
+++ b/fennelwind/observability/metrics.py
@@ -127,7 +127,7 @@
         service = program.service
         yield Gauge("fennelwind_sessions", "Sessions of clients.", len(service.sessions))
         yield Gauge("fennelwind_operations", "Operations of clients not closed.", len(service.operations))
-        yield Count("fennelwind_logins_failed", "Wrong passwords.", service.door.logins.failures)
+        yield Count("fennelwind_logins_failed", "Wrong passwords.", service.authenticator.logins.failures)
         yield Gauge(
             "fennelwind_loop_delay_seconds",
             "How late timers are, a fading mean.",
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -200,7 +200,7 @@
             execute(bo, "build")
         assert denied.value.status.sqlState == "42501"
         assert outcome(lambda: execute(bo, "select 1")) == "served"
-        assert fleet.program.service.door.logins.failures == 6
+        assert fleet.program.service.authenticator.logins.failures == 6
 
     play(main, **users)
 
@@ -259,9 +259,9 @@
             took.append(loop.now() - at)
         assert took[0] < 100 and took == sorted(took) and 3500 < took[5] < 8500
         checks = []
-        fleet.program.service.door._run_check, run = (
+        fleet.program.service.authenticator._run_check, run = (
             lambda *a: (checks.append(1), run(*a)),
-            fleet.program.service.door._run_check,
+            fleet.program.service.authenticator._run_check,
         )
         herd = [loop.spawn(HttpClient, loop, address, "bo", "bo word", name="herd") for _ in range(90)]
         assert all(client.join().session is not None for client in herd)
@@ -272,7 +272,7 @@
 
 def test_cookies_can_not_be_made_up_or_kept_for_ever(users):
     def main(fleet):
-        there = fleet.program.service.door
+        there = fleet.program.service.authenticator
         cookie = there.cookie("ann")
         name, until, signature = cookie.split(".")
         assert there.bearer(cookie) == "ann"
@@ -288,7 +288,7 @@
             cookie + "0",
         ):
             assert there.bearer(wrong) is None
-        assert there.bearer(authentication.Door(fleet.loop, there.users).cookie("ann")) is None
+        assert there.bearer(authentication.Authenticator(fleet.loop, there.users).cookie("ann")) is None
         fleet.loop.sleep(authentication.COOKIE_MS)
         assert there.bearer(cookie) is None
 
