--- a/fennelwind/frontends/hiveserver2/__init__.py
+++ b/fennelwind/frontends/hiveserver2/__init__.py
@@ -1,4 +1,4 @@
-"""HiveServer2-style Thrift towards clients."""
+"""Frontend that serves clients over HiveServer2's Thrift protocol."""
 
 from fennelwind.frontends.hiveserver2.server import Frontend
 
--- a/fennelwind/frontends/hiveserver2/authentication.py
+++ b/fennelwind/frontends/hiveserver2/authentication.py
@@ -1,8 +1,8 @@
-"""Lets users in: passwords against salted hashes (Argon2id, RFC 9106), and signed cookies for HTTP.
+"""Authentication of users: passwords against salted hashes (Argon2id, RFC 9106), and signed cookies for HTTP.
 
-Checking a hash takes tens of milliseconds of a core, so it runs beside the loop; equal checks under way are
-made once, and only so many at a time. An unknown user takes as long as a wrong password. Nothing here keeps,
-logs or passes on a password: what is remembered is a keyed digest under a key of this process.
+Checking a hash takes tens of milliseconds of CPU time, so it runs in a thread outside the loop; concurrent
+equal checks are made once, and the number of checks is limited. An unknown user takes as long as a wrong
+password. Passwords are never kept, logged or passed on: only a digest under a key of this process is kept.
 """
 
 import hmac
@@ -15,94 +15,94 @@
 from fennelwind.limits.login_throttle import LoginThrottle
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 
-CHECKS_MOST = 64  # checks that may be under way or in line; further logins are turned away
-CHECK_MS = 10_000.0  # ms for a check and the line before it; a full line takes some 2 s
-COOKIE_MS = 3_600_000.0  # ms that a cookie is good for
+MAX_CHECKS = 64  # running or queued; further logins are rejected
+CHECK_TIMEOUT_MS = 10_000.0  # for a check and its time in the queue; a full queue takes about 2 s
+COOKIE_LIFETIME_MS = 3_600_000.0  # validity of a cookie
 
 
-def verify(hashed: str, password: str) -> bool:
-    """Tell whether a password is the one that was hashed."""
+def verify(password_hash: str, password: str) -> bool:
+    """Return whether a password matches a hash."""
     try:
-        return PasswordHasher().verify(hashed, password)
+        return PasswordHasher().verify(password_hash, password)
     except (VerificationError, InvalidHashError):
         return False
 
 
 class Authenticator:
-    """Who may come in. Without users everybody is believed."""
+    """Authenticates users. Without a list of users, every user name is accepted."""
 
     def __init__(self, loop: Loop, users: dict[str, User] | None) -> None:
         self.loop, self.users, self.logins = loop, users, LoginThrottle()
         self._key = loop.token(32)
-        # Checked for unknown users, so that they take as long; it costs a third of a second and 64 MiB.
-        self._nobody = PasswordHasher().hash("nobody's") if users is not None else ""
+        # Checked for unknown users, so that they take as long; hashing takes a third of a second and 64 MiB.
+        self._unknown_user_hash = PasswordHasher().hash("nobody's") if users is not None else ""
         self._checks: dict[bytes, Once] = {}
-        self.turned_away = 0  # as too many checks were under way
+        self.rejected_checks = 0  # logins rejected because of too many checks
 
-    def enter(self, user: str, password: str, address: str) -> bool:
-        """Tell whether a user may come in; wait as long as that takes."""
+    def authenticate(self, user: str, password: str, address: str) -> bool:
+        """Check a user's password, waiting for the result; return whether it is right."""
         if self.users is None:
             return True
         raw = user.encode("utf-8", "surrogateescape"), password.encode("utf-8", "surrogateescape")
-        proof = blake2b(len(raw[0]).to_bytes(4, "big") + raw[0] + raw[1], key=self._key).digest()
-        if self.logins.is_verified(proof, self.loop.now()) and user in self.users:
+        password_digest = blake2b(len(raw[0]).to_bytes(4, "big") + raw[0] + raw[1], key=self._key).digest()
+        if self.logins.is_verified(password_digest, self.loop.now()) and user in self.users:
             return True
-        delay = self.logins.delay_ms(user, address, self.loop.now())
-        if delay:
-            self.loop.sleep(delay)
-        there = self.users.get(user)
-        hashed = self._nobody if there is None else there.hash
-        right = self._check(proof, hashed, password) and there is not None
-        if right:
-            self.logins.succeeded(user, address, proof, self.loop.now())
+        delay_ms = self.logins.delay_ms(user, address, self.loop.now())
+        if delay_ms:
+            self.loop.sleep(delay_ms)
+        known_user = self.users.get(user)
+        password_hash = self._unknown_user_hash if known_user is None else known_user.hash
+        is_right = self._check(password_digest, password_hash, password) and known_user is not None
+        if is_right:
+            self.logins.succeeded(user, address, password_digest, self.loop.now())
         else:
             self.logins.failed(user, address, self.loop.now())
-        return right
+        return is_right
 
-    def _check(self, proof: bytes, hashed: str, password: str) -> bool:
-        under_way = self._checks.get(proof)
-        if under_way is None:
-            if len(self._checks) >= CHECKS_MOST:
-                self.turned_away += 1
+    def _check(self, password_digest: bytes, password_hash: str, password: str) -> bool:
+        check = self._checks.get(password_digest)
+        if check is None:
+            if len(self._checks) >= MAX_CHECKS:
+                self.rejected_checks += 1
                 return False
-            under_way = self._checks[proof] = Once(self.loop)
-            self.loop.spawn(self._run_check, proof, hashed, password, name="check password")
+            check = self._checks[password_digest] = Once(self.loop)
+            self.loop.spawn(self._run_check, password_digest, password_hash, password, name="check password")
         try:
-            with self.loop.deadline(CHECK_MS):
-                return under_way.wait()
+            with self.loop.deadline(CHECK_TIMEOUT_MS):
+                return check.wait()
         except DeadlineExceeded:
-            self.turned_away += 1
+            self.rejected_checks += 1
             return False
 
-    def _run_check(self, proof: bytes, hashed: str, password: str) -> None:
-        right = False
+    def _run_check(self, password_digest: bytes, password_hash: str, password: str) -> None:
+        is_right = False
         try:
-            right = self.loop.aside(verify, hashed, password)
+            is_right = self.loop.aside(verify, password_hash, password)
         finally:
-            self._checks.pop(proof).set(right)
+            self._checks.pop(password_digest).set(is_right)
 
-    def cookie(self, user: str) -> str:
-        """Return a cookie's value that lets its bearer in as the user."""
-        until = str(int(self.loop.now() + COOKIE_MS))
+    def make_cookie(self, user: str) -> str:
+        """Return a cookie value that authenticates its bearer as the user."""
+        expiry_ms = str(int(self.loop.now() + COOKIE_LIFETIME_MS))
         name = user.encode("utf-8", "surrogateescape").hex()
-        return f"{name}.{until}.{self._sign(name, until)}"
+        return f"{name}.{expiry_ms}.{self._sign(name, expiry_ms)}"
 
-    def bearer(self, cookie: str) -> str | None:
-        """Return the user that a cookie lets in, if it is one of ours and still good."""
+    def user_of_cookie(self, cookie: str) -> str | None:
+        """Return the user that a cookie authenticates; None if its signature is wrong or it has expired."""
         name, _, rest = cookie.partition(".")
-        until, _, signature = rest.partition(".")
-        if not hmac.compare_digest(signature.encode(), self._sign(name, until).encode()):
+        expiry_ms, _, signature = rest.partition(".")
+        if not hmac.compare_digest(signature.encode(), self._sign(name, expiry_ms).encode()):
             return None
         user = bytes.fromhex(name).decode("utf-8", "surrogateescape")
-        good = float(until) > self.loop.now() and (self.users is None or user in self.users)
-        return user if good else None
+        is_valid = float(expiry_ms) > self.loop.now() and (self.users is None or user in self.users)
+        return user if is_valid else None
 
-    def may_run(self, user: str, cls: str) -> bool:
-        """Tell whether a user may run queries of a class."""
+    def may_run(self, user: str, class_name: str) -> bool:
+        """Return whether a user may run queries of a class."""
         if self.users is None:
             return True
-        there = self.users.get(user)
-        return there is not None and (not there.classes or cls in there.classes)
+        known_user = self.users.get(user)
+        return known_user is not None and (not known_user.classes or class_name in known_user.classes)
 
-    def _sign(self, name: str, until: str) -> str:
-        return hmac.new(self._key, f"{name}.{until}".encode(), "sha256").hexdigest()
+    def _sign(self, name: str, expiry_ms: str) -> str:
+        return hmac.new(self._key, f"{name}.{expiry_ms}".encode(), "sha256").hexdigest()
--- a/fennelwind/frontends/hiveserver2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -1,8 +1,9 @@
-"""Thrift over HTTP/1.1: one message in the body of a POST, the reply in its answer; HTTP itself by h11.
+"""Thrift over HTTP/1.1: one call in the body of a POST request, its reply in the response. h11 parses HTTP.
 
-A request names its user by Basic (RFC 7617) or by the cookie that its first answer set, so a password is
-checked once. Sessions are not bound to connections here: they end when closed or idle. While a call waits,
-the connection is watched: if its client goes, what it waited for is left. Further requests wait their turn.
+A request authenticates its user by Basic (RFC 7617) or by the cookie that the first response set, so that a
+password is checked once. Sessions aren't bound to connections here: they end when closed or idle. While a
+call waits, the connection is watched, and the call is cancelled if its client disconnects. Pipelined requests
+are served one after another.
 """
 
 import base64
@@ -12,31 +13,31 @@
 
 from fennelwind.dispatch.ledger import Entry
 from fennelwind.frontends.hiveserver2.server import Frontend
-from fennelwind.frontends.hiveserver2.service import NOT_BOUND
+from fennelwind.frontends.hiveserver2.service import UNBOUND_SESSIONS
 from fennelwind.loop import Cancelled, DeadlineExceeded, Stream, StreamReset, Task
 from fennelwind.thrift import messages
 from fennelwind.thrift.codec import Malformed, ThriftError
 from fennelwind.thrift.messages import TApplicationException, read_message, write_message
 
-TYPE = b"application/x-thrift"
-COOKIE = "fennelwind.auth"
-HEAD_MOST = 16_384  # bytes of a request's head
-PER_CONNECTION = 10_000  # requests; then the connection is closed, so that a balancer can spread anew
+CONTENT_TYPE = b"application/x-thrift"
+COOKIE_NAME = "fennelwind.auth"
+MAX_HEADER_BYTES = 16_384  # of a request's headers
+MAX_REQUESTS_PER_CONNECTION = 10_000  # then it is closed, so that a load balancer can redistribute clients
 
 
-class _Refused(Exception):
-    """A request that gets a status in place of a reply."""
+class _HttpError(Exception):
+    """The request is answered with an HTTP error status."""
 
-    def __init__(self, status: int, why: str, *headers: tuple[bytes, bytes]) -> None:
-        super().__init__(why)
+    def __init__(self, status: int, reason: str, *headers: tuple[bytes, bytes]) -> None:
+        super().__init__(reason)
         self.status, self.headers = status, headers
 
 
 class HttpFrontend(Frontend):
     """Listens for clients that speak Thrift over HTTP."""
 
-    def connection(self, stream: Stream) -> "HttpConnection":
-        """Return what serves a new connection."""
+    def new_connection(self, stream: Stream) -> "HttpConnection":
+        """Return the handler of a new connection."""
         return HttpConnection(self, stream)
 
 
@@ -45,12 +46,12 @@
 
     def __init__(self, front: HttpFrontend, stream: Stream) -> None:
         self.front, self.loop, self.stream = front, front.loop, stream
-        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=HEAD_MOST)
+        self.http = h11.Connection(h11.SERVER, max_incomplete_event_size=MAX_HEADER_BYTES)
         self.worker: Task | None = None
         self.requests = 0
 
     def run(self) -> None:
-        """Serve the client until it leaves."""
+        """Serve the client until it disconnects."""
         front = self.front
         try:
             while self._serve_one():
@@ -58,9 +59,9 @@
         except (h11.RemoteProtocolError, ThriftError) as exc:
             front.malformed += 1
             status = exc.error_status_hint if isinstance(exc, h11.RemoteProtocolError) else 400
-            self._refuse(_Refused(status, "no request that is understood here"))
-        except _Refused as refused:
-            self._refuse(refused)
+            self._send_error(_HttpError(status, "no request that is understood here"))
+        except _HttpError as exc:
+            self._send_error(exc)
         except StreamReset:
             front.cut += 1
         except DeadlineExceeded:
@@ -68,23 +69,23 @@
         finally:
             if self.worker is not None:
                 self.worker.cancel()
-            front.left(self)
+            front.connection_ended(self)
             self.stream.close()
 
     def _serve_one(self) -> bool:
-        """Serve the next request; tell whether there may be another."""
+        """Serve the next request; return whether another may follow."""
         with self.loop.deadline(self.front.settings.idle_ms):
             request = self._next_event()
             if request is None:
                 return False
-            body = self._body(request)
-        user, headers = self._user(request)
+            body = self._read_body(request)
+        user, headers = self._authenticate(request)
         message, end = read_message(body)
         if end != len(body) or message.type not in (messages.CALL, messages.ONEWAY):
             raise Malformed("a body that is not one call")
-        wait = self.front.service.admission.consume_bytes(user, len(body), self.loop.now())
-        if wait:
-            self.loop.sleep(wait)
+        delay_ms = self.front.service.admission.consume_bytes(user, len(body), self.loop.now())
+        if delay_ms:
+            self.loop.sleep(delay_ms)
         self.requests += 1
         entry = None
         if message.body is None:
@@ -96,8 +97,8 @@
                 message.strict,
             )
         else:
-            reply, entry = self._answer(message, user)
-        self._send(200, reply, headers, last=self.requests >= PER_CONNECTION)
+            reply, entry = self._call(message, user)
+        self._send(200, reply, headers, last=self.requests >= MAX_REQUESTS_PER_CONNECTION)
         if entry is not None:
             self.front.service.driver.delivered(entry)
         if self.http.our_state is h11.MUST_CLOSE or self.http.their_state is h11.MUST_CLOSE:
@@ -115,14 +116,14 @@
             elif isinstance(event, h11.Request):
                 return event
 
-    def _body(self, request: h11.Request) -> bytes:
+    def _read_body(self, request: h11.Request) -> bytes:
         if request.method != b"POST":
-            raise _Refused(405, "POST alone is served", (b"allow", b"POST"))
-        most, pieces, size = self.front.settings.max_request_bytes, [], 0
-        told = dict(request.headers)
-        if int(told.get(b"content-length", b"0")) > most:
-            raise _Refused(413, f"a request of over {most} bytes")
-        if told.get(b"expect", b"").lower() == b"100-continue":
+            raise _HttpError(405, "POST alone is served", (b"allow", b"POST"))
+        max_bytes, chunks, received_bytes = self.front.settings.max_request_bytes, [], 0
+        headers = dict(request.headers)
+        if int(headers.get(b"content-length", b"0")) > max_bytes:
+            raise _HttpError(413, f"a request of over {max_bytes} bytes")
+        if headers.get(b"expect", b"").lower() == b"100-continue":
             self.stream.write(self.http.send(h11.InformationalResponse(status_code=100, headers=[])))
         while True:
             event = self.http.next_event()
@@ -132,88 +133,101 @@
                     raise StreamReset("closed within a request")
                 self.http.receive_data(data)
             elif isinstance(event, h11.Data):
-                pieces.append(bytes(event.data))
-                size += len(event.data)
-                if size > most:
-                    raise _Refused(413, f"a request of over {most} bytes")
+                chunks.append(bytes(event.data))
+                received_bytes += len(event.data)
+                if received_bytes > max_bytes:
+                    raise _HttpError(413, f"a request of over {max_bytes} bytes")
             elif isinstance(event, h11.EndOfMessage):
-                return b"".join(pieces)
+                return b"".join(chunks)
 
-    def _user(self, request: h11.Request) -> tuple[str, list[tuple[bytes, bytes]]]:
-        """Return who asks, and the headers that the answer gets for it."""
+    def _authenticate(self, request: h11.Request) -> tuple[str, list[tuple[bytes, bytes]]]:
+        """Return the authenticated user, and the headers to add to the response."""
         authenticator, user, password = self.front.service.authenticator, "", ""
         for name, value in request.headers:
             if name == b"cookie":
                 for part in value.decode("latin-1").split(";"):
                     key, _, cookie = part.strip().partition("=")
-                    bearer = authenticator.bearer(cookie) if key == COOKIE else None
-                    if bearer is not None:
-                        return bearer, []
+                    cookie_user = authenticator.user_of_cookie(cookie) if key == COOKIE_NAME else None
+                    if cookie_user is not None:
+                        return cookie_user, []
             if name == b"authorization" and value[:6].lower() == b"basic ":
                 try:
                     user, _, password = base64.b64decode(value[6:], validate=True).decode().partition(":")
                 except (binascii.Error, UnicodeDecodeError):
-                    raise _Refused(400, "an Authorization header that can't be read") from None
-        if not authenticator.enter(user, password, self.stream.peer.host):
-            raise _Refused(401, "who asks is not known", (b"www-authenticate", b'Basic realm="fennelwind"'))
-        cookie = f"{COOKIE}={authenticator.cookie(user)}; Path=/; HttpOnly; SameSite=Strict"
+                    raise _HttpError(400, "an Authorization header that can't be read") from None
+        if not authenticator.authenticate(user, password, self.stream.peer.host):
+            raise _HttpError(401, "who asks is not known", (b"www-authenticate", b'Basic realm="fennelwind"'))
+        cookie = f"{COOKIE_NAME}={authenticator.make_cookie(user)}; Path=/; HttpOnly; SameSite=Strict"
         return user, [(b"set-cookie", cookie.encode())]
 
-    def _answer(self, message: messages.Message, user: str) -> tuple[bytes, Entry | None]:
-        """Return the reply to a call, and whose final answer it is; `StreamReset` if the client went."""
+    def _call(self, message: messages.Message, user: str) -> tuple[bytes, Entry | None]:
+        """Return the reply to a call, and the entry whose final answer it delivers, if any.
+
+        Raises `StreamReset` if the client disconnected.
+        """
         service = self.front.service
-        done = service.begin(message.method, message.body, user, NOT_BOUND)
+        result = service.begin(message.method, message.body, user, UNBOUND_SESSIONS)
         entry = None
-        if callable(done):
-            ended = []
-            self.worker = self.loop.spawn(lambda: ended.append(done()), name="hs2 http call")
-            watch = self.loop.spawn(self._watch, name="hs2 http watch")
+        if callable(result):
+            results = []
+            self.worker = self.loop.spawn(lambda: results.append(result()), name="hs2 http call")
+            watcher = self.loop.spawn(self._watch_for_disconnect, name="hs2 http watch")
             self.worker.join()
             self.worker = None
-            watch.cancel()
-            watch.join()
-            if not ended:
+            watcher.cancel()
+            watcher.join()
+            if not results:
                 raise StreamReset("the client went")
-            done, entry = ended[0]
-        reply = write_message(message.method, messages.REPLY, message.sequence, done, message.strict)
+            result, entry = results[0]
+        reply = write_message(message.method, messages.REPLY, message.sequence, result, message.strict)
         return reply, entry
 
-    def _watch(self) -> None:
-        """Read on while a call waits, so that the client's leaving is seen; what comes is kept for later."""
-        kept = 0
+    def _watch_for_disconnect(self) -> None:
+        """Read while a call waits, to notice a disconnected client; buffer further requests."""
+        buffered_bytes = 0
         try:
             while data := self.stream.read():
-                kept += len(data)
-                if kept > self.front.settings.max_request_bytes:
+                buffered_bytes += len(data)
+                if buffered_bytes > self.front.settings.max_request_bytes:
                     break
                 self.http.receive_data(data)
-        except Cancelled:  # the call is answered
+        except Cancelled:  # the call has been answered
             return
         except StreamReset:
             pass
         if self.worker is not None:
             self.worker.cancel()
 
-    def _refuse(self, refused: _Refused) -> None:
-        """Answer with a status and end the connection; what is left of the request is not read."""
+    def _send_error(self, error: _HttpError) -> None:
+        """Respond with an error status and end the connection, without reading the rest of the request."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             try:
                 self._send(
-                    refused.status,
-                    str(refused).encode(),
-                    list(refused.headers),
+                    error.status,
+                    str(error).encode(),
+                    list(error.headers),
                     last=True,
-                    kind=b"text/plain",
+                    content_type=b"text/plain",
                 )
             except (StreamReset, DeadlineExceeded, h11.LocalProtocolError):
                 self.front.cut += 1
 
     def _send(
-        self, status: int, body: bytes, headers: list[tuple[bytes, bytes]], *, last: bool, kind: bytes = TYPE
+        self,
+        status: int,
+        body: bytes,
+        headers: list[tuple[bytes, bytes]],
+        *,
+        last: bool,
+        content_type: bytes = CONTENT_TYPE,
     ) -> None:
-        told = [(b"content-type", kind), (b"content-length", str(len(body)).encode()), *headers]
+        all_headers = [
+            (b"content-type", content_type),
+            (b"content-length", str(len(body)).encode()),
+            *headers,
+        ]
         if last:
-            told.append((b"connection", b"close"))
-        raw = self.http.send(h11.Response(status_code=status, headers=told))
-        raw += self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage())
-        self.stream.write(raw, self.front.settings.idle_ms)
+            all_headers.append((b"connection", b"close"))
+        response = self.http.send(h11.Response(status_code=status, headers=all_headers))
+        response += self.http.send(h11.Data(data=body)) + self.http.send(h11.EndOfMessage())
+        self.stream.write(response, self.front.settings.idle_ms)
--- a/fennelwind/frontends/hiveserver2/rows.py
+++ b/fennelwind/frontends/hiveserver2/rows.py
@@ -1,4 +1,4 @@
-"""Pages of a result, cut as clients ask for them."""
+"""Pages of a result, in the sizes that clients request."""
 
 from collections import deque
 
@@ -9,8 +9,8 @@
 from fennelwind.thrift.hiveserver2 import row_count
 
 
-def cut(page: Structure, start: int, stop: int) -> Structure:
-    """Return the rows from start to before stop as a page of its own."""
+def slice_rows(page: Structure, start: int, stop: int) -> Structure:
+    """Return the rows from `start` up to but excluding `stop` as a new page."""
     columns = []
     for column in page.columns or ():
         copy = hs2.TColumn()
@@ -25,7 +25,7 @@
     return hs2.TRowSet(startRowOffset=(page.startRowOffset or 0) + start, rows=[], columns=columns)
 
 
-VALUES = {
+ROW_VALUE_STRUCTURES = {
     "boolVal": "TBoolValue",
     "byteVal": "TByteValue",
     "i16Val": "TI16Value",
@@ -34,30 +34,30 @@
     "doubleVal": "TDoubleValue",
     "stringVal": "TStringValue",
     "binaryVal": "TStringValue",
-}  # columns -> the values of rows; binary ones go as strings there
+}  # field of a column -> structure of a row's value; binary columns are sent as strings
 
 
-def by_rows(page: Structure) -> Structure:
-    """Return a page that comes by columns as one by rows, for protocols before V6."""
-    made = []
+def to_row_format(page: Structure) -> Structure:
+    """Return a columnar page converted to rows, for protocols before V6."""
+    row_values_by_column = []
     for column in page.columns or ():
         for field in column.FIELDS:
             values = getattr(column, field.name)
             if values is not None:
                 name = "stringVal" if field.name == "binaryVal" else field.name
-                value, nulls = hs2.CODECS[VALUES[field.name]].make, values.nulls or b""
-                made.append(
+                value, nulls = hs2.CODECS[ROW_VALUE_STRUCTURES[field.name]].make, values.nulls or b""
+                row_values_by_column.append(
                     [
-                        hs2.make("TColumnValue", **{name: value(None if null(nulls, i) else each)})
+                        hs2.make("TColumnValue", **{name: value(None if is_null(nulls, i) else each)})
                         for i, each in enumerate(values.values)
                     ]
                 )
-    rows = [hs2.make("TRow", colVals=list(row)) for row in zip(*made, strict=True)]
+    rows = [hs2.make("TRow", colVals=list(row)) for row in zip(*row_values_by_column, strict=True)]
     return hs2.TRowSet(startRowOffset=page.startRowOffset or 0, rows=rows)
 
 
-def null(nulls: bytes, row: int) -> bool:
-    """Tell whether a column's bits of nulls name a row; trailing zeros may be left out."""
+def is_null(nulls: bytes, row: int) -> bool:
+    """Return whether a row is null by its column's bitmap, whose trailing zero bytes may be omitted."""
     return row >> 3 < len(nulls) and nulls[row >> 3] >> (row & 7) & 1 == 1
 
 
@@ -68,40 +68,40 @@
 
 
 class Reader:
-    """Reads a result page by page; `first` starts anew, as FETCH_FIRST asks.
+    """Reads a result page by page; `first` restarts it for FETCH_FIRST.
 
-    Pages that a client asks for as they came pass through undecoded. Those of a stream are let go when they
-    were read, so an answer that has flowed can't be started anew.
+    Pages that are fetched in their original size are passed on without decoding. The pages of a stream are
+    released once read, so a streamed result can't be restarted.
     """
 
     def __init__(self, result: Result) -> None:
         self.pages, self.stream = deque(result.pages), result.stream
         self.counts = deque(row_count(page) for page in result.pages)
-        self._shape = result.pages[:1]  # what columns there are
-        self.flows = result.stream is not None
-        self.rows = 0  # read so far
+        self._first_pages = result.pages[:1]  # any page, for its columns
+        self.is_streamed = result.stream is not None
+        self.rows = 0  # returned so far
         self._page = self._row = 0
 
     @property
-    def waits(self) -> bool:
+    def needs_engine(self) -> bool:
         """Whether the next rows are still at the engine."""
         return self.stream is not None and self._page >= len(self.pages)
 
     def first(self) -> None:
-        """Start with the first row. Raises `StreamLostError` if it has flowed by."""
-        if self.flows and self.rows:
+        """Restart at the first row. Raises `StreamLostError` if rows of a stream were already read."""
+        if self.is_streamed and self.rows:
             raise StreamLostError("a large answer can be read once only")
         self._page = self._row = self.rows = 0
 
-    def next(self, most: int) -> tuple[Structure, bool]:
-        """Return up to `most` next rows, and whether there are more. Raises `StreamLostError`."""
+    def next(self, max_rows: int) -> tuple[Structure, bool]:
+        """Return up to `max_rows` next rows, and whether there are more. Raises `StreamLostError`."""
         while True:
             while self._page < len(self.pages) and self._row >= self.counts[self._page]:
-                self._turn()
+                self._next_page()
             if self._page < len(self.pages):
                 break
             if self.stream is None:
-                return self._empty(), False
+                return self._empty_page(), False
             page, more = self.stream.next()
             if page is not None:
                 self.pages.append(page)
@@ -109,20 +109,22 @@
             if not more:
                 self.stream = None
         page, count = self.pages[self._page], self.counts[self._page]
-        start, stop = self._row, min(count, self._row + most)
+        start, stop = self._row, min(count, self._row + max_rows)
         self._row, self.rows = stop, self.rows + stop - start
         if stop == count:
-            self._turn()
-        rows = page if (start, stop) == (0, count) else cut(page, start, stop)
-        left = any(self.counts[i] for i in range(self._page, len(self.counts))) if not self._row else True
-        return rows, left or self.stream is not None
-
-    def _empty(self) -> Structure:
-        """Return a page without rows. Only now a page is decoded for it; most readers stop before."""
-        columns = cut(self._shape[0], 0, 0).columns if self._shape else []
+            self._next_page()
+        rows = page if (start, stop) == (0, count) else slice_rows(page, start, stop)
+        has_more_pages = (
+            any(self.counts[i] for i in range(self._page, len(self.counts))) if not self._row else True
+        )
+        return rows, has_more_pages or self.stream is not None
+
+    def _empty_page(self) -> Structure:
+        """Return a page without rows. Decodes a page to get the columns, which few clients need."""
+        columns = slice_rows(self._first_pages[0], 0, 0).columns if self._first_pages else []
         return hs2.TRowSet(startRowOffset=0, rows=[], columns=columns)
 
-    def _turn(self) -> None:
+    def _next_page(self) -> None:
         self._row = 0
         if self.stream is None:
             self._page += 1
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -1,14 +1,14 @@
-"""Connections of clients: bytes in, calls to the service, replies in the order of their calls.
+"""Clients' connections: reads calls, passes them to the service and replies in the order of the calls.
 
-One task reads a connection. What can be answered at once is answered there; a call that has to wait gets a
-second task, and what was pipelined behind it waits in a bounded line, after which nothing more is read. So
-the end of a connection is noticed while a call waits, and its queries are left.
+One task reads a connection and answers calls that need no waiting. A call that has to wait is served by a
+second task; calls pipelined behind it are put in a bounded queue, and reading stops when that is full. So the
+end of a connection is noticed while a call waits, and its queries are cancelled.
 """
 
 from contextlib import suppress
 from typing import Any
 
-from fennelwind.frontends.hiveserver2.service import Pending, Service
+from fennelwind.frontends.hiveserver2.service import PendingReply, Service
 from fennelwind.loop import (
     Cancelled,
     Channel,
@@ -26,8 +26,8 @@
 from fennelwind.thrift.messages import Message, TApplicationException, write_message
 from fennelwind.thrift.transport import Login, ServerSide
 
-PIPELINED = 16  # calls that may wait behind one, on a connection
-CLOSING_MS = 2000.0  # ms that replies under way get when the controller closes
+MAX_QUEUED_CALLS = 16  # calls queued behind a waiting one, per connection
+SHUTDOWN_TIMEOUT_MS = 2000.0  # for open calls to be answered when the controller shuts down
 
 
 class Frontend:
@@ -36,21 +36,21 @@
     def __init__(self, loop: Loop, listener: Listener, service: Service) -> None:
         self.loop, self.listener, self.service = loop, listener, service
         self.settings = service.settings.file.listener
-        self.connections: dict[Connection, None] = {}  # in the order they came
-        self.tls = service.settings.tls  # of new connections
+        self.connections: dict[Connection, None] = {}  # in the order of their arrival
+        self.tls = service.settings.tls  # for new connections
         self.unshaken = 0  # connections whose TLS handshake failed or stalled
         self.accepted = self.turned_away = self.malformed = self.cut = self.idled = 0
         self._task: Task | None = None
 
     def start(self) -> None:
-        """Take connections."""
+        """Start accepting connections."""
         self._task = self.loop.spawn(self._accept, name="hs2: accept")
 
     def close(self) -> None:
-        """Take no more connections; those there are get the replies that are under way, then end."""
+        """Stop accepting connections; wait for open calls to be answered, then close all connections."""
         self.listener.close()
-        until = self.loop.now() + CLOSING_MS
-        while self.loop.now() < until and any(c.worker is not None for c in self.connections):
+        deadline_ms = self.loop.now() + SHUTDOWN_TIMEOUT_MS
+        while self.loop.now() < deadline_ms and any(c.worker is not None for c in self.connections):
             self.loop.sleep(5.0)
         for connection in list(self.connections):
             connection.stream.close()
@@ -68,7 +68,7 @@
             self.accepted += 1
             if self.tls is not None:
                 stream = TlsStream(self.loop, stream, self.tls, server=True)
-            connection = self.connection(stream)
+            connection = self.new_connection(stream)
             self.connections[connection] = None
             self.loop.spawn(self._serve, connection, name=f"hs2 client {self.accepted}")
 
@@ -78,17 +78,17 @@
                 connection.stream.handshake()
             except (StreamReset, DeadlineExceeded):
                 self.unshaken += 1
-                self.left(connection)
+                self.connection_ended(connection)
                 connection.stream.abort()
                 return
         connection.run()
 
-    def connection(self, stream: Stream) -> Any:
-        """Return what serves a new connection."""
+    def new_connection(self, stream: Stream) -> Any:
+        """Return the handler of a new connection."""
         return Connection(self, stream)
 
-    def left(self, connection: Any) -> None:
-        """Note that a connection has ended."""
+    def connection_ended(self, connection: Any) -> None:
+        """Remove a connection that has ended and release its admission slot."""
         self.connections.pop(connection, None)
         self.service.admission.connections.release(connection.stream.peer.host)
 
@@ -98,113 +98,113 @@
 
     def __init__(self, front: Frontend, stream: Stream) -> None:
         self.front, self.loop, self.stream = front, front.loop, stream
-        self.side = ServerSide(front.settings.max_request_bytes)
-        self.user, self.logged_in = "", False
-        self.sessions: dict[bytes, None] = {}  # opened here, in order
-        self.line = Channel(front.loop, PIPELINED)
+        self.protocol = ServerSide(front.settings.max_request_bytes)
+        self.user, self.is_logged_in = "", False
+        self.sessions: dict[bytes, None] = {}  # ids of the sessions opened over it, in order
+        self.queued_calls = Channel(front.loop, MAX_QUEUED_CALLS)
         self.worker: Task | None = None
-        self.heard = self.partial_since = 0.0
-        self.timer = None
+        self.last_received_ms = self.partial_since_ms = 0.0
+        self.idle_timer = None
 
     def run(self) -> None:
-        """Serve the client until it leaves."""
+        """Serve the client until it disconnects."""
         front = self.front
         try:
             self._read()
         except Malformed:
             front.malformed += 1
-            if self.side.outgoing:  # why a login failed; its client may be gone
+            if self.protocol.outgoing:  # the reason of a failed login; the client may have disconnected
                 with suppress(StreamReset, DeadlineExceeded):
-                    self._write(bytes(self.side.outgoing))
+                    self._write(bytes(self.protocol.outgoing))
         except (StreamReset, ChannelClosed):
             front.cut += 1
         except DeadlineExceeded:
             front.idled += 1
         finally:
-            front.left(self)
-            self.line.close()
-            if self.timer is not None:
-                self.timer.cancel()
+            front.connection_ended(self)
+            self.queued_calls.close()
+            if self.idle_timer is not None:
+                self.idle_timer.cancel()
             if self.worker is not None:
                 self.worker.cancel()
             for guid in self.sessions:
                 session = front.service.sessions.get(guid)
                 if session is not None:
-                    front.service.end(session, "its connection ended")
+                    front.service.end_session(session, "its connection ended")
             self.stream.close()
 
     def _read(self) -> None:
-        self.heard = self.partial_since = self.loop.now()
-        self.timer = self.loop.after(self.front.settings.idle_ms, self._look)
+        self.last_received_ms = self.partial_since_ms = self.loop.now()
+        self.idle_timer = self.loop.after(self.front.settings.idle_ms, self._check_idle)
         while True:
             data = self.stream.read()
             if not data:
                 return
-            self.heard = self.loop.now()
-            if not self.side.waiting:
-                self.partial_since = self.heard
-            self._take(self.side.receive(data))
-            wait = self.front.service.admission.consume_bytes(self.user, len(data), self.heard)
-            if wait:
-                self.loop.sleep(wait)
-
-    def _look(self) -> None:
-        """End the connection if its client was silent, or within one message, for too long; else look again.
-
-        One timer that looks now and then costs far less than a deadline for each read.
+            self.last_received_ms = self.loop.now()
+            if not self.protocol.waiting:
+                self.partial_since_ms = self.last_received_ms
+            self._handle_events(self.protocol.receive(data))
+            delay_ms = self.front.service.admission.consume_bytes(self.user, len(data), self.last_received_ms)
+            if delay_ms:
+                self.loop.sleep(delay_ms)
+
+    def _check_idle(self) -> None:
+        """Close the connection if its client was idle, or in the middle of a message, for too long.
+
+        Otherwise reschedule the check. A single timer costs far less than a deadline for each read.
         """
-        now, idle = self.loop.now(), self.front.settings.idle_ms
-        since = self.partial_since if self.side.waiting else self.heard
-        if self.worker is not None and not self.side.waiting:
-            since = now  # it waits for an answer of ours: that is not idle
-        if now - since >= idle:
+        now_ms, idle_timeout_ms = self.loop.now(), self.front.settings.idle_ms
+        since_ms = self.partial_since_ms if self.protocol.waiting else self.last_received_ms
+        if self.worker is not None and not self.protocol.waiting:
+            since_ms = now_ms  # a client that waits for its answer is not idle
+        if now_ms - since_ms >= idle_timeout_ms:
             self.front.idled += 1
             self.stream.close()
         else:
-            self.timer = self.loop.at(since + idle, self._look)
+            self.idle_timer = self.loop.at(since_ms + idle_timeout_ms, self._check_idle)
 
-    def _take(self, events: list[Message | Login]) -> None:
+    def _handle_events(self, events: list[Message | Login]) -> None:
         for event in events:
-            self.partial_since = self.heard
+            self.partial_since_ms = self.last_received_ms
             if isinstance(event, Login):
-                if not self.front.service.authenticator.enter(
+                if not self.front.service.authenticator.authenticate(
                     event.user, event.password, self.stream.peer.host
                 ):
-                    self.side.reject("user or password is wrong")
+                    self.protocol.reject("user or password is wrong")
                     raise Malformed("a login that failed")
-                self.user, self.logged_in = event.user, True
-                rest = self.side.welcome()
-                self._write(bytes(self.side.outgoing))
-                self.side.outgoing.clear()
-                self._take(rest)
+                self.user, self.is_logged_in = event.user, True
+                remaining_events = self.protocol.welcome()
+                self._write(bytes(self.protocol.outgoing))
+                self.protocol.outgoing.clear()
+                self._handle_events(remaining_events)
             elif self.worker is not None:
-                self.line.put(event)
-                if self.worker is None:  # it ended while this waited for room
-                    self._go_on(self._next())
+                self.queued_calls.put(event)
+                if self.worker is None:  # the worker ended while `put` waited for space in the queue
+                    self._start_worker(self._next_waiting_call())
             else:
-                self._go_on((event, self._begin(event)))
+                self._start_worker((event, self._begin(event)))
 
-    def _go_on(self, call: tuple[Message, Pending | None]) -> None:
+    def _start_worker(self, call: tuple[Message, PendingReply | None]) -> None:
         if call[1] is not None:
-            self.worker = self.loop.spawn(self._work, *call, name="hs2 call")
+            self.worker = self.loop.spawn(self._serve_waiting_calls, *call, name="hs2 call")
 
-    def _next(self) -> tuple[Message | None, Pending | None]:
-        """Answer what is in line, until a call has to wait; return that one."""
-        while len(self.line):
-            message = self.line.get()
+    def _next_waiting_call(self) -> tuple[Message | None, PendingReply | None]:
+        """Answer queued calls until one has to wait; return that one."""
+        while len(self.queued_calls):
+            message = self.queued_calls.get()
             pending = self._begin(message)
             if pending is not None:
                 return message, pending
         return None, None
 
-    def _begin(self, message: Message) -> Pending | None:
-        """Answer a call, or return what waits for its answer."""
+    def _begin(self, message: Message) -> PendingReply | None:
+        """Answer a call, or return the function that waits for its answer."""
         if message.type not in (messages.CALL, messages.ONEWAY):
             raise Malformed(f"{message.method}: a message of type {message.type} from a client")
         if message.body is None:
             text = f"{message.method[:80]}: unknown method"
             self._write(
-                self.side.wrap(
+                self.protocol.wrap(
                     write_message(
                         message.method,
                         messages.EXCEPTION,
@@ -216,28 +216,28 @@
             )
             return None
         service = self.front.service
-        if service.authenticator.users is not None and not self.logged_in:
+        if service.authenticator.users is not None and not self.is_logged_in:
             raise Malformed("calls without a login, where users have to log in")
-        done = service.begin(message.method, message.body, self.user, self.sessions)
-        if callable(done):
-            return done
-        self._reply(message, done)
+        result = service.begin(message.method, message.body, self.user, self.sessions)
+        if callable(result):
+            return result
+        self._reply(message, result)
         return None
 
-    def _work(self, message: Message, pending: Pending) -> None:
-        """Wait for a call's answer, then go on with what was pipelined behind it."""
+    def _serve_waiting_calls(self, message: Message, pending: PendingReply) -> None:
+        """Wait for a call's answer, then serve the calls that were queued behind it."""
         try:
             while True:
                 reply, entry = pending()
                 self._reply(message, reply)
                 if entry is not None:
                     self.front.service.driver.delivered(entry)
-                message, pending = self._next()
+                message, pending = self._next_waiting_call()
                 if pending is None:
                     self.worker = None
                     return
         except (OSError, Malformed):
-            self.line.close()  # the reading task, wherever it waits, sees the end and cleans up
+            self.queued_calls.close()  # ends the reading task wherever it waits, which then cleans up
             self.stream.close()
         except Cancelled:
             pass
@@ -245,7 +245,7 @@
     def _reply(self, message: Message, reply: Structure) -> None:
         if message.type == messages.CALL:
             self._write(
-                self.side.wrap(
+                self.protocol.wrap(
                     write_message(message.method, messages.REPLY, message.sequence, reply, message.strict)
                 )
             )
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -135,8 +135,8 @@
             fleet.loop.sleep(10_000)
             execute(kept, "select 1")
         service = fleet.program.service
-        assert (service.idled, len(service.sessions)) == (1, 1)
-        assert service.forgotten >= 1 and len(service.operations) <= 8
+        assert (service.expired_sessions, len(service.sessions)) == (1, 1)
+        assert service.expired_operations >= 1 and len(service.operations) <= 8
         assert outcome(lambda: execute(fleet.client("http"), "select 1")) == "served"
 
     play(main, limit=200_000)
@@ -273,9 +273,9 @@
 def test_cookies_can_not_be_made_up_or_kept_for_ever(users):
     def main(fleet):
         there = fleet.program.service.authenticator
-        cookie = there.cookie("ann")
+        cookie = there.make_cookie("ann")
         name, until, signature = cookie.split(".")
-        assert there.bearer(cookie) == "ann"
+        assert there.user_of_cookie(cookie) == "ann"
         for wrong in (
             "",
             "x",
@@ -287,12 +287,15 @@
             "zz.1.x",
             cookie + "0",
         ):
-            assert there.bearer(wrong) is None
-        assert there.bearer(authentication.Authenticator(fleet.loop, there.users).cookie("ann")) is None
-        fleet.loop.sleep(authentication.COOKIE_MS)
-        assert there.bearer(cookie) is None
+            assert there.user_of_cookie(wrong) is None
+        assert (
+            there.user_of_cookie(authentication.Authenticator(fleet.loop, there.users).make_cookie("ann"))
+            is None
+        )
+        fleet.loop.sleep(authentication.COOKIE_LIFETIME_MS)
+        assert there.user_of_cookie(cookie) is None
 
-    play(main, limit=10 * authentication.COOKIE_MS, **users)
+    play(main, limit=10 * authentication.COOKIE_LIFETIME_MS, **users)
 
 
 def test_users_are_read_anew_and_a_file_at_fault_changes_nothing(users):
--- a/tests/frontends/test_service.py
+++ b/tests/frontends/test_service.py
@@ -189,7 +189,7 @@
         ],
     )
     codec = hs2.CODECS["TRowSet"]
-    got = decode(codec, encode(codec, rows.by_rows(page)))[0]
+    got = decode(codec, encode(codec, rows.to_row_format(page)))[0]
     assert got.startRowOffset == 7 and got.columns is None and len(got.rows) == 3
     for i, (name, (_, values)) in enumerate(kinds.items()):
         name = "stringVal" if name == "binaryVal" else name
