--- a/fennelwind/thrift/codec.py
+++ b/fennelwind/thrift/codec.py
@@ -1,12 +1,13 @@
 """Encoders and decoders of Thrift's binary protocol, built once per structure.
 
-A structure is declared as a table of its fields. `build` writes the Python text of its class, its reader
-and its writer, with each field's type, id and branch in place, and compiles it; nothing is interpreted per
-field when a message passes. The encoding follows Apache Thrift's "Thrift Binary protocol encoding".
-
-Readers take complete bytes. What ends early raises `Incomplete`, what can never become right raises
-`Malformed`. Numbers of elements are held against the bytes that are there before anything is allocated for
-them.
+A structure is declared as a table of its fields. `build` generates Python source for its class, its reader
+and its writer, with each field's type, id and branch written out, and compiles it, so that no table is
+interpreted while messages are read and written. The encoding follows Apache Thrift's "Thrift Binary protocol
+encoding".
+
+Readers take complete bytes. Truncated input raises `Incomplete`; input that no further bytes can make valid
+raises `Malformed`. The declared number of elements is checked against the bytes present before anything is
+allocated for them.
 """
 
 import re
@@ -15,11 +16,18 @@
 from struct import error as StructError  # noqa: N812 - it is a class
 from typing import Any, NamedTuple
 
-DEEPEST = 32  # structures and lists inside one another; the service's own reach 7
+MAX_DEPTH = 32  # of nested structures and lists; the service's own structures nest 7 deep
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING = 0, 2, 3, 4, 6, 8, 10, 11
 STRUCT, MAP, SET, LIST = 12, 13, 14, 15
-SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # bytes of the types that have a fixed size
-LEAST = {**SIZES, STRING: 4, STRUCT: 1, MAP: 6, SET: 5, LIST: 5}  # bytes that a value takes at least
+SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # encoded size of fixed-size types, in bytes
+MIN_SIZES = {
+    **SIZES,
+    STRING: 4,
+    STRUCT: 1,
+    MAP: 6,
+    SET: 5,
+    LIST: 5,
+}  # minimum encoded size of a value, in bytes
 SIMPLE = {
     "bool": BOOL,
     "byte": BYTE,
@@ -34,11 +42,11 @@
 
 
 class ThriftError(Exception):
-    """Bytes that no message can be made of."""
+    """The bytes can't be decoded as a message."""
 
 
 class Malformed(ThriftError):
-    """The bytes break the protocol or a limit, whatever follows."""
+    """The bytes violate the protocol or a limit, whatever bytes follow."""
 
 
 class Incomplete(ThriftError):
@@ -62,7 +70,7 @@
 
 
 def parse_fields(text: str) -> tuple[Field, ...]:
-    """Read a table `ID NAME TYPE; ...` of fields."""
+    """Parse a table `ID NAME TYPE; ...` of fields."""
     fields = []
     for line in filter(None, (part.strip() for part in text.replace("\n", ";").split(";"))):
         match = re.fullmatch(r"(-?\d+) (\w+) ([\w<>,]+)", line)
@@ -100,25 +108,25 @@
     return buf[pos] != 0, pos + 1
 
 
-def _read_count(buf: bytes, pos: int, least: int) -> int:
+def _read_count(buf: bytes, pos: int, min_size: int) -> int:
     (count,) = _int(buf, pos)
     if count < 0:
         raise Malformed(f"a list of {count} elements")
-    if count * least > len(buf) - pos - 4:
+    if count * min_size > len(buf) - pos - 4:
         raise Incomplete
     return count
 
 
-def _read_list(buf: bytes, pos: int, code: int, least: int) -> tuple[int, int]:
-    """Read a list's head; return its length and the place of its first element."""
-    count = _read_count(buf, pos + 1, least)
+def _read_list(buf: bytes, pos: int, code: int, min_size: int) -> tuple[int, int]:
+    """Read a list's header; return its length and the position of its first element."""
+    count = _read_count(buf, pos + 1, min_size)
     if buf[pos] != code and count:
         raise Malformed(f"a list of type {buf[pos]}, where type {code} was expected")
     return count, pos + 5
 
 
 def skip(buf: bytes, pos: int, code: int, depth: int = 0) -> int:
-    """Pass over a value of any type; return the place after it."""
+    """Skip a value of any type; return the position after it."""
     size = SIZES.get(code)
     if size is not None:
         if pos + size > len(buf):
@@ -126,28 +134,28 @@
         return pos + size
     if code == STRING:
         return _read_bytes(buf, pos)[1]
-    if depth >= DEEPEST:
-        raise Malformed(f"values over {DEEPEST} deep")
+    if depth >= MAX_DEPTH:
+        raise Malformed(f"values over {MAX_DEPTH} deep")
     if code == STRUCT:
         while (inner := buf[pos]) != STOP:
             pos = skip(buf, pos + 3, inner, depth + 1)
         return pos + 1
     if code in (LIST, SET):
         inner = buf[pos]
-        if inner not in LEAST:
+        if inner not in MIN_SIZES:
             raise Malformed(f"a list of the unknown type {inner}")
-        count = _read_count(buf, pos + 1, LEAST[inner])
+        count = _read_count(buf, pos + 1, MIN_SIZES[inner])
         if inner in SIZES:
             return pos + 5 + count * SIZES[inner]
         pos += 5
-        if inner == STRING:  # text columns of pages that pass: nearly all the time goes here
-            read, most = _int, len(buf)
+        if inner == STRING:  # text columns of result pages: skipping spends nearly all its time here
+            read, end_of_buffer = _int, len(buf)
             for _ in range(count):
                 (size,) = read(buf, pos)
                 if size < 0:
                     raise Malformed(f"a string of {size} bytes")
                 pos += 4 + size
-            if pos > most:
+            if pos > end_of_buffer:
                 raise Incomplete
             return pos
         for _ in range(count):
@@ -155,9 +163,9 @@
         return pos
     if code == MAP:
         key, value = buf[pos], buf[pos + 1]
-        if (key not in LEAST or value not in LEAST) and any(buf[pos + 2 : pos + 6]):
+        if (key not in MIN_SIZES or value not in MIN_SIZES) and any(buf[pos + 2 : pos + 6]):
             raise Malformed(f"a map of the unknown types {key} and {value}")
-        count = _read_count(buf, pos + 2, LEAST.get(key, 1) + LEAST.get(value, 1))
+        count = _read_count(buf, pos + 2, MIN_SIZES.get(key, 1) + MIN_SIZES.get(value, 1))
         pos += 6
         for _ in range(count):
             pos = skip(buf, skip(buf, pos, key, depth + 1), value, depth + 1)
@@ -165,8 +173,8 @@
     raise Malformed(f"a value of the unknown type {code}")
 
 
-class _Writer:
-    """Builds the text of readers and writers; types that are not simple get functions of their own."""
+class _SourceGenerator:
+    """Generates the source of readers and writers; each type that is not simple gets its own functions."""
 
     def __init__(self, names: dict[str, Any]) -> None:
         self.names = names
@@ -196,7 +204,8 @@
             key, value = _arguments(kind)
             self._compile(
                 f"def {name}(buf, pos):\n"
-                f"    count = _read_count(buf, pos + 2, {LEAST[wire_type(key)] + LEAST[wire_type(value)]})\n"
+                f"    count = _read_count("
+                f"buf, pos + 2, {MIN_SIZES[wire_type(key)] + MIN_SIZES[wire_type(value)]})\n"
                 f"    if count and (buf[pos], buf[pos + 1]) != ({wire_type(key)}, {wire_type(value)}):\n"
                 f"        raise Malformed('a map of other types than were expected')\n"
                 f"    pos += 6\n    value = {{}}\n"
@@ -208,7 +217,7 @@
         else:
             (inner,) = _arguments(kind)
             code = wire_type(inner)
-            head = f"    count, pos = _read_list(buf, pos, {code}, {LEAST[code]})\n"
+            head = f"    count, pos = _read_list(buf, pos, {code}, {MIN_SIZES[code]})\n"
             if code == BOOL:
                 body = "    end = pos + count\n    return [v != 0 for v in buf[pos:end]], end\n"
             elif code in SIZES:
@@ -235,7 +244,7 @@
         return name
 
     def writer(self, kind: str) -> str:
-        """Return the name of a function (out, value) that appends the value's pieces to a list's `append`."""
+        """Return the name of a function (append, value) that appends the value's encoded pieces to a list."""
         name = "_write_" + re.sub(r"\W", "_", kind)
         if kind.startswith("lazy<") and name not in self.names:
             (inner,) = _arguments(kind)
@@ -277,7 +286,7 @@
         return name
 
     def structure(self, name: str, fields: tuple[Field, ...]) -> None:
-        """Make the class of a structure with its reader and writer."""
+        """Generate the class of a structure with its reader and writer."""
         slots = ", ".join(f"{f.name!r}" for f in fields)
         arguments = "".join(f", {f.name}=None" for f in fields)
         text = [
@@ -296,11 +305,11 @@
             "        head = buf[pos:pos + 3]",
             "        pos += 3",
         ]
-        word = "if"
+        keyword = "if"
         for f in fields:
             head = bytes([f.code]) + f.number.to_bytes(2, "big", signed=True)
-            text += [f"        {word} head == {head!r}:"] + self._read_field(f)
-            word = "elif"
+            text += [f"        {keyword} head == {head!r}:"] + self._read_field(f)
+            keyword = "elif"
         text += [
             "        else:" if fields else "        if True:",
             "            pos = skip(buf, pos, head[0], 1)",
@@ -345,18 +354,18 @@
         return [f"        out({head!r})", f"        {self.writer(f.type)}(out, v)"]
 
     def _compile(self, text: str) -> None:
-        exec(compile(text, "<thrift tables>", "exec"), self.names)  # noqa: S102 - text of our own making
+        exec(compile(text, "<thrift tables>", "exec"), self.names)  # noqa: S102 - source generated above
 
 
 def _arguments(kind: str) -> list[str]:
     """Return the type arguments of a container, split at its outermost comma."""
     inside, depth, parts = kind[kind.index("<") + 1 : -1], 0, [""]
-    for letter in inside:
-        depth += (letter == "<") - (letter == ">")
-        if letter == "," and depth == 0:
+    for character in inside:
+        depth += (character == "<") - (character == ">")
+        if character == "," and depth == 0:
             parts.append("")
         else:
-            parts[-1] += letter
+            parts[-1] += character
     return parts
 
 
@@ -374,14 +383,14 @@
     __hash__ = None
 
     def __repr__(self) -> str:
-        said = ((f.name, getattr(self, f.name)) for f in self.FIELDS)
-        return f"{type(self).__name__}({', '.join(f'{n}={v!r}' for n, v in said if v is not None)})"
+        field_values = ((f.name, getattr(self, f.name)) for f in self.FIELDS)
+        return f"{type(self).__name__}({', '.join(f'{n}={v!r}' for n, v in field_values if v is not None)})"
 
 
 class Lazy:
-    """A structure that stays bytes until one of its fields is asked for: what only passes is never decoded.
+    """A structure that is decoded when one of its fields is first read; one that is only passed on never is.
 
-    Its form has been checked, so its end is known; a field of the wrong type is found when it is read.
+    Its framing has been checked, so its end is known; a field of the wrong type is found when it is decoded.
     """
 
     __slots__ = ("codec", "raw", "_value")
@@ -392,7 +401,7 @@
 
     @property
     def value(self) -> Structure:
-        """The structure. Raises `Malformed`."""
+        """The decoded structure. Raises `Malformed`."""
         if self._value is None:
             self._value, _ = decode(self.codec, self.raw)
         return self._value
@@ -418,7 +427,7 @@
 
 
 def build(tables: dict[str, str]) -> dict[str, Codec]:
-    """Build the codecs of all structures declared; a structure may name any other."""
+    """Return the codecs of all declared structures; a structure may refer to any other."""
     names: dict[str, Any] = {
         "Structure": Structure,
         "Lazy": Lazy,
@@ -440,7 +449,7 @@
     for code in FORMATS:
         names[f"_unpack{code}"], names[f"_pack{code}"] = _unpack[code], _pack[code]
         names[f"_pack_field{code}"] = _pack_field[code]
-    writer = _Writer(names)
+    writer = _SourceGenerator(names)
     for name, text in tables.items():
         writer.structure(name, parse_fields(text))
     return {name: Codec(names[name], names[f"_read_{name}"], names[f"_write_{name}"]) for name in tables}
@@ -454,7 +463,7 @@
 
 
 def decode(codec: Codec, buf: bytes, pos: int = 0) -> tuple[Any, int]:
-    """Read a structure; return it and the place after it. Raises `Incomplete` or `Malformed`."""
+    """Read a structure; return it and the position after it. Raises `Incomplete` or `Malformed`."""
     try:
         return codec.read(buf, pos)
     except (IndexError, StructError):
--- a/fennelwind/thrift/hints.py
+++ b/fennelwind/thrift/hints.py
@@ -1,16 +1,15 @@
-"""What the project adds to the published service, in `TStatus.infoMessages`: optional on both sides.
+"""Hints: fennelwind's extension of HiveServer2, sent in `TStatus.infoMessages`; optional for both sides.
 
-A hint is a message `fennelwind-NAME key=number ...`. Messages of other forms are other people's and are
-ignored, as are hints that can't be read: a figure that is absent is normal, one that is wrong must do no
-harm.
+A hint is a message `fennelwind-NAME key=number ...`. Messages of any other form are ignored, and so are hints
+that can't be parsed: a missing number is normal, and an invalid one must have no effect.
 
 - `fennelwind-load`: an engine's load figures, by the names of the settings' `report_fields`
 - `fennelwind-cost work_ms=N memory_mb=N`: what an answered query needed
-- `fennelwind-note sort=N value=N`: word on a running query; sort 1 share done, 2 MB spilled, 3 it waits
-- `fennelwind-not-run`: the statement was turned away and never ran
-- `fennelwind-refused retry_after_ms=N`: the controller refused; a further try is harmless, after that time
-- `fennelwind-failed`: the controller gave up; whether the statement ran is not known
-- `fennelwind-fenced`: the engine has seen a newer fence of the task; the statement never ran
+- `fennelwind-note sort=N value=N`: progress of a running query; sort 1 share done, 2 MB spilled, 3 waiting
+- `fennelwind-not-run`: the engine rejected the statement, which never ran
+- `fennelwind-refused retry_after_ms=N`: the controller rejected the query; retrying after that time is safe
+- `fennelwind-failed`: the controller gave up; it is unknown whether the statement ran
+- `fennelwind-fenced`: the engine has seen a newer fencing token of the task; the statement never ran
 """
 
 from collections.abc import Iterable
@@ -18,8 +17,8 @@
 PREFIX = "fennelwind-"
 LOAD, COST, NOTE, NOT_RUN, REFUSED, FAILED = "load", "cost", "note", "not-run", "refused", "failed"
 FENCED = "fenced"
-LONGEST = 1000  # letters of a hint; longer ones are not looked into
-FINITE = 1e15  # figures beyond it are nonsense
+MAX_HINT_CHARACTERS = 1000  # characters of a hint; longer ones are ignored
+MAX_FIGURE = 1e15  # larger numbers are invalid
 
 
 def write(name: str, **figures: float) -> str:
@@ -28,15 +27,15 @@
 
 
 def others(messages: Iterable[str] | None) -> list[str]:
-    """Return the messages that are no hints, such as an engine's own words to its client."""
+    """Return the messages that are not hints, such as an engine's messages to its client."""
     return [message for message in messages or () if not message.startswith(PREFIX)]
 
 
 def read(messages: Iterable[str] | None) -> dict[str, dict[str, float]]:
-    """Return the hints among messages: name -> figures; the last of a name holds."""
+    """Return the hints among messages: name -> figures; the last hint of a name applies."""
     found: dict[str, dict[str, float]] = {}
     for message in messages or ():
-        if message.startswith(PREFIX) and len(message) <= LONGEST:
+        if message.startswith(PREFIX) and len(message) <= MAX_HINT_CHARACTERS:
             name, *parts = message[len(PREFIX) :].split(" ")
             found[name] = figures = {}
             for part in parts:
@@ -45,6 +44,6 @@
                     value = float(text)
                 except ValueError:
                     continue
-                if -FINITE < value < FINITE:
+                if -MAX_FIGURE < value < MAX_FIGURE:
                     figures[key] = value
     return found
--- a/fennelwind/thrift/hiveserver2.py
+++ b/fennelwind/thrift/hiveserver2.py
@@ -1,12 +1,12 @@
 """The HiveServer2 service: its structures, enumerations and methods.
 
 Ids, types and names follow Apache Hive's published interface, `TCLIService.thrift`. Text in result columns is
-declared as binary: it passes through a controller as it came.
+declared as binary, so that a controller passes it on without decoding it.
 """
 
 from fennelwind.thrift.codec import LIST, STRUCT, Incomplete, Lazy, Malformed, Structure, build, encode, skip
 
-PROTOCOL_COLUMNS = 5  # HIVE_CLI_SERVICE_PROTOCOL_V6: results by column from here on
+PROTOCOL_COLUMNS = 5  # HIVE_CLI_SERVICE_PROTOCOL_V6: columnar results from this version on
 PROTOCOL_NEWEST = 9  # HIVE_CLI_SERVICE_PROTOCOL_V10
 
 # TStatusCode
@@ -175,7 +175,7 @@
 def row_count(page: Structure | Lazy) -> int:
     """Return the number of rows of a page, without decoding it. Raises `Malformed`.
 
-    Of a page by columns, the length of its first one.
+    For a columnar page this is the length of its first column.
     """
     if isinstance(page, Structure):
         page = Lazy(CODECS["TRowSet"], encode(CODECS["TRowSet"], page))
@@ -187,9 +187,9 @@
             if (code, number) == (LIST, 2):
                 count = max(count, int.from_bytes(raw[pos + 1 : pos + 5], "big"))
             elif (code, number) == (LIST, 3) and any(raw[pos + 1 : pos + 5]):
-                # The list's head, the first column's only field, and the head of the list of its values.
+                # The header of the list, of the first column's only field, and of the list of its values.
                 head = raw[pos : pos + 16]
-                if head[5] != STRUCT or head[8:11] != b"\x0f\0\1":  # its fields stand in another order
+                if head[5] != STRUCT or head[8:11] != b"\x0f\0\1":  # its fields are in another order
                     return _decoded_count(page.value)
                 return int.from_bytes(head[12:16], "big")
             pos = skip(raw, pos, code)
@@ -208,5 +208,5 @@
 
 
 def make(name: str, **fields: object) -> object:
-    """Return a structure by its name; for those that are not named above."""
+    """Return a new structure by its type's name, for types without a constant above."""
     return CODECS[name].make(**fields)
--- a/fennelwind/thrift/messages.py
+++ b/fennelwind/thrift/messages.py
@@ -1,14 +1,14 @@
-"""Calls and replies: the head of a message, its body, and where it ends when nothing frames it."""
+"""Calls and replies: header and body of a message, and finding the end of an unframed message."""
 
 from struct import Struct
 from struct import error as StructError  # noqa: N812 - it is a class
 from typing import Any, NamedTuple
 
 from fennelwind.thrift.codec import (
-    DEEPEST,
-    LEAST,
     LIST,
     MAP,
+    MAX_DEPTH,
+    MIN_SIZES,
     SET,
     SIZES,
     STOP,
@@ -25,7 +25,7 @@
 
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
 UNKNOWN_METHOD, INVALID_MESSAGE_TYPE, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 2, 6, 7  # of exceptions
-NAME_MOST = 128  # bytes of a method's name; the service's longest has 21
+MAX_METHOD_NAME_BYTES = 128  # the service's longest has 21
 _head = Struct(">HBBi").unpack_from
 _int = Struct(">i").unpack_from
 _pack_head = Struct(">HBBi").pack
@@ -38,17 +38,17 @@
 
 
 class Message(NamedTuple):
-    """A message; `body` is its one argument or result, None for a method that is not known."""
+    """A message; `body` is its one argument or result, None if the method is unknown."""
 
     method: str
     type: int
     sequence: int
     body: Any
-    strict: bool = True  # its head names the protocol's version, as all newer clients' do
+    strict: bool = True  # its header carries the protocol version, as newer clients send it
 
 
 def read_message(buf: bytes, pos: int = 0) -> tuple[Message, int]:
-    """Read a message; return it and the place after it. Raises `Incomplete` or `Malformed`."""
+    """Read a message; return it and the position after it. Raises `Incomplete` or `Malformed`."""
     try:
         return _read(buf, pos)
     except (IndexError, StructError):
@@ -65,7 +65,7 @@
     else:
         (size,) = _int(buf, pos)
         pos += 4
-    if not 0 <= size <= NAME_MOST:
+    if not 0 <= size <= MAX_METHOD_NAME_BYTES:
         raise Malformed(f"a method's name of {size} bytes")
     name, pos = buf[pos : pos + size], pos + size
     if not strict:
@@ -77,14 +77,14 @@
     if kind == EXCEPTION:
         body, pos = decode(_EXCEPTION, buf, pos)
         return Message(name.decode("utf-8", "replace"), kind, sequence, body, strict), pos
-    known = (_REPLIES if kind == REPLY else _REQUESTS).get(name)
-    if known is None:
+    method_and_codec = (_REPLIES if kind == REPLY else _REQUESTS).get(name)
+    if method_and_codec is None:
         return Message(name.decode("utf-8", "replace"), kind, sequence, None, strict), skip(buf, pos, STRUCT)
-    method, codec = known
-    wanted, body = b"\x0c\0\0" if kind == REPLY else b"\x0c\0\1", None
+    method, codec = method_and_codec
+    body_header, body = b"\x0c\0\0" if kind == REPLY else b"\x0c\0\1", None
     while buf[pos] != STOP:
         head, pos = buf[pos : pos + 3], pos + 3
-        if head == wanted:
+        if head == body_header:
             body, pos = codec.read(buf, pos)
         else:
             pos = skip(buf, pos, head[0], 1)
@@ -111,79 +111,81 @@
 
 
 class MessageScanner:
-    """Finds where a message ends in bytes that come piece by piece.
+    """Finds the end of a message in bytes that arrive in pieces.
 
-    Each byte is looked at once, however the message is cut: a peer that sends a byte a second costs no more
-    than one that sends it whole. Containers are kept on a stack of their own, so nesting is bounded by a
-    number.
+    Each byte is examined once, however the message is split, so a peer that sends one byte per second costs
+    no more than one that sends the message at once. Open containers are kept on an explicit stack, so that
+    nesting depth is limited by a constant and not by recursion.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_message_bytes: int) -> None:
+        self.max_message_bytes = max_message_bytes
         self.reset()
 
     def reset(self) -> None:
-        """Start with a new message at the start of the bytes."""
-        self.pos, self.in_head = 0, True
-        self.stack: list[list[int]] = []  # [STRUCT] or [LIST, type, left] or [MAP, type, other type, left]
+        """Start a new message at the start of the buffer."""
+        self.pos, self.is_in_header = 0, True
+        self.stack: list[
+            list[int]
+        ] = []  # [STRUCT] or [LIST, type, remaining] or [MAP, next type, other type, remaining]
 
     def scan(self, buf: bytearray) -> int | None:
-        """Go on with all bytes there are; return the message's length, or None while it is incomplete."""
-        if self.in_head and not self._scan_head(buf):
-            return self._none(buf)
+        """Continue with all bytes received; return the message's length, or None while it is incomplete."""
+        if self.is_in_header and not self._scan_header(buf):
+            return self._check_size(buf)
         while self.stack:
             top = self.stack[-1]
             if top[0] == STRUCT:
-                code = self._byte(buf)
+                code = self._next_byte(buf)
                 if code is None:
-                    return self._none(buf)
+                    return self._check_size(buf)
                 if code == STOP:
                     self.pos += 1
                     self.stack.pop()
                     continue
-                if not self._value(buf, self.pos + 3, code):
-                    return self._none(buf)
+                if not self._skip_value(buf, self.pos + 3, code):
+                    return self._check_size(buf)
             elif top[-1] == 0:
                 self.stack.pop()
             elif top[0] == LIST and top[1] == STRING:
-                if not self._strings(buf, top):
-                    return self._none(buf)
+                if not self._skip_strings(buf, top):
+                    return self._check_size(buf)
             else:
                 code = top[1]
-                if not self._value(buf, self.pos, code):
-                    return self._none(buf)
+                if not self._skip_value(buf, self.pos, code):
+                    return self._check_size(buf)
                 top[-1] -= 1
                 if top[0] == MAP:
                     top[1], top[2] = top[2], top[1]
         return self.pos
 
-    def _strings(self, buf: bytearray, top: list[int]) -> bool:
-        """Pass over a list's strings, as far as they are here; tell if all are. A page is mostly these."""
-        pos, left, most, read = self.pos, top[-1], len(buf), _int
+    def _skip_strings(self, buf: bytearray, top: list[int]) -> bool:
+        """Skip the received strings of a list; return whether all were. Pages consist mostly of these."""
+        pos, remaining, buffer_bytes, read = self.pos, top[-1], len(buf), _int
         try:
-            while left:
+            while remaining:
                 (size,) = read(buf, pos)
                 end = pos + 4 + size
                 if size < 0:
                     raise Malformed(f"a string of {size} bytes")
-                if size > self.most or end > most:
+                if size > self.max_message_bytes or end > buffer_bytes:
                     break
-                pos, left = end, left - 1
+                pos, remaining = end, remaining - 1
         except StructError:
             pass
-        if left and len(buf) >= pos + 4:
-            self._count(buf, pos, 1)
-        self.pos, top[-1] = pos, left
-        return not left
+        if remaining and len(buf) >= pos + 4:
+            self._read_count(buf, pos, 1)
+        self.pos, top[-1] = pos, remaining
+        return not remaining
 
-    def _none(self, buf: bytearray) -> None:
-        if len(buf) > self.most:
-            raise Malformed(f"a message of over {self.most} bytes")
+    def _check_size(self, buf: bytearray) -> None:
+        if len(buf) > self.max_message_bytes:
+            raise Malformed(f"a message of over {self.max_message_bytes} bytes")
 
-    def _byte(self, buf: bytearray) -> int | None:
+    def _next_byte(self, buf: bytearray) -> int | None:
         return buf[self.pos] if self.pos < len(buf) else None
 
-    def _scan_head(self, buf: bytearray) -> bool:
+    def _scan_header(self, buf: bytearray) -> bool:
         if len(buf) < 8:
             return False
         if buf[0] & 0x80:
@@ -192,15 +194,15 @@
             size, start = _int(buf, 4)[0], 8
         else:
             size, start = _int(buf, 0)[0], 5
-        if not 0 <= size <= NAME_MOST:
+        if not 0 <= size <= MAX_METHOD_NAME_BYTES:
             raise Malformed(f"a method's name of {size} bytes")
         self.pos = start + size + 4
-        self.in_head = False
+        self.is_in_header = False
         self.stack.append([STRUCT])
         return True
 
-    def _value(self, buf: bytearray, pos: int, code: int) -> bool:
-        """Pass over a value's fixed part and enter it if it is a container; False: more bytes are needed."""
+    def _skip_value(self, buf: bytearray, pos: int, code: int) -> bool:
+        """Skip a value, or push it on the stack if it is a container; return False if bytes are missing."""
         size, length = SIZES.get(code), len(buf)
         if size is not None:
             if pos + size > length:
@@ -210,15 +212,15 @@
         if code == STRING:
             if pos + 4 > length:
                 return False
-            size = self._count(buf, pos, 1)
+            size = self._read_count(buf, pos, 1)
             if pos + 4 + size > length:
                 return False
             self.pos = pos + 4 + size
             return True
-        if code not in LEAST:
+        if code not in MIN_SIZES:
             raise Malformed(f"a value of the unknown type {code}")
-        if len(self.stack) >= DEEPEST + 1:
-            raise Malformed(f"values over {DEEPEST} deep")
+        if len(self.stack) >= MAX_DEPTH + 1:
+            raise Malformed(f"values over {MAX_DEPTH} deep")
         if code == STRUCT:
             self.pos = pos
             self.stack.append([STRUCT])
@@ -229,14 +231,14 @@
         inner = buf[pos]
         if code == MAP:
             other = buf[pos + 1]
-            count = self._count(buf, pos + 2, LEAST.get(inner, 1) + LEAST.get(other, 1))
-            if count and (inner not in LEAST or other not in LEAST):
+            count = self._read_count(buf, pos + 2, MIN_SIZES.get(inner, 1) + MIN_SIZES.get(other, 1))
+            if count and (inner not in MIN_SIZES or other not in MIN_SIZES):
                 raise Malformed(f"a map of the unknown types {inner} and {other}")
             self.stack.append([MAP, inner, other, 2 * count])
         else:
-            if inner not in LEAST:
+            if inner not in MIN_SIZES:
                 raise Malformed(f"a list of the unknown type {inner}")
-            count = self._count(buf, pos + 1, LEAST[inner])
+            count = self._read_count(buf, pos + 1, MIN_SIZES[inner])
             if inner in SIZES:
                 if pos + head + count * SIZES[inner] > length:
                     return False
@@ -246,10 +248,10 @@
         self.pos = pos + head
         return True
 
-    def _count(self, buf: bytearray, pos: int, least: int) -> int:
+    def _read_count(self, buf: bytearray, pos: int, min_size: int) -> int:
         (count,) = _int(buf, pos)
         if count < 0:
             raise Malformed(f"a length of {count}")
-        if pos + count * least > self.most:
-            raise Malformed(f"a message of over {self.most} bytes")
+        if pos + count * min_size > self.max_message_bytes:
+            raise Malformed(f"a message of over {self.max_message_bytes} bytes")
         return count
--- a/tests/support/fuzz.py
+++ b/tests/support/fuzz.py
@@ -144,8 +144,8 @@
         transport, raw = sent(random, messages)
         for side in (
             ServerSide(100_000),
-            ClientSide("buffered", most=100_000),
-            ClientSide("framed", most=100_000),
+            ClientSide("buffered", max_message_bytes=100_000),
+            ClientSide("framed", max_message_bytes=100_000),
         ):
             pos = 0
             try:
