--- a/fennelwind/audit/trace.py
+++ b/fennelwind/audit/trace.py
@@ -146,7 +146,7 @@
 
     def _login(self, side: ServerSide, events: list) -> list:
         if events and isinstance(events[0], Login):
-            return side.welcome()
+            return side.accept_login()
         return events
 
     def called(self, at: float, method: str, request) -> object:
--- a/fennelwind/emulators/engine.py
+++ b/fennelwind/emulators/engine.py
@@ -214,7 +214,7 @@
             while data := stream.read():
                 for event in side.receive(data):
                     if isinstance(event, Login):
-                        side.welcome()
+                        side.accept_login()
                         stream.write(bytes(side.outgoing))
                         side.outgoing.clear()
                     else:
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -141,7 +141,7 @@
             if not data:
                 return
             self.last_received_ms = self.loop.now()
-            if not self.protocol.waiting:
+            if not self.protocol.unconsumed_bytes:
                 self.partial_since_ms = self.last_received_ms
             self._handle_events(self.protocol.receive(data))
             delay_ms = self.front.service.admission.consume_bytes(self.user, len(data), self.last_received_ms)
@@ -154,8 +154,8 @@
         Otherwise reschedule the check. A single timer costs far less than a deadline for each read.
         """
         now_ms, idle_timeout_ms = self.loop.now(), self.front.settings.idle_ms
-        since_ms = self.partial_since_ms if self.protocol.waiting else self.last_received_ms
-        if self.worker is not None and not self.protocol.waiting:
+        since_ms = self.partial_since_ms if self.protocol.unconsumed_bytes else self.last_received_ms
+        if self.worker is not None and not self.protocol.unconsumed_bytes:
             since_ms = now_ms  # a client that waits for its answer is not idle
         if now_ms - since_ms >= idle_timeout_ms:
             self.front.idled += 1
@@ -173,7 +173,7 @@
                     self.protocol.reject("user or password is wrong")
                     raise Malformed("a login that failed")
                 self.user, self.is_logged_in = event.user, True
-                remaining_events = self.protocol.welcome()
+                remaining_events = self.protocol.accept_login()
                 self._write(bytes(self.protocol.outgoing))
                 self.protocol.outgoing.clear()
                 self._handle_events(remaining_events)
--- a/fennelwind/thrift/transport.py
+++ b/fennelwind/thrift/transport.py
@@ -95,7 +95,7 @@
 class ServerSide:
     """The server's side of a connection; detects the transport by the first bytes.
 
-    `receive` returns messages and at most one `Login`. After a `Login`, `welcome` or `reject` has to be
+    `receive` returns messages and at most one `Login`. After a `Login`, `accept_login` or `reject` has to be
     called before `receive` is called again.
     """
 
@@ -159,7 +159,7 @@
                 raise Malformed(f"SASL status {status} out of turn")
         return None
 
-    def welcome(self) -> list[Message | Login]:
+    def accept_login(self) -> list[Message | Login]:
         """Accept the login; return the messages that were received after it."""
         self.outgoing += _step.pack(COMPLETE, 0)
         self._is_negotiating = False
@@ -175,7 +175,7 @@
         return payload if self.transport == BUFFERED else _length.pack(len(payload)) + payload
 
     @property
-    def waiting(self) -> int:
+    def unconsumed_bytes(self) -> int:
         """Number of received bytes that are not consumed yet."""
         return len(self._received.buf)
 
@@ -231,7 +231,7 @@
         return self.ready
 
     @property
-    def waiting(self) -> int:
+    def unconsumed_bytes(self) -> int:
         """Number of received bytes that are not consumed yet."""
         return len(self._received.buf)
 
--- a/tests/dispatch/test_controller.py
+++ b/tests/dispatch/test_controller.py
@@ -438,7 +438,7 @@
             for _ in range(1000):
                 stream.write(call)
         (connection,) = fleet.program.front.connections
-        assert len(connection.queued_calls) <= 16 and connection.protocol.waiting < 2 * 262144
+        assert len(connection.queued_calls) <= 16 and connection.protocol.unconsumed_bytes < 2 * 262144
         stream.abort()
         fleet.loop.sleep(3000)  # the reset is noticed at the latest when the first call is answered
         assert not fleet.program.front.connections
--- a/tests/support/fuzz.py
+++ b/tests/support/fuzz.py
@@ -156,8 +156,8 @@
                     pos += size
             except ThriftError:
                 pass
-            if side.waiting > 200_000:
-                raise AssertionError(f"{side.waiting} bytes kept")
+            if side.unconsumed_bytes > 200_000:
+                raise AssertionError(f"{side.unconsumed_bytes} bytes kept")
     return 1000
 
 
--- a/tests/thrift/test_thrift.py
+++ b/tests/thrift/test_thrift.py
@@ -217,14 +217,14 @@
         assert [event for byte in client.outgoing for event in side.receive(bytes([byte]))] == [
             Login("ann", "secret")
         ]
-        assert side.welcome() == []
+        assert side.accept_login() == []
         assert client.receive(bytes(side.outgoing)) == [] and client.ready
     raw = payload if transport == BUFFERED else pack(">i", len(payload)) + payload
     expected = Message("ExecuteStatement", CALL, 7, REQUEST, strict)
     got = [event for byte in raw for event in side.receive(bytes([byte]))]
     assert got == [expected]
     assert side.receive(raw + raw) == [expected, expected]
-    assert side.transport == transport and side.waiting == 0
+    assert side.transport == transport and side.unconsumed_bytes == 0
     assert side.wrap(payload) == raw
 
 
