--- a/tests/engines/test_engines.py
+++ b/tests/engines/test_engines.py
@@ -1,4 +1,4 @@
-"""Links, hints and discovery, alone."""
+"""Engine connections, hints and discovery, and the layers of the source tree."""
 
 import json
 import re
@@ -18,7 +18,7 @@
 ZONES, KINDS = ("a", "b"), ("k", "l")
 
 
-def line(*engines, form="full", now=5000.0):
+def list_line(*engines, form="full", now=5000.0):
     return json.dumps({"form": form, "index": 1, "now_ms": now, "engines": list(engines)}).encode()
 
 
@@ -35,22 +35,22 @@
     }
 
 
-def test_lists_become_the_modules_events():
-    event = read_list(line(entry(), form="delta"), ZONES, KINDS, StartTimes(), 100.0)
+def test_a_list_is_parsed_into_a_policy_event():
+    event = read_list(list_line(entry(), form="delta"), ZONES, KINDS, StartTimes(), 100.0)
     assert event == policy.EngineListUpdate(
         "delta", (policy.EngineEndpoint("10.0.0.1:5", "ready", 1, 1, 3, 2.0, 0.0),)
     )
 
 
-def test_a_start_is_put_on_our_clock_once_and_a_restart_differs():
+def test_a_start_time_is_converted_once_and_a_restart_changes_it():
     start_times = StartTimes()
 
     def start(at, now, mine):
-        raw = line(entry(launched_ms=at), now=now)
+        raw = list_line(entry(launched_ms=at), now=now)
         return read_list(raw, ZONES, KINDS, start_times, mine).engines[0].started_ms
 
-    told = [start(4000.0, 5000.0, 100.0), start(4000.0, 6000.0, 1130.0), start(7000.0, 8000.0, 3100.0)]
-    assert told == [-900.0, -900.0, 2100.0]
+    started_ms = [start(4000.0, 5000.0, 100.0), start(4000.0, 6000.0, 1130.0), start(7000.0, 8000.0, 3100.0)]
+    assert started_ms == [-900.0, -900.0, 2100.0]
 
 
 @pytest.mark.parametrize(
@@ -60,28 +60,28 @@
         b"{",
         b"[]",
         b"null",
-        line(entry(state="odd")),
-        line(entry(zone="c")),
-        line(entry(kind="z")),
-        line(entry(engine="x")),
-        line({"engine": "10.0.0.1:5"}),
-        line(form="partial"),
+        list_line(entry(state="odd")),
+        list_line(entry(zone="c")),
+        list_line(entry(kind="z")),
+        list_line(entry(engine="x")),
+        list_line({"engine": "10.0.0.1:5"}),
+        list_line(form="partial"),
         b"\xff\xfe",
     ],
 )
-def test_lines_that_are_no_list_are_refused_whole(raw):
+def test_invalid_lines_are_rejected(raw):
     with pytest.raises(DiscoveryError):
         read_list(raw, ZONES, KINDS, StartTimes(), 0.0)
 
 
-def test_a_subscription_follows_changes_and_comes_back_after_a_break():
+def test_a_subscription_gets_changes_and_reconnects_after_a_failure():
     loop, events = SimLoop(2), []
 
     def main():
         discovery = Discovery(loop, Address("127.0.0.1", 0))
         discovery.listed["10.0.0.1:5"] = Listed("10.0.0.1:5", zone="a", kind="k")
         discovery.start()
-        link = DiscoveryClient(
+        client = DiscoveryClient(
             loop,
             discovery.address,
             pushed=True,
@@ -91,7 +91,7 @@
             seed=3,
             report=lambda text: None,
         )
-        link.start()
+        client.start()
         loop.sleep(100)
         discovery.change(Listed("10.0.0.1:5", "draining", zone="a", kind="k"))
         loop.sleep(100)
@@ -106,8 +106,8 @@
     assert events[1].engines[0].state == events[-1].engines[0].state == "draining"
 
 
-def test_hints_that_are_wrong_do_no_harm():
-    told = hints.read(
+def test_invalid_hints_are_ignored():
+    found = hints.read(
         [
             "fennelwind-load active=3 cpu=0.5 bad=x worse=nan =1 huge=1e300",
             "fennelwind-cost work_ms=12",
@@ -116,13 +116,13 @@
             "fennelwind-load active=4",
         ]
     )
-    assert told == {"load": {"active": 4.0}, "cost": {"work_ms": 12.0}}
+    assert found == {"load": {"active": 4.0}, "cost": {"work_ms": 12.0}}
     assert hints.read(["fennelwind-load a=1 bad=x worse=nan huge=1e300"]) == {"load": {"a": 1.0}}
     assert hints.read(None) == {}
     assert hints.write("load", active=3.0, cpu=0.25) == "fennelwind-load active=3 cpu=0.25"
 
 
-def test_loads_costs_and_notes_reach_the_module():
+def test_load_cost_and_progress_hints_reach_the_attempt():
     loop, notes = SimLoop(1), []
 
     class RecordingAttempt(AttemptRequest):
@@ -137,20 +137,20 @@
 
     end = loop.run(main)
     assert end.status == "ok" and end.work_ms == 350.0
-    assert set(end.load) == {"active"}  # the only figure that the settings name
+    assert set(end.load) == {"active"}  # the only field named in the settings
     assert [sort for sort, _ in notes] == [1, 1, 1]
     assert [share for _, share in notes] == sorted(share for _, share in notes)
 
 
-def test_links_are_bounded_reused_and_swept():
+def test_connections_are_limited_reused_and_closed_when_idle():
     loop = SimLoop(1)
 
     def main():
         fleet = Fleet(loop, engines=1, change=lambda t: t.replace("max_links: 50", "max_links: 3"))
         client, engine = fleet.program.engine_client, fleet.engines[0].name
 
-        def go():
-            order = AttemptRequest(
+        def run_attempt():
+            request = AttemptRequest(
                 1,
                 0,
                 Submission(0, "select 1", 9e9, overlay={"standin.work_ms": "50"}),
@@ -158,21 +158,21 @@
                 0.0,
                 1,
             )
-            return client.attempt(engine, order).status
+            return client.attempt(engine, request).status
 
-        tasks = [loop.spawn(go) for _ in range(5)]
-        ends = sorted(task.join() for task in tasks)
-        assert ends == ["full", "full", "ok", "ok", "ok"]
+        tasks = [loop.spawn(run_attempt) for _ in range(5)]
+        statuses = sorted(task.join() for task in tasks)
+        assert statuses == ["full", "full", "ok", "ok", "ok"]
         assert client.pool(engine).count == 3
         loop.sleep(200)
-        assert not fleet.engines[0]._operations  # closed, though no statement came after
+        assert not fleet.engines[0]._operations  # closed without a further statement
         loop.sleep(20_000)
         assert not client.pools
 
     loop.run(main)
 
 
-# The shape of the program.
+# Layers of the source tree.
 
 LAYERS = [
     "errors",
@@ -204,7 +204,7 @@
     "testbed",
     "cli",
 ]
-MAY = {
+ALLOWED_IMPORTS = {
     "policy": set(),
     "simulator_wire": {"policy"},
     "adapter": {"policy", "simulator_wire"},
@@ -253,10 +253,10 @@
     return [p for p in sorted(ROOT.rglob("*.py")) if not p.name.endswith("_pb2.py")]
 
 
-def test_rooms_import_only_what_lies_below_them():
+def test_packages_import_only_lower_layers():
     for path in sources():
-        room = path.relative_to(ROOT).parts[0].removesuffix(".py")
-        if room == "__init__":
+        package = path.relative_to(ROOT).parts[0].removesuffix(".py")
+        if package == "__init__":
             continue
         found = re.findall(r"^\s*from fennelwind(?:\.(\w+)\S*)? import (.+)$", path.read_text("utf-8"), re.M)
         named = {
@@ -264,21 +264,21 @@
             for first, words in found
             for word in ([first] if first else words.replace("(", "").split(" as ")[0].split(", "))
         }
-        assert named - {room, "__version__"} <= MAY[room], path
+        assert named - {package, "__version__"} <= ALLOWED_IMPORTS[package], path
 
 
-def test_only_the_loop_touches_sockets_clocks_and_signals():
-    # The command line starts processes; benchmarks take times; the client blocks in its user's process.
+def test_only_the_loop_uses_sockets_clocks_and_signals():
+    # The command line starts processes, benchmarks measure time, and the client blocks in its user's process.
     allowed = {"loop", "cli", "benchmarks", "client"}
     pattern = r"^\s*(?:import|from) (socket|select|time|signal|secrets|threading|asyncio|selectors)\b"
     for path in sources():
-        room = path.relative_to(ROOT).parts[0].removesuffix(".py")
-        if room in allowed or path.name in ("sampler.py", "processes.py", "councilbench.py"):
+        package = path.relative_to(ROOT).parts[0].removesuffix(".py")
+        if package in allowed or path.name in ("sampler.py", "processes.py", "councilbench.py"):
             continue
         assert not re.findall(pattern, path.read_text("utf-8"), re.M), path
 
 
-def test_decisions_are_free_of_io():
+def test_decision_modules_do_no_io():
     pattern = r"\b(?:open|print|input)\(|^\s*(?:import|from) (?:os|sys|fennelwind\.loop (?!import Path))\b"
     for name in (
         "dispatch/ledger.py",
@@ -308,24 +308,24 @@
         "load_balancing/load_advisor.py",
         *(
             str(p.relative_to(ROOT))
-            for room in ("policy", "raft", "leases", "quiescence", "shards", "schema_compatibility")
-            for p in (ROOT / room).glob("*.py")
+            for package in ("policy", "raft", "leases", "quiescence", "shards", "schema_compatibility")
+            for p in (ROOT / package).glob("*.py")
         ),
     ):
         assert not re.findall(pattern, (ROOT / name).read_text("utf-8"), re.M), name
 
 
-def test_probes_tell_a_good_engine_from_a_silent_a_dead_and_a_strange_one():
+def test_health_checks_distinguish_healthy_silent_dead_and_foreign_servers():
     loop = SimLoop(1)
 
     def main():
         fleet = Fleet(loop)
         client = fleet.program.engine_client
         silent = loop.listen(Address("127.0.0.1", 0))
-        strange = loop.listen(Address("127.0.0.1", 0))
+        non_thrift = loop.listen(Address("127.0.0.1", 0))
 
         def answer_nonsense():
-            strange.accept().write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
+            non_thrift.accept().write(b"HTTP/1.1 400 Bad Request\r\n\r\n")
 
         loop.spawn(answer_nonsense)
         fleet.engines[1].crash()
@@ -335,7 +335,7 @@
                 fleet.engines[0].name,
                 fleet.engines[1].name,
                 str(silent.address),
-                str(strange.address),
+                str(non_thrift.address),
             )
         ]
         assert ends[0].load == {"active": 0.0}
--- a/tests/engines/test_statement_status.py
+++ b/tests/engines/test_statement_status.py
@@ -1,4 +1,4 @@
-"""What an engine's error means, and which idle connection an attempt gets."""
+"""Classification of engines' errors, and the choice of an idle connection."""
 
 import pytest
 
@@ -8,7 +8,7 @@
 
 
 @pytest.mark.parametrize(
-    ("state", "said", "meaning"),
+    ("sql_state", "said", "expected"),
     [
         ("42000", [], StatementStatus.STATEMENT_ERROR),
         ("42S02", None, StatementStatus.STATEMENT_ERROR),
@@ -28,12 +28,12 @@
         (None, [hints.write(hints.NOT_RUN)], StatementStatus.REJECTED),
     ],
 )
-def test_an_engines_error_is_an_answer_a_turning_away_or_a_fault(state, said, meaning):
-    assert classify(state, said) == meaning
+def test_an_engines_error_is_classified_by_sqlstate_and_hints(sql_state, said, expected):
+    assert classify(sql_state, said) == expected
 
 
 @pytest.mark.parametrize(
-    ("idle", "wanted", "chosen"),
+    ("idle", "wanted", "expected"),
     [
         ([], "", None),
         ([], "a", None),
@@ -45,5 +45,5 @@
         (["", "a", ""], "", 2),
     ],
 )
-def test_idle_connections_are_chosen_by_their_database(idle, wanted, chosen):
-    assert choose_idle(idle, wanted) == chosen
+def test_idle_connections_are_chosen_by_their_database(idle, wanted, expected):
+    assert choose_idle(idle, wanted) == expected
--- a/tests/engines/test_streams.py
+++ b/tests/engines/test_streams.py
@@ -1,4 +1,4 @@
-"""Large answers: pages that flow, what bounds them, and what becomes of them when their engine fails."""
+"""Streamed results: their pages, their limits, and failures of their engine."""
 
 import pytest
 from fleet import execute, fetch, ids, outcome
@@ -15,12 +15,12 @@
 ROWS = 20_000
 
 
-def small(text):
-    """Let answers flow from 50 kB on; a page of 1000 rows has some 26 kB."""
+def use_small_buffer(text):
+    """Stream results from 50 kB on; a page of 1000 rows has about 26 kB."""
     return text.replace("max_result_bytes: 10000000", "max_result_bytes: 50000")
 
 
-def at_engines(fleet):
+def open_operations_by_engine(fleet):
     return [len(e._operations) for e in fleet.engines]
 
 
@@ -28,7 +28,7 @@
     return fleet.program.engine_client
 
 
-def test_a_large_answer_flows_whole_and_leaves_nothing_behind():
+def test_a_large_result_is_streamed_completely_and_releases_its_engine():
     def main(fleet):
         client = fleet.client()
         handle = execute(client, "select 1", rows=ROWS)
@@ -39,19 +39,19 @@
             assert page.results.startRowOffset == len(got)
             got += ids(page)
             more = page.hasMoreRows
-            held = fleet.program.service.operations[handle.operationId.guid][1].reader.pages
-            assert len(held) <= 3
+            buffered_pages = fleet.program.service.operations[handle.operationId.guid][1].reader.pages
+            assert len(buffered_pages) <= 3
         assert got == list(range(ROWS)) and ids(fetch(client, handle)) == []
         assert outcome(lambda: fetch(client, handle, 5, hs2.FETCH_FIRST)) == "HYC00"
         fleet.loop.sleep(500)
-        assert at_engines(fleet) == [0, 0] and engine_client(fleet).stream_counts.lost == 0
+        assert open_operations_by_engine(fleet) == [0, 0] and engine_client(fleet).stream_counts.lost == 0
         assert [p.streams for p in engine_client(fleet).pools.values()] == [0]
         assert outcome(lambda: execute(client, "select 1")) == "served"
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
-def test_what_is_held_whole_survives_its_engine():
+def test_a_buffered_result_survives_its_engine():
     def main(fleet):
         client = fleet.client()
         handle = execute(client, "select 1", rows=1500)
@@ -60,11 +60,11 @@
         got = ids(fetch(client, handle, most=5000))
         assert got + ids(fetch(client, handle, most=5000)) == list(range(1500))
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
 @pytest.mark.parametrize("fault", ["crash", "cut", "hang"])
-def test_a_stream_ends_in_a_clear_failure_when_its_engine_does_and_runs_nowhere_else(fault, monkeypatch):
+def test_a_stream_fails_with_its_engine_and_is_not_retried_elsewhere(fault, monkeypatch):
     monkeypatch.setattr(row_stream, "PAGE_TIMEOUT_MS", 300.0)
 
     def main(fleet):
@@ -80,10 +80,12 @@
         else:
             for engine in fleet.engines:
                 engine.faults.hang = True
-        with pytest.raises(RemoteError, match=r"failed after \d+ rows") as lost:
+        with pytest.raises(RemoteError, match=r"failed after \d+ rows") as failure:
             while True:
                 got += ids(fetch(client, handle, most=1000))
-        assert lost.value.status.sqlState == "08S01" and got == list(range(len(got))) and 0 < len(got) < ROWS
+        assert (
+            failure.value.status.sqlState == "08S01" and got == list(range(len(got))) and 0 < len(got) < ROWS
+        )
         assert outcome(lambda: fetch(client, handle)) == "08S01"
         assert sum(e.counts.statements for e in fleet.engines) == 1
         assert engine_client(fleet).stream_counts.lost == 1 and [
@@ -91,18 +93,18 @@
         ] == [0]
         assert ledger(fleet).counts[0] == {"taken": 1, "served": 1}
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
 @pytest.mark.parametrize("how", ["close", "session", "drop", "idle"])
-def test_a_client_that_reads_no_further_frees_the_link_and_the_engines_operation(how, monkeypatch):
+def test_an_abandoned_stream_frees_its_connection_and_the_engines_operation(how, monkeypatch):
     monkeypatch.setattr(row_stream, "IDLE_TIMEOUT_MS", 2000.0)
 
     def main(fleet):
         client = fleet.client()
         handle = execute(client, "select 1", rows=ROWS)
         fetch(client, handle)
-        assert sum(at_engines(fleet)) == 1
+        assert sum(open_operations_by_engine(fleet)) == 1
         if how == "close":
             client.call("CloseOperation", hs2.TCloseOperationReq(handle))
         elif how == "session":
@@ -115,39 +117,43 @@
                 while True:
                     fetch(client, handle)
         fleet.loop.sleep(100)
-        assert at_engines(fleet) == [0, 0] and not any(p.streams for p in engine_client(fleet).pools.values())
+        assert open_operations_by_engine(fleet) == [0, 0] and not any(
+            p.streams for p in engine_client(fleet).pools.values()
+        )
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
-def test_a_stream_nobody_waits_for_any_more_is_let_go():
+def test_the_stream_of_a_query_cancelled_as_it_finishes_is_closed():
     def main(fleet):
         client = fleet.client()
         driver = fleet.program.driver
-        carry = driver.attempts.finish
+        original_finish = driver.attempts.finish
 
-        def too_late(entry, number, engine, sent, end):
+        def finish_after_cancel(entry, number, engine, sent, end):
             if end.result is not None:
                 driver.cancel(entry, "it went the moment before")
-            carry(entry, number, engine, sent, end)
+            original_finish(entry, number, engine, sent, end)
 
-        driver.attempts.finish = too_late
+        driver.attempts.finish = finish_after_cancel
         assert outcome(lambda: execute(client, "select 1", rows=ROWS)) == "HY008"
         fleet.loop.sleep(100)
-        assert at_engines(fleet) == [0, 0] and [p.streams for p in engine_client(fleet).pools.values()] == [0]
+        assert open_operations_by_engine(fleet) == [0, 0] and [
+            p.streams for p in engine_client(fleet).pools.values()
+        ] == [0]
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
-def test_an_engine_lost_as_its_answer_begins_to_flow_costs_an_attempt_and_not_the_answer(monkeypatch):
-    sent = row_stream.RowStream._request_page
+def test_an_engine_lost_when_streaming_starts_costs_an_attempt_and_not_the_answer(monkeypatch):
+    request_page = row_stream.RowStream._request_page
 
-    def lost_once(stream):
-        monkeypatch.setattr(row_stream.RowStream, "_request_page", sent)
+    def fail_once(stream):
+        monkeypatch.setattr(row_stream.RowStream, "_request_page", request_page)
         raise StreamReset("planted")
 
     def main(fleet):
-        monkeypatch.setattr(row_stream.RowStream, "_request_page", lost_once)
+        monkeypatch.setattr(row_stream.RowStream, "_request_page", fail_once)
         client = fleet.client()
         assert ids(fetch(client, execute(client, "select 1", rows=ROWS)))[:2] == [0, 1]
         assert [a[3] for a in fleet.seen.attempts] == ["reset", "ok"]
@@ -157,41 +163,39 @@
             == engine_client(fleet).stream_counts.begun
         )
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
-def test_a_schema_that_can_not_be_had_leaves_its_link_in_step():
+def test_a_failed_schema_call_leaves_its_connection_usable():
     def main(fleet):
         (engine,) = fleet.engines
-        told = engine._GetResultSetMetadata
+        original_call = engine._GetResultSetMetadata
         engine._GetResultSetMetadata = lambda request, mine: hs2.TGetResultSetMetadataResp(
             status=engine._error("no schema", "HY000")
         )
         client = fleet.client()
         assert outcome(lambda: execute(client, "load 1")) == "HYT00"
-        engine._GetResultSetMetadata = told
+        engine._GetResultSetMetadata = original_call
         (pool,) = engine_client(fleet).pools.values()
         before = list(pool.idle)
         assert outcome(lambda: execute(client, "load 2")) == "served"
         assert [a[3] for a in fleet.seen.attempts] == ["error", "ok"]
-        assert pool.idle == before and pool.count == 1  # it served again
+        assert pool.idle == before and pool.count == 1  # the connection was reused
 
     play(main, engines=1)
 
 
-def test_streams_leave_links_for_statements():
+def test_streams_leave_connections_for_statements():
     def main(fleet):
         clients = [fleet.client() for _ in range(6)]
         seen = [outcome(lambda c=c: execute(c, "select 1", rows=ROWS)) for c in clients]
-        assert (
-            seen.count("served") == 4 and engine_client(fleet).stream_counts.begun == 4
-        )  # two at each engine
+        assert seen.count("served") == 4 and engine_client(fleet).stream_counts.begun == 4  # two per engine
         assert outcome(lambda: execute(clients[0], "select 1")) == "served"
 
-    play(main, change=lambda text: small(text).replace("max_links: 50", "max_links: 4"))
+    play(main, change=lambda text: use_small_buffer(text).replace("max_links: 50", "max_links: 4"))
 
 
-def test_a_client_that_stops_reading_holds_two_pages_and_not_the_answer():
+def test_a_client_that_stops_reading_buffers_at_most_three_pages():
     def main(fleet):
         client = fleet.client()
         handle = execute(client, "select 1", rows=1_000_000)
@@ -203,10 +207,10 @@
         engine = next(e for e in fleet.engines if e._operations)
         assert next(iter(engine._operations.values())).fetched <= 8000
 
-    play(main, change=small)
+    play(main, change=use_small_buffer)
 
 
-def test_pages_pass_undecoded_and_their_rows_are_counted_alike():
+def test_pages_are_passed_on_undecoded_and_their_rows_counted():
     plain = hs2.TRowSet(
         startRowOffset=4,
         rows=[],
@@ -222,9 +226,9 @@
     assert encode(codec, reply) == raw and reply.results._value is None
     assert reply.results == plain and reply.results.columns[0].stringVal.values == [b"a", b"b"]
     rows = Reader(Result(None, (reply.results,)))
-    passed = decode(codec, raw)[0].results
-    reader = Reader(Result(None, (passed,)))
-    assert reader.next(2)[0] is passed and passed._value is None
+    lazy_page = decode(codec, raw)[0].results
+    reader = Reader(Result(None, (lazy_page,)))
+    assert reader.next(2)[0] is lazy_page and lazy_page._value is None
     assert rows.next(2)[0] is reply.results and rows.next(2) == (
         hs2.TRowSet(
             0,
@@ -242,8 +246,8 @@
     assert hs2.row_count(by_row) == 3
 
 
-def test_a_page_whose_fields_stand_in_another_order_is_counted_by_decoding():
-    other = (
+def test_a_page_with_fields_in_another_order_is_counted_by_decoding():
+    encoded = (
         b"\x0a\0\1"
         + b"\0" * 8
         + b"\x0f\0\3\x0c\0\0\0\1"
@@ -252,7 +256,7 @@
         + b"\0"
         + b"\0"
     )
-    page = Lazy(hs2.CODECS["TRowSet"], other)
+    page = Lazy(hs2.CODECS["TRowSet"], encoded)
     assert hs2.row_count(page) == 2 and page.columns[0].i64Val.values == [0, 0]
     with pytest.raises(Malformed):
-        hs2.row_count(Lazy(hs2.CODECS["TRowSet"], other[:5]))
+        hs2.row_count(Lazy(hs2.CODECS["TRowSet"], encoded[:5]))
--- a/tests/frontends/test_http.py
+++ b/tests/frontends/test_http.py
@@ -1,4 +1,4 @@
-"""Thrift over HTTP, and who may come in on either transport."""
+"""Thrift over HTTP, and authentication on both transports."""
 
 import json
 import subprocess
@@ -18,14 +18,14 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
-CHEAP = PasswordHasher(time_cost=1, memory_cost=64, parallelism=1)
+CHEAP_HASHER = PasswordHasher(time_cost=1, memory_cost=64, parallelism=1)
 
 
-def test_a_cookie_stands_for_its_user_and_operations_outlive_connections():
+def test_a_cookie_authenticates_its_user_and_operations_outlive_connections():
     def main(fleet):
         client, again = fleet.client("http"), fleet.client("http")
         assert client.cookie.startswith(b"fennelwind.auth=")
-        client.headers = client.headers[:1]  # from now on the cookie alone
+        client.headers = client.headers[:1]  # from now on only the cookie
         handle = execute(client, "select 1", rows=3)
         client.drop()
         assert ids(fetch(again, handle)) == [0, 1, 2]
@@ -33,7 +33,7 @@
     play(main)
 
 
-def test_a_request_may_come_cut_anywhere_and_in_chunks():
+def test_a_request_may_be_split_anywhere_and_be_chunked():
     def main(fleet):
         client = fleet.client("http")
         raw = client.request("GetInfo", hs2.TGetInfoReq(client.session, hs2.CLI_SERVER_NAME))
@@ -55,7 +55,7 @@
 
 
 @pytest.mark.parametrize(
-    ("raw", "told"),
+    ("raw", "expected_status"),
     [
         (b"GET / HTTP/1.1\r\nHost: x\r\n\r\n", b"405"),
         (b"POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 1000001\r\n\r\n", b"413"),
@@ -72,7 +72,7 @@
     ],
     ids=["get", "large", "chunks", "body", "length", "binary", "head", "basic"],
 )
-def test_bad_requests_get_a_status_and_harm_nobody(raw, told):
+def test_bad_requests_get_an_error_status_and_affect_no_other_client(raw, expected_status):
     def main(fleet):
         good = fleet.client("http")
         stream = fleet.loop.connect(fleet.program.http.listener.address)
@@ -83,13 +83,13 @@
                 answer += data
         except StreamReset:
             pass
-        assert answer.split(b" ")[1] == told
+        assert answer.split(b" ")[1] == expected_status
         assert ids(fetch(good, execute(good, "select 1", rows=1))) == [0]
 
     play(main)
 
 
-def test_a_client_that_goes_while_its_call_waits_leaves_its_query():
+def test_the_query_of_a_client_that_disconnects_is_cancelled():
     def main(fleet):
         client, other = fleet.client("http"), fleet.client("http")
         client.stream.write(
@@ -126,7 +126,7 @@
     play(main)
 
 
-def test_sessions_and_operations_that_nobody_uses_end_by_time():
+def test_unused_sessions_and_operations_expire():
     def main(fleet):
         client = fleet.client("http")
         execute(client, "select 1")
@@ -161,14 +161,14 @@
     assert got[0] == [[i, f"row {i}"] for i in range(1234)] and got[2] == ["id", "name"]
 
 
-# Who may come in.
+# Authentication.
 
 
 @pytest.fixture
 def users(tmp_path):
     (tmp_path / "users.txtpb").write_text(
         "".join(
-            f'users {{ name: "{name}" hash: "{CHEAP.hash(name + " word")}" {more} }}\n'
+            f'users {{ name: "{name}" hash: "{CHEAP_HASHER.hash(name + " word")}" {more} }}\n'
             for name, more in (("ann", ""), ("bo", 'classes: "lookup"'))
         ),
         "utf-8",
@@ -179,7 +179,7 @@
     }
 
 
-def test_passwords_are_checked_on_both_transports_and_nobody_is_somebody_else(users):
+def test_passwords_are_checked_on_both_transports_and_set_the_user(users):
     def main(fleet):
         address = fleet.program.http.listener.address
         ann = HttpClient(fleet.loop, address, "ann", "ann word")
@@ -187,10 +187,10 @@
         for user, password in (("ann", "bo word"), ("nobody", "ann word"), ("", "")):
             with pytest.raises(StreamReset, match="401"):
                 HttpClient(fleet.loop, address, user, password)
-            link = EngineConnection(fleet.loop, fleet.program.address, "sasl", user)
-            link.protocol = type(link.protocol)("sasl", user, password)
+            connection = EngineConnection(fleet.loop, fleet.program.address, "sasl", user)
+            connection.protocol = type(connection.protocol)("sasl", user, password)
             with pytest.raises(Malformed, match="wrong"):
-                link.open()
+                connection.open()
         with pytest.raises(StreamReset):
             fleet.client("buffered")  # no login at all
         bo = HttpClient(fleet.loop, address, "bo", "bo word", opens=False)
@@ -205,7 +205,7 @@
     play(main, **users)
 
 
-def test_a_handle_of_another_user_is_unknown_where_users_are_told_apart(users):
+def test_another_users_handle_is_unknown_with_authentication(users):
     def main(fleet):
         address = fleet.program.http.listener.address
         ann = HttpClient(fleet.loop, address, "ann", "ann word")
@@ -227,7 +227,7 @@
     play(main, **users)
 
 
-def test_the_margin_counts_the_way_of_answers_over_http_too():
+def test_the_answer_margin_is_sampled_over_http():
     def main(fleet):
         client, margin = fleet.client("http"), fleet.program.driver.margin
         execute(client, "select 1")
@@ -236,11 +236,11 @@
     play(main)
 
 
-def test_a_client_that_goes_before_it_hears_that_its_login_failed_harms_nobody(users):
+def test_a_client_that_disconnects_before_its_login_fails_is_cleaned_up(users):
     def main(fleet):
-        link = EngineConnection(fleet.loop, fleet.program.address, "sasl", "ann")
+        connection = EngineConnection(fleet.loop, fleet.program.address, "sasl", "ann")
         stream = fleet.loop.connect(fleet.program.address)
-        stream.write(bytes(link.protocol.outgoing))
+        stream.write(bytes(connection.protocol.outgoing))
         stream.abort()
         fleet.loop.sleep(10_000)
         assert fleet.program.front.malformed + fleet.program.front.cut == 1
@@ -249,7 +249,7 @@
     play(main, **users)
 
 
-def test_wrong_passwords_are_slowed_and_a_herd_of_right_ones_is_checked_once(users):
+def test_wrong_passwords_are_delayed_and_concurrent_equal_logins_checked_once(users):
     def main(fleet):
         address, loop, took = fleet.program.http.listener.address, fleet.loop, []
         for _ in range(6):
@@ -263,42 +263,44 @@
             lambda *a: (checks.append(1), run(*a)),
             fleet.program.service.authenticator._run_check,
         )
-        herd = [loop.spawn(HttpClient, loop, address, "bo", "bo word", name="herd") for _ in range(90)]
-        assert all(client.join().session is not None for client in herd)
+        logins = [loop.spawn(HttpClient, loop, address, "bo", "bo word", name="herd") for _ in range(90)]
+        assert all(client.join().session is not None for client in logins)
         assert len(checks) == 1
 
     play(main, limit=100_000, **users)
 
 
-def test_cookies_can_not_be_made_up_or_kept_for_ever(users):
+def test_forged_and_expired_cookies_are_rejected(users):
     def main(fleet):
-        there = fleet.program.service.authenticator
-        cookie = there.make_cookie("ann")
-        name, until, signature = cookie.split(".")
-        assert there.user_of_cookie(cookie) == "ann"
+        authenticator = fleet.program.service.authenticator
+        cookie = authenticator.make_cookie("ann")
+        name, expiry_ms, signature = cookie.split(".")
+        assert authenticator.user_of_cookie(cookie) == "ann"
         for wrong in (
             "",
             "x",
             "..",
-            f"{b'bo'.hex()}.{until}.{signature}",
+            f"{b'bo'.hex()}.{expiry_ms}.{signature}",
             cookie[:-1] + "é",
-            f"{name}.{int(until) + 1}.{signature}",
-            f"{name}.{until}.",
+            f"{name}.{int(expiry_ms) + 1}.{signature}",
+            f"{name}.{expiry_ms}.",
             "zz.1.x",
             cookie + "0",
         ):
-            assert there.user_of_cookie(wrong) is None
+            assert authenticator.user_of_cookie(wrong) is None
         assert (
-            there.user_of_cookie(authentication.Authenticator(fleet.loop, there.users).make_cookie("ann"))
+            authenticator.user_of_cookie(
+                authentication.Authenticator(fleet.loop, authenticator.users).make_cookie("ann")
+            )
             is None
         )
         fleet.loop.sleep(authentication.COOKIE_LIFETIME_MS)
-        assert there.user_of_cookie(cookie) is None
+        assert authenticator.user_of_cookie(cookie) is None
 
     play(main, limit=10 * authentication.COOKIE_LIFETIME_MS, **users)
 
 
-def test_users_are_read_anew_and_a_file_at_fault_changes_nothing(users):
+def test_users_are_reloaded_and_an_invalid_file_changes_nothing(users):
     def main(fleet):
         path = users["folder"] / "users.txtpb"
         address = fleet.program.http.listener.address
@@ -306,7 +308,7 @@
         path.write_text("users {", "utf-8")
         assert "as before" in fleet.program.reload_users()
         assert outcome(lambda: execute(ann, "select 1")) == "served"
-        path.write_text(f'users {{ name: "cy" hash: "{CHEAP.hash("cy word")}" }}', "utf-8")
+        path.write_text(f'users {{ name: "cy" hash: "{CHEAP_HASHER.hash("cy word")}" }}', "utf-8")
         assert fleet.program.reload_users() == "1 users"
         with pytest.raises(StreamReset, match="401"):
             execute(ann, "select 1")
@@ -316,7 +318,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "told"),
+    ("text", "expected_error"),
     [
         ("users {", "no file of users"),
         ("", "no users"),
@@ -326,18 +328,20 @@
         ('users { name: "a" hash: "$argon2id$x" } users { name: "a" hash: "$argon2id$x" }', "twice"),
     ],
 )
-def test_a_file_of_users_at_fault_is_told_without_its_secrets(tmp_path, text, told):
+def test_errors_of_a_users_file_reveal_no_secrets(tmp_path, text, expected_error):
     (tmp_path / "u").write_text(text, "utf-8")
-    with pytest.raises(UsersError, match=told) as wrong:
+    with pytest.raises(UsersError, match=expected_error) as wrong:
         load_users(tmp_path / "u", ["lookup"])
     assert "secret" not in str(wrong.value)
 
 
-def test_logins_are_counted_by_user_and_address_and_bounded(monkeypatch):
+def test_failed_logins_are_counted_by_user_and_address_in_bounded_memory(monkeypatch):
     throttle = LoginThrottle()
     for count in range(12):
         throttle.failed(f"user {count}", "desk", 0.0)
-    assert throttle.delay_ms("new", "desk", 0.0) == login_throttle.MAX_DELAY_MS  # one who tries many names
+    assert (
+        throttle.delay_ms("new", "desk", 0.0) == login_throttle.MAX_DELAY_MS
+    )  # one address that tries many names
     assert throttle.delay_ms("user 1", "elsewhere", 0.0) == login_throttle.MIN_DELAY_MS
     assert throttle.delay_ms("new", "elsewhere", 0.0) == 0.0
     assert throttle.delay_ms("new", "desk", login_throttle.FAILURE_EXPIRY_MS) == 0.0
--- a/tests/frontends/test_service.py
+++ b/tests/frontends/test_service.py
@@ -1,4 +1,4 @@
-"""The rest of the service as desk tools use it: metadata, logs, progress, old protocols, handles."""
+"""HiveServer2 calls of desktop clients: metadata, logs, progress, old protocols, handles."""
 
 import json
 
@@ -11,7 +11,7 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import decode, encode
 
-CALLS = {
+COLUMNS_BY_CALL = {
     "GetTypeInfo": 1,
     "GetCatalogs": 1,
     "GetSchemas": 2,
@@ -29,17 +29,17 @@
     return client.call(method, request).operationHandle
 
 
-@pytest.mark.parametrize("method", CALLS)
-def test_metadata_calls_are_queries_of_a_class_of_their_own(method):
+@pytest.mark.parametrize("method", COLUMNS_BY_CALL)
+def test_metadata_calls_are_queries_of_the_metadata_class(method):
     def main(fleet):
         client = fleet.client()
         handle = ask(client, method)
-        assert handle.hasResultSet and handle.operationType == list(CALLS).index(method) + 1 - (
+        assert handle.hasResultSet and handle.operationType == list(COLUMNS_BY_CALL).index(method) + 1 - (
             method == "GetCrossReference"
         )
         schema = client.call("GetResultSetMetadata", hs2.TGetResultSetMetadataReq(handle)).schema
         page = fetch(client, handle).results
-        assert len(schema.columns) == len(page.columns) == CALLS[method]
+        assert len(schema.columns) == len(page.columns) == COLUMNS_BY_CALL[method]
         assert page.columns[0].stringVal.values[2] == f"{schema.columns[0].columnName} 2".encode()
         assert ledger(fleet).counts[3] == {"taken": 1, "served": 1}
         assert sum(e.counts.metadata for e in fleet.engines) == 1
@@ -48,7 +48,7 @@
 
 
 @pytest.mark.parametrize("fault", ["refuse", "error", "hang", "lose"])
-def test_metadata_goes_to_another_engine_when_one_fails(fault):
+def test_a_metadata_call_is_retried_at_another_engine(fault):
     def main(fleet):
         client = fleet.client()
 
@@ -56,21 +56,21 @@
             handle = ask(client, "GetTables")
             client.call("CloseOperation", hs2.TCloseOperationReq(handle))
 
-        for _ in range(10):  # what it takes is learnt, as nobody estimates it
+        for _ in range(10):  # so that the policy learns the duration, for which there is no estimate
             call()
         setattr(fleet.engines[0].faults, fault, True)
         for _ in range(12):
             call()
         assert sum(e.counts.metadata for e in fleet.engines) == 22
-        tried = [a[3] for a in fleet.seen.attempts if a[3] != "ok"]
-        assert 0 < len(tried) <= 4  # by then the engine is left alone
+        failed_attempts = [a[3] for a in fleet.seen.attempts if a[3] != "ok"]
+        assert 0 < len(failed_attempts) <= 4  # after that the engine gets no more
 
     play(main)
 
 
 @pytest.mark.parametrize("fault", ["hang", "lose"])
 @pytest.mark.parametrize("engines", [2, 3, 8])
-def test_an_engine_that_passes_probes_and_loses_answers_is_left_alone_within_four_queries(fault, engines):
+def test_an_engine_that_passes_health_checks_but_loses_answers_is_avoided_within_four_queries(fault, engines):
     def main(fleet):
         setattr(fleet.engines[0].faults, fault, True)
         client, seen = fleet.client(), []
@@ -83,7 +83,7 @@
     play(main, engines=engines)
 
 
-def test_metadata_fails_in_time_when_all_engines_lose_it_and_is_refused_without_a_class():
+def test_metadata_fails_in_time_when_all_engines_lose_it_and_is_rejected_without_a_class():
     def main(fleet):
         for engine in fleet.engines:
             engine.faults.lose = True
@@ -101,7 +101,7 @@
     play(without, change=lambda text: text.replace('metadata_class: "metadata"', ""))
 
 
-def test_progress_tasks_and_logs_tell_of_attempts_while_they_run():
+def test_progress_tasks_and_logs_report_running_attempts():
     def main(fleet):
         client = fleet.client()
         fleet.engines[0].faults.error = True
@@ -110,8 +110,8 @@
         while True:
             request = hs2.TGetOperationStatusReq(operationHandle=handle, getProgressUpdate=True)
             seen = client.call("GetOperationStatus", request)
-            told = client.call("FetchResults", hs2.TFetchResultsReq(handle, hs2.FETCH_NEXT, 100, 1))
-            lines += [line.decode() for line in told.results.columns[0].stringVal.values]
+            log_page = client.call("FetchResults", hs2.TFetchResultsReq(handle, hs2.FETCH_NEXT, 100, 1))
+            lines += [line.decode() for line in log_page.results.columns[0].stringVal.values]
             if seen.operationState not in (hs2.PENDING, hs2.RUNNING):
                 break
             done.append(seen.progressUpdateResponse.progressedPercentage)
@@ -123,26 +123,26 @@
         assert lines[0] == "query 1 taken" and lines[-1].startswith("served after")
         assert any(line.startswith("attempt 0: error") for line in lines)
         assert not any("127.0.0.1" in line for line in lines)
-        again = client.call("FetchResults", hs2.TFetchResultsReq(handle, hs2.FETCH_FIRST, 100, 1))
-        assert [v.decode() for v in again.results.columns[0].stringVal.values] == lines
-        whole = client.call("GetLog", hs2.make("TGetLogReq", operationHandle=handle)).log
-        assert whole.splitlines() == lines
+        refetched = client.call("FetchResults", hs2.TFetchResultsReq(handle, hs2.FETCH_FIRST, 100, 1))
+        assert [v.decode() for v in refetched.results.columns[0].stringVal.values] == lines
+        full_log = client.call("GetLog", hs2.make("TGetLogReq", operationHandle=handle)).log
+        assert full_log.splitlines() == lines
 
     play(main, note=50)
 
 
-def test_query_ids_name_the_query_that_runs():
+def test_coalesced_queries_report_the_id_of_the_executing_query():
     def main(fleet):
         clients = [fleet.client() for _ in range(2)]
         handles = [
             execute(c, "build", work=100, asynchronous=True, **{"fennelwind.request": "r"}) for c in clients
         ]
-        told = [
+        prepared_calls = [
             c.protocol.call("GetQueryId", hs2.make("TGetQueryIdReq", operationHandle=h))
             for c, h in zip(clients, handles, strict=True)
         ]
         ids = []
-        for client, (_, raw) in zip(clients, told, strict=True):
+        for client, (_, raw) in zip(clients, prepared_calls, strict=True):
             client.stream.write(raw)
             while not client._replies:
                 client._receive()
@@ -152,7 +152,7 @@
     play(main)
 
 
-def test_old_protocols_get_rows():
+def test_protocols_before_v6_get_row_format():
     def main(fleet):
         client = fleet.client()
         opened = client.call("OpenSession", hs2.TOpenSessionReq(client_protocol=4, username="ann"))
@@ -169,7 +169,7 @@
     play(main)
 
 
-def test_every_type_and_null_is_the_same_by_rows():
+def test_every_type_and_null_converts_to_row_format():
     kinds = {
         "boolVal": ("TBoolColumn", [True, False, True]),
         "byteVal": ("TByteColumn", [1, -2, 3]),
@@ -196,11 +196,11 @@
         assert [getattr(r.colVals[i], name).value for r in got.rows] == [values[0], None, values[2]]
 
 
-def test_handles_of_others_closed_and_guessed_ones_are_unknown():
+def test_closed_and_guessed_handles_are_unknown():
     def main(fleet):
         ann, bo = fleet.client(), fleet.client(user="bo")
         handle = execute(ann, "select 1")
-        same = fetch(bo, handle)  # whoever holds a handle may use it, from any connection, as with Hive
+        same = fetch(bo, handle)  # without authentication a handle is valid on any connection, as in Hive
         assert same.results is not None
         guessed = hs2.TOperationHandle(
             operationId=hs2.THandleIdentifier(handle.operationId.guid, b"\0" * 16),
--- a/tests/thrift/test_thrift.py
+++ b/tests/thrift/test_thrift.py
@@ -1,4 +1,4 @@
-"""The codec against the public package's classes, and against bytes that are wrong."""
+"""The codec compared with the public package's classes, and given invalid bytes."""
 
 import random
 import re
@@ -40,14 +40,14 @@
 
 
 @pytest.mark.parametrize("name", sorted(PUBLIC))
-def test_every_field_of_the_public_package_is_declared_alike(name):
+def test_fields_are_declared_as_in_the_public_package(name):
     ours = {f.number: f for f in hs2.CODECS[name].make.FIELDS}
     spec = [f for f in PUBLIC[name].thrift_spec if f]
     assert spec
     for number, code, label, detail, _ in spec:
         assert (ours[number].name, ours[number].code) == (label, code)
-        own = re.sub(r"lazy<(\w+)>", r"\1", ours[number].type).replace("binary", "string")
-        assert own == public_type(code, detail)
+        declared_type = re.sub(r"lazy<(\w+)>", r"\1", ours[number].type).replace("binary", "string")
+        assert declared_type == public_type(code, detail)
 
 
 def test_methods_of_the_public_package_are_known():
@@ -94,12 +94,14 @@
     )
 
 
-ANY = st.sampled_from(sorted(hs2.TABLES)).flatmap(lambda name: st.tuples(st.just(name), structures(name)))
+ANY_STRUCTURE = st.sampled_from(sorted(hs2.TABLES)).flatmap(
+    lambda name: st.tuples(st.just(name), structures(name))
+)
 
 
 @settings(max_examples=150, deadline=None, derandomize=True)
-@given(ANY)
-def test_what_is_written_is_read_back_and_every_cut_is_incomplete(drawn):
+@given(ANY_STRUCTURE)
+def test_encoding_round_trips_and_truncated_bytes_are_incomplete(drawn):
     name, value = drawn
     raw = encode(hs2.CODECS[name], value)
     assert decode(hs2.CODECS[name], raw) == (value, len(raw))
@@ -144,7 +146,7 @@
 
 
 @pytest.mark.parametrize("value", [REQUEST, ROWS], ids=["request", "rows"])
-def test_the_public_package_reads_ours_and_ours_reads_its(value):
+def test_encoding_is_compatible_with_the_public_package(value):
     name = type(value).__name__
     raw = encode(hs2.CODECS[name], value)
     theirs = PUBLIC[name]()
@@ -154,9 +156,9 @@
     assert decode(hs2.CODECS[name], buffer.getvalue())[0] == value
 
 
-def test_unknown_fields_of_any_type_are_passed_over():
+def test_unknown_fields_of_any_type_are_skipped():
     raw = encode(hs2.CODECS["TStatus"], hs2.TStatus(statusCode=3))[:-1]
-    strange = (
+    unknown_fields = (
         b"\x0d\x00\x63\x0b\x0f"
         + pack(">i", 1)
         + pack(">i", 1)
@@ -168,7 +170,7 @@
         + b"\x0e\x00\x65\x0b"
         + pack(">ii", 1, 0)
     )
-    assert decode(hs2.CODECS["TStatus"], raw + strange + b"\0")[0] == hs2.TStatus(statusCode=3)
+    assert decode(hs2.CODECS["TStatus"], raw + unknown_fields + b"\0")[0] == hs2.TStatus(statusCode=3)
 
 
 @pytest.mark.parametrize(
@@ -177,11 +179,11 @@
         b"\x0b\0\3" + pack(">i", -1),  # negative length
         b"\x0f\0\2\x0b" + pack(">i", -5),  # negative count
         b"\x0f\0\2\x08" + pack(">ii", 1, 0),  # a list of another type
-        b"\x63\0\x09",  # no type
+        b"\x63\0\x09",  # unknown type
     ],
     ids=["length", "count", "element", "type"],
 )
-def test_what_can_never_become_right_is_malformed(raw):
+def test_invalid_bytes_are_malformed(raw):
     with pytest.raises(Malformed):
         decode(hs2.CODECS["TStatus"], raw + b"\0" * 16)
 
@@ -198,7 +200,7 @@
 @pytest.mark.parametrize(
     "inner", [b"\x0c\0\1", b"\x0f\0\1" + b"\x0f\0\0\0\1" * 20_000], ids=["structs", "lists"]
 )
-def test_nesting_10000_deep_is_refused_without_recursion(inner):
+def test_nesting_10000_deep_is_rejected_without_recursion(inner):
     body = inner * (10_000 if inner[0] == 12 else 1)
     raw = b"\x80\1\0\1" + pack(">i", 6) + b"Strang" + pack(">i", 1) + body
     with pytest.raises(Malformed, match="deep"):
@@ -209,7 +211,7 @@
 
 @pytest.mark.parametrize("strict", [True, False])
 @pytest.mark.parametrize("transport", [BUFFERED, FRAMED, SASL])
-def test_messages_cut_at_every_byte_and_two_in_one_piece(transport, strict):
+def test_messages_are_read_byte_by_byte_and_two_at_once(transport, strict):
     payload = write_message("ExecuteStatement", CALL, 7, REQUEST, strict)
     side = ServerSide()
     if transport == SASL:
@@ -228,24 +230,24 @@
     assert side.wrap(payload) == raw
 
 
-def test_the_scanner_looks_at_each_byte_once():
+def test_the_scanner_never_moves_backwards():
     payload = write_message("FetchResults", REPLY, 1, ROWS)
     scanner, buf, ends = MessageScanner(1 << 20), bytearray(), []
-    places = []
+    positions = []
     for byte in payload:
         buf.append(byte)
         ends.append(scanner.scan(buf))
-        places.append(scanner.pos)
+        positions.append(scanner.pos)
     assert ends == [None] * (len(payload) - 1) + [len(payload)]
-    assert places == sorted(places)
+    assert positions == sorted(positions)
 
 
-def test_an_unknown_method_is_named_and_its_body_passed_over():
+def test_an_unknown_method_is_named_and_its_body_skipped():
     raw = write_message("GetInfo", CALL, 3, hs2.TGetInfoReq(infoType=1)).replace(b"GetInfo", b"GetLost")
     assert read_message(raw) == (Message("GetLost", CALL, 3, None), len(raw))
 
 
-def test_exceptions_of_the_protocol_are_carried():
+def test_protocol_exceptions_round_trip():
     body = messages.TApplicationException("no such method", messages.UNKNOWN_METHOD)
     raw = write_message("GetLost", EXCEPTION, 3, body)
     assert read_message(raw)[0] == Message("GetLost", EXCEPTION, 3, body)
@@ -265,12 +267,12 @@
         b"\x7f\xff\xff\xff\x80\1",
     ],
 )
-def test_peers_that_speak_something_else_are_told_apart(raw):
+def test_other_protocols_are_malformed(raw):
     with pytest.raises(Malformed):
         ServerSide().receive(raw)
 
 
-def test_random_damage_never_ends_in_anything_but_a_named_error():
+def test_random_corruption_raises_only_malformed_or_incomplete():
     rnd, payload = random.Random(11), write_message("FetchResults", REPLY, 1, ROWS)
     outcomes = set()
     for _ in range(4000):
@@ -286,7 +288,7 @@
     assert outcomes == {"read", "Malformed", "Incomplete"}
 
 
-def test_tables_that_are_wrong_are_refused():
+def test_invalid_tables_are_rejected():
     assert [wire_type(t) for t in ("bool", "list<i32>", "map<string,i32>", "TStatus")] == [2, 15, 13, 12]
     with pytest.raises(ValueError, match="no field"):
         parse_fields("one name i32")
