--- a/tests/support/fuzz.py
+++ b/tests/support/fuzz.py
@@ -144,8 +144,8 @@
         transport, raw = sent(random, messages)
         for side in (
             ServerSide(100_000),
-            ClientSide("buffered", most=100_000),
-            ClientSide("framed", most=100_000),
+            ClientSide("buffered", max_message_bytes=100_000),
+            ClientSide("framed", max_message_bytes=100_000),
         ):
             pos = 0
             try:
@@ -156,8 +156,8 @@
                     pos += size
             except ThriftError:
                 pass
-            if side.waiting > 200_000:
-                raise AssertionError(f"{side.waiting} bytes kept")
+            if side.unconsumed_bytes > 200_000:
+                raise AssertionError(f"{side.unconsumed_bytes} bytes kept")
     return 1000
 
 
