--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -68,9 +68,8 @@
     AnswerKind.CANCELLED: hs2.CANCELED,
 }
 
-PendingReply = Callable[
-    [], tuple[Structure, Entry | None]
-]  # waits, then returns the reply and the entry that it answers
+# Waits, then returns the reply and the entry whose answer it delivers, if any.
+PendingReply = Callable[[], tuple[Structure, Entry | None]]
 
 
 class BadRequestError(Exception):
--- a/tests/support/fleet.py
+++ b/tests/support/fleet.py
@@ -1,4 +1,4 @@
-"""A small fleet on any loop: settings, stand-in engines, a controller, and a client."""
+"""A small fleet on any loop: settings, emulated engines, a controller, and a client."""
 
 import base64
 from pathlib import Path
@@ -43,7 +43,7 @@
 
 
 class Seen:
-    """An observer that keeps everything."""
+    """An observer that records every event."""
 
     def __init__(self):
         self.answers, self.attempts, self.texts, self.failures = [], [], [], []
@@ -65,7 +65,7 @@
 
 
 class HttpClient:
-    """Speaks Thrift over HTTP as `Link` does over its transports; `session` None: it opens none."""
+    """Thrift client over HTTP with the calls of `EngineConnection`; without `opens`, it opens no session."""
 
     def __init__(self, loop, address, user="ann", password="x", opens=True):
         self.loop, self.stream = loop, loop.connect(address)
@@ -97,7 +97,7 @@
         )
 
     def answer(self):
-        """Return the status and body of the next answer."""
+        """Return the status and body of the next response."""
         status, body = None, b""
         while True:
             event = self.http.next_event()
--- a/tests/support/fuzz.py
+++ b/tests/support/fuzz.py
@@ -1,12 +1,13 @@
-"""Fuzzes what clients can send: python tests/support/fuzz.py SECONDS [SEED]; not collected by pytest.
+"""Fuzzes the HiveServer2 frontends: python tests/support/fuzz.py SECONDS [SEED]; not collected by pytest.
 
-Valid calls over every transport and HTTP are bent (bytes flipped, cut, doubled, lengths changed) and sent in
-pieces to a front in virtual time. After each round of 300 inputs the front has to be empty, no task may have
-broken, and a good client is served. Bent messages also go straight through codec and framings. Prints the
-count of inputs and the resident memory as it goes; ends with status 1 at the first thing that went wrong.
+Valid calls over every transport and HTTP are corrupted (bytes flipped, cut, doubled, lengths changed) and
+sent in pieces to a frontend in virtual time. After each round of 300 inputs the frontend must have no
+connections, sessions or operations left, no task may have failed, and a valid client must be served.
+Corrupted messages are also given directly to codec and transports. Prints the number of inputs and the
+resident memory while running; exits with status 1 at the first failure.
 """
 
-import search_paths  # noqa: F401 - for a play that is run by hand
+import search_paths  # noqa: F401 - for a script that is run directly
 
 # isort: split
 
@@ -23,8 +24,10 @@
 from fennelwind.thrift.messages import CALL, REPLY, write_message
 from fennelwind.thrift.transport import ClientSide, ServerSide
 
-ROUND = 300
-HEADS = b"POST /cliservice HTTP/1.1\r\nHost: x\r\nAuthorization: Basic YTpi\r\nContent-Length: %d\r\n\r\n"
+INPUTS_PER_ROUND = 300
+HTTP_HEADERS = (
+    b"POST /cliservice HTTP/1.1\r\nHost: x\r\nAuthorization: Basic YTpi\r\nContent-Length: %d\r\n\r\n"
+)
 
 
 def calls():
@@ -41,54 +44,56 @@
     return [write_message(name, CALL, i + 1, body, strict=i % 3 > 0) for i, (name, body) in enumerate(made)]
 
 
-def bend(random, raw):
+def corrupt(random, raw):
     raw = bytearray(raw)
     for _ in range(random.choice((0, 1, 1, 2, 5))):
         if not raw:
             break
-        at = random.randrange(len(raw))
+        position = random.randrange(len(raw))
         match random.randrange(7):
             case 0:
-                raw[at] ^= 1 << random.randrange(8)
+                raw[position] ^= 1 << random.randrange(8)
             case 1:
-                del raw[at : at + random.randrange(1, 9)]
+                del raw[position : position + random.randrange(1, 9)]
             case 2:
-                raw[at:at] = random.randbytes(random.randrange(1, 9))
+                raw[position:position] = random.randbytes(random.randrange(1, 9))
             case 3:
-                raw[at : at + 4] = random.choice((b"\xff" * 4, b"\x7f\xff\xff\xff", b"\0" * 4, b"\0\1\0\0"))
+                raw[position : position + 4] = random.choice(
+                    (b"\xff" * 4, b"\x7f\xff\xff\xff", b"\0" * 4, b"\0\1\0\0")
+                )
             case 4:
-                raw[at:at] = raw[at : at + random.randrange(1, 40)]
+                raw[position:position] = raw[position : position + random.randrange(1, 40)]
             case 5:
-                raw[at] = random.choice(b"\x0b\x0c\x0d\x0f\0\r\n:")
+                raw[position] = random.choice(b"\x0b\x0c\x0d\x0f\0\r\n:")
             case 6:
-                del raw[at:]
+                del raw[position:]
     return bytes(raw)
 
 
-def sent(random, messages):
-    """Return bytes as a client of some transport would send them, bent before or after they are framed."""
+def random_input(random, messages):
+    """Return bytes as a client of a random transport sends them, corrupted before or after framing."""
     chosen = [random.choice(messages) for _ in range(random.randrange(1, 4))]
-    chosen = [bend(random, m) if random.random() < 0.5 else m for m in chosen]
+    chosen = [corrupt(random, m) if random.random() < 0.5 else m for m in chosen]
     transport = random.choice(("buffered", "framed", "sasl", "http", "http"))
     if transport == "http":
-        raw = b"".join(HEADS % len(m) + m for m in chosen)
+        raw = b"".join(HTTP_HEADERS % len(m) + m for m in chosen)
     elif transport == "buffered":
         raw = b"".join(chosen)
     else:
         raw = b"".join(len(m).to_bytes(4, "big") + m for m in chosen)
         if transport == "sasl":
             raw = bytes(ClientSide("sasl", "ann", "x").outgoing) + raw
-    return transport, bend(random, raw) if random.random() < 0.7 else raw
+    return transport, corrupt(random, raw) if random.random() < 0.7 else raw
 
 
-def play(seed):
-    """Play a round against a front; return what went wrong."""
-    loop, random, wrong = SimLoop(seed), Random(seed), []
-    loop.on_error = lambda task, exc: wrong.append(f"{task.name}: {exc!r}")
+def run_round(seed):
+    """Run a round against a frontend; return the failures."""
+    loop, random, failures = SimLoop(seed), Random(seed), []
+    loop.on_error = lambda task, exc: failures.append(f"{task.name}: {exc!r}")
     messages = calls()
 
-    def visit(fleet):
-        transport, raw = sent(random, messages)
+    def send_input(fleet):
+        transport, raw = random_input(random, messages)
         front = fleet.program.http if transport == "http" else fleet.program.front
         stream = loop.connect(front.listener.address)
         try:
@@ -108,32 +113,32 @@
 
     def main():
         fleet = Fleet(loop, change=lambda text: text.replace("max_connections: 100", "max_connections: 900"))
-        visits = [loop.spawn(visit, fleet, name="visit") for _ in range(ROUND)]
-        for each in visits:
+        tasks = [loop.spawn(send_input, fleet, name="visit") for _ in range(INPUTS_PER_ROUND)]
+        for each in tasks:
             each.join()
         loop.sleep(100_000)
         program = fleet.program
-        left = (
+        remaining = (
             program.front.connections,
             program.http.connections,
             program.service.sessions,
             program.service.operations,
             program.driver.ledger.entries,
         )
-        if any(left):
-            wrong.append(f"left behind: {[len(each) for each in left]}")
+        if any(remaining):
+            failures.append(f"left behind: {[len(each) for each in remaining]}")
         for client in (fleet.client(), HttpClient(loop, fleet.program.http.listener.address)):
             if outcome(lambda c=client: execute(c, "select 1")) != "served":
-                wrong.append("a good client is not served")
+                failures.append("a good client is not served")
         if fleet.seen.failures:
-            wrong.append(repr(fleet.seen.failures))
+            failures.append(repr(fleet.seen.failures))
 
     loop.run(main)
-    return wrong
+    return failures
 
 
-def straight(seed):
-    """Put bent calls and replies through the two sides; return how many."""
+def fuzz_transports(seed):
+    """Give corrupted calls and replies directly to both sides of the transports; return their number."""
     random = Random(seed)
     column = hs2.make("TStringColumn", values=[b"x"] * 9, nulls=b"")
     page = hs2.TRowSet(0, [], [hs2.TColumn(stringVal=column)])
@@ -141,7 +146,7 @@
         write_message("FetchResults", REPLY, 1, hs2.TFetchResultsResp(hs2.TStatus(0), False, page))
     ]
     for _ in range(1000):
-        transport, raw = sent(random, messages)
+        transport, raw = random_input(random, messages)
         for side in (
             ServerSide(100_000),
             ClientSide("buffered", max_message_bytes=100_000),
@@ -162,16 +167,16 @@
 
 
 def main(seconds, seed):
-    until, inputs, told = time.monotonic() + seconds, 0, 0.0
-    while time.monotonic() < until:
-        wrong = play(seed)
-        if wrong:
-            print(f"seed {seed}: {wrong[:5]}")
+    deadline_s, inputs, last_report_s = time.monotonic() + seconds, 0, 0.0
+    while time.monotonic() < deadline_s:
+        failures = run_round(seed)
+        if failures:
+            print(f"seed {seed}: {failures[:5]}")
             return 1
-        inputs += ROUND + straight(seed)
+        inputs += INPUTS_PER_ROUND + fuzz_transports(seed)
         seed += 1
-        if time.monotonic() - told > 60:
-            told = time.monotonic()
+        if time.monotonic() - last_report_s > 60:
+            last_report_s = time.monotonic()
             print(f"{inputs} inputs, {resident_mb('self'):.1f} MB", flush=True)
     print(f"{inputs} inputs, next seed {seed}, {resident_mb('self'):.1f} MB: nothing wrong")
     return 0
