--- a/tests/schema_compatibility/test_contracts.py
+++ b/tests/schema_compatibility/test_contracts.py
@@ -297,8 +297,8 @@
     assert rules(gate.propose("t", "").readers[0].found) == ["table-dropped"]
     gate.clock += MIN_TERM_MS
     assert not gate.propose("t", "").refusal
-    gone = gate.register("report", u="a int")
-    assert rules(gone.since) == ["table-dropped"] and not gone.refusal
+    returned = gate.register("report", u="a int")
+    assert rules(returned.since) == ["table-dropped"] and not returned.refusal
     gate.register("other", v="a int")
     assert not gate.propose("v", "a int").refusal
     gate.clock += MIN_TERM_MS
--- a/tests/support/contracts_model.py
+++ b/tests/support/contracts_model.py
@@ -223,13 +223,13 @@
         else:
             made = None if dropped else self.numbered(known.schema if known else None, schema, text)
             broken = self.broken_subscribers(table, made, publisher.lower())
-            told = {
+            reported = {
                 name
                 for each in answer.readers
                 for name in each.names
                 if any(RULES[found.rule].level == Level.BROKEN for found in each.found)
             }
-            assert told == broken, (told, broken)
+            assert reported == broken, (reported, broken)
             expected_refusal = pb.BROKEN if broken else pb.MOVING if table in self.moving else pb.NONE
             assert answer.refusal == expected_refusal, (answer, broken)
             if not answer.refusal:
@@ -374,16 +374,16 @@
         table = next((t for t, c in self.change.items() if c["number"] == number), None)
         change = self.change.get(table, {"fence": 1, "step": 0})
         ((kind, make),) = what.items()
-        told = make(change["fence"])
-        answer = self.do(**{kind: told})
+        command = make(change["fence"])
+        answer = self.do(**{kind: command})
         holds = change["step"] > 0 and change["fence"] == self.fence.get(f"table:{table}", 0) > 0
         assert not holds or answer.refusal != pb.FENCE
         if not answer.refusal:
             assert holds
             if kind == "mark":
-                if change["states"][told.engine] == pb.Change.BEHIND != told.state:
-                    self.behind[table].discard(told.engine)
-                change["states"][told.engine] = told.state
+                if change["states"][command.engine] == pb.Change.BEHIND != command.state:
+                    self.behind[table].discard(command.engine)
+                change["states"][command.engine] = command.state
             elif kind == "turn":
                 change["step"] = 2
         return answer
