--- a/tests/cluster/test_council_world.py
+++ b/tests/cluster/test_cluster_world.py
@@ -3,8 +3,8 @@
 from types import SimpleNamespace
 
 import pytest
+from cluster_chaos import Chaos
 from cluster_world import Cluster
-from council_chaos import Chaos
 from sums import Sum
 
 from fennelwind.cluster import disaster_recovery
--- a/tests/cluster/test_clearance_processes.py
+++ b/tests/cluster/test_quiescence_processes.py
@@ -2,7 +2,7 @@
 
 Checked by events at the engines, which run in this process: no query starts where the replica is missing,
 except from a process stopped or cut off beyond all timeouts, and none runs on a replica being dropped.
-`python tests/cluster/test_clearance_processes.py` runs all scenarios; the test runs the first ones.
+`python tests/cluster/test_quiescence_processes.py` runs all scenarios; the test runs the first ones.
 """
 
 import itertools
--- a/tests/cluster/test_quiescence_program.py
+++ b/tests/cluster/test_quiescence_program.py
@@ -3,7 +3,7 @@
 import pytest
 import test_shard_migrations_program as moves
 from fleet import Fleet, Seen, execute, outcome, status
-from test_gate import FOLLOWER, OLD, WIDER, alter, alter_selector  # noqa: F401 - a fixture
+from test_schema_gate import FOLLOWER, OLD, WIDER, alter, alter_selector  # noqa: F401 - a fixture
 
 from fennelwind import config, policy
 from fennelwind.cli.program import Program
--- a/tests/cluster/test_shard_migrations_program.py
+++ b/tests/cluster/test_shard_migrations_program.py
@@ -3,7 +3,7 @@
 import pytest
 from cluster_world import Cluster
 from fleet import Fleet, Seen, execute, outcome
-from test_gate import FOLLOWER
+from test_schema_gate import FOLLOWER
 
 from fennelwind import config, policy
 from fennelwind.cli.program import Program
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -9,10 +9,10 @@
 
 # Files whose tests start processes or take times: one of them at a time, whatever else runs beside.
 PROCESSES = {
-    "test_clearance_processes",
+    "test_quiescence_processes",
     "test_cli",
-    "test_council_processes",
-    "test_council_program",
+    "test_cluster_processes",
+    "test_cluster_program",
     "test_disks",
     "test_known_red",
     "test_node_run",
--- a/tests/support/council_chaos.py
+++ b/tests/support/cluster_chaos.py
@@ -1,6 +1,6 @@
 """Fault injection: members, followers, clients and a leased task in virtual time, with random faults.
 
-`python tests/support/council_chaos.py 1000 0` plays seeds 0 to 999 and prints which ones failed, how, and the
+`python tests/support/cluster_chaos.py 1000 0` plays seeds 0 to 999 and prints which ones failed, how, and the
 counts of faults and outcomes; a third argument `hard` adds more kinds of faults, several at once among them.
 """
 
--- a/tests/support/keeper_defects.py
+++ b/tests/support/cluster_defects.py
@@ -1,6 +1,6 @@
-"""Defects planted in fennelwind/cluster, and the seed of `council_chaos` that detects each.
+"""Defects planted in fennelwind/cluster, and the seed of `cluster_chaos` that detects each.
 
-`python tests/support/keeper_defects.py 60` plants each in turn and plays up to 60 seeds.
+`python tests/support/cluster_defects.py 60` plants each in turn and plays up to 60 seeds.
 """
 
 import search_paths  # noqa: F401 - for runs from the command line
@@ -13,7 +13,7 @@
 from typing import NamedTuple
 from unittest.mock import patch
 
-from council_chaos import FAULTS, Chaos
+from cluster_chaos import FAULTS, Chaos
 from planted import Line, broken, planted, row
 
 from fennelwind.cluster.applied_state import AppliedState
--- a/tests/support/council_storm.py
+++ b/tests/support/council_storm.py
@@ -17,7 +17,7 @@
 from pathlib import Path
 from random import Random
 
-from test_council_processes import check_run, flip, wait_for_answers
+from test_cluster_processes import check_run, flip, wait_for_answers
 
 from fennelwind.testbed.councilrig import ACT, CouncilRig
 from fennelwind.testbed.processes import RigFailed
