--- a/tests/cli/test_errors.py
+++ b/tests/cli/test_errors.py
@@ -17,7 +17,7 @@
     "thrift/codec.py": {"ThriftError"},
     "dispatch/sessions.py": {"SessionError"},
     "frontends/hiveserver2/service.py": {"BadRequestError", "UnknownHandleError"},
-    "frontends/hiveserver2/http.py": {"_Refused"},
+    "frontends/hiveserver2/http.py": {"_HttpError"},
     "client/errors.py": {"Warning", "Error"},
     "emulators/engine.py": {"_Hang"},
     "emulators/shelves.py": {"Refused"},
