--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -19,7 +19,7 @@
     fleet: str
     me: str  # this controller's name; if it is a member, a key of `members`
     members: dict[str, Address]  # by name: the address to connect to
-    folder: Path | None = None  # of the log; None: this controller is no member
+    folder: Path | None = None  # of the log; None if this controller isn't a member
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
     reserve_bytes: int = 0  # reserved on the disk, so that a snapshot can replace the log on a full disk
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -79,7 +79,7 @@
         while True:
             try:
                 answer = self._register(number)
-            except ClusterError as exc:  # the log's level may be too low for a registry
+            except ClusterError as exc:  # the replicated state's level may still be too low for this registry
                 self.counts[exc.code] += 1
                 self.loop.sleep(RETRY_MS)
                 continue
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -430,7 +430,7 @@
         )
 
     def close(self) -> None:
-        """Close the connection."""
+        """Close the connection to the current member, if there is one."""
         if self._connection is not None:
             self._connection.close()
 
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -156,7 +156,7 @@
         """Run a call that must not fail; if it raises, close the member rather than let it run partly."""
         try:
             call()
-        except Exception as exc:  # a defect; the loop reports the traceback
+        except Exception as exc:  # a bug; raised again, so that the loop reports the traceback
             self._log("raft host failed", {"text": f"{type(exc).__name__}: {exc}"[:300]})
             self.loop.spawn(self.close, name="keeper: close")
             raise
--- a/fennelwind/cluster/running_work.py
+++ b/fennelwind/cluster/running_work.py
@@ -1,4 +1,4 @@
-"""The running tasks of a lease holder, and their outcomes, queued as events for its core."""
+"""Runs the tasks of a lease holder and queues their outcomes as events for its core."""
 
 from collections import deque
 from collections.abc import Callable
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -225,7 +225,7 @@
     # The replicated state.
 
     def _declare_shards(self) -> None:
-        """Declare shards of the settings that are missing from the replicated state or differ there."""
+        """Declare the configured shards that are missing from the replicated state or differ from it."""
         known, new = self.machine.shards, []
         for configured in self.migrations.shards:
             shard = known.get(configured.name)
@@ -337,7 +337,7 @@
             self.migrations.counts[exc.code] += 1
             self.work.post(api.CommandAnswered(action.token, None))
             return
-        index = self._read_state()  # includes the command
+        index = self._read_state()  # the state read, and posted to the core, includes the command
         self.work.post(api.CommandAnswered(action.token, pb.Answer.FromString(body), index))
 
     def _plan(self, action: api.ComputePlan) -> None:
--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -214,7 +214,7 @@
     def _notify_router(
         self, router: Router, entry: Entry, number: int, end: AttemptEnd, deadline_ms: float
     ) -> None:
-        """Report an attempt's end; `deadline_ms` is its deadline if its engine may still run it, else 0."""
+        """Report an attempt's end; `deadline_ms` is the attempt's if the engine may still run it, else 0."""
         stream = end.result.stream if end.result is not None else None
         if stream is not None:
             stream.on_end = lambda: router.attempt_ended(entry.query, number)
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -49,9 +49,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """An engine's answer: schema and pages as the service's structures, None without a result set.
+    """An engine's answer: schema and pages as Thrift structures; no schema without a result set.
 
-    `error` is the engine's status if the statement itself is at fault, which is an answer like any other.
+    `error`: the engine's status if the statement itself is at fault; it is an answer, not a failed attempt.
     """
 
     schema: Any = None
--- a/fennelwind/engines/row_stream.py
+++ b/fennelwind/engines/row_stream.py
@@ -21,7 +21,7 @@
 from fennelwind.thrift.codec import Malformed, Structure
 
 PAGE_TIMEOUT_MS = 30_000.0  # for an engine to send a page of a finished result
-IDLE_TIMEOUT_MS = 60_000.0  # without a client's request; past it connection and operation are dropped
+IDLE_TIMEOUT_MS = 60_000.0  # without a client's request, after which connection and operation are dropped
 MAX_STREAM_SHARE = 0.5  # of an engine's connections; the others are reserved for new statements
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class StreamCounts:
-    """Number of streamed results, over all engines of a controller."""
+    """How many streamed results have begun and how many were lost, over all engines of a controller."""
 
     begun: int = 0
     lost: int = 0
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -15,9 +15,9 @@
 from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
-MAX_REQUESTS_PER_COMMAND = 512  # a controller wants about fifty tasks
-MAX_TASKS = 4096  # four times the tasks of a thousand tables and of the controllers themselves
-MAX_WAITERS_PER_TASK = 256  # there are two hundred controllers
+MAX_REQUESTS_PER_COMMAND = 512  # a controller requests about fifty tasks
+MAX_TASKS = 4096  # four times as many as a thousand tables and the controllers themselves need
+MAX_WAITERS_PER_TASK = 256  # more than a fleet's two hundred controllers, each of which may wait
 MAX_WAITERS = 32_768  # over all tasks; about 60 bytes each in a snapshot
 MAX_NAME_BYTES = 256  # of a task or controller name
 MAX_INCARNATION_BYTES = 32
--- a/fennelwind/load_balancing/load_estimate.py
+++ b/fennelwind/load_balancing/load_estimate.py
@@ -91,7 +91,7 @@
             zone_load.add(load)
 
     def add_sent_threads(self, engine: str, threads: float) -> None:
-        """Count threads sent to an executor since its latest report."""
+        """Add a sent attempt's threads to those sent to the executor since its latest report."""
         report = self.reports.get(engine)
         if report is not None:
             report.sent_threads += threads
--- a/fennelwind/node/http1.py
+++ b/fennelwind/node/http1.py
@@ -1,8 +1,8 @@
 """Parses HTTP/1.1 responses and server-sent events, incrementally and within limits. No I/O.
 
 This is not built on h11, which reads the same answers at a fraction of the speed (docs/results/platform.md):
-with part of a core, the cost of a call decides how many queries are served. Parsing is strict, and anything
-invalid raises `MalformedResponseError`: a lenient parser would take a damaged head for an answer.
+on only part of a core, the cost per call decides how many queries are served. Parsing is strict, and
+anything invalid raises `MalformedResponseError`: a lenient parser would accept a damaged head as an answer.
 """
 
 import re
--- a/fennelwind/node/request_validation.py
+++ b/fennelwind/node/request_validation.py
@@ -18,7 +18,7 @@
 NUMBER = re.compile(r"[0-9]{1,12}(?:\.[0-9]{1,9})?")
 IS_RETRY = "1"  # the only valid value of the retry field
 MAX_WORK_MS = 1e9  # ms of work; an estimate of more than 11 days is invalid
-MAX_MEMORY_MB = 1e7  # MB; so is one of more than 10 TB
+MAX_MEMORY_MB = 1e7  # MB; an estimate of more than 10 TB is invalid
 # A timeout above this multiple of the class's client timeout plus the slack is rejected. Clients add the time
 # on the network, so the class's timeout itself would be too strict a maximum.
 MAX_TIMEOUT_MULTIPLE = 2.0
--- a/fennelwind/policy/concurrency.py
+++ b/fennelwind/policy/concurrency.py
@@ -93,9 +93,10 @@
     def is_share_exhausted(self, query: Query) -> bool:
         """Return whether the fair share has no capacity left for the query.
 
-        Each engine takes one query of a gateway whatever its limit, so all gateways together could
-        oversubscribe the engines. One query may always run, else a gateway whose share is less would never
-        serve. In congestion only long queries are held back: short ones use little, and would be late.
+        Limits per engine aren't enough: a gateway may run one query on each engine whatever the limit, so all
+        gateways together could oversubscribe the engines. One query may always run; otherwise a gateway whose
+        share is less than one query would serve none. In congestion only long queries are held back: short
+        ones use little, and would be late.
         """
         if query.is_short:
             running_threads = self.running_threads[1]
--- a/fennelwind/policy/selection.py
+++ b/fennelwind/policy/selection.py
@@ -101,7 +101,7 @@
         median_slowdown: float,
         now_ms: float,
     ) -> dict[Engine, float]:
-        """Return the load that each engine with capacity would have with the query, by size and speed."""
+        """Return each engine's load with the query added, by cores and speed; full engines are left out."""
         threads, advice = query.query_class.threads, self.load_advice
         highest_load = max(advice.values(), default=0.0)  # for engines missing in the advice
         limit, warm_up_fraction = self.concurrency.limit, self.slow_start.warm_up_fraction
@@ -124,7 +124,7 @@
         max_load = min(loads.values()) + (TIE_LOAD_SHARE if self.load_advice else TIE_THREADS_PER_CORE)
         tied = [engine for engine, load in loads.items() if load <= max_load]
         table_group, zone = query.request.table_group, self.settings.zone
-        if self.load_advice:  # its order differs by gateway, so that open connections are reused
+        if self.load_advice:  # `tied` keeps its order, which differs by gateway to reuse open connections
             return min(tied, key=lambda engine: table_group not in engine.cached_table_groups)
         return min(
             tied,
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -87,7 +87,7 @@
         return len(self._by_fingerprint)
 
     def find(self, fingerprint: bytes) -> SharedRequest[EntryT] | None:
-        """Return the open request with a fingerprint, or None."""
+        """Return the open request with this fingerprint, or None."""
         return self._by_fingerprint.get(fingerprint)
 
     def track(self, fingerprint: bytes, executing: EntryT, waiting: EntryT) -> SharedRequest[EntryT] | None:
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -60,7 +60,7 @@
 )
 
 MAX_TABLES = 20_000
-MAX_SUBSCRIPTIONS = 50_000  # in total, equal ones of one name counted once
+MAX_SUBSCRIPTIONS = 50_000  # in total; equal ones under one name count once
 MAX_SUBSCRIPTIONS_PER_NAME = 64  # program versions that run side by side share one name
 MAX_CHANGES = 1000  # in progress at a time
 MAX_ENGINES = 1000  # per change
@@ -70,8 +70,8 @@
 MAX_ENDED_CHANGES = 4096  # whose outcome is remembered
 MIN_TERM_MS, MAX_TERM_MS = 10_000, 30 * 24 * 3600 * 1000  # of a subscription's term
 BEGIN_TIMEOUT_MS = 60_000  # after its admission, a change that has not begun lapses
-MOVE_BLOCK_MS = 180_000  # a change refused because of moves blocks new ones: a move and its rest
-MOVE_GRACE_MS = 120_000  # then another refusal does not block moves, so that they progress
+MOVE_BLOCK_MS = 180_000  # a change refused because of moves blocks new moves this long: a move and its rest
+MOVE_GRACE_MS = 120_000  # for this long after that, another refusal blocks no moves, so that they progress
 RETRY_AFTER_MS = 5000  # retry delay sent with a refusal
 
 FINISHED, UNDONE, WITHDRAWN, LAPSED = 1, 2, 3, 4  # outcomes of changes
--- a/fennelwind/schema_compatibility/types.py
+++ b/fennelwind/schema_compatibility/types.py
@@ -334,7 +334,7 @@
 
 
 def parse_text(grammar: pp.ParserElement, text: str) -> pp.ParseResults:
-    """Parse a text, whose length and nesting are limited before parsing. Raises `SchemaTextError`."""
+    """Check a text's length and nesting, then parse it. Raises `SchemaTextError`."""
     if len(text) > MAX_TEXT_LENGTH:
         raise SchemaTextError(f"{len(text)} letters, where {MAX_TEXT_LENGTH} are taken", letters=len(text))
     depth = 0
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -48,7 +48,7 @@
     cancels: dict[int, str] = field(default_factory=dict)  # reason by number
     keeps: set[int] = field(default_factory=set)  # migrations that continue without their drop
     good_now: dict[str, set[str]] = field(default_factory=dict)  # by shard: engines with a good replica
-    # the same, when the continuing migrations have ended
+    # by shard: engines with a good replica once the continuing migrations have ended
     good_at_end: dict[str, set[str]] = field(default_factory=dict)
     # by shard: live engines with a doubtful replica
     doubtful: dict[str, set[str]] = field(default_factory=dict)
@@ -59,9 +59,9 @@
     brought_by: dict[tuple[str, str], int] = field(default_factory=dict)
     # replicas whose drop continuing migrations wait for
     to_clear: set[tuple[str, str]] = field(default_factory=set)
-    # planned migrations that balance alone can be the reason for
+    # planned migrations whose only possible reason is balance
     balance_only: list[Migration] = field(default_factory=list)
-    # replicas of cancelled migrations, dropped without a further migration
+    # replicas left by cancelled migrations; they are dropped without a migration of their own
     cancelled_copies: set[tuple[str, str]] = field(default_factory=set)
     # by shard: engines whose replica is being dropped or is doubtful
     leaving_or_doubtful: dict[str, set[str]] = field(default_factory=dict)
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -654,7 +654,7 @@
         )
 
     def _at_undoing(self, move: Migration, work: _MigrationWork) -> None:
-        # on its current disk, whichever that is
+        # A replica on the target counts even if its disk has been replaced since the migration began.
         has_replica = move.target in self.machine.copies.get(move.shard, {})
         if work.phase == "dropped" or not has_replica:
             return self._request_step(move, Step.UNDONE)
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -1,10 +1,10 @@
 """Routes queries that name shards to engines with good replicas, through the policy module. No I/O, no clock.
 
-The module selects engines for a query by its class's engine kinds, whenever it sends it: at once, after
-waiting, or after a failure. So each kind is split by which of a few slots an engine belongs to, and each
-class by the slot that its query needs. A slot stands for a set of shards that queries name; updates of the
-endpoint list say which engines belong to it. Queries that name no shards keep their class, and without slots
-nothing changes.
+Whenever the module sends a query (at once, after waiting, or after a failure), it selects engines by the
+engine kinds of the query's class. So each kind is split by which of a few slots an engine belongs to, and
+each class by the slot that its query needs. A slot stands for a set of shards that queries name; updates of
+the endpoint list say which engines belong to it. Queries that name no shards keep their class, and without
+slots nothing changes.
 
 Queries for which no slot is available depend on `may_send`, which is called before each attempt in any case:
 a replica may have started to leave in the meantime.
@@ -113,7 +113,7 @@
         return self._changed_entries(before)
 
     def _allowed(self, shards: tuple[str, ...]) -> frozenset[str]:
-        """Return the engines for queries that name these; all but quiesced ones where no shard is known."""
+        """Return the engines for queries naming these shards: any if none is known, but no quiesced ones."""
         if not shards:
             return frozenset()
         holders = self.holders(shards)
@@ -133,12 +133,12 @@
             if event.form != "delta":
                 self.entries = {}
             self.entries.update((entry.engine, entry) for entry in event.engines)
-            for slot in self.slots:  # shards without known replicas: any of the engines may serve them
+            for slot in self.slots:  # if none of its shards is known, any listed engine may serve it
                 slot.engines = self._allowed(slot.shards)
         return replace(event, engines=tuple(self._with_slot_mask(entry) for entry in event.engines))
 
     def holders(self, shards: Iterable[str]) -> frozenset[str] | None:
-        """Return the engines with good replicas of all these shards; None: none of the shards is known."""
+        """Return the engines with good replicas of all these shards that are known, or None if none is."""
         known = [frozenset(self.places[shard]) for shard in shards if shard in self.places]
         return frozenset.intersection(*known) if known else None
 
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -891,7 +891,7 @@
 
 
 def _is_barred(shard: Shard, facts: Facts, is_start: bool) -> bool:
-    """Return whether a schema change of its table blocks the shard; a waiting one blocks only new starts."""
+    """Return whether a schema change of its table blocks a shard; a waiting one only new migrations."""
     return bool(facts.fact("changing", shard.table) or is_start and facts.fact("wanted", shard.table))
 
 
--- a/fennelwind/simulator_wire.py
+++ b/fennelwind/simulator_wire.py
@@ -43,7 +43,7 @@
     "TOO_LATE": policy.AttemptStatus.NOT_STARTED,
 }
 HAS_ESTIMATE, IS_CLIENT_RETRY = 1, 2  # bits of Options in a request
-COST_MEMORY_BITS = 12  # low bits of an answer's Note hold its memory; the higher ones its work in ms
+COST_MEMORY_BITS = 12  # low bits of an answer's Note, for the memory; the higher bits are the work in ms
 COST_MEMORY_UNIT_MB = 4.0  # MB; unit of the memory in a Note
 MAX_NUMBER = 1e300  # larger numbers are rejected: their sums could overflow in the policy
 MAX_QUOTED_NAME = 40  # characters of a message name quoted in an error
--- a/fennelwind/thrift/hiveserver2.py
+++ b/fennelwind/thrift/hiveserver2.py
@@ -187,7 +187,8 @@
             if (code, number) == (LIST, 2):
                 count = max(count, int.from_bytes(raw[pos + 1 : pos + 5], "big"))
             elif (code, number) == (LIST, 3) and any(raw[pos + 1 : pos + 5]):
-                # The header of the list, of the first column's only field, and of the list of its values.
+                # Four headers: of the list of columns, of the first column's only field, of that struct's
+                # first field, and of the list of values in that.
                 head = raw[pos : pos + 16]
                 if head[5] != STRUCT or head[8:11] != b"\x0f\0\1":  # its fields are in another order
                     return _decoded_count(page.value)
