--- a/fennelwind/adapter.py
+++ b/fennelwind/adapter.py
@@ -3,7 +3,7 @@
 `deploy/balancer.toml` starts it with `python -m fennelwind.adapter`. It processes one batch at a time: it
 reads the events of one or more instances and writes their actions. A malformed line ends the program with
 exit code 2 and one line on standard error. A gateway that raises an exception is reported to the simulator,
-and the other instances go on.
+and the other instances continue.
 """
 
 import sys
@@ -34,8 +34,8 @@
     def __init__(self, source: TextIO, sink: TextIO) -> None:
         self.source, self.sink = source, sink
         self.gateways: dict[int, Gateway] = {}
-        self.settings: dict[int, policy.Settings] = {}  # of the running instances
-        self.engine_lists: dict[int, tuple[policy.EngineEndpoint, ...]] = {}
+        self.settings: dict[int, policy.Settings] = {}  # by number of a running instance
+        self.engine_lists: dict[int, tuple[policy.EngineEndpoint, ...]] = {}  # by page number
 
     def run(self) -> None:
         """Process batches until the input ends. Raises `WireError` for a malformed line."""
@@ -58,7 +58,7 @@
         return message, fields
 
     def _lines(self) -> Iterator[Line]:
-        """Yield the lines of a batch, up to its end. Raises `WireError` if the input ends first."""
+        """Yield the lines of a batch. Raises `WireError` if the input ends before the batch does."""
         while line := self.source.readline():
             message, fields = self._split(line)
             if message == simulator_wire.BATCH_END:
@@ -67,7 +67,7 @@
         raise WireError(f"{simulator_wire.BATCH_START}: the input ended before {simulator_wire.BATCH_END}")
 
     def _read_batch(self) -> list[InstanceBatch]:
-        """Read one batch; return the instances' shares in the order in which they were first named."""
+        """Read one batch; return the instances' shares, ordered by the first line that names the instance."""
         batches: list[InstanceBatch] = []
         instance: int | None = None
         current: InstanceBatch | None = None
@@ -113,7 +113,7 @@
         return simulator_wire.read_event(message, fields, settings, self.engine_lists)
 
     def _start(self, instance: int, fields: Fields) -> InstanceStart:
-        """Read the settings and seed of an instance that starts; drop a previous one with its number."""
+        """Read the settings and seed of an instance that starts; drop an earlier instance with its number."""
         start = simulator_wire.read_start(fields)
         self.gateways.pop(instance, None)
         self.settings[instance] = start.settings
@@ -130,7 +130,7 @@
                 self.gateways[batch.instance] = Gateway(batch.start.settings, batch.start.seed)
             actions = self.gateways[batch.instance].step(now_ms, batch.events)
             lines = [simulator_wire.action_line(action) for action in actions]
-        except Exception as error:  # reported on the wire; the other instances go on
+        except Exception as error:  # reported to the simulator; the other instances continue
             lines = [simulator_wire.failure_line(error)]
         return [simulator_wire.instance_line(batch.instance), *lines] if lines else []
 
--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -2,7 +2,7 @@
 
 The driver calls `AttemptRunner.start` and `cancel`. Whatever happens to the task, `finish` reports exactly
 one end: it records the end in the ledger, gives the query's final answer if the attempt succeeded, and posts
-`AttemptEnded`. An exception in the connection layer ends its attempt as an error, and is reported.
+`AttemptEnded`. An exception in the connection layer ends its attempt as an error and is logged.
 """
 
 from collections import Counter
@@ -29,7 +29,7 @@
 SQLSTATE_NO_TABLE = "42S02"  # Hive's SQLSTATE for a table or partition that does not exist
 # Statuses of ended attempts whose statement may still be running at the engine.
 OUTCOME_UNKNOWN = (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED)
-# ms after an attempt's deadline within which its engine stops it, by its own timeout or orphan cleanup.
+# ms after an attempt's deadline; within them the engine's timeout or orphan cleanup stops the attempt.
 ENGINE_CLEANUP_MS = 10_000.0
 
 
@@ -43,7 +43,7 @@
         """Pass an engine list, already rewritten by the router, to the policy in the next turn."""
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a query its final answer; return whether it is the first."""
+        """Give a query its final answer; return False if the query was already answered."""
 
 
 @dataclass(slots=True, eq=False)
@@ -60,7 +60,7 @@
         self.runner.dispatcher.post(policy.AttemptProgress(self.query, self.number, kind, value))
 
     def reason_not_to_start(self) -> str:
-        """Return why the attempt may not start now; "" if it may, which charges a retry to the budget."""
+        """Return why the attempt may not start now, or "" if it may; "" charges a retry to the budget."""
         return self.runner.reason_not_to_start(self.entry, self.number, self.deadline_ms)
 
 
@@ -122,7 +122,7 @@
             self.advisor.attempt_sent(engine, self.settings.classes[entry.submission.class_index].threads)
 
     def cancel(self, query: int, number: int) -> None:
-        """Cancel an attempt's task, if it still runs."""
+        """Cancel an attempt's task if the task still runs."""
         task = self.tasks.get((query, number))
         if task is not None:
             task.cancel()
@@ -133,7 +133,7 @@
             end = self._attempt(entry, engine, request)
         except Cancelled:
             end = AttemptEnd(AttemptStatus.CANCELLED, "cancelled")
-        except Exception as exc:  # the statement may have been sent by then
+        except Exception as exc:  # the statement may have been sent before the exception
             self.observer.failed(f"attempt at {engine}", exc)
             end, has_raised = AttemptEnd(AttemptStatus.ERROR, f"{type(exc).__name__}: {exc}"), True
         if self.router is not None:
@@ -147,7 +147,7 @@
         router = self.router
         if router is None:
             return self.engines.attempt(engine, request)
-        if entry.answer is not None:  # the router no longer knows which shards it reads
+        if entry.answer is not None:  # the router no longer knows which shards the query reads
             return AttemptEnd(AttemptStatus.NOT_STARTED, "the query has already ended")
         if not router.may_send(entry.query, engine):
             return AttemptEnd(AttemptStatus.NOT_STARTED, "the engine no longer holds a valid replica")
@@ -156,10 +156,10 @@
         return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
 
     def reason_not_to_start(self, entry: Entry, number: int, deadline_ms: float) -> str:
-        """Return why an attempt may not start now; "" if it may, and then a retry is charged to the budget.
+        """Return why an attempt may not start now, or "" if it may; "" charges a retry to the budget.
 
         The connection may become ready long after the policy's decision. So the connection layer calls this
-        immediately before it sends the attempt's first byte, and an attempt stopped here never ran.
+        method immediately before it sends the attempt's first byte. An attempt stopped here never ran.
         """
         now = self.loop.now()
         if entry.answer is not None:
@@ -196,7 +196,7 @@
     def _redirect_if_replica_missing(
         self, router: Router, entry: Entry, number: int, engine: str, end: AttemptEnd
     ) -> AttemptEnd:
-        """Return the end as `NOT_STARTED` if the engine lacks a replica that others are known to hold."""
+        """Return the end, as `NOT_STARTED` if the engine lacks a replica known to be at other engines."""
         error = end.result.error if end.result is not None else None
         if error is None or error.sqlState != SQLSTATE_NO_TABLE:
             return end
@@ -214,7 +214,10 @@
     def _notify_router(
         self, router: Router, entry: Entry, number: int, end: AttemptEnd, deadline_ms: float
     ) -> None:
-        """Report an attempt's end; `deadline_ms` is the attempt's if the engine may still run it, else 0."""
+        """Report an attempt's end to the router, at once or when its result stream ends.
+
+        `deadline_ms` is the attempt's deadline if the engine may still run the attempt, else 0.
+        """
         stream = end.result.stream if end.result is not None else None
         if stream is not None:
             stream.on_end = lambda: router.attempt_ended(entry.query, number)
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -3,7 +3,7 @@
 All events of one turn of the event loop go to the policy in one step. The step and its actions never block;
 an attempt or a health check, which has to wait, runs in a task of its own. The driver itself decides only two
 things: it limits the number of open queries, and it answers a query shortly before its client times out if
-the policy has not.
+the policy has not answered it.
 
 Each query has three deadlines. The policy decides two ticks before `answer_deadline_ms`
 (`policy/admission.py`), which is the client's deadline minus the answer margin. If the query is still
@@ -58,16 +58,16 @@
         self.max_open, self.margin, self.subscribe = max_open, margin, subscribe
         self.ledger = Ledger(len(settings.classes) if router is None else router.classes)
         self.gateway = Gateway(settings, seed)
-        self.advisor = advisor  # estimates the fleet's load for the policy; None: it gets no estimate
-        self.router = router  # routes queries by replica locations of shards; None: no such routing
+        self.advisor = advisor  # estimates the fleet's load for the policy; None for no estimates
+        self.router = router  # routes queries by replica locations of shards; None without such routing
         self.attempts = AttemptRunner(loop, settings, engines, observer, self.ledger, self, advisor, router)
         self.shared = SharedExecutions(loop, settings, self.ledger, self)
-        # Retry-After of the rejections that the driver decides without the policy.
+        # Retry-After of rejections that the driver gives without the policy.
         self.max_retry_after_ms = settings.max_retry_after_ms if settings.allows_retry_after else 0.0
         self.is_closing = False
         self.steps = 0
         self.step_errors = 0
-        self.rejected_at_capacity = 0  # queries rejected on arrival: too many open, or closing
+        self.rejected_at_capacity = 0  # rejected on arrival, as too many were open or the driver was closing
         self.unanswered_by_policy = 0  # queries that the driver answered because the policy had not
         self._events: list[policy.Event] = []
         self._is_step_scheduled = False
@@ -75,7 +75,7 @@
     # Incoming events.
 
     def submit(self, submission: Submission, on_answer: Callable[[Entry], None]) -> Entry:
-        """Accept a query; `on_answer` is called once, with its final answer, possibly before this returns."""
+        """Accept a query; `on_answer` is called once, with the final answer, possibly before this returns."""
         entry = self._register(submission, on_answer)
         if entry.answer is not None:
             return entry
@@ -144,7 +144,7 @@
             self.post_list(update)
 
     def delivered(self, entry: Entry) -> None:
-        """Record how long a final answer took until its bytes were passed on to its client, which is now."""
+        """Record the time from a final answer until now, when its bytes were passed on to the client."""
         self.margin.delivered(self.loop.now() - entry.answered_ms)
 
     def _enqueue(self, event: policy.Event) -> None:
@@ -160,11 +160,11 @@
         return self._end_early(entry, Answer(AnswerKind.CANCELLED, reason), reason)
 
     def abandon(self, entry: Entry, reason: str) -> None:
-        """Answer a query as unserved now, if it has no final answer yet."""
+        """Answer a query now, as failed if it may have run, else as rejected, unless it is answered."""
         self._end_early(entry, self._unserved_answer(entry, reason, reason), reason)
 
     def close(self) -> None:
-        """Reject new queries from now on, and answer all open ones as unserved."""
+        """Reject new queries from now on, and answer all open ones as failed or rejected."""
         self.is_closing = True
         for entry in list(self.ledger.entries.values()):
             self.abandon(entry, "the controller is closing")
@@ -177,7 +177,7 @@
         """Answer a query that the policy has not answered in time."""
         if entry.answer is not None:
             return
-        # A query that arrived after its answer deadline gave the policy no time to decide: not counted.
+        # A query that arrived after its answer deadline is not counted: the policy had no time to decide.
         self.unanswered_by_policy += entry.answer_deadline_ms > entry.received_ms
         self._end_early(entry, self._late_answer(entry), "")
 
@@ -203,14 +203,14 @@
     def _unserved_answer(self, entry: Entry, reason_if_sent: str, reason_if_unsent: str) -> Answer:
         """Return the answer of a query that ends unserved: failed if it may have run, else rejected.
 
-        The attempts counted are those of the executing entry: an entry that joined it has none of its own.
+        The attempts of the executing entry count: an entry that joined a query has no attempts of its own.
         """
         if (entry.executing_entry or entry).attempts:
             return Answer(AnswerKind.FAILED, reason_if_sent)
         return Answer(AnswerKind.REJECTED, reason_if_unsent, self.max_retry_after_ms)
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a query its final answer; return whether it is the first."""
+        """Give a query its final answer; return False if the query was already answered."""
         is_first = self.ledger.finalize(entry, answer, self.loop.now())
         if is_first and self.router is not None:
             self.router.query_ended(entry.query)
@@ -232,7 +232,7 @@
             self.observer.failed("policy", exc)
             return
         # Look up all entries before carrying out any action: giving an answer may reveal that its client has
-        # disconnected, which ends the client's other queries, and later actions may start attempts for those.
+        # disconnected. That ends the client's other queries, and later actions may start attempts of them.
         entries = [
             self.ledger.entries.get(action.query) if isinstance(action, policy.StartAttempt) else None
             for action in actions
--- a/fennelwind/dispatch/ledger.py
+++ b/fennelwind/dispatch/ledger.py
@@ -1,7 +1,7 @@
-"""The ledger: ensures that every query gets exactly one final answer, however many are offered.
+"""The ledger: ensures that every query gets exactly one final answer, however many answers are offered.
 
-No I/O and no clock; times are in ms. Every final answer passes through `Ledger.finalize`: the first one is
-given, later ones are counted and dropped. `Ledger.counts` holds, for each class, the number of queries
+No I/O and no clock; times are in ms. Every final answer passes through `Ledger.finalize`: the first answer
+is given, later ones are counted and dropped. `Ledger.counts` holds, for each class, the number of queries
 received and of answers by kind.
 """
 
@@ -18,11 +18,11 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """What a client may be shown of an attempt."""
+    """The times and the outcome of an attempt, which may be shown to the client."""
 
     started_ms: float
     ended_ms: float | None = None
-    status: AttemptStatus | None = None  # None while it runs
+    status: AttemptStatus | None = None  # None while the attempt runs
 
 
 @dataclass(slots=True, eq=False)
@@ -32,18 +32,18 @@
     query: int
     submission: Submission
     received_ms: float
-    answer_deadline_ms: float  # by when its final answer has to be given
+    answer_deadline_ms: float  # time by which the final answer has to be given
     on_answer: Callable[["Entry"], None]
     answer: Answer | None = None
     answered_ms: float = 0.0
     attempts: int = 0
     open_attempts: set[int] = field(default_factory=set)  # numbers of the attempts that have not ended
-    granted_memory_mb: float = 0.0  # memory grant of its next attempts
+    granted_memory_mb: float = 0.0  # memory grant of the query's next attempts
     granted_priority: int = 1
     attempt_records: list[AttemptRecord] = field(default_factory=list)  # by attempt number
     share_done: float = 0.0  # progress (0 to 1) of the attempt that reported last
-    executing_entry: "Entry | None" = None  # the internal entry that runs the query for it, if any
-    is_internal: bool = False  # runs the query for entries of clients, and is not counted
+    executing_entry: "Entry | None" = None  # the internal entry that runs this entry's query, if any
+    is_internal: bool = False  # True if it runs the query for clients' entries; it is not counted
     deadline_timer: Any = None  # cancelled when the final answer is given
 
 
--- a/fennelwind/dispatch/observer.py
+++ b/fennelwind/dispatch/observer.py
@@ -19,7 +19,7 @@
         """Handle a log line that the policy wrote for operators."""
 
     def failed(self, where: str, exc: BaseException) -> None:
-        """Handle an unexpected exception that was caught; `where` names the failed part."""
+        """Handle an unexpected exception that was caught; `where` names the component that raised it."""
 
 
 class SilentObserver:
--- a/fennelwind/dispatch/sessions.py
+++ b/fennelwind/dispatch/sessions.py
@@ -3,7 +3,7 @@
 A statement may run at any engine, over any connection. So the effects of `SET` and `USE` are recorded here
 and applied to the engine session of each attempt: configuration is sent as the statement's overlay, which
 needs no state at the engine; the database is state of an engine connection, so `USE` is replayed on a
-connection that has another one. Temporary tables, functions, views and added resources exist in a single
+connection that has another database. Temporary tables, functions, views and added resources exist in a single
 engine's session and can't be carried over: statements that create them are rejected with an error that names
 the resource. The HiveServer2 frontend is the only caller.
 """
@@ -29,7 +29,7 @@
     r"|add\s+(?:jars?|files?|archives?))\b",
     re.I,
 )
-_MAX_KEYWORD_CHARS = 6  # longest keyword that is recognised; rules out most statements without a regex
+_MAX_KEYWORD_CHARS = 6  # length of the longest keyword; its check rules out most statements without a regex
 
 
 class SessionError(Exception):
@@ -54,7 +54,7 @@
 
     initial_settings: dict[str, str] = field(default_factory=dict)
     settings: dict[str, str] = field(default_factory=dict)
-    database: str = ""  # "": the engine's default database
+    database: str = ""  # "" for the engine's default database
 
     def __post_init__(self) -> None:
         """Extract settings and database from the keys `set:NAME` and `use:database` of Hive's drivers."""
@@ -69,14 +69,14 @@
                 self.initial_settings[name] = self.initial_settings.pop(key)
 
     def configuration(self, overlay: dict[str, str] | None) -> dict[str, str]:
-        """Return a statement's configuration: the session's, overridden by the statement's overlay."""
+        """Return a statement's configuration: the session's settings, overridden by the overlay."""
         return {**self.initial_settings, **self.settings, **(overlay or {})}
 
     def apply(self, statement: str) -> bool:
-        """Record a statement that only changes the session; return whether it was one.
+        """Record a statement that only changes the session; return whether the statement does that.
 
-        Raises `SessionError` for a statement that depends on a single engine's session, or a setting over the
-        limits.
+        Raises `SessionError` for a statement that depends on a single engine's session, or for a setting over
+        the limits.
         """
         text = strip_leading_comments(statement)
         keyword = text[:_MAX_KEYWORD_CHARS].lower()
--- a/fennelwind/dispatch/shared_executions.py
+++ b/fennelwind/dispatch/shared_executions.py
@@ -29,7 +29,7 @@
         """Pass a query to the policy."""
 
     def finalize(self, entry: Entry, answer: Answer) -> bool:
-        """Give a query its final answer; return whether it is the first."""
+        """Give a query its final answer; return False if the query was already answered."""
 
     def end_waiting(self, entry: Entry) -> None:
         """Answer an entry whose deadline has passed before the query that it waits for has ended."""
@@ -83,7 +83,10 @@
         return request.executing
 
     def _execute(self, fingerprint: bytes, entry: Entry) -> bool:
-        """Run a query for all who repeat the request, until this entry's deadline; False if too many run."""
+        """Run a query for all entries with this request, until this entry's deadline.
+
+        Returns False, and runs nothing, if too many shared queries run.
+        """
         executing = self.ledger.register(
             entry.submission,
             self.loop.now(),
@@ -107,7 +110,7 @@
             )
 
     def _on_executed(self, executing: Entry) -> None:
-        """Pass a query's answer on to the waiting entries, or start a new query for those with more time."""
+        """Pass an answer on to the waiting entries, or start a new query for entries with more time."""
         answer = executing.answer
         assert answer is not None  # the ledger calls this with the final answer
         continuing = []
@@ -132,7 +135,10 @@
         )
 
     def _execute_again(self, fingerprint: bytes, entries: list[Entry], answer: Answer) -> None:
-        """Run a new query until the latest deadline of the entries; if too many run, they get the answer."""
+        """Run a new query until the latest deadline of the entries.
+
+        If too many shared queries run, give the entries the answer of the ended query instead.
+        """
         entries.sort(key=lambda entry: -entry.answer_deadline_ms)
         first, *others = entries
         if not self._execute(fingerprint, first):
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -15,9 +15,9 @@
     """The kinds of final answers."""
 
     SERVED = "served"
-    REJECTED = "refused"  # safe to retry: it never ran, or running it twice does no harm
-    FAILED = "failed"  # it may have run
-    CANCELLED = "left"  # its client disconnected or cancelled it; the answer is not delivered
+    REJECTED = "refused"  # safe to retry: the query never ran, or running it twice does no harm
+    FAILED = "failed"  # the query may have run
+    CANCELLED = "left"  # the client disconnected or cancelled the query; the answer is not delivered
 
 
 @dataclass(slots=True, frozen=True)
@@ -30,28 +30,28 @@
     user: str = ""
     tenant: int = 0
     key: str | None = None
-    estimated_work_ms: float | None = None  # estimate, summed over all its threads
-    estimated_memory_mb: float = 0.0  # 0: no estimate
+    estimated_work_ms: float | None = None  # summed over the query's threads; None if there is no estimate
+    estimated_memory_mb: float = 0.0  # 0 if there is no estimate
     table_group: int | None = None
     is_client_retry: bool = False
     overlay: dict[str, str] = field(default_factory=dict)  # configuration sent with the statement
-    database: str = ""  # database of the statement; "": the engine's default
-    request_id: str = ""  # chosen by the client; the same id means a repeated request; "": none
-    method: str = "ExecuteStatement"  # or the name of one of the service's metadata calls
+    database: str = ""  # database of the statement; "" for the engine's default
+    request_id: str = ""  # chosen by the client; the same id means a repeated request; "" if none
+    method: str = "ExecuteStatement"  # or the name of a HiveServer2 metadata call
     arguments: Any = None  # request of a metadata call
-    shards: tuple[str, ...] = ()  # shards that it reads, if their replica locations are known
-    engine_id: str = ""  # sent to the engine as query id; "": none
-    engine_class: str = ""  # sent to the engine as query class; "": none
+    shards: tuple[str, ...] = ()  # shards that the query reads, if their replica locations are known
+    engine_id: str = ""  # sent to the engine as query id; "" if none
+    engine_class: str = ""  # sent to the engine as query class; "" if none
     idempotency_key: str = ""  # chosen by the client; engines drop repeats with the same key
-    # Returns the earliest start of an attempt. A function, as the time moves while the client's bytes arrive.
+    # Returns the earliest start of an attempt; a function, as the time moves while the client's bytes arrive.
     earliest_start_ms: Callable[[], float] = lambda: 0.0
 
 
 @dataclass(slots=True, frozen=True)
 class Result:
-    """An engine's answer: schema and pages as Thrift structures; no schema without a result set.
+    """An engine's answer: schema and pages as Thrift structures; `schema` is None without a result set.
 
-    `error`: the engine's status if the statement itself is at fault; it is an answer, not a failed attempt.
+    `error` is the engine's status if the statement itself is at fault: an answer, and not a failed attempt.
     """
 
     schema: Any = None
@@ -98,16 +98,16 @@
     number: int
     submission: Submission
     deadline_ms: float
-    memory_mb: float  # memory grant; 0: the engine decides
+    memory_mb: float  # memory grant; 0 if the engine decides
     priority: int
 
     def report_progress(self, kind: ProgressKind, value: float) -> None:
         """Record progress that the engine reported."""
 
     def reason_not_to_start(self) -> str:
-        """Return why the attempt may not start now, "" if it may.
+        """Return why the attempt may not start now, or "" if it may.
 
-        Call it once, immediately before the first byte is sent: "" charges a retry to the budget.
+        Call this method once, immediately before the first byte is sent: "" charges a retry to the budget.
         """
         return ""
 
@@ -115,19 +115,19 @@
 class Router(Protocol):
     """The interface to the router by replica locations of shards (`shards.routing`)."""
 
-    classes: int  # number of classes in the settings; the policy has more
+    classes: int  # number of classes in the deployment's settings; the policy has more classes
 
     def rewrite_list(self, update: Any, /) -> Any:
         """Return an engine list in the form that the policy gets."""
 
     def classify(self, query: int, class_index: int, shards: tuple[str, ...], /) -> tuple[int, list[Any]]:
-        """Return the class index that the policy gets for a query, and the engine lists to pass before it."""
+        """Return the class index that the policy gets for a query, and the engine lists to pass on first."""
 
     def update_replicas(self, locations: Any, /) -> list[Any]:
         """Apply newer replica locations; return the engine lists to pass to the policy."""
 
     def update_quiesced(self, quiesced: Any, /) -> list[Any]:
-        """Apply newer engines that are quiesced for some tables; return the engine lists for the policy."""
+        """Apply a newer set of engines quiesced for some tables; return the engine lists for the policy."""
 
     def may_send(self, query: int, engine: str) -> bool:
         """Return whether an engine holds the shards that the query reads."""
@@ -135,14 +135,14 @@
     def replica_missing(self, query: int, engine: str) -> list[Any] | None:
         """Record that an engine lacks a replica that a query reads; return the engine lists for the policy.
 
-        None: no other engine is known to hold it, and the engine's error is the query's answer.
+        Returns None if no other engine is known to hold the replica; the engine's error is then the answer.
         """
 
     def attempt_started(self, query: int, number: int, engine: str) -> None:
         """Record an attempt that is about to be sent; call it in the turn in which `may_send` allowed it."""
 
     def attempt_ended(self, query: int, number: int, until_ms: float = 0.0, /) -> None:
-        """Record the end of an attempt; with `until_ms`, its engine may still run it until then."""
+        """Record the end of an attempt; the engine may still run it until `until_ms`, if given."""
 
     def query_ended(self, query: int) -> None:
         """Forget a query."""
@@ -152,7 +152,10 @@
     """The interface to the connections to engines."""
 
     def attempt(self, engine: str, request: AttemptRequest, /) -> AttemptEnd:
-        """Make an attempt and wait for its end; a cancelled task cancels it at the engine if possible."""
+        """Make an attempt and wait for its end.
+
+        If the calling task is cancelled, cancel the attempt at the engine if possible.
+        """
 
     def update_grant(self, query: int, memory_mb: float, priority: int) -> None:
         """Send a query's new grant to the engines that run its attempts; a failure ends no attempt."""
--- a/fennelwind/limits/admission.py
+++ b/fennelwind/limits/admission.py
@@ -12,10 +12,10 @@
 
 from fennelwind.limits.token_bucket import TokenBucket
 
-FAIR_SHARE_THRESHOLD = 0.8  # share of the total in use from which even shares are enforced
-BURST_S = 2.0  # s of a user's byte rate accepted at once, as a single generated statement is large
-MAX_DELAY_MS = 5000.0  # longest pause of reading; between pauses the connection is checked
-BUCKET_EXPIRY_MS = 60_000.0  # ms without bytes after which a user's bucket, full again, is dropped
+FAIR_SHARE_THRESHOLD = 0.8  # even shares are enforced while at least this share of the total is in use
+BURST_S = 2.0  # s; bytes of this time at a user's rate pass at once, as a single generated statement is large
+MAX_DELAY_MS = 5000.0  # longest pause of reading, in ms; the connection is checked between pauses
+BUCKET_EXPIRY_MS = 60_000.0  # ms without bytes of a user after which the user's full bucket is dropped
 
 
 @dataclass(slots=True, frozen=True)
@@ -26,7 +26,7 @@
     connections_by_address: int
     sessions: int
     sessions_by_user: int
-    bytes_per_s_by_user: float  # 0: unlimited
+    bytes_per_s_by_user: float  # 0 if unlimited
 
 
 class SharedLimit:
@@ -39,7 +39,7 @@
         self.rejected = 0
 
     def acquire(self, holder: str) -> str | None:
-        """Acquire a unit for a holder; return the reason if it is rejected, else None."""
+        """Acquire a unit for a holder; return the reason if the holder is rejected, else None."""
         reason = self._reason_to_reject(holder)
         if reason is not None:
             self.rejected += 1
@@ -49,7 +49,7 @@
         return None
 
     def release(self, holder: str) -> None:
-        """Release a unit that was acquired."""
+        """Release a unit that the holder has acquired."""
         self.in_use[holder] -= 1
         self.total -= 1
         if not self.in_use[holder]:
@@ -66,12 +66,12 @@
         return None
 
     def _is_scarce(self) -> bool:
-        # Without a limit per holder, all clients may share one address, as behind a proxy.
+        # Even shares need a limit per holder: without it, all clients may use one address, as behind a proxy.
         has_holder_limit = self.limit_per_holder < self.limit
         return has_holder_limit and self.total >= FAIR_SHARE_THRESHOLD * self.limit
 
     def _even_share(self) -> float:
-        return self.limit / (len(self.in_use) + 1)  # one share is reserved for another holder
+        return self.limit / (len(self.in_use) + 1)  # one share is reserved for a new holder
 
 
 class Admission:
--- a/fennelwind/limits/answer_margin.py
+++ b/fennelwind/limits/answer_margin.py
@@ -1,7 +1,7 @@
 """The answer margin: how long before a client's deadline its final answer has to be given.
 
 Delivery of an answer takes time: the turn of the event loop in which its task runs, the encoding, and the
-write to a client that may read slowly. It is measured from the moment the answer is final until its bytes
+write to a client that may read slowly. The time is measured from when the answer is final until its bytes
 are passed on. The margin is twice the 99th percentile of that time. It rises within a few answers and falls
 over some hundreds: a margin that is too long only costs a few queries their last chance to be served, but one
 that is too short breaks the rule that every query is answered in time.
@@ -11,11 +11,11 @@
 """
 
 QUANTILE = 0.99  # share of answers to be delivered within the tracked time
-RISE_STEP = 0.25  # relative step for a sample above it; four such answers double it
-FALL_STEP = RISE_STEP * (1.0 - QUANTILE) / QUANTILE  # for a sample below it; balances at the quantile
-SAFETY_FACTOR = 2.0  # margin over the tracked time; answers under way may be slower than past ones
+RISE_STEP = 0.25  # relative step for a sample above the tracked time; four of them double that time
+FALL_STEP = RISE_STEP * (1.0 - QUANTILE) / QUANTILE  # for a lower sample; the steps balance at QUANTILE
+SAFETY_FACTOR = 2.0  # margin / tracked time; answers under way may be slower than past ones
 MIN_TRACKED_MS = 0.05  # ms; steps are relative, so the tracked time must not reach 0
-MAX_JUMP_FACTOR = 8.0  # a sample counts as at most this multiple of the tracked time: one stall is no trend
+MAX_JUMP_FACTOR = 8.0  # times the tracked time; larger samples are cut to it, as one stall is no trend
 
 
 class AnswerMargin:
@@ -37,10 +37,10 @@
         """Record the delivery time of one answer, in ms."""
         self.samples += 1
         if took_ms > self.tracked_ms:
-            # Far above the tracked time, relative steps alone would be too slow and let many answers be late.
+            # Far above the tracked time, relative steps alone would be too slow: many answers would be late.
             excess_ms = min(took_ms, MAX_JUMP_FACTOR * self.tracked_ms) - self.tracked_ms
             self.tracked_ms += max(RISE_STEP * self.tracked_ms, RISE_STEP * excess_ms)
         else:
             self.tracked_ms = max(self.tracked_ms * (1.0 - FALL_STEP), MIN_TRACKED_MS)
-        # Tracking beyond the maximum margin has no effect but to delay the fall.
+        # Tracking a time beyond the maximum margin would only delay the fall of the margin.
         self.tracked_ms = min(self.tracked_ms, self.max_ms / SAFETY_FACTOR)
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -7,7 +7,7 @@
 
 When a slot is needed, connections are closed in this order: those without a complete first message for
 `MUTE_TIMEOUT_MS`; then idle ones, longest idle first, as their clients resend a request that is in flight
-during the close; last new ones, as their clients lose a first request in flight. Busy connections are never
+during the close; last new ones, whose clients lose a first request in flight. Busy connections are never
 closed, nor are those that the caller spares.
 
 No I/O: the frontend reports the events of its connections, asks which to close, and closes them.
@@ -18,10 +18,10 @@
 from itertools import islice
 from typing import Generic, NamedTuple, TypeVar
 
-MUTE_TIMEOUT_MS = 400.0  # typical clients send a first request a few ms after they connect
-SILENT_TIMEOUT_MS = 1800.0  # without a complete first message, or with part of one; the platform allows 3 s
-IDLE_TIMEOUT_MS = 8000.0  # without an answer due; typical clients close after 4 s
-MAX_CANDIDATES = 8  # checked when a slot is needed; if all are spared, none is closed
+MUTE_TIMEOUT_MS = 400.0  # ms; typical clients send a first request a few ms after they connect
+SILENT_TIMEOUT_MS = 1800.0  # ms with no complete first message, or a partial one; the platform allows 3 s
+IDLE_TIMEOUT_MS = 8000.0  # ms without an answer due; typical clients close connections after 4 s
+MAX_CANDIDATES = 8  # connections checked when a slot is needed; if all are spared, none is closed
 
 ConnectionT = TypeVar("ConnectionT", bound=Hashable)
 
@@ -29,9 +29,9 @@
 class CloseReason(StrEnum):
     """Why a connection is to be closed; used in the names of the frontend's counters."""
 
-    MUTE = "mute"  # for a slot: no complete message has arrived since it connected
-    IDLE = "idle"  # for a slot, or overdue: no answer is due to it
-    NEW = "new"  # for a slot: connected only recently
+    MUTE = "mute"  # closed to free a slot: no complete message has arrived since the client connected
+    IDLE = "idle"  # closed to free a slot, or overdue: no answer is due
+    NEW = "new"  # closed to free a slot: the client connected only recently
     HALF_SENT = "half_sent"  # overdue: a message has arrived only in part
     SILENT = "silent"  # overdue: no complete message has arrived
 
@@ -51,7 +51,7 @@
         self.busy: set[ConnectionT] = set()
         self.new_since_ms: dict[ConnectionT, float] = {}
         self.idle_since_ms: dict[ConnectionT, float] = {}
-        self.partial_since_ms: dict[ConnectionT, float] = {}  # those with part of a message
+        self.partial_since_ms: dict[ConnectionT, float] = {}  # connections with part of a message
 
     def __len__(self) -> int:
         return len(self.busy) + len(self.new_since_ms) + len(self.idle_since_ms)
@@ -98,10 +98,10 @@
     def choose_to_close(
         self, now: float, is_spared: Callable[[ConnectionT], bool] = lambda _: False
     ) -> CloseCandidate[ConnectionT] | None:
-        """Return the connection to close to free a slot, or None.
+        """Return the connection to close to free a slot, or None if there is none to close.
 
         `is_spared` returns whether a connection is more active than it appears here; it is called for at most
-        `MAX_CANDIDATES`.
+        `MAX_CANDIDATES` connections.
         """
         for candidate in islice(self._by_preference(now), MAX_CANDIDATES):
             if not is_spared(candidate.connection):
@@ -130,7 +130,7 @@
             timed_out = []
             for connection, since_ms in since_ms_by_connection.items():
                 if now - since_ms <= timeout_ms:
-                    break  # the following ones entered this state later
+                    break  # the following connections entered this state later
                 timed_out.append(connection)
             for connection in timed_out:
                 if connection not in self.busy and connection in since_ms_by_connection:
--- a/fennelwind/limits/log_rate_limit.py
+++ b/fennelwind/limits/log_rate_limit.py
@@ -1,6 +1,6 @@
 """Limits the log lines of each event, as clients or engines could flood the log. No I/O; times in ms.
 
-The logs of the controller and of the platform's node call it before each line that a peer can cause.
+The logs of the controller and of the platform's node call `allow` before each line that a peer can cause.
 """
 
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 
 from fennelwind.limits.token_bucket import TokenBucket
 
-BURST_LINES = 20.0  # lines of one event allowed at once; enough for a diagnosis
-LINES_PER_S = 5.0  # sustained rate of one event
+BURST_LINES = 20.0  # lines of one event that are allowed at once; they suffice for a diagnosis
+LINES_PER_S = 5.0  # lines per second of one event that are allowed in the long run
 
 
 @dataclass(slots=True)
 class _EventLimit:
-    """The state of one event."""
+    """The token bucket and the dropped lines of one event."""
 
     bucket: TokenBucket
     dropped: int = 0  # lines dropped since the last one that was allowed
@@ -28,7 +28,7 @@
         self._limits: dict[str, _EventLimit] = {}
 
     def allow(self, event: str) -> int | None:
-        """Return how many lines of the event were dropped before this one; None if this one is dropped."""
+        """Return how many lines of the event were dropped before this line, or None if it is dropped."""
         now = self.now()
         limit = self._limits.get(event)
         if limit is None:
--- a/fennelwind/limits/login_throttle.py
+++ b/fennelwind/limits/login_throttle.py
@@ -11,11 +11,11 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-MIN_DELAY_MS, MAX_DELAY_MS = 250.0, 8000.0  # of an answer after a wrong password, doubled with each in a row
-FREE_FAILURES_PER_ADDRESS = 2  # in a row and without delay: a whole office may share an address
+MIN_DELAY_MS, MAX_DELAY_MS = 250.0, 8000.0  # delay of the answer; doubles with each wrong password in a row
+FREE_FAILURES_PER_ADDRESS = 2  # wrong passwords in a row without delay: an office may share an address
 FAILURE_EXPIRY_MS = 300_000.0  # time without a wrong password after which the count restarts
 SUCCESS_EXPIRY_MS = 300_000.0  # time for which a verified password need not be checked again
-MAX_ENTRIES = 20_000  # of failures and of passwords each; the least recently updated are dropped
+MAX_ENTRIES = 20_000  # limit for failures and for passwords each; the least recently updated are dropped
 
 
 @dataclass(slots=True, frozen=True)
@@ -51,7 +51,7 @@
             self._failures.popitem(last=False)
 
     def succeeded(self, user: str, address: str, proof: bytes, now: float) -> None:
-        """Remember a verified password by a proof that does not reveal it, and reset the failures."""
+        """Remember a verified password by a proof that does not reveal it; reset both counts of failures."""
         self._failures.pop(("user", user), None)
         self._failures.pop(("address", address), None)
         self._verified_until_ms[proof] = now + SUCCESS_EXPIRY_MS
--- a/fennelwind/limits/retry_budget.py
+++ b/fennelwind/limits/retry_budget.py
@@ -1,16 +1,19 @@
 """The retry budget that is enforced when attempts start. No I/O; times in ms of the caller's clock.
 
-`policy/retries.py` applies a budget when it decides on a retry. This one is the hard limit: it is checked
+`policy/retries.py` applies a budget when it decides on a retry. This budget is the hard limit: it is checked
 immediately before the first byte is sent, as an attempt may start later than decided. The retries in a window
 are limited by the number of queries received in it. Requests of misbehaving clients do not count towards that
-number, so only served queries, which certainly do, are counted.
+number, so only served queries, which certainly belong to it, are counted.
 """
 
 from collections import deque
 
 
 class RetryBudget:
-    """Allows `free` retries plus `share` of the served queries in any window; a window of 0 ms: no limit."""
+    """Allows `free` retries plus `share` of the served queries in any window.
+
+    If the window is 0 ms, retries are not limited.
+    """
 
     def __init__(self, free: float, share: float, window_ms: float, resolution_ms: float) -> None:
         self.free, self.share, self.window_ms, self.resolution_ms = free, share, window_ms, resolution_ms
@@ -24,11 +27,11 @@
             self._received_ms.append(received_ms)
 
     def try_start(self, now: float) -> bool:
-        """Return whether a retry may start, and count it if so."""
+        """Return whether a retry may start; if it may, count it."""
         if not self.window_ms:
             return True
         self._expire(now)
-        # One tick less than the window: by another observer's clock, the query may already be outside it.
+        # The window is shortened by one tick: by another clock, the query may already be outside the window.
         oldest_ms = now - self.window_ms + self.resolution_ms
         served = sum(received_ms >= oldest_ms for received_ms in self._received_ms)
         if len(self._retries_ms) + 1 > self.free + self.share * served:
--- a/fennelwind/limits/token_bucket.py
+++ b/fennelwind/limits/token_bucket.py
@@ -5,9 +5,9 @@
 
 @dataclass(slots=True)
 class TokenBucket:
-    """Holds up to `capacity` tokens and gains `rate_per_s` per second; the caller subtracts what it uses.
+    """Holds up to `capacity` tokens and gains `rate_per_s` per second; the caller subtracts used tokens.
 
-    The level may fall below 0: a debt that has to be refilled before tokens are available again.
+    `tokens` may fall below 0: the debt has to be refilled before tokens are available again.
     """
 
     capacity: float
--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -1,6 +1,6 @@
 """The load advisor: estimates the fleet's load for the policy, from the policy's own events and actions.
 
-The driver passes it each event and each attempt that starts, and gets one event to add to each step: the
+The driver passes each event and each attempt start to the advisor, and adds one event to each step: the
 executors to prefer, in order, each with its estimated load. The advisor decides nothing itself:
 concurrency limits, slow start, drains and placement stay with the policy. No I/O, no clock; times in ms.
 """
@@ -13,21 +13,21 @@
 from fennelwind.load_balancing.load_estimate import UTILIZATION_FIELDS, LoadEstimator
 from fennelwind.policy import EngineState, ListForm
 
-MIN_CONTROLLERS = 16  # with fewer, own queries reveal enough of the load, and each can use every executor
-RATE_WINDOW_MS = 5000.0  # averaging time of the own query rate; a burst alone must not change the subset
+MIN_CONTROLLERS = 16  # with fewer, own queries reveal enough of the load, and each can use all executors
+RATE_WINDOW_MS = 5000.0  # ms; averaging time of the own query rate; a burst alone must not change the subset
 # Fraction of the idle timeout of connections within which own traffic should reuse them.
 CONNECTION_REUSE_SHARE = 1.0 / 3.0
 REMOTE_ZONE_LOAD = 0.3  # added to the load of executors in other zones, as crossing zones costs time
-# Of the arriving queries with the fewest threads, the share for which an executor is explored: of two random
-# ones, the one with the older report is advised as idle.
+# An executor is explored for this share of the arriving queries with the fewest threads: of two random
+# executors, the one with the older report is advised as idle.
 EXPLORATION_SHARE = 0.04
 # Largest bias of a controller's load estimates, in standard deviations. Biases differ between controllers, so
-# that not all of them choose the same executor at once.
+# that not all controllers choose the same executor at once.
 BIAS_DEVIATIONS = 0.5
 
 
 def is_useful(settings: policy.Settings) -> bool:
-    """Return whether executors report their load, and own queries reveal too little of it."""
+    """Return whether executors report their load, and own queries reveal too little of the fleet's load."""
     reports_load = any(name in settings.report_fields for name in UTILIZATION_FIELDS)
     return settings.gateway_count >= MIN_CONTROLLERS and reports_load
 
@@ -39,9 +39,9 @@
         self.settings, self.random, self.idle_ms = settings, Random(f"spread {seed}"), idle_ms
         self.estimator = LoadEstimator()
         self.endpoints: dict[str, policy.EngineEndpoint] = {}
-        self.biases: dict[str, float] = {}  # by executor, from -1 to 1; fixed until it restarts
-        self.rate_per_s, self.rate_updated_ms = 0.0, -math.inf  # own queries
-        self.explored = ""  # advised with load 0 until an attempt is sent to it or another query arrives
+        self.biases: dict[str, float] = {}  # by executor, from -1 to 1; fixed until the executor restarts
+        self.rate_per_s, self.rate_updated_ms = 0.0, -math.inf  # of this controller's queries
+        self.explored = ""  # executor advised as idle until it gets an attempt or another query arrives
         self.min_threads = min(query_class.threads for query_class in settings.classes)
         self._ranking: tuple[list[str], list[str]] | None = None  # ready executors: own zone, other zones
 
@@ -130,7 +130,7 @@
             self.explored = self._choose_to_explore(now)
 
     def _choose_to_explore(self, now: float) -> str:
-        """Return the one with the older report of two random ready executors; "" if none is ready."""
+        """Return, of two random ready executors, the one with the older report, or "" if none is ready."""
         ready = [
             name for name, endpoint in sorted(self.endpoints.items()) if endpoint.state == EngineState.READY
         ]
--- a/fennelwind/load_balancing/load_estimate.py
+++ b/fennelwind/load_balancing/load_estimate.py
@@ -8,16 +8,16 @@
 import math
 from dataclasses import dataclass
 
-UTILIZATION_FIELDS = ("cpu", "x1")  # busy share of cores and of disks; the highest is the load
+UTILIZATION_FIELDS = ("cpu", "x1")  # busy shares of the cores and of the disks; the higher one is the load
 QUEUE_FIELD = "waiting"  # number of threads that wait at the executor
 REPORT_DECAY_MS = 1500.0  # time in which a report's weight falls to 1/e; queries take about a second
 REPORT_NOISE = 0.07  # standard deviation of a reported load; platforms state 0.03 to 0.10
-MAX_LOAD = 2.0  # reported loads are limited to it, as larger ones are no more precise
-ZONE_SMOOTHING = 0.15  # weight of a new report in its zone's mean and variance, which span some 7 reports
-UNKNOWN_LOAD = 0.5  # load before any report, and its standard deviation
-UNKNOWN_DEVIATION = 0.25
-STUCK_REPORTS = 4  # equal reports in a row from which a field counts as stuck
-STUCK_MS = 3000.0  # shortest time that they span; noise never repeats a value for so long
+MAX_LOAD = 2.0  # larger reported loads are cut to this value, as they are no more precise
+ZONE_SMOOTHING = 0.15  # weight of a new report in its zone's mean and variance; averages some 7 reports
+UNKNOWN_LOAD = 0.5  # load that is assumed before any report
+UNKNOWN_DEVIATION = 0.25  # standard deviation of the load that is assumed before any report
+STUCK_REPORTS = 4  # equal reports in a row; from this number on a field counts as stuck
+STUCK_MS = 3000.0  # ms; shortest time that these reports span; noise never repeats a value for so long
 
 
 @dataclass(slots=True)
@@ -26,9 +26,9 @@
 
     load: float
     received_ms: float
-    sent_threads: float = 0.0  # threads of own queries sent to it since
+    sent_threads: float = 0.0  # threads of own queries sent to the executor since this report
     equal_reports: int = 1  # reports in a row with the same load
-    equal_since_ms: float = 0.0  # when the first of them arrived
+    equal_since_ms: float = 0.0  # when the first of the equal reports arrived
 
     def is_stuck(self) -> bool:
         """Return whether the reported field appears to have stopped updating."""
@@ -44,14 +44,14 @@
     variance: float = UNKNOWN_DEVIATION**2
 
     def add(self, load: float) -> None:
-        """Include a reported load."""
+        """Update the mean and the variance with a reported load."""
         difference = load - self.mean
         self.mean += difference * ZONE_SMOOTHING
         self.variance += (difference * difference - self.variance) * ZONE_SMOOTHING
 
 
 def reported_load(report: dict[str, float], cores: int) -> float | None:
-    """Return the load that a report states; None if it has no known field or no valid value."""
+    """Return the load that a report states, or None if the report has no known field or no valid value."""
     utilizations = [report[name] for name in UTILIZATION_FIELDS if name in report]
     utilizations = [value for value in utilizations if math.isfinite(value)]
     if not utilizations or min(utilizations) < 0.0:
@@ -73,7 +73,7 @@
         self.reports.pop(engine, None)
 
     def add_report(self, engine: str, zone: int, report: dict[str, float], cores: int, now: float) -> None:
-        """Record a report; one without a usable load is ignored."""
+        """Record a report; ignore a report without a usable load."""
         load = reported_load(report, cores)
         if load is None:
             return
@@ -83,7 +83,7 @@
             latest.equal_since_ms = previous.equal_since_ms
         self.reports[engine] = latest
         if latest.is_stuck():
-            return  # a meaningless value must not bias the mean of the whole zone
+            return  # a stuck, meaningless value must not bias the mean of the whole zone
         zone_load = self.zones.get(zone)
         if zone_load is None:
             self.zones[zone] = ZoneLoad(load)
@@ -97,14 +97,14 @@
             report.sent_threads += threads
 
     def age_ms(self, engine: str, now: float) -> float:
-        """Return the age of the latest usable report in ms; infinite without one."""
+        """Return the age of the latest report in ms, or infinity if there is none or it is stuck."""
         report = self.reports.get(engine)
         return now - report.received_ms if report is not None and not report.is_stuck() else math.inf
 
     def estimate(self, engine: str, zone: int, cores: int, now: float) -> tuple[float, float]:
         """Return an executor's estimated load, and its standard deviation.
 
-        A plain tuple, as this runs for each preferred executor in each step.
+        The result is a plain tuple, as this method runs for each preferred executor in each step.
         """
         zone_load = self.zones.get(zone) or self._busiest_zone()
         age_ms = self.age_ms(engine, now)
--- a/fennelwind/policy/actions.py
+++ b/fennelwind/policy/actions.py
@@ -5,7 +5,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StartAttempt:
-    """Start an attempt; a timeout of 0 means until the client's deadline."""
+    """Start an attempt; with a timeout of 0 it may run until the client's deadline."""
 
     query: int
     engine: str
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetGrant:
-    """Set memory and priority of a query's running and future attempts."""
+    """Set the memory and the priority of a query's running and future attempts."""
 
     query: int
     memory_mb: float
--- a/fennelwind/policy/admission.py
+++ b/fennelwind/policy/admission.py
@@ -1,4 +1,4 @@
-"""Admission: the estimated work of a query, how long it may stay queued, and its answer after that.
+"""Admission: estimates a query's work, and decides how long it may wait and how it is answered after that.
 
 A query is queued until its latest dispatch time, after which an answer within its objective is unlikely.
 It is then dispatched late if a late answer has weight, no other query is queued and capacity is free at once.
@@ -16,9 +16,9 @@
 ALL_ENGINES = policy.DeduplicationScope.ALL
 
 TICK_MS = 25.0  # ms between ticks while a query is queued or running; short relative to objectives
-ANSWER_MARGIN_TICKS = 2  # ticks before a client's deadline; a later rejection could miss it
-MIN_SERVICE_TIME_MS = 1.0  # ms; lower bound of any query's service time, so that slowdowns stay finite
-LIKELY_SLOWDOWN = 2.0  # times the baseline; with less time left, a query is unlikely to be in time
+ANSWER_MARGIN_TICKS = 2  # ticks before a client's deadline; a later rejection could miss the deadline
+MIN_SERVICE_TIME_MS = 1.0  # ms; lower bound of a query's service time, so that slowdowns stay finite
+LIKELY_SLOWDOWN = 2.0  # times the baseline time; with less time left, a query is unlikely to be in time
 
 
 class Admission:
--- a/fennelwind/policy/concurrency.py
+++ b/fennelwind/policy/concurrency.py
@@ -1,7 +1,7 @@
 """Concurrency limits: threads that this gateway's queries may use, on each engine and over the fleet.
 
 Once per period an engine's limit is cut by the factor by which answers exceed their objectives, or raised if
-it held queries back. The limit applies only while the engine is under pressure, else its maximum does. The
+the limit held queries back. While the engine is not under pressure, its maximum limit applies instead. The
 threads that the gateway may run over the fleet are its even share of all engines' limits, times a factor for
 the fleet's estimated spare capacity. Limits are in threads, as a query may use several.
 """
@@ -11,16 +11,16 @@
 from fennelwind.policy.model import Engine, Query
 
 LIMIT_PERIOD_MS = 1000.0  # ms between adjustments of a limit
-INITIAL_THREADS_PER_CORE = 1.5  # sum over all gateways; initial limit, between minimum and maximum
+INITIAL_THREADS_PER_CORE = 1.5  # sum over all gateways; initial limit, between the minimum and the maximum
 MIN_THREADS_PER_CORE = 1.0  # sum over all gateways; lower bound of a limit
 MAX_THREADS_PER_CORE = 3.0  # sum over all gateways; objectives are met until an engine is far oversubscribed
-RAISE_FACTOR = 1.25  # per period; a limit that was reached is raised by a quarter
+RAISE_FACTOR = 1.25  # a limit that was reached in a period is raised by a quarter
 SAMPLE_DECAY = 0.6  # share of the samples kept per period, so that about the last 2 s count
-MIN_SAMPLES = 0.5  # decayed count of answers; fewer are not significant
+MIN_SAMPLES = 0.5  # decayed count of a class's answers; fewer answers are not significant
 PRESSURE_SLOWDOWN = 1.5  # times the baseline; a higher slowdown shows that the engine is oversubscribed
-UNCONGESTED_THREADS_PER_CORE = 1.1  # fleet mean, as reported; below it, even shares may be exceeded
-CONGESTION_SLOWDOWN = 2.5  # times the baseline, mean of attempts; without reports, more means congestion
-MAX_SHARE_FACTOR = 4.0  # times the even share; reports are seconds old, and demand can jump faster
+UNCONGESTED_THREADS_PER_CORE = 1.1  # reported fleet mean; below it, gateways may exceed even shares
+CONGESTION_SLOWDOWN = 2.5  # times the baseline; without reports, a higher mean of attempts shows congestion
+MAX_SHARE_FACTOR = 4.0  # times the even share; demand can jump faster than reports, which are seconds old
 QUEUEING_SHARE_FACTOR = 3.0  # times the even share where engines queue for memory: excess load costs less
 
 
@@ -29,7 +29,7 @@
 
     def __init__(self, settings: policy.Settings, estimates: Estimates) -> None:
         self.settings, self.estimates = settings, estimates
-        self.fair_share_threads = 0.0  # even share of the fleet
+        self.fair_share_threads = 0.0  # this gateway's even share of all engines' limits
         self.allowed_threads = 0.0  # threads that this gateway may run now
         self.running_threads = [0, 0]  # of this gateway: [long queries, short queries]
 
@@ -71,10 +71,10 @@
         self.allowed_threads = self.fair_share_threads * self.share_factor()
 
     def share_factor(self) -> float:
-        """Return the factor on the even share: above 1 the gateway may exceed it, below 1 it must stay under.
+        """Return the factor on the even share: above 1 allows the gateway more than that share, below 1 less.
 
-        With many gateways an even share is hardly one query, and demand differs between them. So all may
-        exceed it while reports show a half-idle fleet; as it fills, by a burst or lost engines, all back off.
+        With many gateways an even share is hardly one query, and demand differs between gateways. So all
+        may exceed it while reports show a half-idle fleet; as a burst or lost engines fill it, all back off.
         """
         estimates = self.estimates
         fleet_threads_per_core = estimates.fleet_threads_per_core
@@ -85,7 +85,7 @@
         if not self.settings.queues_when_short_of_memory:
             return reported_factor
         if not fleet_threads_per_core and estimates.mean_timed_attempt_ms:
-            # Without load reports, slow attempts show congestion, as by one tenant's burst or lost engines.
+            # Without load reports, slow attempts show congestion, as by a tenant's burst or lost engines.
             speed = CONGESTION_SLOWDOWN * estimates.mean_timed_baseline_ms / estimates.mean_timed_attempt_ms
             return QUEUEING_SHARE_FACTOR * min(1.0, speed) ** 2
         return max(reported_factor, QUEUEING_SHARE_FACTOR)
@@ -96,7 +96,7 @@
         Limits per engine aren't enough: a gateway may run one query on each engine whatever the limit, so all
         gateways together could oversubscribe the engines. One query may always run; otherwise a gateway whose
         share is less than one query would serve none. In congestion only long queries are held back: short
-        ones use little, and would be late.
+        queries use little capacity, and would be late if they waited.
         """
         if query.is_short:
             running_threads = self.running_threads[1]
--- a/fennelwind/policy/constraints.py
+++ b/fennelwind/policy/constraints.py
@@ -1,6 +1,6 @@
 """Constraints on the engine of an attempt: engine state, placement, deduplication scope and slow start.
 
-They hold whatever the load: an engine that they exclude is never chosen, even if no other engine is left.
+The constraints hold at any load: an excluded engine is never chosen, even if no other engine is left.
 """
 
 from fennelwind import policy
@@ -35,7 +35,7 @@
         first = query.first_unresolved_attempt
         if first is not None and not self._deduplicates(query_class, first, endpoint):
             return False
-        # Most engines are warm: this test saves them the call below, as it runs for each engine considered.
+        # This method runs for each engine considered; most are warm, and this test saves them the call below.
         if now_ms - endpoint.started_ms >= self.slow_start_ms:
             return True
         return self.slow_start.permits(query, engine, now_ms)
--- a/fennelwind/policy/dispatch_queue.py
+++ b/fennelwind/policy/dispatch_queue.py
@@ -21,18 +21,18 @@
 
 
 class PerKeyFifo:
-    """For each key of a class ordered by key, its queries in order of arrival."""
+    """Keeps the queries of each key in order of arrival, for classes ordered by key."""
 
     def __init__(self) -> None:
         self.queries_by_key: dict[str, deque[Query]] = {}
 
     def add(self, query: Query) -> None:
-        """Append the query to those of its key."""
+        """Append the query to the FIFO of its key, if its class is ordered by key."""
         if query.order_key is not None:
             self.queries_by_key.setdefault(query.order_key, deque()).append(query)
 
     def is_first(self, query: Query) -> bool:
-        """Return whether no earlier query of its key remains."""
+        """Return whether no earlier query with the query's key remains."""
         return query.order_key is None or self.queries_by_key[query.order_key][0] is query
 
     def remove(self, query: Query) -> Query | None:
@@ -52,10 +52,10 @@
 
     def __init__(self, settings: policy.Settings) -> None:
         self.settings = settings
-        # Two for each class: heaps of (dispatch target, query number, query).
+        # Two heaps for each class; an item is (dispatch target, query number, query).
         self.queues: list[list[tuple[float, int, Query]]] = [[] for _ in settings.classes * 2]
-        self.is_blocked = [False] * len(self.queues)  # by queue: its head found no free capacity
-        self.unordered: list[Query] = []  # retries and queries of held keys; each may be blocked alone
+        self.is_blocked = [False] * len(self.queues)  # by queue: True if its head found no free capacity
+        self.unordered: list[Query] = []  # retries and queries of held keys; one may wait alone
         self.key_order = PerKeyFifo()
         self.key_held_until_ms: dict[str, float] = {}  # keys held after an unknown outcome
 
@@ -72,7 +72,7 @@
 
     def _insert(self, query: Query, now_ms: float) -> None:
         if query.attempts or self.is_key_held(query.order_key, now_ms):
-            self.unordered.append(query)  # may be blocked alone, so it must not hold up a whole queue
+            self.unordered.append(query)  # it may have to wait alone, and must not hold up a whole queue
             return
         index = query.queue_index
         queue = self.queues[index]
@@ -85,7 +85,7 @@
             self.key_held_until_ms[query.order_key] = now_ms + self.settings.unresolved_hold_ms
 
     def is_key_held(self, key: str | None, now_ms: float) -> bool:
-        """Return whether the key is held now; None never is."""
+        """Return whether the key is held now; False if the key is None."""
         return key is not None and self.key_held_until_ms.get(key, 0.0) > now_ms
 
     def forget_expired_holds(self, now_ms: float) -> None:
--- a/fennelwind/policy/engine_registry.py
+++ b/fennelwind/policy/engine_registry.py
@@ -1,6 +1,6 @@
 """The engines that a gateway knows, from the engine lists that discovery sends.
 
-The gateway reports lists and the starts and ends of attempts. An engine with a new start time has restarted:
+The gateway reports engine lists and attempt starts and ends. An engine with a new start time has restarted:
 its statistics are reset, but attempts that still run there are kept. A removed engine is kept until its last
 attempt has ended.
 """
@@ -16,7 +16,7 @@
 
 DELTA, FAILED, REMOVED = policy.ListForm.DELTA, policy.ListForm.FAILED, policy.EngineState.REMOVED
 SUBSCRIBE_RETRY_MS = 1000.0  # ms before a failed subscription is retried, so that discovery is not flooded
-UNKNOWN_KIND_CORES = 1  # assumed for kinds missing in the settings; too low a value can't oversubscribe
+UNKNOWN_KIND_CORES = 1  # assumed for kinds missing in the settings; the lowest value can't oversubscribe
 
 
 class EngineRegistry:
@@ -25,14 +25,14 @@
     def __init__(self, settings: policy.Settings, random: Random, concurrency: ConcurrencyLimits) -> None:
         self.settings, self.random, self.concurrency = settings, random, concurrency
         self.engines: dict[str, Engine] = {}
-        self.busy_engines: dict[str, Engine] = {}  # with running attempts; a tick visits only these
+        self.busy_engines: dict[str, Engine] = {}  # engines that run attempts; a tick visits no others
         self.subscribe_at_ms = float("-inf")
 
     def subscribe(self, now_ms: float) -> policy.SubscribeToEngines | None:
         """Return a subscription to list changes if one is required: once, and again after a failure."""
         if not self.settings.requires_subscription or now_ms < self.subscribe_at_ms:
             return None
-        self.subscribe_at_ms = float("inf")  # until the subscription fails
+        self.subscribe_at_ms = float("inf")  # no other subscription until this one fails
         return policy.SubscribeToEngines()
 
     def apply(self, event: policy.EngineListUpdate, now_ms: float) -> bool:
--- a/fennelwind/policy/estimates.py
+++ b/fennelwind/policy/estimates.py
@@ -10,32 +10,32 @@
 from fennelwind.policy.model import Engine, Query
 
 OK = policy.AttemptStatus.OK
-# Outcomes whose times show how busy the fleet is; attempts with others end early or never ran.
+# Outcomes whose times show how busy the fleet is; attempts with other outcomes end early or never ran.
 TIMED_STATUSES = (OK, policy.AttemptStatus.TIMEOUT, policy.AttemptStatus.CANCELLED)
 ACTIVE_QUERIES = "active"  # field of the load report: queries of all gateways that run on the engine
 
 CLASS_SAMPLE_SHARE = 0.05  # weight of a new sample in a class's mean: averages some 20 answers
-ENGINE_SAMPLE_SHARE = 0.15  # weight for an engine's slowdown, a class's work, the fleet's load: 7 samples
+ENGINE_SAMPLE_SHARE = 0.15  # weight for engine slowdowns, class work and fleet load: averages some 7 samples
 MAX_OBJECTIVE_RATIO = 3.0  # times the objective; cap of a sample, so that one bad plan can't distort a mean
-MAX_RELATIVE_SLOWDOWN = 8.0  # times the baseline; cap of a sample in an engine's slowdown, likewise
-BASELINE_FALL = 0.02  # share by which an answer below the baseline lowers it; near the 9th percentile
-BASELINE_RISE = 0.002  # share by which an answer above the baseline raises it; slow, as most are above
-UNKNOWN_WORK_SHARE = 0.25  # of the objective; with half, admission would reject even the first query
+MAX_RELATIVE_SLOWDOWN = 8.0  # times the baseline; cap of an engine's sample, so that no bad plan distorts it
+BASELINE_FALL = 0.02  # share by which a faster answer lowers the baseline, so it settles near percentile 9
+BASELINE_RISE = 0.002  # share by which a slower answer raises the baseline; small, as most answers are slower
+UNKNOWN_WORK_SHARE = 0.25  # of the objective; with 0.5, admission would reject even the first query
 
 
 class Estimates:
     """The statistics of one gateway, per query class and over all attempts."""
 
     def __init__(self, class_count: int) -> None:
-        self.mean_time_ms = [0.0] * class_count  # answer times; 0: unknown
-        self.mean_work_ms = [0.0] * class_count  # work summed over a query's threads; 0: unknown
+        self.mean_time_ms = [0.0] * class_count  # answer times; 0 if unknown
+        self.mean_work_ms = [0.0] * class_count  # work summed over a query's threads; 0 if unknown
         self.baseline_slowdown = [1.0] * class_count
         self.mean_query_work_ms = 0.0  # over queries of all classes
-        self.mean_attempt_thread_ms = 0.0  # over attempts: time times threads
-        self.mean_attempt_ms = 0.0  # over attempts: time
-        self.mean_timed_attempt_ms = 0.0  # over attempts with a timed status: time, capped
-        self.mean_timed_baseline_ms = 0.0  # over the same: time at the baseline
-        self.fleet_threads_per_core = 0.0  # from the load reports of all engines; 0: none reported
+        self.mean_attempt_thread_ms = 0.0  # over attempts: an attempt's time multiplied by its threads
+        self.mean_attempt_ms = 0.0  # over attempts: an attempt's time
+        self.mean_timed_attempt_ms = 0.0  # over attempts with a timed status: the capped time
+        self.mean_timed_baseline_ms = 0.0  # over attempts with a timed status: the time at the baseline
+        self.fleet_threads_per_core = 0.0  # from the load reports of all engines; 0 without reports
 
     def work_ms(
         self, request: policy.QueryArrived, query_class: policy.QueryClass, class_index: int
--- a/fennelwind/policy/events.py
+++ b/fennelwind/policy/events.py
@@ -18,7 +18,7 @@
     DELTA = "delta"  # changes to the previous list
     FULL = "full"  # all engines; those not listed are removed
     CACHED = "cached"  # all engines, from a stored and possibly stale list
-    FAILED = "failed"  # the subscription failed; it carries no list
+    FAILED = "failed"  # the subscription failed; the update carries no list
 
 
 class AttemptStatus(StrEnum):
@@ -31,7 +31,7 @@
     CONNECT_FAILED = "connect_failed"  # the attempt never ran
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"  # its query had ended or expired before the attempt was sent: it never ran
+    NOT_STARTED = "moot"  # the query had ended or expired before the attempt was sent: it never ran
 
 
 class ProgressKind(IntEnum):
@@ -52,7 +52,7 @@
     kind: int = 0
     cell: int = 0
     weight: float = 1.0
-    started_ms: float = 0.0  # 0: unknown, taken as long ago
+    started_ms: float = 0.0  # 0 if unknown; the engine is then taken to have started long ago
 
 
 @dataclass(slots=True, frozen=True)
@@ -72,8 +72,8 @@
     deadline_ms: float  # when the final answer is due: the client's deadline less the answer margin
     tenant: int = 0
     key: str | None = None
-    estimated_work_ms: float | None = None  # estimated work, summed over its threads; None: no estimate
-    estimated_memory_mb: float = 0.0  # 0: no estimate
+    estimated_work_ms: float | None = None  # summed over the query's threads; None if there is no estimate
+    estimated_memory_mb: float = 0.0  # 0 if there is no estimate
     table_group: int | None = None
     is_client_retry: bool = False
 
--- a/fennelwind/policy/gateway.py
+++ b/fennelwind/policy/gateway.py
@@ -66,9 +66,9 @@
         return self.actions
 
     def _record_stall(self) -> None:
-        """Exclude a stall of this gateway from the ages of its attempts, so that none times out by it.
+        """Exclude a stall of this gateway from the ages of its attempts, so that the stall causes no timeout.
 
-        A hung engine is therefore detected later, by the length of the stall.
+        The detection of a hung engine is therefore delayed by the length of the stall.
         """
         late_ms = self.now_ms - self.tick_at_ms
         if FLEET_REVIEW_MS < late_ms < float("inf"):
@@ -94,7 +94,7 @@
             case policy.AttemptProgress(query) if query in self.queries:
                 self.retries.record_progress(self.queries[query], event, self.now_ms)
             case policy.TimerFired(token) if token == self.timer_token:
-                self.tick_at_ms = self.now_ms  # with a rounded clock it may fire early, and no other is set
+                self.tick_at_ms = self.now_ms  # rounding may fire the timer early; no other timer is set
 
     def _on_query_arrived(self, request: policy.QueryArrived) -> None:
         if request.query in self.queries:
@@ -141,7 +141,7 @@
             self.outliers.record_answer(attempt)
             engine.record_table_group(query.request.table_group)
         if attempt.gateway_stall_ms:
-            return  # its time includes a stall of this gateway
+            return  # the attempt's time includes a stall of this gateway
         if event.status == OK:
             self.estimates.record_answer(query, event)
         elif not self.outliers.is_slower_than_known(attempt, slowdown):
@@ -153,7 +153,7 @@
 
     def _enqueue(self, query: Query) -> None:
         if self.admission.latest_dispatch_ms(query) <= self.now_ms:
-            self._dispatch_late(query)  # the deadline may leave no time; the answer is due at once
+            self._dispatch_late(query)  # the deadline leaves no time to wait; the answer is due at once
             return
         query.is_queued = True
         self.queue.add(query, self.now_ms)
@@ -207,7 +207,7 @@
         if subscription is not None:
             self.actions.append(subscription)
         self.tick_at_ms = float("-inf")  # idle: the next event runs a tick
-        if self.queries or self.settings.requires_subscription:  # else there is nothing to do until then
+        if self.queries or self.settings.requires_subscription:  # else no tick is due before the next event
             self.tick_at_ms = self.now_ms + TICK_MS
             self.timer_token += 1
             self.actions.append(policy.StartTimer(TICK_MS, self.timer_token))
@@ -218,7 +218,7 @@
         self.queue.unblock_all()
         self.registry.forget_removed()
         for engine in self.engines.values():
-            if not engine.running_attempts:  # those with attempts are updated on each tick
+            if not engine.running_attempts:  # engines with attempts are updated on each tick
                 self.outliers.update(engine, self.now_ms)
         self.selector.update_ready_engines(self.engines)
         self.outliers.update_median_slowdown(self.selector.ready_engines)
--- a/fennelwind/policy/grants.py
+++ b/fennelwind/policy/grants.py
@@ -9,12 +9,12 @@
 from fennelwind.policy.model import DEFAULT_PRIORITY, Query
 
 GRANT_FACTOR = 2.5  # times the estimated memory; estimates vary, and a spill costs more than unused memory
-QUEUEING_GRANT_FACTOR = 1.6  # the same where queries queue for memory: an excess grant delays others
-SWAPPING_GRANT_FACTOR = 3.0  # the same where only memory in use counts: an excess grant costs nothing
+QUEUEING_GRANT_FACTOR = 1.6  # factor if queries queue for memory: an excess grant delays other queries
+SWAPPING_GRANT_FACTOR = 3.0  # factor if only memory in use counts: an excess grant costs nothing
 SHORT_WORK_FACTOR = 1.0  # times the mean work of all queries; a query with less is short
 LONG_WORK_FACTOR = 4.0  # times the mean work of all queries; a query with more is long
-SHORT_PRIORITY, MEDIUM_PRIORITY, LONG_PRIORITY = 3, 2, 1  # on the wire; higher goes first
-LATE_PRIORITY = 0  # on the wire; late answers are worth least, so they must not delay others
+SHORT_PRIORITY, MEDIUM_PRIORITY, LONG_PRIORITY = 3, 2, 1  # values sent to engines; the highest goes first
+LATE_PRIORITY = 0  # value sent to engines; late answers are worth least and must not delay others
 
 
 class Grants:
--- a/fennelwind/policy/model.py
+++ b/fennelwind/policy/model.py
@@ -1,7 +1,7 @@
 """State of a gateway: queries, attempts, engines and sums over sliding windows.
 
 The records contain no decisions and no tuning constants; the rules in the other modules of this package read
-and update them. Each gateway has its own. All times are in milliseconds of the gateway's clock.
+and update them. Each gateway has its own records. All times are in milliseconds of the gateway's clock.
 """
 
 from collections import deque
@@ -9,7 +9,7 @@
 
 from fennelwind import policy
 
-DEFAULT_PRIORITY = 1  # on the wire; the priority that an engine uses if none is set
+DEFAULT_PRIORITY = 1  # value sent to engines; the priority that an engine uses if none is set
 
 
 @dataclass(slots=True, eq=False)
@@ -23,20 +23,20 @@
     service_time_ms: float  # single-thread service time: estimated work / threads
     objective_at_ms: float  # an answer up to this time meets the latency objective
     dispatch_target_ms: float  # when to dispatch it so that it is likely to meet its objective
-    is_short: bool = False  # less work than the mean query; only where engines support priorities
+    is_short: bool = False  # True if its work is below the mean; only if engines support priorities
     slow_start_work_ms: float = 0.0  # work counted against the budget of an engine in slow start
     attempts: list["Attempt"] = field(default_factory=list)
-    running_attempts: int = 0  # attempts that have not ended
+    running_attempts: int = 0  # number of attempts that have not ended
     grant: tuple[float, int] = (0.0, DEFAULT_PRIORITY)  # memory (MB) and priority set last
     is_queued: bool = False
     is_finished: bool = False  # its final answer was given, or its client has disconnected
     has_result_started: bool = False  # rows were sent to the client, so it can't be retried
     is_outcome_unknown: bool = False  # an attempt may have run
-    first_unresolved_attempt: "Attempt | None" = None  # keyed classes: the first attempt that may have run
+    first_unresolved_attempt: "Attempt | None" = None  # in keyed classes: the first attempt that may have run
 
     @property
     def queue_index(self) -> int:
-        """Index of its dispatch queue: each class has one for long and one for short queries."""
+        """Index of the query's dispatch queue: each class has one for long and one for short queries."""
         return 2 * self.class_index + self.is_short
 
     @property
@@ -49,7 +49,7 @@
         return self.attempts[number] if 0 <= number < len(self.attempts) else None
 
     def record_progress(self, number: int, share_done: float, now_ms: float) -> None:
-        """Record that a share (over 0) of an attempt's work is done."""
+        """Record the share of an attempt's work that is done, which must be above 0."""
         attempt = self.attempt(number)
         if attempt is not None:
             remaining_share = max(0.0, 1.0 - share_done)
@@ -76,16 +76,16 @@
     engine: "Engine"
     started_ms: float
     is_cancelled: bool = False
-    remaining_ms: float = float("inf")  # estimated from its pace at the last progress report
-    progress_at_ms: float = float("-inf")  # time of its last progress report
+    remaining_ms: float = float("inf")  # estimated from the attempt's pace at its last progress report
+    progress_at_ms: float = float("-inf")  # time of the attempt's last progress report
     gateway_stall_ms: float = 0.0  # time during which the gateway itself did not run
 
     def age_ms(self, now_ms: float) -> float:
-        """Return how long it has been running, less the time in which its gateway stalled."""
+        """Return how long the attempt has been running, less the time in which its gateway stalled."""
         return now_ms - self.started_ms - self.gateway_stall_ms
 
     def finish(self) -> bool:
-        """Record that it has ended; return False if that was recorded before."""
+        """Record that the attempt has ended; return False if its end was recorded before."""
         if self.engine.running_attempts.pop((self.query.request.query, self.number), None) is None:
             return False
         self.engine.running_threads -= self.query.query_class.threads
@@ -100,13 +100,13 @@
         self.items: deque[tuple[float, float]] = deque()
 
     def add(self, now_ms: float, amount: float = 1.0, since_ms: float = float("-inf")) -> None:
-        """Add an amount; drop leading ones older than `since_ms`, as `total` may be called rarely."""
+        """Add an amount; drop leading amounts before `since_ms`, as `total` may be called rarely."""
         while self.items and self.items[0][0] < since_ms:
             self.items.popleft()
         self.items.append((now_ms, amount))
 
     def total(self, since_ms: float) -> float:
-        """Return the sum of amounts since then; older ones do not count, in whatever order they came."""
+        """Return the sum of the amounts at or after `since_ms`, in whatever order they were added."""
         while self.items and self.items[0][0] < since_ms:
             self.items.popleft()
         return sum(amount for at_ms, amount in self.items if at_ms >= since_ms)
@@ -119,13 +119,13 @@
     endpoint: policy.EngineEndpoint
     cores: int
     concurrency_limit: float  # threads for this gateway's queries while the engine is under pressure
-    slow_start_draw: float  # random in 0..1, rounds this gateway's share of the slow-start budget
+    slow_start_draw: float  # random number in 0..1 that rounds this gateway's share of the slow-start budget
     cached_table_groups: deque[int]  # table groups read last
-    objective_ratios: list[tuple[float, float]]  # by class: decayed sum of time / objective; decayed count
+    objective_ratios: list[tuple[float, float]]  # by class: decayed sum and count of time / objective
     running_attempts: dict[tuple[int, int], Attempt] = field(default_factory=dict)
     running_threads: int = 0
-    mean_slowdown: float = 1.0  # mean of attempt time / baseline time for its work
-    current_slowdown: float = 1.0  # the same, including the ages of running attempts
+    mean_slowdown: float = 1.0  # mean of an attempt's time / the baseline time of its work
+    current_slowdown: float = 1.0  # mean slowdown that includes the ages of running attempts
     last_answered_start_ms: float = float("-inf")  # start time of the answered attempt that started last
     failures: int = 0  # failed attempts; reset when an attempt started after the last failure is answered
     failed_at_ms: float = float("-inf")
--- a/fennelwind/policy/outliers.py
+++ b/fennelwind/policy/outliers.py
@@ -21,8 +21,8 @@
 )
 
 OUTLIER_SLOWDOWN = 2.5  # times the fleet's median; a slower engine is an outlier, whatever the cause
-EJECTION_MS = 1000.0  # ms; an ejection lasts 2 times this after the first failure, 4 times from the second on
-MAX_EJECTION_FACTOR = 4  # times EJECTION_MS; so a recovered engine is used again within seconds
+EJECTION_MS = 1000.0  # ms; an ejection lasts 2 times EJECTION_MS after the first failure, then 4 times
+MAX_EJECTION_FACTOR = 4  # times EJECTION_MS; bounded to use a recovered engine again within seconds
 MAX_CONSECUTIVE_ERRORS = 3  # a bad query errs once per engine; an engine that errs fast attracts all queries
 OUTLIER_SAMPLE_SHARE = 0.5  # weight of a new sample for an outlier: two good answers readmit it
 DECAY_PER_PERIOD = 0.1  # share by which an engine's mean slowdown returns to 1 in each limit period
@@ -36,7 +36,7 @@
         self.median_slowdown = 1.0  # of the fleet
 
     def update_median_slowdown(self, ready_engines: list[Engine]) -> None:
-        """Update the median of all ready engines, with which each is compared."""
+        """Update the median slowdown of the ready engines, with which each engine is compared."""
         # The lower median: with the mean of two engines, neither could ever be an outlier.
         self.median_slowdown = median_low([engine.current_slowdown for engine in ready_engines] or [1.0])
 
@@ -84,5 +84,5 @@
         engine.mean_slowdown += (slowdown - engine.mean_slowdown) * share
 
     def decay(self, engine: Engine) -> None:
-        """Decay the engine's mean slowdown towards 1, so that it expires without new answers."""
+        """Decay the engine's mean slowdown towards 1, so that a high mean fades without new answers."""
         engine.mean_slowdown += (1.0 - engine.mean_slowdown) * DECAY_PER_PERIOD
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -21,11 +21,11 @@
 )
 
 TIMEOUT_SLOWDOWN = 3.0  # times the expected time of an attempt; after that another engine is tried
-ADVISED_TIMEOUT_FACTOR = 2.0  # times that if load advice is given: an engine that reports is busy, not hung
+ADVISED_TIMEOUT_FACTOR = 2.0  # times TIMEOUT_SLOWDOWN with load advice: a reporting engine is busy, not hung
 MAX_PROGRESS_AGE_INTERVALS = 2.5  # progress intervals; an older report is stale
 MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; minimum for its queries, as small estimates err most
-RESTART_WORK_SHARE = 0.15  # of arriving work; if timeouts restarted more, they would feed congestion
-MAX_RESTART_QUERIES = 6.0  # mean queries; bounds saved credit, so that a calm can't pay for congestion
+RESTART_WORK_SHARE = 0.15  # of arriving work; if timeouts restarted more, they would worsen congestion
+MAX_RESTART_QUERIES = 6.0  # times the mean work; bounds saved credit, so that a calm can't pay for congestion
 
 
 class RetryPolicy:
@@ -43,7 +43,7 @@
         self.restart_credit_ms = min(self.restart_credit_ms + RESTART_WORK_SHARE * work_ms, max_credit_ms)
 
     def record_served(self, query: Query, now_ms: float) -> None:
-        """Count a served query: only these earn retry budget, not failed requests of faulty clients."""
+        """Count a served query: only served queries earn retry budget, not failed ones of faulty clients."""
         window_ms = self.settings.retry_budget_window_ms
         if window_ms:
             self.served.add(query.arrived_ms, 1.0, now_ms - window_ms)
@@ -57,7 +57,7 @@
             query.first_unresolved_attempt = attempt
 
     def record_outcome(self, query: Query, status: policy.AttemptStatus) -> None:
-        """Record whether the query may have run; if it certainly has not, it may go to any engine."""
+        """Record whether the query may have run; a query that certainly never ran may go to any engine."""
         if status not in NEVER_RAN_STATUSES:
             query.is_outcome_unknown = True
         elif not query.is_outcome_unknown and not query.running_attempts:
@@ -108,8 +108,8 @@
         timeout_ms = self._timeout_ms(attempt, median_slowdown, has_load_advice)
         if attempt.age_ms(now_ms) < timeout_ms:
             return False
-        # With recent progress reports it times out only if it needs another full timeout, as a restart loses
-        # all its work. When reports stop, as from a hung engine, its age alone decides.
+        # With recent progress reports an attempt times out only if it needs another full timeout: a restart
+        # loses all its work. When reports stop, as from a hung engine, the attempt's age alone decides.
         max_progress_age_ms = MAX_PROGRESS_AGE_INTERVALS * self.settings.progress_interval_ms
         reports_progress = now_ms - attempt.progress_at_ms < max_progress_age_ms
         return not (reports_progress and attempt.remaining_ms < timeout_ms)
--- a/fennelwind/policy/selection.py
+++ b/fennelwind/policy/selection.py
@@ -1,10 +1,10 @@
 """Engine selection: which engine an attempt goes to.
 
-Among a small sample of engines that the constraints permit, the one with the fewest queries of this gateway
-relative to its size and speed. Engines with about the same load are tied; zone, cached tables and load break
-the tie. Load advice (loads of engines over all gateways), if given, names the engines to consider. No engine
-is chosen if every permitted one is full: the query stays queued. The gateway's random generator is used only
-in fleets larger than the sample.
+The selector chooses the least loaded engine of a small sample that the constraints permit. An engine's load
+is the threads of this gateway's queries there, relative to its size and speed. Engines with about the same
+load are tied; zone, cached tables and load break the tie. Load advice (loads of engines over all gateways),
+if given, names the engines to consider. No engine is chosen if every permitted one is full: the query stays
+queued. The gateway's random generator is used only in fleets larger than the sample.
 """
 
 from random import Random
@@ -17,10 +17,10 @@
 
 READY = policy.EngineState.READY
 
-SAMPLE_SIZE = 12  # engines considered for an attempt; nearly always includes a good one, at any fleet size
-TIE_THREADS_PER_CORE = 0.5  # engines this close are tied: zone and cached tables are worth that much
-TIE_LOAD_SHARE = 0.25  # of the capacity; the same with load advice, which is a second old and noisy
-MIN_RELATIVE_SPEED = 0.1  # of the median; one bad plan in its mean must not exclude an engine for good
+SAMPLE_SIZE = 12  # engines considered per attempt; they nearly always include a good one, at any fleet size
+TIE_THREADS_PER_CORE = 0.5  # loads that differ by this or less are tied: zone and cached tables matter more
+TIE_LOAD_SHARE = 0.25  # of the capacity; the limit for ties with load advice, which is a second old and noisy
+MIN_RELATIVE_SPEED = 0.1  # of the median; one bad plan in an engine's mean must not exclude it for good
 MAX_CACHED_TABLE_GROUPS = 4  # table groups that an engine is assumed to keep cached
 GOLDEN_RATIO = 0.6180339887  # its multiples spread gateways evenly over a ring of engines
 
--- a/fennelwind/policy/settings.py
+++ b/fennelwind/policy/settings.py
@@ -35,14 +35,14 @@
     latency_objective_slowdown: float = 0.0  # the objective grows by this factor times work / threads
     late_weight_share: float = 0.0  # share of the weight that a late answer earns
     idempotency: Idempotency = Idempotency.IDEMPOTENT
-    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # keyed classes only
-    deduplication_window_ms: float = 0.0  # keyed classes only: how long repeats are dropped
+    deduplication_scope: DeduplicationScope = DeduplicationScope.ALL  # used only in keyed classes
+    deduplication_window_ms: float = 0.0  # in keyed classes: how long engines drop repeats
     is_ordered_by_key: bool = False  # queries with the same key run one at a time, in order
-    zones: tuple[int, ...] | None = None  # allowed zones; None: all
-    kinds: tuple[int, ...] | None = None  # allowed machine kinds; None: all
+    zones: tuple[int, ...] | None = None  # allowed zones; None if all are
+    kinds: tuple[int, ...] | None = None  # allowed machine kinds; None if all are
     threads: int = 1
     locks_tables: bool = False  # a load: locks its table group on its engine while it runs
-    waits_for_table_locks: bool = False  # blocks while a load holds its table group there
+    waits_for_table_locks: bool = False  # waits while a load on its engine locks its table group
 
 
 @dataclass(slots=True, frozen=True)
@@ -70,7 +70,7 @@
     queues_when_short_of_memory: bool = False  # engines short of memory queue queries; else they spill
     swaps_when_short_of_memory: bool = False  # engines admit queries beyond their memory and slow down
     has_priorities: bool = False  # engines support priorities
-    progress_interval_ms: float = 0.0  # time between progress reports; 0: none
+    progress_interval_ms: float = 0.0  # time between progress reports; 0 if there are none
     reports_cost: bool = False  # answers report measured work and memory
     report_fields: tuple[str, ...] = ()
     can_cancel: bool = False
@@ -85,12 +85,12 @@
     drain_grace_ms: float = 0.0
     cold_capacity_share: float = 1.0  # share of its capacity that an engine has right after its start
     slow_start_ms: float = 0.0  # time after which an engine is warm
-    overload_multiple: float = 0.0  # times capacity that crashes a cold engine; 0: cold engines don't crash
+    overload_multiple: float = 0.0  # work / capacity that crashes a cold engine; 0 if none crash
     overload_window_ms: float = 0.0
     unresolved_hold_ms: float = 0.0  # how long a key is held after an unknown outcome
     retry_budget_free: float = 0.0
     retry_budget_share: float = 0.0
-    retry_budget_window_ms: float = 0.0  # 0: retries are not limited
+    retry_budget_window_ms: float = 0.0  # 0 if retries are not limited
     resolution_ms: float = 1.0  # minimum time between two steps
 
     def __post_init__(self) -> None:
--- a/fennelwind/policy/slow_start.py
+++ b/fennelwind/policy/slow_start.py
@@ -11,8 +11,8 @@
 from fennelwind.policy.model import Engine, Query
 
 USED_BUDGET_SHARE = 0.6  # of the budget: work estimates err, and an engine that crashes loses all its work
-MAX_ROUNDED_QUERY_SHARE = 0.03  # of the budget; larger queries are never rounded up
-MIN_QUERY_WORK_SHARE = 0.36  # of the mean work of all queries; bounds the number of calls to an engine
+MAX_ROUNDED_QUERY_SHARE = 0.03  # of the budget; the share is never rounded up for a larger query
+MIN_QUERY_WORK_SHARE = 0.36  # of the mean work of all queries; bounds the number of queries sent to an engine
 
 
 class SlowStart:
@@ -33,7 +33,7 @@
         return cold_share + (1.0 - cold_share) * up_ms / settings.slow_start_ms
 
     def set_work(self, query: Query) -> None:
-        """Set the work that the query is counted with; at least the class's mean, as estimates may be low."""
+        """Set the work that counts for the query: at least the class's mean, as estimates may be too low."""
         estimates, index = self.estimates, query.class_index
         estimated_ms = query.service_time_ms * query.query_class.threads
         min_work_ms = MIN_QUERY_WORK_SHARE * estimates.mean_query_work_ms
@@ -56,8 +56,8 @@
             settings.overload_multiple * warm_up_fraction * engine.cores * window_ms * USED_BUDGET_SHARE
         )
         # If this gateway's share is less than one query, its fixed random draw may round it up, so that about
-        # as many gateways send one query as the shares add up to. Only for small queries: a few large ones
-        # sent by chance would exceed the budget.
+        # as many gateways send one query as the shares add up to. It rounds up only small queries: a few
+        # large ones sent by chance would exceed the budget.
         is_small = work_ms <= budget_ms * MAX_ROUNDED_QUERY_SHARE
         rounding_ms = work_ms * engine.slow_start_draw if is_small else 0.0
         sent_ms = engine.sent_work_ms.total(now_ms - window_ms)
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -1,13 +1,13 @@
-"""Request coalescing: a repeat of a request that is still open joins it instead of running again.
+"""Request coalescing: a repeat of a request that is still open joins that request instead of running again.
 
 A client that timed out or lost its connection retries. If it sends the same request id (`fennelwind.request`)
 and statement as the same user, the retry joins the open request: one query is executed, and each client gets
-its answer within its own deadline. So a retry storm adds no load to the engines.
+the answer within the client's own deadline. So a retry storm adds no load to the engines.
 
-- A joined entry ends with the query, or earlier when its own deadline passes.
+- An entry that joined a query ends with the query, or earlier when the entry's own deadline passes.
 - If the first client disconnects, the query continues as long as another entry waits for it.
-- A query runs within the deadline of the entry that started it. If that was too short, the entries with a
-  later deadline wait for a new query, if the class allows it (`should_run_again`).
+- A query runs within the deadline of the entry that started it. If that deadline was too early, entries
+  with a later deadline wait for a new query, if the class allows it (`should_run_again`).
 - An ended request is forgotten: a later repeat is a new query, subject to the class's idempotency.
 - Requests of non-idempotent classes join too, as a join executes nothing. A repeat after the end is not
   recognised; its client has been told that the query failed and that its outcome is unknown.
@@ -20,8 +20,8 @@
 from hashlib import blake2b
 from typing import Generic, TypeVar
 
-MAX_REQUESTS = 50_000  # tracked open requests; further ones run unshared and are counted
-MAX_WAITERS = 100  # entries that wait for one query; further ones are rejected
+MAX_REQUESTS = 50_000  # tracked open requests; further requests run unshared and are counted
+MAX_WAITERS = 100  # entries that wait for one query; further entries are rejected
 FINGERPRINT_BYTES = 16
 LENGTH_BYTES = 8  # size of the length prefix that separates the parts of a fingerprint
 
@@ -34,7 +34,7 @@
 
     fingerprint: bytes
     executing: EntryT
-    waiting: dict[EntryT, None] = field(default_factory=dict)  # entries without an answer, in order
+    waiting: dict[EntryT, None] = field(default_factory=dict)  # unanswered entries, in order of arrival
 
 
 def request_fingerprint(
@@ -64,9 +64,9 @@
     execution_deadline_ms: float,
     answer_deadline_ms: float,
 ) -> bool:
-    """Return whether an entry waits for a new query after the one that it joined ended without a result.
+    """Return whether an entry waits for a new query after its previous query ended without a result.
 
-    Only an entry with a later deadline than the query does. A rejected query may safely be repeated; a
+    Only an entry whose deadline is later than that query's does. A rejected query may safely be repeated; a
     failed one may have run, so it runs again only in an idempotent class.
     """
     has_more_time = answer_deadline_ms > execution_deadline_ms
@@ -91,7 +91,7 @@
         return self._by_fingerprint.get(fingerprint)
 
     def track(self, fingerprint: bytes, executing: EntryT, waiting: EntryT) -> SharedRequest[EntryT] | None:
-        """Track a request and its first waiting entry; None if too many requests are open."""
+        """Track a request and its first waiting entry; return None if too many requests are open."""
         if len(self._by_fingerprint) >= MAX_REQUESTS:
             self.untracked += 1
             return None
@@ -100,7 +100,7 @@
         return request
 
     def join(self, request: SharedRequest[EntryT], entry: EntryT) -> bool:
-        """Add an entry that waits for the request; return False if too many already do."""
+        """Add an entry that waits for the request; return False if too many entries already wait."""
         if len(request.waiting) >= MAX_WAITERS:
             self.rejected += 1
             return False
--- a/fennelwind/simulator_wire.py
+++ b/fennelwind/simulator_wire.py
@@ -2,7 +2,7 @@
 
 The simulator writes batches of lines to the program's standard input and reads its response from standard
 output. A line is a message name and name=value pairs, separated by tabs. Only this module knows the names;
-`adapter` reads and writes lines with it. The platform's configuration uses the same names for settings. This
+`adapter` uses it to read and write lines. The platform's configuration uses the same names for settings. This
 module does no I/O. A malformed line raises `WireError`, which names the message and the field.
 """
 
@@ -43,9 +43,9 @@
     "TOO_LATE": policy.AttemptStatus.NOT_STARTED,
 }
 HAS_ESTIMATE, IS_CLIENT_RETRY = 1, 2  # bits of Options in a request
-COST_MEMORY_BITS = 12  # low bits of an answer's Note, for the memory; the higher bits are the work in ms
-COST_MEMORY_UNIT_MB = 4.0  # MB; unit of the memory in a Note
-MAX_NUMBER = 1e300  # larger numbers are rejected: their sums could overflow in the policy
+COST_MEMORY_BITS = 12  # low bits of an answer's Note, which hold the memory; the others hold the work in ms
+COST_MEMORY_UNIT_MB = 4.0  # MB in each unit of the memory in a Note
+MAX_NUMBER = 1e300  # larger numbers are rejected, as sums of them could overflow in the policy
 MAX_QUOTED_NAME = 40  # characters of a message name quoted in an error
 MAX_FAILURE_TEXT = 200  # characters of an exception's text in a failure line
 
@@ -179,7 +179,7 @@
     locks_tables: tuple[bool, ...],
     waits_for_locks: tuple[bool, ...],
 ) -> policy.QueryClass:
-    """Return one class; `threads` and the flags hold one value per class; defaults apply beyond their end."""
+    """Return one class. `threads` and the flags hold a value per class; for missing values defaults apply."""
     get, prefix = fields.get, f"Grades.{index}."
     return policy.QueryClass(
         name=get(prefix + "Name", str, str(index)),
@@ -189,7 +189,7 @@
         latency_objective_slowdown=get(prefix + "AimStretch", _number, 0.0),
         late_weight_share=get(prefix + "LateWorth", _number, 0.0),
         idempotency=get(prefix + "Effect", IDEMPOTENCY.__getitem__),
-        # As text: `Settings` validates it, so that the error names the setting.
+        # Passed as text: `Settings` validates the scope, so that the error names the setting.
         deduplication_scope=get(prefix + "Group", str, policy.DeduplicationScope.ALL),
         deduplication_window_ms=get(prefix + "MemorySpanMs", _number, 0.0),
         is_ordered_by_key=get(prefix + "SerialByKey", _bool, False),
@@ -224,17 +224,17 @@
 
 
 def read_start(fields: Fields) -> InstanceStart:
-    """Return the settings and seed of an instance that starts. Raises `WireError`."""
+    """Return the settings and seed of an instance that starts. Raises `WireError` if one is invalid."""
     try:
         return InstanceStart(read_settings(fields), fields.get("Entropy", int))
     except ValueError as error:
-        raise WireError(f"{INSTANCE_STARTED}: {error}") from None
+        raise WireError(f"invalid {INSTANCE_STARTED} message: {error}") from None
 
 
 def read_engine_list(
     fields: Fields, lines: Iterator[tuple[str, list[str]]]
 ) -> tuple[int, tuple[policy.EngineEndpoint, ...]]:
-    """Return an engine list's page number and engines, which are read from the lines that follow."""
+    """Return an engine list's page number and its engines, which are read from the lines that follow."""
     count = fields.get("MembersList", int)
     endpoints = tuple(_read_endpoint(lines) for _ in range(count))
     return fields.get("Page", int), endpoints
@@ -260,7 +260,10 @@
 def read_event(
     message: str, fields: Fields, settings: policy.Settings, engine_lists: EngineLists
 ) -> policy.Event:
-    """Return the event of a line for an instance with these settings. Raises `WireError`."""
+    """Return the event of a line for an instance with these settings.
+
+    Raises `WireError` for an unknown message or an invalid field.
+    """
     reader = EVENT_READERS.get(message)
     if reader is not None:
         return reader(fields, settings)
