--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -4,11 +4,11 @@
 then fetches the pages of its result. Nothing can have run before ExecuteStatement is written, so a failure is
 classified by whether it happened before or after that write:
 
-- before it, any failure is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
+- before that write, any failure is `CONNECT_FAILED`, and a rejected session or a full pool is `OVERLOADED`
 - the engine's hint `fennelwind-not-run` means `OVERLOADED`: the statement was rejected without being run
 - an error caused by the statement itself (`statement_status.py`) is an answer, `OK`, since it would occur at
   any engine; this includes a failed `USE`
-- after it, a broken connection or a malformed reply is `RESET`, an error status is `ERROR`
+- after that write, a broken connection or a malformed reply is `RESET`, an error status is `ERROR`
 - when this process has no file descriptors left, `NOT_STARTED`: nothing was sent, and the engine is not at
   fault
 - `TIMEOUT` at the deadline, `CANCELLED` when the attempt's task is cancelled; the operation that remains at
@@ -36,7 +36,7 @@
 from fennelwind.thrift.codec import Malformed, Structure
 from fennelwind.thrift.hiveserver2 import row_count
 
-MIN_POLL_MS, MAX_POLL_MS = 2.0, 50.0  # between polls of an engine without long polling
+MIN_POLL_MS, MAX_POLL_MS = 2.0, 50.0  # ms between polls of an engine without long polling
 
 
 class AttemptServices(Protocol):
@@ -52,7 +52,7 @@
         """Return the load figures among a status's hints that the settings name."""
 
     def send_grant(self, attempt: "Attempt") -> None:
-        """Send the engine the attempt's grant unless it already has this one."""
+        """Send the engine the attempt's grant unless the engine already has this grant."""
 
 
 class Attempt:
@@ -180,7 +180,7 @@
         self.handle = reply.operationHandle
         if self.handle is None:
             raise Malformed("an operation without a handle")
-        self.services.send_grant(self)  # it may have changed during the call
+        self.services.send_grant(self)  # the grant may have changed during the call
         self._wait()
         result = self._fetch() if self.handle.hasResultSet else Result()
         self._finish(result)
@@ -207,7 +207,7 @@
             self.services.cleanup.close_later(self.pool, self.connection, self.handle)
 
     def _wait(self) -> None:
-        """Wait until the operation has finished. Raises `RemoteError` if it ended otherwise."""
+        """Wait until the operation has finished. Raises `RemoteError` if the operation ended otherwise."""
         pause_ms = MIN_POLL_MS
         request = hs2.TGetOperationStatusReq(operationHandle=self.handle, getProgressUpdate=True)
         while True:
@@ -270,13 +270,13 @@
     def _stream(self) -> RowStream:
         """Return a stream of the remaining rows.
 
-        Raises `RemoteError` if the controller's own limits forbid it, though the engine made no error; the
-        attempt then ends as `ERROR`.
+        Raises `RemoteError` if the controller's own limits forbid streaming, though the engine made no error;
+        the attempt then ends as `ERROR`.
         """
         settings = self.services.settings
         if (
             self.request.submission.request_id
-        ):  # several clients may wait for it, and they read at different speeds
+        ):  # several clients may wait for the answer, and they read at different speeds
             raise RemoteError(f"a named request's answer of over {settings.max_result_bytes} bytes")
         if not can_stream(self.pool.streams, settings.max_links):
             raise RemoteError(f"{self.pool.streams} large answers flow already")
--- a/fennelwind/engines/connection.py
+++ b/fennelwind/engines/connection.py
@@ -44,9 +44,9 @@
         self.stream: Stream | None = None
         self.session: Structure | None = None
         self.received_bytes = 0
-        self.database = ""  # current database of the session; "": the engine's default
+        self.database = ""  # current database of the session; "" if it is the engine's default
         self.idle_since_ms = 0.0
-        self.operation_to_close: Structure | None = None  # fully read, but still open at the engine
+        self.operation_to_close: Structure | None = None  # its result was read; still open at the engine
         self._close_sequence: int | None = None  # sequence id of a CloseOperation call whose reply is pending
         self._replies: list[Message] = []
         self._prepared: list[bytes] = []
@@ -119,7 +119,7 @@
     def close_operation(self) -> None:
         """Close the operation that was answered last."""
         handle, self.operation_to_close = self.operation_to_close, None
-        with suppress(RemoteError):  # already closed; the connection remains usable
+        with suppress(RemoteError):  # the operation was already closed; the connection remains usable
             self.call("CloseOperation", hs2.TCloseOperationReq(handle))
 
     def _receive(self) -> None:
--- a/fennelwind/engines/connection_pool.py
+++ b/fennelwind/engines/connection_pool.py
@@ -1,4 +1,4 @@
-"""The pooled connections to one engine: bounded in number, closed after some time idle."""
+"""The pooled connections to one engine: limited in number, and closed when they were idle for too long."""
 
 import ssl
 from collections.abc import Sequence
@@ -27,11 +27,11 @@
     ) -> None:
         self.loop, self.address, self.settings, self.tls = loop, address, settings, tls
         self.idle: list[EngineConnection] = []  # most recently used last
-        self.count = 0  # idle and in use
+        self.count = 0  # number of connections, idle and in use
         self.streams = 0  # connections over which a result too large to buffer is streamed
 
     def take(self, database: str = "") -> EngineConnection:
-        """Return a connection with a session: the idle one that suits the database best, else a new one.
+        """Return a connection with a session: an idle one that `choose_idle` selects, else a new one.
 
         Raises `PoolExhaustedError`, or what `EngineConnection.open` raises.
         """
@@ -78,12 +78,12 @@
 
 
 def choose_idle(databases: Sequence[str], wanted: str) -> int | None:
-    """Return the index of the idle connection to use, given each session's database; None: open a new one.
+    """Return the index of the idle connection to use, by the sessions' databases, or None to open a new one.
 
     Prefer the most recently used one in the wanted database, else the most recently used one, whose session
-    is then switched with `USE`. A session that has left the engine's default database can't return to it,
-    since the controller doesn't know its name; so without a wanted database only a session that is still in
-    the default one is usable.
+    is then switched with `USE`. A session that has left the engine's default database can't return to that
+    database, since the controller doesn't know its name; so without a wanted database only a session that
+    is still in the default one is usable.
     """
     for index in range(len(databases) - 1, -1, -1):
         if databases[index] == wanted:
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -5,7 +5,7 @@
 An engine is `{"engine": "HOST:PORT", "state": "ready" | "draining" | "gone", "zone": NAME, "kind": NAME,
 "cell": N, "weight": X, "launched_ms": T}`, with times on discovery's own clock; only their differences to
 `now_ms` are used. An invalid line ends the subscription, as skipping it would leave an incomplete list that
-is taken for a complete one.
+would be taken for a complete one.
 """
 
 import json
@@ -16,9 +16,9 @@
 from fennelwind.errors import FennelwindError
 from fennelwind.loop import Address, DeadlineExceeded, Loop, Stream, StreamReset, Task, parse_address
 
-MAX_LINE_BYTES = 4 * 1024 * 1024  # about 20,000 engines
-CONNECT_TIMEOUT_MS = 2000.0  # to connect and receive the first list
-# Between subscriptions; doubled after each failure, with up to half of it as jitter.
+MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; a list of about 20,000 engines
+CONNECT_TIMEOUT_MS = 2000.0  # ms to connect and receive the first list
+# ms between subscriptions; doubled after each failure, with up to half of it as jitter.
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0
 FORMS = (policy.ListForm.FULL, policy.ListForm.DELTA)
 
@@ -34,7 +34,7 @@
 
 
 class StartTimes:
-    """Engines' start times, converted to the controller's clock once per start so that they don't drift."""
+    """Engines' start times, converted to the controller's clock only once each, so that they don't drift."""
 
     def __init__(self) -> None:
         self._known: dict[str, tuple[float, float]] = {}
--- a/fennelwind/engines/engine_client.py
+++ b/fennelwind/engines/engine_client.py
@@ -22,8 +22,8 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-MAX_WAIT_US = 60_000_000  # longest wait for a connection that the histogram records exactly
-HEALTH_CHECK_TIMEOUT_MS = 1000.0  # for one health check
+MAX_WAIT_US = 60_000_000  # us; the longest wait for a connection that the histogram records exactly
+HEALTH_CHECK_TIMEOUT_MS = 1000.0  # ms for one health check
 
 
 class EngineClient:
@@ -39,11 +39,11 @@
         self.loop, self.settings, self.tls = loop, settings, tls
         self.report_fields = frozenset(report_fields)
         self.pools: dict[str, ConnectionPool] = {}
-        self.connection_wait_us = HdrHistogram(1, MAX_WAIT_US, 2)  # until an attempt got its connection
+        self.connection_wait_us = HdrHistogram(1, MAX_WAIT_US, 2)  # us until an attempt got its connection
         self.stream_counts = StreamCounts()
         self.cleanup = OperationCleanup(loop)
         self.grant_updates = GrantUpdates(loop)
-        self._attempts: dict[int, list[Attempt]] = {}  # in progress, by query
+        self._attempts: dict[int, list[Attempt]] = {}  # attempts in progress, by query
 
     def start(self) -> None:
         """Start closing connections that are idle for too long."""
@@ -70,7 +70,7 @@
                 self.send_grant(attempt)
 
     def send_grant(self, attempt: Attempt) -> None:
-        """Send an engine the grant of an attempt that it runs, unless it already has this one."""
+        """Send an engine the grant of an attempt that it runs, unless the engine already has this grant."""
         self.grant_updates.send(attempt)
 
     def check_health(self, engine: str) -> AttemptEnd:
--- a/fennelwind/engines/grant_updates.py
+++ b/fennelwind/engines/grant_updates.py
@@ -1,8 +1,8 @@
 """New memory grants and priorities, sent to engines for attempts that they run.
 
-They are sent as `SetClientInfo` over another connection, since the attempt's own connection is blocked in a
-call until the attempt ends. The latest grant applies; one that can't be sent is dropped and counted, since no
-answer depends on it.
+Grants are sent as `SetClientInfo` over another connection, since the attempt's own connection is blocked in a
+call until the attempt ends. The latest grant applies; a grant that can't be sent is dropped and counted,
+since no answer depends on it.
 """
 
 from typing import Protocol
@@ -13,8 +13,8 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-MAX_UPDATES = 32  # concurrent updates; more are dropped, since no answer depends on them
-UPDATE_TIMEOUT_MS = 1000.0  # for one update; a later one would have little effect
+MAX_UPDATES = 32  # concurrent updates; further updates are dropped, since no answer depends on them
+UPDATE_TIMEOUT_MS = 1000.0  # ms for one update; a later update would have little effect
 
 
 class GrantedAttempt(Protocol):
@@ -40,7 +40,7 @@
         self.dropped = 0
 
     def send(self, attempt: GrantedAttempt) -> None:
-        """Send an engine the grant of an attempt that it runs, unless it already has this one."""
+        """Send an engine the grant of an attempt that it runs, unless the engine already has this grant."""
         if attempt.is_grant_update_running or attempt.known_grant == attempt.grant():
             return  # a running update also sends grants that changed meanwhile
         if self.running >= MAX_UPDATES:
--- a/fennelwind/engines/operation_cleanup.py
+++ b/fennelwind/engines/operation_cleanup.py
@@ -1,9 +1,9 @@
 """Operations that remain at engines: answered ones are closed, abandoned ones cancelled and closed.
 
 An answered operation is closed together with the next call over its connection, in the same write; if no call
-follows soon, by a separate call. An abandoned operation is cancelled over another connection, with a timeout
-and a limit on concurrent cancellations. Operations that can't be cancelled are counted, and the engine's own
-timeouts have to end them.
+follows soon, it is closed by a separate call. An abandoned operation is cancelled over
+another connection, with a timeout and a limit on concurrent cancellations. Operations that can't be cancelled
+are counted, and the engine's own timeouts have to end them.
 """
 
 from fennelwind.engines.connection import EngineConnection, RemoteError
@@ -12,10 +12,10 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-CLOSE_DELAY_MS = 25.0  # how long an answered operation waits for a next call to be closed with
-CLOSE_TIMEOUT_MS = 2000.0  # to close an answered operation; past it its connection is dropped
-CANCEL_TIMEOUT_MS = 5000.0  # to cancel and close an abandoned operation
-MAX_CANCELLATIONS = 64  # concurrent, over all engines
+CLOSE_DELAY_MS = 25.0  # ms that an answered operation waits to be closed together with a next call
+CLOSE_TIMEOUT_MS = 2000.0  # ms to close an answered operation; after that, its connection is dropped
+CANCEL_TIMEOUT_MS = 5000.0  # ms to cancel and close an abandoned operation
+MAX_CANCELLATIONS = 64  # concurrent cancellations, over all engines
 
 
 class OperationCleanup:
@@ -39,7 +39,7 @@
             self.loop.after(CLOSE_DELAY_MS, self._close_answered)
 
     def _close_answered(self) -> None:
-        """Close answered operations on connections that have not been used since."""
+        """Close answered operations on connections that have not been used since the answer."""
         answered, self._answered, self._is_close_scheduled = self._answered, [], False
         for pool, connection in answered:
             if connection.operation_to_close is not None and connection in pool.idle:
--- a/fennelwind/engines/row_stream.py
+++ b/fennelwind/engines/row_stream.py
@@ -1,7 +1,7 @@
 """Results too large to buffer: their pages are streamed from the engine as the client fetches them.
 
 A result of up to `max_result_bytes` is buffered before its query counts as served, so an engine that fails
-meanwhile costs an attempt and not the answer. A larger one is streamed once that many bytes have been
+before that costs an attempt and not the answer. A larger one is streamed once that many bytes have been
 received. From then on it is never retried at another engine, which may return the rows in another order; if
 the engine fails, the client gets an error.
 
@@ -20,9 +20,9 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed, Structure
 
-PAGE_TIMEOUT_MS = 30_000.0  # for an engine to send a page of a finished result
-IDLE_TIMEOUT_MS = 60_000.0  # without a client's request, after which connection and operation are dropped
-MAX_STREAM_SHARE = 0.5  # of an engine's connections; the others are reserved for new statements
+PAGE_TIMEOUT_MS = 30_000.0  # ms for an engine to send a page of a finished result
+IDLE_TIMEOUT_MS = 60_000.0  # ms without a client's request; then connection and operation are dropped
+MAX_STREAM_SHARE = 0.5  # share of an engine's connections; the others are reserved for new statements
 
 
 class StreamLostError(FennelwindError):
@@ -60,9 +60,9 @@
         self.loop, self.cleanup, self.counts = loop, cleanup, counts
         self.pool, self.connection, self.handle, self.page_rows = pool, connection, handle, page_rows
         self.on_end: Callable[[], None] = lambda: None  # called once, when the stream ends
-        self.lost_reason = ""  # reason why no more rows are available; "": they are
+        self.lost_reason = ""  # why no more rows are available; "" if they are
         self.is_over = False
-        self._sequence = self._request_page()  # one page ahead; if this raises, no stream has been counted
+        self._sequence = self._request_page()  # one page ahead; if it raises, no stream has been counted
         self._is_waiting = False
         pool.streams += 1
         counts.begun += 1
@@ -70,7 +70,7 @@
         self._timer = self.loop.after(IDLE_TIMEOUT_MS, self._check_idle)
 
     def next(self) -> tuple[Structure | None, bool]:
-        """Wait for the next page; return it and whether there are more. Raises `StreamLostError`."""
+        """Wait for the next page; return it and whether more pages follow. Raises `StreamLostError`."""
         if self.lost_reason:
             raise StreamLostError(self.lost_reason)
         if self.is_over:
@@ -128,7 +128,7 @@
         self.on_end()
 
     def _check_idle(self) -> None:
-        """End a stream whose client is idle, as it holds a connection and the engine's operation."""
+        """End a stream whose client is idle, as the stream holds a connection and an operation."""
         since_ms = self.loop.now() if self._is_waiting else self._requested_ms
         if self.loop.now() - since_ms >= IDLE_TIMEOUT_MS:
             self._fail(f"nobody asked for rows for {IDLE_TIMEOUT_MS / 1000:.0f} s")
--- a/fennelwind/engines/statement_status.py
+++ b/fennelwind/engines/statement_status.py
@@ -2,8 +2,8 @@
 
 Three cases have to be distinguished: the engine rejected the statement without running it (another engine may
 accept it), the engine failed while running it (it may have run; another engine may succeed), and the
-statement itself is wrong. The last is an answer: the statement would fail at any engine, so it is neither
-retried nor counted against the engine, and its client gets the engine's error unchanged.
+statement itself is wrong. The third case is an answer: the statement would fail at any engine, so it is
+neither retried nor counted against the engine, and its client gets the engine's error unchanged.
 """
 
 from collections.abc import Sequence
@@ -29,9 +29,9 @@
 class StatementStatus(Enum):
     """What an error status means for the attempt."""
 
-    STATEMENT_ERROR = auto()  # the statement itself is wrong: an answer
-    REJECTED = auto()  # the engine never ran it
-    ENGINE_ERROR = auto()  # it may have run
+    STATEMENT_ERROR = auto()  # the statement itself is wrong; the error is the answer
+    REJECTED = auto()  # the engine never ran the statement
+    ENGINE_ERROR = auto()  # the statement may have run
 
 
 def classify(sql_state: str | None, messages: Sequence[str] | None) -> StatementStatus:
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -1,13 +1,14 @@
-"""One attempt at an executor: starts it, polls until it ends, and cancels it there if it is not needed.
+"""One attempt at an executor: starts the query, polls until it ends, and cancels it if it is not needed.
 
 An attempt is not tied to a connection: if one breaks, stays silent or brings a malformed answer, the attempt
 polls again on a fresh connection, which does not run the query again. How the end of an attempt is reported:
 
-- no connection: `CONNECT_FAILED`, it never ran; 503 with X-Not-Run: `OVERLOADED`; 504 with it: `NOT_STARTED`
-- 500, also for a query that the executor does not know: `ERROR`, it may have run
+- no connection: `CONNECT_FAILED`, the query never ran
+- 503 with X-Not-Run: `OVERLOADED`; 504 with X-Not-Run: `NOT_STARTED`
+- 500, also for a query that the executor does not know: `ERROR`, the query may have run
 - 503 or 504 without X-Not-Run, or any other status: no answer; the attempt polls again
-- the executor is unreachable after the POST may have arrived: `RESET`, it may have run
-- `TIMEOUT` at its deadline, `CANCELLED` when its task is cancelled; a posted query is then deleted there
+- the executor is unreachable after the POST may have arrived: `RESET`, the query may have run
+- `TIMEOUT` at its deadline, `CANCELLED` when its task is cancelled; a DELETE then cancels a posted query
 """
 
 import errno
@@ -40,8 +41,8 @@
 # ms after the last poll in which an executor may still run an attempt: it drops a query that has not been
 # polled for 2 s, and the last poll may have been delivered up to the poll timeout later.
 UNPOLLED_EXPIRY_MS = 2000.0 + POLL_TIMEOUT_MS
-# ms; if the loop is further behind, pending client input is read before an attempt starts, since none may
-# start later than 100 ms after its client has left.
+# ms; if the loop is further behind, pending client input is read before an attempt starts, since no attempt
+# may start later than 100 ms after its client has left.
 MAX_LOOP_DELAY_MS = 25.0
 
 
@@ -90,7 +91,7 @@
         self.services, self.executor, self.request = services, executor, request
         self.loop = services.pool.loop
         self.query_id = request.submission.engine_id  # the query's id on the wire
-        self.may_have_arrived = False  # at least part of its POST may have been sent
+        self.may_have_arrived = False  # at least part of the attempt's POST may have been sent
         self.priority = AttemptPriority(executor, request)
         self.connection = AttemptConnection(services.pool, executor)
 
@@ -124,9 +125,9 @@
     def _abandon(self) -> None:
         """Cancel the attempt; if attempts may not run concurrently, wait until this one can't run any more.
 
-        Otherwise the driver would start the query's next attempt while the executor still runs this one, and
-        the statement would take effect twice. The wait ends when the executor confirms the end by answering
-        the DELETE, or `UNPOLLED_EXPIRY_MS` after the last poll.
+        Without the wait, the driver would start the query's next attempt while the executor still runs this
+        one, and the statement would take effect twice. The wait ends when the executor confirms the end by
+        answering the DELETE, or `UNPOLLED_EXPIRY_MS` after the last poll.
         """
         self.connection.release()
         if self.services.allows_concurrent:
@@ -178,17 +179,17 @@
             return AttemptEnd(AttemptStatus.ERROR, str(exc))
 
     def _wait_for_client_input(self) -> None:
-        """Wait until everything that the client has sent by now is read; it may be a withdrawal or a close.
+        """Wait until everything that the client has sent by now is read; this may be a withdrawal or a close.
 
-        A loop that was busy for long has not read it yet, and a long burst takes several reads. Without the
-        wait, the attempt might start more than 100 ms after its client has left.
+        A loop that was busy for long has not read these bytes yet, and a long burst takes several reads.
+        Without the wait, the attempt might start more than 100 ms after its client has left.
         """
         self.loop.catch_up(MAX_LOOP_DELAY_MS)
         while (wait_ms := self.request.submission.earliest_start_ms() - self.loop.now()) > 0.0:
             self.loop.sleep(wait_ms)
 
     def _reason_not_to_send(self) -> str:
-        """Return why the attempt may not be sent now, "" if it may.
+        """Return why the attempt may not be sent now, or "" if it may.
 
         The state may have changed while the connection was being established. No task switch may happen from
         here to the first byte.
@@ -225,7 +226,7 @@
             response = self.connection.call(poll_query(self.query_id), POLL_TIMEOUT_MS)
 
     def _read_end(self, response: Response) -> AttemptEnd | None:
-        """Return the end that a response reports, or None if it reports none."""
+        """Return the end that a response reports, or None if it reports no end."""
         load = read_load_report(response, self.services.report_fields)
         did_not_run = response.headers.get(DID_NOT_RUN_HEADER) == b"1"
         match response.status:
--- a/fennelwind/node/attempt_connection.py
+++ b/fennelwind/node/attempt_connection.py
@@ -1,7 +1,7 @@
 """Makes the calls of one attempt, on a fresh connection after each answer that was missing or faulty.
 
 Owned by an `Attempt`. A call returns None if there was no answer in time, the connection broke, or the answer
-is not one to this call. The caller then polls again, which does not run the query again. A call raises
+is not an answer to this call. The caller then polls again, which does not run the query again. A call raises
 `ConnectFailed` when the executor is unreachable, or `AnswerUnavailableError` after too many faulty answers.
 """
 
@@ -16,10 +16,10 @@
 from fennelwind.node.http1 import MalformedResponseError, Response
 
 POLL_MS = 250.0  # ms after which an executor answers "still running", as the protocol specifies
-POLL_GRACE_MS = 100.0  # ms after that until a silent connection counts as cut or stalled
+POLL_GRACE_MS = 100.0  # ms after `POLL_MS` until a silent connection counts as cut or stalled
 POLL_TIMEOUT_MS = POLL_MS + POLL_GRACE_MS
-MIN_POLL_MS = 150.0  # ms; a "still running" before this is a duplicate that answers a previous call
-POST_TIMEOUT_MS = 50.0  # ms to write the complete POST; later, the timeout in it would be too long
+MIN_POLL_MS = 150.0  # ms; an earlier "still running" is a duplicate that answers a previous call
+POST_TIMEOUT_MS = 50.0  # ms to write the complete POST; after that, the timeout it states would be too long
 RECONNECT_BACKOFF_MS = 20.0  # ms; the wait before a fresh connection grows by this from the second fault on
 MAX_FAULTY_ANSWERS = 8  # faulty answers to one attempt; after more, polling again is taken to be useless
 MAX_FAILED_CONNECTS = 3  # failed connects of one attempt; then the machine is taken to be gone
@@ -148,7 +148,8 @@
             self.note_fault(AnswerFault.MALFORMED)
             return None
         if response.status == 202 and self.loop.now() - began_ms < MIN_POLL_MS:
-            # It answers a previous call, so the next response would be taken for the following call's.
+            # This response answers a previous call. The response to this call is still to come, and would be
+            # taken for the response to the next call on the connection.
             response.is_reusable = False
             self.pool.counts["early"] += 1
         if not response.is_reusable:
--- a/fennelwind/node/cancellation_queue.py
+++ b/fennelwind/node/cancellation_queue.py
@@ -17,7 +17,7 @@
 # Concurrent DELETEs to one executor: cancelling hundreds of queries must leave connections for other queries.
 MAX_WORKERS = 3
 DELETE_TIMEOUT_MS = 600.0  # ms for one DELETE
-MAX_DELETE_TRIES = 2  # DELETEs of one query; without polls, the executor drops it after 2 s anyway
+MAX_DELETE_TRIES = 2  # DELETEs of one query; without polls, the executor drops the query after 2 s anyway
 MAX_QUEUED = 500  # cancellations of one executor; above it, queries end by the executor's own expiry
 # Response statuses of a DELETE: the query has been cancelled, or the executor does not know it any more.
 ENDED_STATUSES = (204, 500)
@@ -35,7 +35,7 @@
         return (executor.name, query_id) in self.pending
 
     def add(self, executor: Executor, query_id: str, waiter: Waiter | None = None) -> None:
-        """Cancel a query at an executor; the waiter is woken with whether its end is confirmed."""
+        """Cancel a query at an executor; the waiter is woken with whether the query's end is confirmed."""
         if executor.is_removed or len(executor.cancellations) >= MAX_QUEUED:
             self.pool.counts["not_deleted"] += 1
             if waiter is not None:
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -27,9 +27,9 @@
 from fennelwind.node.request_validation import InvalidRequestError, QueryRequest, read_request
 from fennelwind.node.wire_names import ClientError, ClientMethod, ErrorField
 
-MAX_OPEN_QUERIES = 32  # on one connection, as the protocol specifies
+MAX_OPEN_QUERIES = 32  # open queries on one connection, as the protocol specifies
 MAX_UNREAD_BYTES = 262_144  # bytes of unread answers of a connection; above it requests are rejected
-MAX_UNREAD_ANSWERS = 1024  # unread answers before it is closed; no normal client has 32 open
+MAX_UNREAD_ANSWERS = 1024  # unread answers before closing; a normal client has fewer than 32 open queries
 MIN_WRITE_TIMEOUT_MS = 3000.0  # ms that answers may stay unread if no deadline is later
 MAX_INVALID_REQUESTS = 3  # invalid requests of a connection before it is closed
 READ_BYTES = 65536  # bytes of one read
@@ -51,7 +51,7 @@
     counts: Counter[str]
 
     def limit_partial_bytes(self) -> None:
-        """Close connections with incomplete messages while these have too many bytes in total."""
+        """Close connections with incomplete messages while all such messages together are too large."""
 
     def linger(self, connection: "ClientConnection") -> None:
         """Let a connection whose sending side is closed wait until its client closes too."""
@@ -93,7 +93,7 @@
         self.unread_bytes = 0
         self.is_writing = False  # a task is writing the unread answers
         self.invalid_requests = 0
-        self.partial_bytes = 0  # of an incomplete message
+        self.partial_bytes = 0  # bytes of an incomplete message
         self.burst_until_ms = 0.0  # bytes that the client sent earlier may still arrive until then
         self.is_closing = False  # no further input is handled; it closes once its answers are sent
         self.is_closed = False
@@ -127,8 +127,8 @@
         """Note that some of what the client has already sent may still be unread.
 
         After a long burst, a withdrawal or the end of the connection may be unread. An attempt that started
-        before these are read would run for a client that has left. `Submission` therefore states the earliest
-        time at which an attempt may start.
+        before the loop reads it would run for a client that has left. `Submission` therefore states the
+        earliest time at which an attempt may start.
         """
         now = self.frontend.loop.now()
         if is_full or now < self.burst_until_ms:
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -1,6 +1,6 @@
 """Reads the platform's configuration file (JSON) into the policy's settings and the controller's own.
 
-`lifecycle` reads the file at startup and at each SIGHUP. Its settings have the names and units of the
+`lifecycle` reads the file at startup and at each SIGHUP. The file's settings have the names and units of the
 simulator's wire, so the nested object is flattened into name-value pairs and parsed by `simulator_wire`. Any
 error raises `ConfigError`, which names the field by its path in the file; no file is applied in part.
 """
@@ -57,7 +57,7 @@
     """Settings that the policy does not use: connections to executors and the maximum of open queries."""
 
     executor_idle_timeout_ms: float  # executors close idle connections after this time
-    connect_timeout_ms: float  # later, establishing a connection is given up
+    connect_timeout_ms: float  # after this time, establishing a connection is given up
     max_open_queries: int
 
 
@@ -189,7 +189,7 @@
         raise ConfigError(
             f"{_path_in_file(found[1])} {found[2]}" if found is not None else str(exc)
         ) from None
-    except ValueError as exc:  # it was parsed, but the policy rejects it
+    except ValueError as exc:  # the file was parsed, but the policy rejects a value
         found = re.fullmatch(r"setting (\w+) is unusable", str(exc))
         name = found[1] if found is not None else ""
         if name in CLASS_SETTING_FIELDS:
--- a/fennelwind/node/endpoint_events.py
+++ b/fennelwind/node/endpoint_events.py
@@ -16,7 +16,7 @@
 from fennelwind.node.wire_names import ENDPOINT_STATES, EventField
 from fennelwind.policy import EngineEndpoint, EngineState
 
-# Converts an executor's name and reported start (ms since 1970, 0: long ago) to ms of the loop's clock.
+# Converts an executor's name and reported start (ms since 1970, 0 if long ago) to ms of the loop's clock.
 StartTimeConverter = Callable[[str, float], float]
 
 
@@ -34,10 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class EndpointChange:
-    """An event's item on one executor; without endpoint if only the name or state can be read."""
+    """An event's item on one executor; `endpoint` is None if only the name or state can be read."""
 
     name: str
-    state: EngineState | None  # None if it is unknown
+    state: EngineState | None  # None if the state is unknown
     endpoint: EngineEndpoint | None = None
     address: Address | None = None
 
@@ -46,7 +46,7 @@
 class EndpointListEvent:
     """The readable part of an event's list of executors."""
 
-    is_full: bool = False  # executors that are not in it are removed
+    is_full: bool = False  # if true, executors that are not in the list are removed
     changes: tuple[EndpointChange, ...] = ()
     problems: tuple[str, ...] = ()  # fields that can't be read, by their paths
     unknown_names: tuple[str, ...] = ()  # fields that name an unknown zone, machine type or state
@@ -90,7 +90,7 @@
     machine_types: dict[str, int],
     convert_start_time: StartTimeConverter = lambda _, started_ms: started_ms,
 ) -> EndpointListEvent:
-    """Parse an event's list; an event without one does not concern executors."""
+    """Parse an event's list of executors; return an empty `EndpointListEvent` if the event has no list."""
     try:
         found = _find_list(body)
     except UnreadableFieldError as exc:
@@ -101,7 +101,7 @@
     reader = _ListReader(zones, machine_types, convert_start_time)
     for index, item in enumerate(items):
         reader.read_item(index, item)
-    # An item without a readable name may be any executor, so none counts as missing from the list.
+    # An item without a readable name may mean any executor, so no executor counts as missing from the list.
     is_full = is_full and len(reader.changes) == len(items)
     return EndpointListEvent(
         is_full, tuple(reader.changes), tuple(reader.problems), tuple(reader.unknown_names)
@@ -109,7 +109,7 @@
 
 
 def _find_list(body: Any) -> tuple[list[Any], bool] | None:
-    """Return the list's items and whether it is full; None without a list. Raises `UnreadableFieldError`."""
+    """Return (items, is_full), or None if there is no list. Raises `UnreadableFieldError`."""
     if not isinstance(body, dict):
         raise UnreadableFieldError("no object")
     nodes = body.get(EventField.NODES)
--- a/fennelwind/node/endpoint_list.py
+++ b/fennelwind/node/endpoint_list.py
@@ -1,7 +1,7 @@
 """The current endpoint list: applies events to it and reports the changes to the policy.
 
-Owned by `endpoint_watch`. Executors that are removed or draining are marked so in the pool in the same turn,
-so they get no attempts from then on.
+Owned by `endpoint_watch`. Executors that are removed or draining are marked in the pool in the same turn
+of the loop, so they get no attempts from then on.
 """
 
 from collections.abc import Callable
@@ -28,8 +28,8 @@
     def hold_drains(self, event: EndpointListEvent, number: int) -> None:
         """Apply the drains of an event at once, although the event itself is not applied yet.
 
-        The event is damaged or follows a gap, and is requested again. Without this, queries would be sent to
-        executors that are shutting down until it arrives. Earlier events do not undo these drains.
+        The event is damaged or follows a gap, and is requested again. Until it arrives again, queries
+        would otherwise be sent to executors that are shutting down. Earlier events do not undo these drains.
         """
         drained = []
         for change in event.changes:
@@ -44,7 +44,7 @@
             self.post(EngineListUpdate(ListForm.DELTA, tuple(drained)))
 
     def apply(self, event: EndpointListEvent, number: int, full_form: ListForm) -> None:
-        """Apply an event: removals first, then drains, then ready endpoints, whatever their order in it.
+        """Apply an event: removals first, then drains, then ready endpoints, in whatever order it lists them.
 
         This allows an address to move from one executor to another within one event. `full_form` is the form
         in which a full list is reported to the policy: `CACHED` for the first one from the configuration
@@ -75,7 +75,7 @@
             self._remove(name)
 
     def _resulting_endpoint(self, change: EndpointChange, is_full: bool) -> EngineEndpoint | None:
-        """Return the endpoint after a change, or None if too little is known; remove it if it was removed."""
+        """Return the endpoint after a change, or None if too little is known; carry out a removal."""
         known = self._endpoints.get(change.name)
         if change.state == EngineState.REMOVED:
             self._remove(change.name)
--- a/fennelwind/node/endpoint_view.py
+++ b/fennelwind/node/endpoint_view.py
@@ -1,7 +1,8 @@
 """Compares the policy's count of attempts at each executor with the attempts in flight. No I/O, no clock.
 
-The counts are independent: the policy counts attempts by its own events, the executor client those that are
-running. If they differ for longer than a turn, the policy decides on a load that does not exist.
+The counts are independent: the policy counts attempts by its own events, the executor client counts those
+that are running. If the counts differ for longer than a turn, the policy bases its decisions on a load that
+does not exist.
 """
 
 from dataclasses import dataclass
@@ -10,7 +11,7 @@
 from fennelwind.policy import AttemptStatus
 from fennelwind.policy.gateway import Gateway
 
-# Ends of attempts that do not reflect on the executor.
+# Ends of attempts that say nothing about the state of the executor.
 INCONCLUSIVE_STATUSES = (AttemptStatus.CANCELLED, AttemptStatus.NOT_STARTED)
 
 
@@ -25,7 +26,7 @@
     slowdown: float  # the policy's figure, as a multiple of the baseline slowdown
     is_outlier: bool
     succeeded: int  # attempts since the last report that succeeded
-    failed: int  # and those that failed, without `INCONCLUSIVE_STATUSES`
+    failed: int  # attempts since the last report that failed, without `INCONCLUSIVE_STATUSES`
 
     def __str__(self) -> str:
         state = f"{self.state} outlier" if self.is_outlier else self.state
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -2,9 +2,9 @@
 
 A connection that ends, breaks or brings malformed input is given up, and the events after the last applied
 number are requested again at once. If a connection is silent for a little longer than the comment interval, a
-second one is opened beside it, since the channel may only be slow; the first to bring something is kept. The
-drains of a damaged event apply at once (`endpoint_list`). `lifecycle` starts the watch, applies the events in
-the configuration file, and moves the watch to another address at a reload.
+second one is opened beside it, since the channel may only be slow; the first that brings an event or comment
+is kept. The drains of a damaged event apply at once (`endpoint_list`). `lifecycle` starts the watch, applies
+the events in the configuration file, and moves the watch to another address at a reload.
 """
 
 from collections import Counter
@@ -48,7 +48,7 @@
     """Why an event is requested again."""
 
     UNREADABLE = "unreadable"
-    GAP = "gap"  # events before it are missing
+    GAP = "gap"  # events before this one are missing
 
 
 class MalformedEventError(MalformedResponseError):
@@ -95,8 +95,8 @@
         """Apply the configuration's events that are newer than the cursor.
 
         At startup (`CACHED`) gaps are accepted, and the cursor becomes that of the file. At a reload (`FULL`)
-        this stops at the first gap before an event without a full list: only that event's drains apply, and
-        the channel delivers the events from there on.
+        the method stops at the first gap before an event without a full list: only that event's drains apply,
+        and the channel delivers the events from there on.
         """
         is_first = form == ListForm.CACHED
         for body in events:
@@ -170,7 +170,7 @@
             next_open_ms = max(self._connections[-1].silent_from_ms(), began_ms + MAX_BACKOFF_MS)
             self._wait_until(next_open_ms)
             self._connections = [each for each in self._connections if not each.has_ended]
-            # Those that have brought an event or comment since the newest was opened.
+            # Connections that have brought an event or comment since the newest one was opened.
             active = [each for each in self._connections if each.last_event_ms >= began_ms]
             if active and len(self._connections) > 1:
                 self._keep_only(active[-1:])
--- a/fennelwind/node/executor_connection.py
+++ b/fennelwind/node/executor_connection.py
@@ -1,8 +1,8 @@
 """An executor, and a connection to it: HTTP/1.1 with one call at a time.
 
 Owned by `executor_pool`, which decides when a connection is reused. A response that can't be parsed raises
-`MalformedResponseError`, a broken connection `StreamReset`. After either the connection can't be used any
-more, though the request may have arrived.
+`MalformedResponseError`, a broken connection `StreamReset`. After either error, the connection can't be
+used any more, and the request may have arrived.
 """
 
 from collections import Counter, deque
@@ -31,7 +31,7 @@
         return self.read_response()
 
     def read_response(self) -> Response:
-        """Wait for the response to what was sent. Raises `StreamReset` or `MalformedResponseError`."""
+        """Wait for the response to the sent request. Raises `StreamReset` or `MalformedResponseError`."""
         while True:
             data = self.stream.read(READ_BYTES)
             if not data:
@@ -43,7 +43,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Cancellation:
-    """A query to be cancelled at an executor; wakes the waiter with whether the end is confirmed."""
+    """A query to be cancelled at an executor; `waiter` is woken with whether the end is confirmed."""
 
     query_id: str
     waiter: Waiter | None
@@ -68,7 +68,7 @@
         self.idle_connections: deque[ExecutorConnection] = deque()  # the longest idle first
         self.is_removed = False  # it has left the list, or another executor has its address now
         self.is_draining = is_draining  # it gets no new attempts
-        # One queue per executor: an unresponsive one must not delay the cancellations of others.
+        # One queue per executor: an unresponsive executor must not delay others' cancellations.
         self.cancellations: deque[Cancellation] = deque()
         self.cancellation_workers = 0
         self.ended_attempts: Counter[str] = Counter()  # by status, since the last report
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -17,11 +17,11 @@
 from fennelwind.node.http1 import Response
 
 # ms that a connection stays unused after a response. An executor or the network may deliver a response twice,
-# and nothing distinguishes the duplicate from the response to the next call. It arrives some milliseconds
+# and nothing distinguishes the duplicate from the response to the next call. The duplicate arrives some ms
 # later, or more if the executor is short of CPU. If it arrives in this time, it shows as bytes on an idle
 # connection.
 MIN_IDLE_MS = 60.0
-IDLE_TIMEOUT_FRACTION = 0.8  # of the executors' own idle timeout, so that the pool closes first
+IDLE_TIMEOUT_FRACTION = 0.8  # share of the executors' own idle timeout, so that the pool closes first
 SWEEP_INTERVAL_MS = 1000.0  # ms between two searches for connections that are idle for too long
 
 
@@ -49,7 +49,7 @@
         return self.last_response
 
     def read_response(self) -> Response:
-        """Wait for the response to what was sent. Raises `StreamReset` or `MalformedResponseError`."""
+        """Wait for the response to the sent request. Raises `StreamReset` or `MalformedResponseError`."""
         self.last_response = self.connection.read_response()
         return self.last_response
 
--- a/fennelwind/node/executor_requests.py
+++ b/fennelwind/node/executor_requests.py
@@ -12,7 +12,7 @@
 
 HEALTH_CHECK = b"GET /-/gauges HTTP/1.1\r\nHost: executor\r\n\r\n"
 MIN_GRANT_MB = 1.0  # MB; below it no grant is sent, and the executor decides by itself
-DEFAULT_PRIORITY = 1  # an executor assumes it if the request states none
+DEFAULT_PRIORITY = 1  # the priority that an executor assumes if the request states none
 
 _START = (
     b"POST /data HTTP/1.1\r\nHost: executor\r\n"
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -1,9 +1,9 @@
 """The frontend: accepts clients over MessagePack-RPC, limits their connections, and closes them at shutdown.
 
 Started by `lifecycle`. A sweep runs four times a second and closes connections that send nothing, leave a
-message incomplete, or are idle for too long, but none with an open request. The number of connections that
-linger after the close of our sending side is limited, and the oldest are closed in favour of new ones. An
-exception in one connection ends only that connection.
+message incomplete, or are idle for too long, but no connection with an open request. The number of
+connections that linger after the close of our sending side is limited, and the oldest are closed in favour of
+new ones. An exception in one connection ends only that connection.
 """
 
 from collections import Counter
@@ -20,7 +20,7 @@
 SWEEP_INTERVAL_MS = 250.0  # ms between two checks of all connections
 MAX_PARTIAL_BYTES = 4_000_000  # bytes of incomplete messages, in total over all connections
 MAX_ACCEPTS_PER_TURN = 64  # connections accepted before the loop runs other tasks
-# ms from closing our sending side to closing the socket, so that a silent client's is closed within 3 s
+# ms from closing our sending side to closing the socket, so that a silent client's socket closes within 3 s
 MAX_LINGER_MS = 500.0
 CLOSE_CHECK_MS = 25.0  # ms between two checks of the open connections while all are being closed
 
@@ -41,7 +41,7 @@
     ) -> None:
         self.loop, self.listener, self.driver, self.config = loop, listener, driver, config
         self.slots: ConnectionSlots[ClientConnection] = ConnectionSlots(max_connections)
-        self.lingering: dict[ClientConnection, float] = {}  # since when; the oldest first
+        self.lingering: dict[ClientConnection, float] = {}  # when each began to linger; the oldest first
         self.max_lingering = max_lingering
         self.open_query_ids: set[str] = set()
         self.is_serving = True  # the answer to health requests
@@ -147,7 +147,7 @@
             self._admit(cast(PushStream, stream))
 
     def close_all(self, last_answers_ms: float, end_ms: float) -> None:
-        """Close all connections: each once nothing is pending in either direction, the others by `end_ms`.
+        """Close all connections: each when nothing is pending in either direction, at the latest at `end_ms`.
 
         Until `last_answers_ms` clients may read answers and complete messages; until `end_ms` connections may
         linger.
@@ -156,7 +156,7 @@
         while (len(self.slots) or self.lingering) and self.loop.now() < end_ms:
             self._close_finished(is_late=self.loop.now() >= last_answers_ms)
             self.loop.sleep(CLOSE_CHECK_MS)
-        for connection in self._connections():  # answers unread; the kernel still delivers what it has
+        for connection in self._connections():  # answers are unread; the kernel still delivers what it has
             connection.shut_down()
         for lingering in list(self.lingering):
             self.close_socket(lingering)
--- a/fennelwind/node/http1.py
+++ b/fennelwind/node/http1.py
@@ -1,8 +1,9 @@
 """Parses HTTP/1.1 responses and server-sent events, incrementally and within limits. No I/O.
 
-This is not built on h11, which reads the same answers at a fraction of the speed (docs/results/platform.md):
-on only part of a core, the cost per call decides how many queries are served. Parsing is strict, and
-anything invalid raises `MalformedResponseError`: a lenient parser would accept a damaged head as an answer.
+This parser does not use h11, which reads the same answers at a fraction of the speed
+(docs/results/platform.md): if a controller has only part of a core, the CPU time per call decides how many
+queries it serves. Parsing is strict, and anything invalid raises `MalformedResponseError`: a lenient parser
+would accept a damaged head as an answer.
 """
 
 import re
@@ -20,7 +21,7 @@
 MAX_CHUNK_LINE_BYTES = 64  # bytes of the line with a chunk's size
 MAX_EVENT_BYTES = 1_048_576  # bytes of one event; a full list of hundreds of executors is far shorter
 MAX_QUOTED_BYTES = 40  # bytes of malformed input that an error message includes
-# Headers that may occur only once: two of the same would contradict each other.
+# Headers that may occur only once: two headers of one name could contradict each other.
 SINGLE_HEADERS = frozenset(
     (
         b"content-length",
@@ -95,7 +96,7 @@
         self._content_length = 0  # bytes of the body if it is not chunked
         self._chunks: ChunkReader | None = None
         self._body: list[bytes] = []
-        self._had_interim = False  # an unrequested 1xx response preceded; the connection is not reused
+        self._had_interim = False  # an unrequested 1xx response came first; the connection is not reused
 
     def feed(self, data: bytes) -> Response | None:
         """Parse further bytes; return the response if complete. Raises `MalformedResponseError`."""
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -116,7 +116,7 @@
     def _compare_views(self) -> None:
         """Compare the policy's view with the attempts in flight, and log both.
 
-        If they differ for longer than a turn, the policy decides on a load that does not exist.
+        If the two differ for longer than a turn, the policy bases decisions on a load that does not exist.
         """
         checks = differences = 0
         while True:
--- a/fennelwind/node/load_report.py
+++ b/fennelwind/node/load_report.py
@@ -11,7 +11,7 @@
 
 
 def read_load_report(response: Response, fields: Collection[str]) -> dict[str, float]:
-    """Return the values of these fields; unreadable ones are left out, since reports are optional."""
+    """Return the reported values of `fields`; unreadable ones are left out, since reports are optional."""
     header = response.headers.get(LOAD_REPORT_HEADER)
     report: dict[str, float] = {}
     if not header:
--- a/fennelwind/node/msgrpc.py
+++ b/fennelwind/node/msgrpc.py
@@ -1,8 +1,9 @@
 """MessagePack-RPC: an incremental and bounded parser, and an encoder of responses. No I/O.
 
 The `msgpack` package parses. It keeps its state between pieces of input, so a message that arrives byte by
-byte is parsed only once. It checks the length of an array or map as soon as it reads it, but that of a string
-or byte string only once all of it has arrived; until then the maximum buffer size bounds the memory.
+byte is parsed only once. It checks the length of an array or map when it reads the length, but the length of
+a string or byte string only when the whole string has arrived; until then the maximum buffer size
+bounds the memory.
 """
 
 from dataclasses import dataclass
@@ -10,7 +11,7 @@
 
 import msgpack
 
-MAX_BODY_BYTES = 65536  # of one statement; generated ones have a few KB, and hundreds may be incomplete
+MAX_BODY_BYTES = 65536  # bytes of one statement; generated ones have a few KB, and hundreds may be incomplete
 MAX_MESSAGE_BYTES = 2 * MAX_BODY_BYTES  # bytes of one incomplete message
 MAX_MEMBERS = 64  # members of one array or map; a request has only a few fields
 MAX_TEXT_BYTES = 4096  # bytes of one string; ids and numbers are far shorter
@@ -43,7 +44,7 @@
 class MessageReader:
     """Parses the bytes of one connection into messages.
 
-    A parser takes 40 KB and 1 us to create, so a connection has one only while a message is incomplete.
+    A parser takes 40 KB and 1 us to create, so a connection has a parser only while a message is incomplete.
     """
 
     __slots__ = ("error", "_unpacker", "_fed_bytes", "_parsed_bytes")
@@ -51,7 +52,7 @@
     def __init__(self) -> None:
         self.error: MalformedMessageError | None = None  # malformed input that followed messages
         self._unpacker: msgpack.Unpacker | None = None
-        self._fed_bytes = self._parsed_bytes = 0  # bytes fed to the parser, and those in complete messages
+        self._fed_bytes = self._parsed_bytes = 0  # bytes fed to the parser, bytes in complete messages
 
     def feed(self, data: bytes) -> list[Request | Notification]:
         """Parse further bytes; return the messages that they complete.
--- a/fennelwind/node/priority_updates.py
+++ b/fennelwind/node/priority_updates.py
@@ -1,7 +1,7 @@
 """Sends executors the new priority of running attempts.
 
 Priorities do not affect answers, so an update that can't be sent is counted and dropped. A running attempt
-compares its priority after each poll, which repeats a lost update.
+compares the sent priority with the intended one after each poll, and sends a lost update again.
 """
 
 from fennelwind.dispatch.types import AttemptRequest
@@ -15,7 +15,7 @@
 
 
 class AttemptPriority:
-    """The priority of an attempt that its executor has; the request has the intended one."""
+    """The priority that an attempt's executor has; the attempt's request has the intended one."""
 
     __slots__ = ("executor", "request", "sent", "is_running", "is_updating")
 
--- a/fennelwind/node/request_validation.py
+++ b/fennelwind/node/request_validation.py
@@ -43,10 +43,10 @@
     timeout_ms: float  # counted from the request's arrival; the client stops waiting then
     statement: bytes
     estimated_work_ms: float | None
-    estimated_memory_mb: float  # 0: no estimate
+    estimated_memory_mb: float  # 0 if there is no estimate
     table_group: int | None
     is_retry: bool
-    idempotency_key: str  # executors that deduplicate use it; "": none
+    idempotency_key: str  # executors that deduplicate use it; "" if there is none
 
 
 def read_request(
--- a/fennelwind/node/result_pages.py
+++ b/fennelwind/node/result_pages.py
@@ -22,7 +22,7 @@
 def read_pages(
     connection: AttemptConnection, query_id: str, first_response: Response
 ) -> tuple[bytes, ...] | None:
-    """Return all pages, None if the first is invalid. Raises `AnswerUnavailableError`, `ConnectFailed`."""
+    """Return all pages, or None if the first is invalid. Raises `AnswerUnavailableError`, `ConnectFailed`."""
     page_count = _read_page_count(first_response)
     if page_count is None:
         connection.note_fault(AnswerFault.UNEXPECTED)
--- a/fennelwind/node/shutdown.py
+++ b/fennelwind/node/shutdown.py
@@ -10,7 +10,7 @@
 KILL_GRACE_MS = 700.0  # ms; SIGKILL may come this long after SIGTERM plus the longest timeout
 # Times before the earliest SIGKILL:
 ABANDON_BEFORE_KILL_MS = 250.0  # ms; open queries are abandoned and get their final answer
-LAST_ANSWERS_BEFORE_KILL_MS = 150.0  # ms; no more waiting for clients to read answers or complete messages
+LAST_ANSWERS_BEFORE_KILL_MS = 150.0  # ms; until then clients may read answers and complete messages
 CLOSED_BEFORE_KILL_MS = 50.0  # ms; all connections are closed
 
 
--- a/fennelwind/node/start_times.py
+++ b/fennelwind/node/start_times.py
@@ -26,11 +26,11 @@
         now_ms: float,
         last_contact_ms: float | None,
     ) -> float:
-        """Return the start time of an executor on the loop's clock; 0.0: long ago.
+        """Return the start time of an executor on the loop's clock, or 0.0 if it is long ago.
 
         `started_unix_ms` is the start as reported, 0 for long ago. `wall_clock_lead_ms` is how far the
         wall clock is ahead of the loop's. `last_contact_ms` is the last contact with the channel before it
-        reported this start, None for starts known at startup. A start that was reported before keeps its
+        reported this start, or None for starts known at startup. A start that was reported before keeps its
         value even if a clock is stepped: otherwise an old executor would go through slow start again.
         """
         if not started_unix_ms:
--- a/fennelwind/node/watch_connection.py
+++ b/fennelwind/node/watch_connection.py
@@ -38,7 +38,7 @@
         self.last_activity_ms = loop.now()  # last start, connect or received bytes
         self.last_event_ms = float("-inf")  # when the last complete event or comment came
         self.has_ended = self.is_aborted = False
-        self.error: Exception | None = None  # what ended it; None if the channel closed it
+        self.error: Exception | None = None  # what ended the connection; None if the channel closed it
         self._task = loop.spawn(self._run, name="channel: watch")
 
     def silent_from_ms(self) -> float:
--- a/fennelwind/thrift/codec.py
+++ b/fennelwind/thrift/codec.py
@@ -16,7 +16,7 @@
 from struct import error as StructError  # noqa: N812 - it is a class
 from typing import Any, NamedTuple
 
-MAX_DEPTH = 32  # of nested structures and lists; the service's own structures nest 7 deep
+MAX_DEPTH = 32  # levels of nested structures and lists; HiveServer2's own structures have up to 7
 STOP, BOOL, BYTE, DOUBLE, I16, I32, I64, STRING = 0, 2, 3, 4, 6, 8, 10, 11
 STRUCT, MAP, SET, LIST = 12, 13, 14, 15
 SIZES = {BOOL: 1, BYTE: 1, DOUBLE: 8, I16: 2, I32: 4, I64: 8}  # encoded size of fixed-size types, in bytes
@@ -46,7 +46,7 @@
 
 
 class Malformed(ThriftError):
-    """The bytes violate the protocol or a limit, whatever bytes follow."""
+    """The bytes violate the protocol or a limit; no bytes that follow could make them valid."""
 
 
 class Incomplete(ThriftError):
@@ -388,9 +388,9 @@
 
 
 class Lazy:
-    """A structure that is decoded when one of its fields is first read; one that is only passed on never is.
+    """A structure that is decoded when one of its fields is first read, or never if it is only passed on.
 
-    Its framing has been checked, so its end is known; a field of the wrong type is found when it is decoded.
+    Its framing has been checked with `skip`, which found its end. A wrong type of a field shows on decoding.
     """
 
     __slots__ = ("codec", "raw", "_value")
@@ -427,7 +427,7 @@
 
 
 def build(tables: dict[str, str]) -> dict[str, Codec]:
-    """Return the codecs of all declared structures; a structure may refer to any other."""
+    """Return the codecs of all declared structures; a structure may have fields of any declared type."""
     names: dict[str, Any] = {
         "Structure": Structure,
         "Lazy": Lazy,
--- a/fennelwind/thrift/hints.py
+++ b/fennelwind/thrift/hints.py
@@ -5,7 +5,7 @@
 
 - `fennelwind-load`: an engine's load figures, by the names of the settings' `report_fields`
 - `fennelwind-cost work_ms=N memory_mb=N`: what an answered query needed
-- `fennelwind-note sort=N value=N`: progress of a running query; sort 1 share done, 2 MB spilled, 3 waiting
+- `fennelwind-note sort=N value=N`: progress of a running query; sort 1: share done, 2: MB spilled, 3: waiting
 - `fennelwind-not-run`: the engine rejected the statement, which never ran
 - `fennelwind-refused retry_after_ms=N`: the controller rejected the query; retrying after that time is safe
 - `fennelwind-failed`: the controller gave up; it is unknown whether the statement ran
@@ -17,7 +17,7 @@
 PREFIX = "fennelwind-"
 LOAD, COST, NOTE, NOT_RUN, REFUSED, FAILED = "load", "cost", "note", "not-run", "refused", "failed"
 FENCED = "fenced"
-MAX_HINT_CHARACTERS = 1000  # characters of a hint; longer ones are ignored
+MAX_HINT_CHARACTERS = 1000  # characters of a hint; longer hints are ignored
 MAX_FIGURE = 1e15  # larger numbers are invalid
 
 
@@ -32,7 +32,7 @@
 
 
 def read(messages: Iterable[str] | None) -> dict[str, dict[str, float]]:
-    """Return the hints among messages: name -> figures; the last hint of a name applies."""
+    """Return the hints among messages: name -> figures. If a name occurs twice, the last hint applies."""
     found: dict[str, dict[str, float]] = {}
     for message in messages or ():
         if message.startswith(PREFIX) and len(message) <= MAX_HINT_CHARACTERS:
--- a/fennelwind/thrift/hiveserver2.py
+++ b/fennelwind/thrift/hiveserver2.py
@@ -187,10 +187,10 @@
             if (code, number) == (LIST, 2):
                 count = max(count, int.from_bytes(raw[pos + 1 : pos + 5], "big"))
             elif (code, number) == (LIST, 3) and any(raw[pos + 1 : pos + 5]):
-                # Four headers: of the list of columns, of the first column's only field, of that struct's
-                # first field, and of the list of values in that.
+                # `head` has four headers: of the list of columns, of the first column's only field, of the
+                # first field in that field's struct, and of the list of values in this first field.
                 head = raw[pos : pos + 16]
-                if head[5] != STRUCT or head[8:11] != b"\x0f\0\1":  # its fields are in another order
+                if head[5] != STRUCT or head[8:11] != b"\x0f\0\1":  # the fields have another order
                     return _decoded_count(page.value)
                 return int.from_bytes(head[12:16], "big")
             pos = skip(raw, pos, code)
@@ -209,5 +209,5 @@
 
 
 def make(name: str, **fields: object) -> object:
-    """Return a new structure by its type's name, for types without a constant above."""
+    """Return a new structure of the type with this name, for types without a constant above."""
     return CODECS[name].make(**fields)
--- a/fennelwind/thrift/messages.py
+++ b/fennelwind/thrift/messages.py
@@ -1,4 +1,4 @@
-"""Calls and replies: header and body of a message, and finding the end of an unframed message."""
+"""Reads and writes calls and replies, and finds the end of an unframed message."""
 
 from struct import Struct
 from struct import error as StructError  # noqa: N812 - it is a class
@@ -24,8 +24,8 @@
 from fennelwind.thrift.hiveserver2 import CODECS, METHODS
 
 CALL, REPLY, EXCEPTION, ONEWAY = 1, 2, 3, 4
-UNKNOWN_METHOD, INVALID_MESSAGE_TYPE, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 2, 6, 7  # of exceptions
-MAX_METHOD_NAME_BYTES = 128  # the service's longest has 21
+UNKNOWN_METHOD, INVALID_MESSAGE_TYPE, INTERNAL_ERROR, PROTOCOL_ERROR = 1, 2, 6, 7  # types of exceptions
+MAX_METHOD_NAME_BYTES = 128  # the longest name in HiveServer2 has 21
 _head = Struct(">HBBi").unpack_from
 _int = Struct(">i").unpack_from
 _pack_head = Struct(">HBBi").pack
@@ -38,13 +38,13 @@
 
 
 class Message(NamedTuple):
-    """A message; `body` is its one argument or result, None if the method is unknown."""
+    """A message; `body` is its one argument or result, or None if the method is unknown."""
 
     method: str
     type: int
     sequence: int
     body: Any
-    strict: bool = True  # its header carries the protocol version, as newer clients send it
+    strict: bool = True  # its header states the protocol version, as those of newer clients do
 
 
 def read_message(buf: bytes, pos: int = 0) -> tuple[Message, int]:
@@ -160,7 +160,7 @@
         return self.pos
 
     def _skip_strings(self, buf: bytearray, top: list[int]) -> bool:
-        """Skip the received strings of a list; return whether all were. Pages consist mostly of these."""
+        """Skip the received strings of a list; return whether all were. Pages consist mostly of strings."""
         pos, remaining, buffer_bytes, read = self.pos, top[-1], len(buf), _int
         try:
             while remaining:
--- a/fennelwind/thrift/transport.py
+++ b/fennelwind/thrift/transport.py
@@ -1,7 +1,7 @@
-"""Transports of messages: buffered, framed, and SASL's framing with PLAIN; both sides, without I/O.
+"""Transports of messages: buffered, framed, and SASL with PLAIN; client and server side, without I/O.
 
-A side takes received bytes in `receive` and returns the messages in them; bytes that the transport itself has
-to send are in `outgoing`.
+`receive` takes received bytes and returns the messages that they complete; bytes that the transport itself
+has to send are in `outgoing`.
 The layouts are those of Apache Thrift's `TBufferedTransport`, `TFramedTransport` and `TSaslTransport`.
 """
 
@@ -14,7 +14,7 @@
 MAX_REQUEST_BYTES = 16 * 1024 * 1024  # some tools generate statements of several megabytes
 MAX_REPLY_BYTES = 128 * 1024 * 1024  # the largest replies are pages of rows
 MAX_UNSCANNED_BYTES = 65536  # buffered bytes that are decoded as one message before scanning
-MAX_SASL_STEP_BYTES = 65536  # one step of a SASL negotiation
+MAX_SASL_STEP_BYTES = 65536  # bytes of one message of a SASL negotiation
 BUFFERED, FRAMED, SASL = "buffered", "framed", "sasl"
 START, OK, BAD, ERROR, COMPLETE = 1, 2, 3, 4, 5  # SASL's negotiation statuses
 _length = Struct(">i")
@@ -38,7 +38,7 @@
         self._is_scanning = False
 
     def next(self) -> Message | None:
-        """Consume and return the next complete message, or None."""
+        """Consume and return the next complete message, or None if there is none yet."""
         return self._next_framed() if self.is_framed else self._next_unframed()
 
     def _next_framed(self) -> Message | None:
@@ -129,7 +129,7 @@
             self.transport = BUFFERED
         elif len(buf) < 5:
             return False
-        else:  # the length of a frame, or of the method's name in an old header, which a letter follows
+        else:  # the length of a frame, or, in an old header, of the method's name, whose first letter follows
             self.transport = BUFFERED if 0x41 <= buf[4] <= 0x7A else FRAMED
         self._received.is_framed = self.transport != BUFFERED
         return True
@@ -139,7 +139,7 @@
         while len(buf) >= 5:
             status, size = _step.unpack_from(buf)
             if not 0 <= size <= MAX_SASL_STEP_BYTES:
-                raise Malformed(f"a SASL step of {size} bytes")
+                raise Malformed(f"invalid SASL message length: {size} bytes (at most {MAX_SASL_STEP_BYTES})")
             if len(buf) < 5 + size:
                 return None
             payload = bytes(buf[5 : 5 + size])
@@ -153,7 +153,7 @@
                 parts = payload.split(b"\0")
                 if len(parts) != 3:
                     self.reject("a PLAIN message has three parts")
-                    raise Malformed(f"a PLAIN message of {len(parts)} parts")
+                    raise Malformed(f"a PLAIN message has {len(parts)} parts, expected 3")
                 return Login(parts[1].decode("utf-8", "replace"), parts[2].decode("utf-8", "replace"))
             else:
                 raise Malformed(f"SASL status {status} out of turn")
@@ -218,7 +218,7 @@
         while len(buf) >= 5 and not self.ready:
             status, size = _step.unpack_from(buf)
             if not 0 <= size <= MAX_SASL_STEP_BYTES:
-                raise Malformed(f"a SASL step of {size} bytes")
+                raise Malformed(f"invalid SASL message length: {size} bytes (at most {MAX_SASL_STEP_BYTES})")
             if len(buf) < 5 + size:
                 return False
             payload = bytes(buf[5 : 5 + size])
