--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -1,11 +1,12 @@
-"""Fencing: a check before each operation of a leased task, and a check at the resource it acts on.
+"""Fencing: a check before each operation of a leased task, and a check at the resource that the task acts on.
 
 How long a holder may rely on a lease. The replicated log grants it for T ms of the log's clock. The grant is
 never earlier than the moment t0, on the holder's own clock, at which the holder first sent its request. Each
-clock runs at a rate between 1 - d and 1 + d of true time, where d is the maximum drift. By the log's clock, T
-lasts at least T / (1 + d) of true time; a change of leader can only slow that clock down. By the holder's
-clock, H lasts at most H / (1 - d). So with H = T (1 - d) / (1 + d), less the rounding of both clocks, the
-holder stops relying on the lease at t0 + H, before it expires on the log.
+clock runs at a rate between 1 - d and 1 + d of true time, where d is the maximum drift. T ms of the
+log's clock last at least T / (1 + d) ms of true time; a change of leader can only slow that clock down. H ms
+of the holder's clock last at most H / (1 - d) ms of true time. So with H = T (1 - d) / (1 + d), less the
+rounding of both clocks, the holder stops relying on the lease at t0 + H, before the lease expires on the
+log.
 
 How long an operation may last. It begins only if its whole duration plus the maximum pause of the process
 fits into the remaining lease, and continues only while that pause still fits. If a process is paused for
@@ -37,7 +38,7 @@
 
 @dataclass(slots=True, frozen=True)
 class FencedOperation:
-    """One operation of a task that has begun; every request it makes carries its fencing token."""
+    """One operation of a task that has begun; each request of the operation carries this fencing token."""
 
     number: int
     fencing_token: int
@@ -50,16 +51,16 @@
     def __init__(self, task: str, max_pause_ms: float = MAX_PAUSE_MS) -> None:
         self.task = task
         self.max_pause_ms = max_pause_ms
-        self.fencing_token = 0  # 0: the lease is not held
+        self.fencing_token = 0  # 0 if the lease is not held
         self.valid_until_ms = -math.inf  # the holder may rely on the lease until then
-        self.operation_budget_ms = 0.0  # usable ms of a fresh lease; 0: no operation may begin
+        self.operation_budget_ms = 0.0  # usable ms of a fresh lease; 0 if no operation may begin
         self.operations: dict[int, FencedOperation] = {}  # running operations by number
         self._last_number = 0
 
     # Called by the lease client.
 
     def grant(self, fencing_token: int, valid_until_ms: float, operation_budget_ms: float) -> None:
-        """Allow operations under this token until `valid_until_ms`; a renewal never shortens it."""
+        """Allow operations under this token until `valid_until_ms`; a renewal never shortens that time."""
         if fencing_token == self.fencing_token:
             valid_until_ms = max(valid_until_ms, self.valid_until_ms)
         self.fencing_token = fencing_token
@@ -67,7 +68,7 @@
         self.operation_budget_ms = operation_budget_ms
 
     def revoke(self) -> None:
-        """Stop all operations: none may begin or continue."""
+        """Revoke the lease: no operation may begin or continue."""
         self.fencing_token = 0
         self.valid_until_ms = -math.inf
 
@@ -129,7 +130,7 @@
         )
 
     def may_continue(self, now_ms: float, operation: FencedOperation) -> bool:
-        """Return whether the operation may take its next step; call it before each and after each wait."""
+        """Return whether the operation may go on; call this before each step and after each wait."""
         return (
             operation.number in self.operations
             and operation.fencing_token == self.fencing_token
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -1,9 +1,9 @@
 """The leases that one controller wants, holds or has requested; `step(now, events) -> actions`, no I/O.
 
-`cluster.leased_tasks` calls it. Times are in ms on the controller's own monotonic clock. One command carries
-all requests that are due, and only one command is awaited at a time. A lease's term counts from the moment at
-which its command was first sent, never from the arrival of the answer; the answer to an older command counts
-from the sending of that command. In any doubt a lease counts as not held.
+`cluster.leased_tasks` calls `step`. Times are in ms on the controller's own monotonic clock. One command
+carries all requests that are due, and only one command is awaited at a time. A lease's term counts from the
+moment at which its command was first sent, never from the arrival of the answer; a term granted in answer to
+an older command counts from the sending of that command. In any doubt a lease counts as not held.
 """
 
 import math
@@ -51,16 +51,16 @@
 MAX_REJECTED_DOUBLINGS = 8  # with more doublings the backoff is at its maximum anyway
 MAX_UNANSWERED_COMMANDS = 8  # commands without an answer that are kept
 MAX_COMMAND_BYTES = 96 * 1024  # bytes of one command; the replicated log accepts 256 KiB
-MAX_SHUTDOWN_ATTEMPTS = 5  # commands, after which the controller ends unanswered and its leases expire
+MAX_SHUTDOWN_ATTEMPTS = 5  # after this many unanswered commands the controller exits; its leases expire
 
 
 class LeasePhase(StrEnum):
     """The state, on this controller, of the lease of a task that it wants or still holds."""
 
-    WANTED = "wanting"  # to be requested, or requested and not answered yet
-    QUEUED = "waiting"  # another controller holds it, and this one is in the queue
+    WANTED = "wanting"  # the lease is to be requested, or the request is not answered yet
+    QUEUED = "waiting"  # another controller holds the lease, and this one is in the queue
     HELD = "held"
-    RELEASING = "ending"  # no operation may begin; given up when the running ones have ended
+    RELEASING = "ending"  # no operation may begin; the lease is given up when the running ones have ended
 
 
 class ReleaseKind(StrEnum):
@@ -71,7 +71,7 @@
     REBALANCE = "spare"  # to a waiter with fewer leases, if there still is one
     FAILED = "fail"  # this controller can't run the task
     FORGET = "forget"  # the task is finished
-    LEAVE_QUEUE = "queue"  # it is not held; the controller leaves the queue
+    LEAVE_QUEUE = "queue"  # the lease is not held; the controller leaves the queue
 
 
 @dataclass(slots=True)
@@ -80,10 +80,10 @@
     purpose: str
     guard: FencingGuard
     phase: LeasePhase = LeasePhase.WANTED
-    epoch: int = 0  # incremented where an answer still in flight must no longer grant the lease
+    epoch: int = 0  # incremented so that an answer still in flight can't grant the lease any more
     request_at_ms: float = -math.inf  # when the next request is due: acquire, renew or give up
     renew_at_ms: float = math.inf  # when the next renewal is due, even while the lease is being released
-    fencing_token: int = 0  # 0: not held
+    fencing_token: int = 0  # 0 if the lease is not held
     checkpoint: bytes | None = None  # to send with the next request
     release: ReleaseKind = ReleaseKind.NONE
     is_wanted: bool = True
@@ -99,8 +99,8 @@
 @dataclass(slots=True)
 class _SentCommand:
     sent_at_ms: float
-    epochs: dict[str, int] = field(default_factory=dict)  # by task, in the order of its requests
-    checkpoints: dict[str, bytes] = field(default_factory=dict)  # sent with it, by task
+    epochs: dict[str, int] = field(default_factory=dict)  # by task, in the order of the command's requests
+    checkpoints: dict[str, bytes] = field(default_factory=dict)  # checkpoints sent with the command, by task
     is_shutdown: bool = False
 
 
@@ -123,8 +123,8 @@
         self._last_request_id = 0
         self._awaited: int | None = None  # id of the command whose answer is awaited
         self._failed_attempts = 0  # consecutive commands without an answer
-        self._backoff_until_ms = -math.inf  # no command is sent before
-        self._keepalive_at_ms = math.inf  # when a command is due, so that its places in queues are kept
+        self._backoff_until_ms = -math.inf  # no command is sent before this time
+        self._keepalive_at_ms = math.inf  # when a command is due to keep the places in queues
         self._is_shutting_down = False
         self._is_shut_down = False
         self._shutdown_attempts = 0
@@ -136,7 +136,7 @@
         """Return the fencing guard of a task that this controller wants or still holds.
 
         Raises:
-            KeyError: it does neither.
+            KeyError: the controller neither wants nor holds the task's lease.
 
         """
         return self._leases[task].guard
@@ -365,7 +365,7 @@
             self._lose(name, lease, LossReason.TAKEN_OVER)  # no operation of the old token may continue
             if name not in self._leases:
                 return
-        if now_ms >= valid_until_ms and not lease.fencing_token:  # the answer came too late to rely on it
+        if now_ms >= valid_until_ms and not lease.fencing_token:  # too late to rely on the lease
             lease.phase = LeasePhase.WANTED
             lease.request_at_ms = -math.inf
             return
@@ -451,7 +451,7 @@
             self._request(now_ms, due)
 
     def _due_tasks(self, now_ms: float) -> list[str]:
-        """Return the tasks to request now: all that are due and, if any is, renewals due soon."""
+        """Return the tasks to request now: all due ones and, if there are any, renewals due soon."""
         leases = sorted(self._leases.items())
         if not any(self._due_at_ms(lease) <= now_ms for _, lease in leases):
             return []
@@ -485,7 +485,7 @@
     def _stop_awaiting(self) -> None:
         """Stop waiting for the answer.
 
-        The command may still be applied, so a lease that it gives up must not be kept after all.
+        The command may still be applied, so a lease that the command gives up must not be kept.
         """
         for name in self._sent[self._awaited].epochs if self._awaited is not None else ():
             lease = self._leases.get(name)
--- a/fennelwind/leases/lease_events.py
+++ b/fennelwind/leases/lease_events.py
@@ -40,11 +40,11 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandAnswered:
-    """The result of a command; `body` is a `LeaseAnswer`, or None: rejected, lost or unreadable."""
+    """The result of a command; `body` is a `LeaseAnswer`, or None if it is rejected, lost or unreadable."""
 
     request_id: int
     body: bytes | None
-    retry_after_ms: float = 0.0  # from a rejection
+    retry_after_ms: float = 0.0  # the delay that a rejection asks for
 
 
 @dataclass(slots=True, frozen=True)
@@ -57,14 +57,14 @@
 
 @dataclass(slots=True, frozen=True)
 class TaskFailed:
-    """The controller can't run the task: say its disk is full, or it can't reach the engines."""
+    """The controller can't run the task, for example because its disk is full or no engine is reachable."""
 
     task: str
 
 
 @dataclass(slots=True, frozen=True)
 class TaskFinished:
-    """The task is finished for all controllers: the replicated state removes it."""
+    """The task is finished for all controllers: the replicated state removes the task."""
 
     task: str
 
@@ -113,7 +113,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseAcquired:
-    """The controller holds the lease and may run the task; each operation begins at the fencing guard."""
+    """The controller holds the lease and may run the task; the fencing guard checks each operation first."""
 
     task: str
     fencing_token: int
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True, frozen=True)
 class LeaseRejected:
-    """The request for a task's lease was rejected because of its content; it is retried much later."""
+    """The request for a task's lease was rejected for its content; the request is sent again much later."""
 
     task: str
     refusal: str
@@ -158,7 +158,7 @@
 class ShutdownComplete:
     """All leases are handed over, or the attempts are used up: the controller may exit."""
 
-    is_confirmed: bool  # the replicated state has applied the hand-over
+    is_confirmed: bool  # whether the replicated state has applied the hand-over
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/leases/model.py
+++ b/fennelwind/leases/model.py
@@ -5,7 +5,7 @@
 
 
 class ControllerIncarnation(NamedTuple):
-    """A controller from one start to its end; a restart is another incarnation."""
+    """One run of a controller, from its start to its end; a restart begins another incarnation."""
 
     name: str
     incarnation: bytes
@@ -21,7 +21,7 @@
 
 @dataclass(slots=True)
 class Exclusion:
-    """A controller that failed at a task, and until when it is not offered the task's lease."""
+    """The failures of a controller at a task, and until when it is not offered the task's lease."""
 
     failures: int
     until_ms: int
@@ -32,18 +32,18 @@
     """The lease of one task: free, offered or held."""
 
     holder: ControllerIncarnation | None = None  # the holder, or the controller to which it is offered
-    fencing_token: int = 0  # 0: free or offered
+    fencing_token: int = 0  # 0 while the lease is free or offered
     term_ms: int = 0
     until_ms: int = 0  # when the lease or the offer expires
     purpose: str = ""
     checkpoint: bytes = b""
-    revision: int = 0  # index of the entry that last changed it
+    revision: int = 0  # index of the entry that last changed the lease
     waiters: dict[ControllerIncarnation, Waiter] = field(default_factory=dict)  # in order of request
     exclusions: dict[str, Exclusion] = field(default_factory=dict)  # by controller name
 
     @property
     def holder_name(self) -> str:
-        """The name of the controller that holds the lease or is offered it; "": none."""
+        """The name of the controller that holds the lease or is offered it; "" if there is none."""
         return self.holder.name if self.holder is not None else ""
 
     @property
@@ -69,8 +69,8 @@
 class LeaseView(NamedTuple):
     """A read-only view of a task's lease."""
 
-    holder: str  # controller name; "": none
-    fencing_token: int  # 0: not held; with a holder's name, it is offered to that controller
+    holder: str  # controller name; "" if there is none
+    fencing_token: int  # 0 if not held; a `holder` is then the controller to which the lease is offered
     until_ms: int
     purpose: str
     checkpoint: bytes
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -1,8 +1,8 @@
 """The replicated state of leases: holder, expiry on the log's clock and queue of each task.
 
-A fencing token is the log index of the grant, so it rises over all tasks, even after a task's state has been
-removed. A lease that becomes free is offered to a single waiter. The offer becomes a lease only when that
-waiter confirms it, so that the holder can count the term from the moment it sent its confirmation.
+A fencing token is the log index of the grant, so tokens rise across all tasks, even after a task's state has
+been removed. A lease that becomes free is offered to a single waiter. The offer becomes a lease only when
+that waiter confirms it, so that the holder can count the term from the moment it sent its confirmation.
 """
 
 import heapq
@@ -31,10 +31,10 @@
 # A waiter sends a command every 8 to 12 s; after this many ms without one, other waiters are preferred.
 WAITER_QUIET_MS = WAITER_TIMEOUT_MS // 2
 MIN_EXCLUSION_MS = 2000  # ms for which a controller is excluded after its first failure
-MAX_EXCLUSION_MS = 120_000  # ms for which it is excluded at most
+MAX_EXCLUSION_MS = 120_000  # ms for which a controller is excluded at most
 MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum limits to 120 s
-MAX_EXCLUSIONS_PER_TASK = 64  # of more, the one that ends first is removed
-MIN_SURPLUS_LEASES = 2  # more than a waiter's, to be rebalanced; with 1 a lease would move back and forth
+MAX_EXCLUSIONS_PER_TASK = 64  # beyond that, the exclusion that ends first is removed
+MIN_SURPLUS_LEASES = 2  # surplus over a waiter before rebalancing; with 1, leases would move back and forth
 
 
 class _Deadline(StrEnum):
@@ -53,26 +53,26 @@
         self._clear()
 
     def _clear(self) -> None:
-        self.revision = 0  # index of the last change
+        self.revision = 0  # log index of the last change
         self._leases: dict[str, TaskLease] = {}
-        self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # last command of each waiting controller
+        self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # time of the last command of each waiter
         # The fields below are derived from those above.
-        self._queued_count: Counter[ControllerIncarnation] = Counter()  # number of queues that it is in
+        self._queued_count: Counter[ControllerIncarnation] = Counter()  # number of queues per waiter
         self._lease_count: Counter[str] = Counter()  # held by or offered to a controller, by its name
         self._offers: dict[ControllerIncarnation, dict[str, None]] = {}
         self._checkpoint_bytes = 0  # of all tasks
-        self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # may be early, never late
+        self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # times may be early, never late
         self._deadlines: dict[tuple[str, str, bytes], int] = {}
 
     # Reading.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a task's fencing token (kind `fence`, key: the task); 0: its lease is not held."""
+        """Return a task's fencing token (kind `fence`, key: the task); 0 if the lease is not held."""
         lease = self._leases.get(key)
         return lease.fencing_token if lease is not None else 0
 
     def view(self, name: str) -> LeaseView | None:
-        """Return the state of a task's lease; None: the task is unknown."""
+        """Return the state of a task's lease; None if the task is unknown."""
         lease = self._leases.get(name)
         if lease is None:
             return None
@@ -92,7 +92,7 @@
         return sorted(self._leases)
 
     def offers(self, owner: ControllerIncarnation) -> tuple[str, ...]:
-        """Return the tasks that are offered to a controller; its watch reports each change of them."""
+        """Return the tasks that are offered to a controller; its watch reports each change of the offers."""
         return tuple(sorted(self._offers.get(owner, ())))
 
     # Commands.
@@ -250,7 +250,7 @@
         )
 
     def _reject_holder(self, lease: TaskLease, refusal: pb.Refusal) -> pb.Told:
-        """Reject without extending the lease: a term of 0 tells the holder so."""
+        """Reject a holder's request without extending the lease; a term of 0 tells the holder that."""
         return pb.Told(
             refusal=refusal, state=pb.Told.HELD, fence=lease.fencing_token, holder=lease.holder_name
         )
@@ -292,7 +292,7 @@
     # Time.
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when the next lease, offer, wait or exclusion ends on the log's clock; None: none does."""
+        """Return when the next lease, offer, wait or exclusion ends on the log's clock; None if none does."""
         while self._deadline_heap:
             at_ms, kind, name, incarnation = self._deadline_heap[0]
             key = (kind, name, incarnation)
@@ -339,7 +339,7 @@
         self._mark_changed(at, name, lease)
 
     def _next_deadline_ms(self, kind: str, name: str, incarnation: bytes) -> int | None:
-        """Return when the state of a task or waiter next expires if no command comes; None: never."""
+        """Return when the state of a task or waiter next expires if no command comes; None if never."""
         if kind == _Deadline.WAITER:
             heard_ms = self._last_heard_ms.get(ControllerIncarnation(name, incarnation))
             return None if heard_ms is None else heard_ms + WAITER_TIMEOUT_MS
@@ -533,7 +533,7 @@
 
 
 def _command_refusal(command: pb.LeaseCommand) -> pb.Refusal:
-    """Return why the whole command is rejected; `NONE`: it is accepted."""
+    """Return why the whole command is rejected; `NONE` if it is accepted."""
     if len(command.asks) > MAX_REQUESTS_PER_COMMAND:
         return pb.TOO_MANY_ASKS
     has_name = 0 < len(command.by.name.encode()) <= MAX_NAME_BYTES
--- a/fennelwind/quiescence/acknowledgements.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -3,11 +3,11 @@
 A barrier request checks whether queries may still run at a replica that drains, or at an engine that is
 quiesced for a table. No I/O here; the Raft host owns one `Acknowledgements`.
 
-An acknowledgement is soft state: it is only in the memory of one member, lost with that member, and sent
-again. Its content stays true: having this view, the controller starts no further query where the view
-forbids it, and only the listed queries of its own are in flight there. So an old acknowledgement is never
-wrong; it just doesn't count for requests that are newer than its view. The replicated registry tells which
-acknowledgements are missing.
+An acknowledgement is soft state: only one member holds it, in memory. If that member is lost, the controller
+sends the acknowledgement again. Its content stays true: a controller with the acknowledged view starts no
+further query where the view forbids queries, and only the listed queries of this controller are in flight
+there. So an old acknowledgement is never wrong; it just doesn't count for requests that are newer than its
+view. The replicated registry shows which acknowledgements are missing.
 """
 
 from collections.abc import Iterable
@@ -25,7 +25,7 @@
 class _Acknowledgement:
     sequence: int  # rises with each acknowledgement of a controller
     replica_revision: int  # revision of the replica locations that the controller routes by
-    table_index: int  # log index up to which it knows where tables are quiesced
+    table_index: int  # log index up to which the controller knows where tables are quiesced
     open_replicas: frozenset[tuple[str, str]]  # shard and engine: draining, with queries still in flight
     open_tables: frozenset[tuple[str, str]]  # table and engine: quiesced, with queries still in flight
 
@@ -39,7 +39,8 @@
     def accept(self, message: pb.Word, registry: ControllerRegistry) -> bool:
         """Store an acknowledgement; return whether it was stored.
 
-        One from an unregistered sender, with too many pairs or not newer than the stored one is ignored.
+        An acknowledgement is ignored if its sender is not registered, if it has too many pairs, or if it is
+        not newer than the stored one.
         """
         if message.number not in registry.controllers:
             return False
@@ -67,10 +68,10 @@
     def evaluate(
         self, requests: Iterable[pb.Wish], registry: ControllerRegistry, index: int, clock_ms: int
     ) -> pb.Heard:
-        """Return the state of each request, by the registry as of entry `index` and the log's clock then.
+        """Return the state of each request, given the registry and the log's clock as of entry `index`.
 
-        A registry older than the request may lack controllers that still route by a view from before it, so
-        such a request can't be reported as cleared.
+        A registry older than the request may lack controllers that still route by a view from before the
+        request, so such a request can't be reported as cleared.
         """
         answer = pb.Heard(index=index)
         for request in requests:
--- a/fennelwind/quiescence/in_flight.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -1,10 +1,10 @@
 """The controller's side of quiescence: its queries in flight by engine, and when to acknowledge. No I/O.
 
 No clock either: callers pass the time in ms. Attempts at engines are counted by the shards that their
-queries name, and by the tables of those shards (the part before `/`). Two views tell what has to be
-acknowledged: of replicas that drain, and of engines that are quiesced for tables. Routing gets each view
-first, and never an older one. One acknowledgement covers both views at the same moment, so that every attempt
-from before the view is reported as open, and none starts after it.
+queries name, and by the tables of those shards (the part before `/`). Two views show what has to be
+acknowledged: one of replicas that drain, and one of engines that are quiesced for tables. Routing gets each
+view before the tracker adopts it, and never gets an older one. One acknowledgement covers both views at the
+same moment, so that every attempt from before a view is reported as open, and none starts after it.
 """
 
 from collections.abc import Callable, Hashable, Iterable
@@ -15,7 +15,7 @@
 from fennelwind.quiescence.acknowledgements import MAX_OPEN_PAIRS
 
 REPEAT_MS = 2000.0  # ms after which an unchanged acknowledgement is resent, as the leader may have changed
-MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; small compared with the minute that they save
+MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; short compared with the minute of waiting saved
 
 Pair = tuple[str, str]  # a shard or a table, and an engine
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NextAcknowledgement:
-    """The acknowledgement to send now, None: none, and when to check again at the latest (ms)."""
+    """The acknowledgement to send now, None if none is due; and when to check again at the latest (ms)."""
 
     message: pb.Word | None
     check_at_ms: float
@@ -39,18 +39,18 @@
     def __init__(self) -> None:
         self.on_replica_locations: Callable[[Any], None] = lambda locations: None  # passes a view to routing
         self.on_excluded_engines: Callable[[Any], None] = lambda excluded: None
-        self.registration_number = 0  # of the controller in the registry; 0: it is not registered
+        self.registration_number = 0  # the controller's number in the registry; 0 if it is not registered
         self.replica_revision = 0  # revision of the view of replicas
         self.table_index = 0  # log index of the view of tables
         self.draining_replicas: frozenset[Pair] = frozenset()
         self.quiesced_tables: frozenset[Pair] = frozenset()
         self._is_replica_view_complete = True  # the view lists all replicas that drain
         self._is_table_view_complete = True  # the view lists all tables that are quiesced
-        self._pairs_of: dict[Hashable, tuple[Pair, ...]] = {}  # by attempt: what it may read
+        self._pairs_of: dict[Hashable, tuple[Pair, ...]] = {}  # the pairs that each attempt may read
         self._open_count: dict[Pair, int] = {}  # number of attempts that may read the pair
         self._abandoned_until_ms: dict[Hashable, float] = {}  # attempts that may still run at their engine
         self._sequence = 0
-        self._last_content: tuple[object, ...] = ()  # of the last acknowledgement, but for revisions
+        self._last_content: tuple[object, ...] = ()  # the last acknowledgement without revisions
         self._repeat_at_ms = 0.0
         self._not_before_ms = 0.0
 
@@ -59,7 +59,7 @@
     def attempt_started(self, attempt: Hashable, shards: Iterable[str], engine: str) -> None:
         """Count an attempt that is about to be sent.
 
-        To be called in the same turn of the event loop as the check that the attempt may be sent: otherwise a
+        Call this in the same turn of the event loop as the check that the attempt may be sent: otherwise a
         view that forbids it could be acknowledged in between.
         """
         pairs = tuple({(name, engine): None for shard in shards for name in (shard, table_of(shard))})
@@ -85,12 +85,15 @@
         if attempt in self._pairs_of:
             self._abandoned_until_ms[attempt] = until_ms
 
-    # Views. An older one, as a Raft member that lags behind may send, is ignored; routing doesn't get it.
+    # Views. A Raft member that lags behind may send an older view; it is ignored, and routing doesn't get it.
 
     def update_replicas(
         self, revision: int, locations: Any, draining: Iterable[Pair], is_complete: bool = True
     ) -> None:
-        """Set the replica locations and the draining replicas; `is_complete`: all the latter are listed."""
+        """Set the replica locations and the draining replicas.
+
+        `is_complete` tells whether all draining replicas are listed.
+        """
         if revision >= self.replica_revision:
             self.on_replica_locations(locations)
             self.replica_revision = revision
@@ -100,9 +103,9 @@
     def update_tables(
         self, index: int, excluded: Any, quiesced: Iterable[Pair], is_complete: bool = True
     ) -> None:
-        """Set the engines that get no query of some tables, and the quiesced pairs of table and engine.
+        """Set the engines that get no queries on some tables, and the quiesced pairs of table and engine.
 
-        `is_complete`: all quiesced pairs are listed.
+        `is_complete` tells whether all quiesced pairs are listed.
         """
         if index >= self.table_index:
             self.on_excluded_engines(excluded)
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -1,13 +1,13 @@
 """The replicated registry of all controllers that may send queries.
 
-A controller registers when it starts and then renews its registration. One that falls silent stays registered
-for `SILENCE_TIMEOUT_MS` of the replicated log's clock, because it continues to serve queries without the Raft
-group; as long as it is registered, nothing counts as quiesced without its acknowledgement. After a restart a
-controller registers under a new number; the old number stays until it times out.
+A controller registers when it starts and then renews its registration. If it falls silent, it stays
+registered for `SILENCE_TIMEOUT_MS` of the replicated log's clock, because it continues to serve queries
+without the Raft group; as long as it is registered, nothing counts as quiesced without its acknowledgement.
+After a restart a controller registers under a new number; the old number stays until it times out.
 
 The registry is complete only `SILENCE_TIMEOUT_MS` after its first registration: until then, controllers that
-are already running may not have registered yet. When the registry is full, each rejected registration starts
-that time again.
+are already running may not have registered yet. When the registry is full, each rejected registration
+restarts that period.
 """
 
 from dataclasses import dataclass, replace
@@ -28,8 +28,8 @@
     """One incarnation of a controller."""
 
     name: str
-    can_withhold_queries: bool  # it can stop sending queries to a replica or engine
-    heard_ms: int  # the log's clock at its last command
+    can_withhold_queries: bool  # whether it can stop sending queries to a replica or engine
+    heard_ms: int  # the log's clock at the controller's last command
 
 
 class ControllerRegistry:
@@ -40,7 +40,7 @@
 
     def __init__(self) -> None:
         self.controllers: dict[int, RegisteredController] = {}  # by registration number
-        self.complete_from_ms = 0  # 0: no controller has registered yet
+        self.complete_from_ms = 0  # 0 if no controller has registered yet
         self.revision = 0  # index of the entry that last added, rejected or removed a controller
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
@@ -98,7 +98,7 @@
             self.revision = at.index
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return when, on the log's clock, the next controller is to be removed; None: none is registered."""
+        """Return when, on the log's clock, the next controller is removed; None if none is registered."""
         return min(
             (controller.heard_ms + self.silence_timeout_ms for controller in self.controllers.values()),
             default=None,
--- a/fennelwind/raft/bootstrap.py
+++ b/fennelwind/raft/bootstrap.py
@@ -6,7 +6,9 @@
 from fennelwind.raft import council_pb2 as pb
 from fennelwind.raft.messages import Incarnation
 
-EMPTY_REPORT_TIMEOUTS = 4  # election timeouts until a report of an empty log expires; requested every timeout
+# A report of an empty log expires after this many election timeouts. A member requests new reports once every
+# election timeout.
+EMPTY_REPORT_TIMEOUTS = 4
 
 
 class Bootstrap:
@@ -14,12 +16,12 @@
 
     def __init__(self, me: Incarnation, configured_members: dict[str, pb.Member]) -> None:
         self.me, self.configured_members = me, configured_members
-        self.empty_members: dict[str, float] = {}  # by name: when it reported an empty log
+        self.empty_members: dict[str, float] = {}  # when a member reported an empty log, by its name
         self.incarnation_ids: dict[str, bytes] = {}
-        self.next_request_ms: float | None = None  # when to ask to join again
+        self.next_request_ms: float | None = None  # when to send join requests again; None before the first
 
     def join_requests(self) -> list[tuple[Incarnation, pb.Message]]:
-        """Return the join requests to all others, whose incarnations aren't known yet."""
+        """Return a join request for each other configured member; their incarnations aren't known yet."""
         configured = self.configured_members.get(self.me.name)
         member = pb.Member(
             name=self.me.name, life=self.me.id, address=configured.address if configured else ""
@@ -42,7 +44,7 @@
     def should_found_group(self, now: float, election_ms: float) -> bool:
         """Whether this member is to create the group: it is first by name and all others reported empty logs.
 
-        Only recent reports count: a member may have joined another group since, without notice to this one.
+        Only recent reports count: a member may have joined another group since, without notifying this one.
         """
         others = set(self.configured_members) - {self.me.name}
         empty = {
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -16,8 +16,8 @@
     """A candidate's campaign: a pre-vote, which writes nothing, or the election itself."""
 
     is_pre_vote: bool
-    term: int  # the term of the election, also in a pre-vote for it
-    vote_write_number: int = 0  # its own vote counts once this write is durable
+    term: int  # the term of the election; in a pre-vote, the term that the election would start
+    vote_write_number: int = 0  # the candidate's own vote counts once this write is durable
     granted: set[Incarnation] = field(default_factory=set)
 
     def is_won(self, voters: Sequence[Incarnation]) -> bool:
@@ -26,12 +26,12 @@
 
 
 def is_log_up_to_date(vote: pb.Vote, last_term: int, last_index: int) -> bool:
-    """Whether the candidate's log is at least as up to date, by the last entry's term and index."""
+    """Whether the candidate's log is at least as up to date as one that ends at this term and index."""
     return (vote.last_term, vote.last_index) >= (last_term, last_index)
 
 
 def start_pre_vote(member: "RaftMember") -> None:
-    """Ask whether a majority would vote for this member, before starting a term for it."""
+    """Ask whether a majority would vote for this member, before it starts a new term."""
     member.leader = None
     member.campaign = Campaign(True, member.term + 1, granted={member.me})
     _request_votes(member, member.term + 1, pb.Vote(before=True))
@@ -57,7 +57,7 @@
 def handle_vote_request(member: "RaftMember", sender: Incarnation, term: int, vote: pb.Vote) -> None:
     """Answer a vote request; reject it while a leader is alive, unless that leader transferred leadership.
 
-    A candidate outside this log's configuration may be in a later one, so it gets an answer. A member whose
+    A candidate outside this log's configuration may be in a later one, so this member answers. A member whose
     storage has failed, or that has no log yet, does not answer.
     """
     if member.storage_failed or member.is_empty:
@@ -78,7 +78,7 @@
             notice = pb.JoinAnswer(word=pb.JoinAnswer.REFUSED, leader=member.me.name, life=member.me.id)
             member.send(
                 sender, pb.Message(term=member.term, join_answer=notice)
-            )  # it may not know of its removal
+            )  # the candidate may not know that it was removed
         return
     if has_leader:
         member.counters["vote not given"] += 1
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -1,7 +1,7 @@
 """The leader's state for one term: replication, commits, reads, membership changes, leadership transfer.
 
-No I/O. A `Leader` exists from its election to the end of its leadership. Proposals still pending then are
-answered UNKNOWN, since they may be committed all the same.
+No I/O. A `Leader` object exists while its member leads in one term. Proposals that are still pending when
+that leadership ends are answered UNKNOWN, since their entries may still be committed.
 """
 
 from collections import deque
@@ -16,14 +16,14 @@
 if TYPE_CHECKING:
     from fennelwind.raft.member import RaftMember
 
-# Entries that a learner may lag when it becomes a voter: one or two steps of traffic.
+# A learner becomes a voter when it lags by at most this many entries: one or two steps of traffic.
 PROMOTION_LAG_ENTRIES = 64
 MAX_VOTERS = 7  # more voters only make each commit wait for more disks
 MAX_MEMBERS = 9  # including learners
 SLOW_ROUND_DIVISOR = 4.0  # a round slower than the election timeout divided by this counts as slow
-# Rounds whose start is known; a response to an older round doesn't adapt the message size.
+# Rounds whose start time the leader keeps; a response to an older round doesn't adapt the message size.
 MAX_TRACKED_ROUNDS = 64
-REMOVAL_NOTICE_TIMEOUTS = 10  # election timeouts for which a removed member is still sent its removal
+REMOVAL_NOTICE_TIMEOUTS = 10  # election timeouts for which a removed member is sent the entry that removes it
 
 
 class Leader:
@@ -40,7 +40,7 @@
         self.round = 0
         self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # round, start
         self.next_heartbeat_ms = now
-        self.transfer_deadline_ms: float | None = None  # proposals are rejected until then
+        self.transfer_deadline_ms: float | None = None  # proposals are rejected until then, if set
         self.transfer_target: Incarnation | None = None
         self._append(pb.Entry(nothing=True), now)
         self.sync_peers(now)
@@ -121,7 +121,7 @@
             self.pending_proposals.append((self._append_members(kept, now), event.token))
 
     def is_name_alive(self, name: str, now: float) -> bool:
-        """Whether a member of this name responded recently: then no other incarnation may take its place."""
+        """Whether a member of this name responded recently. If so, no other incarnation may replace it."""
         return name == self.member.me.name or any(
             incarnation.name == name
             and now - peer.last_response_ms < self.member.timing.election_timeout_ms
@@ -159,7 +159,7 @@
         return answers.LEARNING
 
     def sync_peers(self, now: float) -> None:
-        """Track the configuration's members; a removed one stays for a while, to learn of its removal."""
+        """Track the configuration's members; a removed member stays for a while, to learn of its removal."""
         log = self.member.log
         present = [
             incarnation for incarnation in log.configuration.incarnations if incarnation != self.member.me
@@ -200,7 +200,7 @@
             peer.backtrack(answer.index)
 
     def _record_response(self, peer: Progress, round_number: int, now: float) -> None:
-        """Record a response; its round-trip time, which includes no disk write, adapts the message size."""
+        """Record a response; adapt the message size to its round-trip time, which includes no disk write."""
         round_number = min(round_number, self.round)
         if round_number > peer.acknowledged_round:
             peer.acknowledged_round = round_number
@@ -259,7 +259,10 @@
         return True
 
     def clock_entry_due_ms(self) -> float | None:
-        """Return when to append an entry only for its clock: something expires and nobody proposes."""
+        """Return when to append an entry only to advance the clock; None if nothing is going to expire.
+
+        Such an entry is needed if something expires while nobody proposes.
+        """
         expiry_ms, timing = self.member.next_expiry_clock_ms, self.member.timing
         if expiry_ms is None:
             return None
@@ -329,7 +332,7 @@
                 member.me not in member.log.configuration.incarnations
                 and member.log.configuration.index <= commit
             ):
-                self.start_round()  # the others learn that its removal is committed
+                self.start_round()  # tells the others that this leader's removal is committed
                 self._send_timeout_now(now)
                 return False
         configuration = member.log.configuration
@@ -372,7 +375,7 @@
     def _serve_reads(self) -> None:
         member, reads = self.member, self.pending_reads
         if member.log.term(member.commit_index) != self.term:
-            return  # what earlier leaders committed isn't known yet
+            return  # this leader doesn't know yet which entries earlier leaders committed
         confirmed = self._quorum_value(
             self.round, {incarnation: peer.acknowledged_round for incarnation, peer in self.peers.items()}
         )
@@ -387,7 +390,7 @@
     # Replication
 
     def _send_entries(self, incarnation: Incarnation, peer: Progress, is_heartbeat: bool) -> None:
-        """Send a peer the entries it lacks, within the flow limits; a heartbeat sends at least a message."""
+        """Send a peer its missing entries, within the flow limits; send a heartbeat even without entries."""
         member, timing = self.member, self.member.timing
         while True:
             if peer.mode != SNAPSHOT and member.log.term(peer.next_index - 1) is None:
@@ -437,7 +440,7 @@
     def _send_snapshot_chunk(self, incarnation: Incarnation, peer: Progress, is_heartbeat: bool) -> None:
         if peer.snapshot_head is None or (peer.is_awaiting_response and not is_heartbeat):
             return
-        if is_heartbeat:  # the peer has to hear its leader, whatever happens to the chunks
+        if is_heartbeat:  # the peer needs heartbeats, even if chunks are lost or late
             self.member.send(incarnation, pb.Message(term=self.term, append=pb.Append(round=self.round)))
         if peer.is_awaiting_response or peer.cannot_write:
             return
@@ -464,7 +467,7 @@
             self.transfer_deadline_ms = now + self.member.timing.election_timeout_ms
 
     def _send_timeout_now(self, now: float) -> None:
-        """Tell the best successor to start an election, once its log is complete."""
+        """Tell the best successor to start an election, once the successor's log is complete."""
         successor = self.best_successor(now)
         if (
             successor is not None
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -30,7 +30,8 @@
 class Log:
     """Contiguous entries from `base_index` + 1 to `last_index`; an appended entry is never modified.
 
-    All up to `base_index` is committed and in a snapshot; only the term at `base_index` is still known.
+    The entries up to `base_index` are committed and covered by a snapshot. Of these entries, the log still
+    knows only the term of the last one.
     """
 
     def __init__(self, head: pb.SnapshotHead | None, entries: Sequence[pb.Entry]) -> None:
@@ -38,7 +39,7 @@
         self.entries: list[pb.Entry] = list(entries)
         self.size_bytes = sum(entry.ByteSize() for entry in self.entries)
         self.configurations: list[Configuration] = [make_configuration(0, pb.Members())]
-        # The first entries may be retained though the snapshot covers them.
+        # The first entries may be ones that the snapshot covers; then the first of them becomes the base.
         if self.entries and self.entries[0].index <= self.base_index:
             first = self.entries.pop(0)
             self.size_bytes -= first.ByteSize()
@@ -99,7 +100,7 @@
         return self.entries[max(first - self.base_index - 1, 0) : max(last - self.base_index, 0)]
 
     def batch(self, first: int, last: int, max_bytes: int) -> list[pb.Entry]:
-        """Return entries from `first` on, of at most `max_bytes` together but at least one if any is held."""
+        """Return entries from `first` on, up to `max_bytes` in total, but at least one if any is held."""
         entries, size = [], 0
         for entry in self.slice(first, last):
             size += entry.ByteSize()
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -22,13 +22,13 @@
 from fennelwind.raft.snapshots import Snapshots
 
 MAX_APPLY_ENTRIES = 1024  # entries in one `Apply`, so that the host can do other work between two batches
-# Election timeouts without progress of the leader's own disk, while others commit without it, before it hands
-# over.
+# A leader transfers leadership after this many election timeouts in which its own disk makes no progress
+# while the other members commit without it.
 DISK_STUCK_TIMEOUTS = 10
 CAMPAIGN_PAUSE_TIMEOUTS = 3  # election timeouts without campaigns after a leadership transfer
 MAX_HELD_MESSAGES = 1024  # messages held until the hard state is durable; more are dropped, like packet loss
 REMOVAL_PAUSE_TIMEOUTS = 40  # election timeouts without campaigns after a notice of removal
-MAX_TERM = 1 << 62  # a correct member never reaches it; larger terms are malformed
+MAX_TERM = 1 << 62  # a correct member never reaches this term; messages with a larger one are malformed
 
 
 @dataclass(slots=True, frozen=True)
@@ -82,10 +82,10 @@
         self.now_ms = self.last_leader_contact_ms = self.no_campaign_until_ms = (
             self.removal_pause_until_ms
         ) = -math.inf
-        self.removed_configuration_index = 0  # latest configuration in the log at the last notice of removal
+        self.removed_configuration_index = 0  # index of the latest configuration at the last removal notice
         self.last_write_progress_ms = -math.inf  # when a write last completed or none was in flight
-        self.randomized_election_timeout_ms = 0.0  # silence of the leader that starts a campaign
-        self.election_deadline_ms: float | None = None  # when to check for that silence
+        self.randomized_election_timeout_ms = 0.0  # a leader silent for this long causes a campaign
+        self.election_deadline_ms: float | None = None  # when to check whether the leader is silent
         self.leader_round = 0  # latest heartbeat round received from the leader
         self.reported_index = 0  # highest durable index reported to the leader
         self.append_response_due = False
@@ -142,7 +142,7 @@
             case api.StorageRecovered(durable):
                 self._recover_storage(durable)
             case api.TimerFired():
-                self._timer_ms = None  # it may have fired early: request it again
+                self._timer_ms = None  # the timer may have fired early, so request it again
 
     def _tick(self) -> None:
         now = self.now_ms
@@ -195,8 +195,8 @@
     def _is_disk_stuck(self) -> bool:
         """Whether this leader's disk makes no progress while the others commit without it.
 
-        It should hand over then: the log can't be compacted without the disk, and at the size limit of the
-        log a leader rejects all proposals.
+        It should transfer leadership then: the log can't be compacted without the disk, and a leader whose
+        log is at its size limit rejects all proposals.
         """
         return (
             self.pending_writes.durable_index < self.commit_index
@@ -256,11 +256,11 @@
 
     @property
     def is_empty(self) -> bool:
-        """Whether it has no log and no term yet."""
+        """Whether this member has neither a log nor a term yet."""
         return not self.log.last_index and not self.term
 
     def _can_campaign(self) -> bool:
-        """Whether it may campaign: it is a voter in the committed configuration or a later one in its log.
+        """Whether this member may campaign, as a voter in the committed configuration or a later one.
 
         A member that wrote its own removal may be the only one holding that entry; nobody else could be
         elected then.
@@ -273,13 +273,13 @@
         )
 
     def _should_join(self) -> bool:
-        """Whether to ask for admission: its log never listed it. A removed member doesn't ask."""
+        """Whether to ask for admission, as the log never listed this member. A removed member doesn't ask."""
         if self.storage_failed or self.me in self.log.configuration.incarnations:
             return False
         return not any(self.me in configuration.incarnations for configuration in self.log.configurations)
 
     def accepts_commands(self) -> bool:
-        """Whether to accept commands: not while only the bootstrapping member's disk would hold them."""
+        """Whether to accept commands; False while only the bootstrapping member's disk would hold them."""
         return (
             self.commands_seen
             or self.snapshots.index > 0
@@ -386,14 +386,14 @@
         self.election_deadline_ms = self.now_ms + self.randomized_election_timeout_ms
 
     def has_live_leader(self) -> bool:
-        """Whether it leads, or heard from the leader within the election timeout."""
+        """Whether this member leads, or heard from the leader within the election timeout."""
         return self.leader_state is not None or (
             self.leader is not None
             and self.now_ms < self.last_leader_contact_ms + self.timing.election_timeout_ms
         )
 
     def become_follower(self, term: int, leader: Incarnation | None) -> None:
-        """Step down to follower; adopt the term if it is later. What was pending is answered."""
+        """Step down to follower; adopt the term if it is later. Pending proposals and reads are answered."""
         leader_state, self.leader_state, self.campaign = self.leader_state, None, None
         if term > self.term:
             self.term, self.voted_for = term, None
@@ -479,7 +479,8 @@
                     and response.leader == sender.name
                     and not self.has_live_leader()
                 ):
-                    # The leader says that it was removed. The notice may be stale, so the pause is limited.
+                    # The leader says that this member was removed. The notice may be stale, so the pause is
+                    # limited.
                     self.campaign = None
                     self.removal_pause_until_ms = (
                         self.now_ms + REMOVAL_PAUSE_TIMEOUTS * self.timing.election_timeout_ms
@@ -616,7 +617,7 @@
             self.become_follower(self.term, None)
 
     def _recover_storage(self, durable: DurableState) -> None:
-        """Resume from what the folder holds; first rewrite the promised state that it lacks."""
+        """Resume from the folder's contents; first rewrite the promised state that the folder lacks."""
         self.pending_writes.discard()
         durable_log, snapshots = Log(durable.snapshot_head, durable.entries), self.snapshots
         if durable.snapshot_head is not None and durable.snapshot_head.index > snapshots.index:
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -24,7 +24,7 @@
     """A member's timeouts, in ms, and its limits."""
 
     heartbeat_ms: float = 50.0
-    election_timeout_ms: float = 300.0  # each wait draws a value from this to twice this
+    election_timeout_ms: float = 300.0  # each election timer draws a value from this to twice this
     max_append_bytes: int = 512 * 1024  # bytes of entries in one message
     max_in_flight_appends: int = 4  # unacknowledged messages with entries per peer
     max_chunk_bytes: int = 256 * 1024  # bytes of a snapshot in one message
@@ -188,14 +188,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Apply:
-    """Apply committed entries, in order, each of them once; after a `Restore`, those after the snapshot."""
+    """Apply committed entries, in order, each once; after a `Restore`, the entries after the snapshot."""
 
     entries: tuple[pb.Entry, ...]
 
 
 @dataclass(slots=True, frozen=True)
 class Restore:
-    """Replace the replicated state by a committed snapshot; this member never got the entries in it."""
+    """Replace the replicated state by a committed snapshot; this member never got the covered entries."""
 
     head: pb.SnapshotHead
     data: bytes
@@ -211,7 +211,7 @@
     """The outcome of a proposal. If it succeeded, its result comes from applying the entry at `index`."""
 
     token: int
-    refusal: int = 0  # pb.Result.Refusal; 0: committed at `index`
+    refusal: int = 0  # pb.Result.Refusal; 0 if the proposal is committed at `index`
     index: int = 0
     leader: str = ""
     retry_after_ms: int = 0
@@ -219,7 +219,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReadOutcome:
-    """The read can be served from state applied up to at least this index, unless refused."""
+    """The read can be served from state applied up to at least this index, unless `refusal` is set."""
 
     token: int
     index: int = 0
--- a/fennelwind/raft/pending_writes.py
+++ b/fennelwind/raft/pending_writes.py
@@ -10,15 +10,15 @@
 
 
 class PendingWrites:
-    """Numbered writes: collected during a step, in flight, completed."""
+    """Numbered writes: one is collected during a step; earlier ones are in flight or completed."""
 
     def __init__(self, durable_index: int) -> None:
         self.durable_index = durable_index  # the last index that is on disk and still in the log
         self.last_number = self.completed_number = 0  # the last write issued, the last write completed
-        self.in_flight: deque[tuple[int, int]] = deque()  # number, the log's last index after it
-        self.held_sends: deque[tuple[int, Send]] = deque()  # number, message that waits for that write
+        self.in_flight: deque[tuple[int, int]] = deque()  # write's number, the log's last index then
+        self.held_sends: deque[tuple[int, Send]] = deque()  # write's number, message waiting for it
         self.hard_state: pb.HardState | None = None
-        self.hard_state_number = 0  # the write with the latest hard state
+        self.hard_state_number = 0  # number of the write with the latest hard state
         self.truncate_index: int | None = None
         self.entries: list[pb.Entry] = []
 
@@ -37,7 +37,7 @@
         self.hard_state, self.hard_state_number = hard_state, self.next_number
 
     def truncate_after(self, index: int) -> None:
-        """Add a truncation of the log; later entries no longer count as durable, whatever the disk holds."""
+        """Add a truncation of the log; later entries no longer count as durable, even if on disk."""
         self.truncate_index = index if self.truncate_index is None else min(self.truncate_index, index)
         while self.entries and self.entries[-1].index > index:
             self.entries.pop()
@@ -58,7 +58,10 @@
         self.in_flight = deque((number, last_index) for number, _ in self.in_flight)
 
     def flush(self, last_index: int) -> Write | None:
-        """Return the step's changes as a write, or None; `last_index` is the log's last index after it."""
+        """Return the step's changes as one write, or None if nothing changed.
+
+        `last_index` is the log's last index after that write.
+        """
         if self.hard_state is None and self.truncate_index is None and not self.entries:
             return None
         self.last_number += 1
--- a/fennelwind/raft/progress.py
+++ b/fennelwind/raft/progress.py
@@ -1,4 +1,4 @@
-"""A leader's view of one peer's log, with flow control for what it sends to it. No I/O."""
+"""A leader's view of one peer's log, with flow control for the messages sent to that peer. No I/O."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -8,7 +8,7 @@
 INITIAL_MESSAGE_BYTES = 64 * 1024  # message size until round-trip times are known
 MIN_MESSAGE_BYTES = 16 * 1024
 
-# One append request at a time; several in flight; snapshot chunks before any entries.
+# PROBE has one append request in flight, STREAM several; SNAPSHOT sends snapshot chunks before any entries.
 PROBE, STREAM, SNAPSHOT = "probe", "stream", "pieces"
 
 
@@ -17,21 +17,21 @@
     """The progress of replication to one peer."""
 
     next_index: int  # index of the next entry to send
-    last_response_ms: float  # when its last response arrived
-    match_index: int = 0  # up to here its log is durable and matches the leader's
+    last_response_ms: float  # when the peer's last response arrived
+    match_index: int = 0  # up to this index the peer's log is durable and matches the leader's
     mode: str = PROBE
     is_awaiting_response: bool = False  # a probe or a snapshot chunk is in flight
-    sent_ms: float = 0.0  # when that was sent
+    sent_ms: float = 0.0  # when that probe or chunk was sent
     in_flight: deque[int] = field(default_factory=deque)  # last index of each unacknowledged message
-    acknowledged_round: int = 0  # the latest round that it responded to
-    sent_commit_index: int = 0  # the latest commit index sent to it
+    acknowledged_round: int = 0  # the latest round that the peer responded to
+    sent_commit_index: int = 0  # the latest commit index sent to the peer
     cannot_write: bool = False
     snapshot_head: pb.SnapshotHead | None = None  # the snapshot being sent
     snapshot_data: bytes = b""
-    snapshot_offset: int = 0  # bytes of it that the peer has received
+    snapshot_offset: int = 0  # bytes of the snapshot that the peer has received
     max_message_bytes: int = INITIAL_MESSAGE_BYTES  # kept small enough not to delay heartbeats
-    removal_index: int = 0  # index of the entry that removes it; 0 for a member
-    removal_notice_until_ms: float = 0.0  # when to stop sending it entries about its removal
+    removal_index: int = 0  # index of the entry that removes the peer; 0 if the peer is a member
+    removal_notice_until_ms: float = 0.0  # when to stop sending a removed peer entries
 
     def adapt_message_size(self, is_slow: bool, max_bytes: int) -> None:
         """Halve the message size after a slow round, double it after a fast one."""
@@ -60,7 +60,7 @@
         self.next_index = max(self.next_index, self.match_index + 1)
 
     def backtrack(self, index: int) -> None:
-        """After a rejected append, probe from behind this index, but not from before `match_index` + 1."""
+        """After a rejected append, probe from at most `index` + 1 and at least `match_index` + 1."""
         if self.mode == SNAPSHOT:
             return
         self.next_index = max(min(index, self.next_index - 1), self.match_index) + 1
--- a/fennelwind/raft/read_index.py
+++ b/fennelwind/raft/read_index.py
@@ -10,7 +10,7 @@
 
     def __init__(self, max_reads: int) -> None:
         self.max_reads = max_reads
-        self.unindexed: list[int] = []  # tokens
+        self.unindexed: list[int] = []  # tokens of reads without a read index
         self.indexed: deque[tuple[int, int, int]] = deque()  # token, read index, confirming round
 
     def __len__(self) -> int:
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -1,11 +1,12 @@
 """The replicated state: all state machines, and the client sessions that deduplicate commands.
 
-A client opens a session with a command and gets its number as the result. Commands with an unknown or expired
-client number are refused, so that a command is never applied twice because its session was forgotten.
+A client opens a session with a command, whose result is the client number. Commands with an unknown or
+expired client number are refused, so that a command is never applied twice because its session was forgotten.
 
-Members of two versions compute the same state, as the state has a level: a state machine that came with a
-later level is ignored by all versions, whether they know it or not. The level is raised by a command, one at
-a time, once all members have reported that they support the next one. It is never lowered.
+Members that run different versions compute the same state, because the state has a level: all versions
+ignore a state machine that was introduced at a later level, even the versions that know the machine. A
+command raises the level by one, once all members have reported that they support the next level. The level
+is never lowered.
 """
 
 from collections.abc import Iterable
@@ -15,16 +16,16 @@
 
 MAX_CLIENTS = 4096  # client sessions; the least recently used one is dropped first
 MAX_RETAINED_RESULTS = 64  # results kept per client, which bounds its commands in flight
-LEVEL = 2  # supported by this version; a new state machine or command requires the next one
+LEVEL = 2  # highest level that this version supports; a new state machine or command requires the next one
 LEVEL_COMMAND_TARGET = "record"  # the target named by a command that raises the level
-MAX_COMMAND_BYTES = 256 * 1024  # bytes of one command's body; clients split what is larger
+MAX_COMMAND_BYTES = 256 * 1024  # bytes of one command's body; clients split larger bodies
 
 
 class _ClientSession:
     __slots__ = ("acknowledged", "last_index", "results")
 
     def __init__(self, last_index: int) -> None:
-        self.acknowledged, self.last_index = 0, last_index  # results up to a number that the client has got
+        self.acknowledged, self.last_index = 0, last_index  # the client has got results up to `acknowledged`
         self.results: dict[int, bytes] = {}  # serialized results by command number
 
 
@@ -35,7 +36,7 @@
         self.supported_level = supported_level  # the highest level that this version supports
         self.level = 1  # part of the state: results of commands may depend on it
         self.known_machines = {machine.name: machine for machine in machines}
-        self.machines: dict[str, StateMachine] = {}  # those enabled at the level
+        self.machines: dict[str, StateMachine] = {}  # the state machines enabled at the level
         self._fact_providers: dict[str, StateMachine] = {}
         self._set_level(1)
         self.index = self.clock_ms = 0
@@ -70,7 +71,7 @@
         )
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a fact from the state machine that provides its kind, or 0; `level` is the state's own."""
+        """Return a fact by kind and key, 0 if no machine provides the kind; kind `level` gives the level."""
         if kind == "level":
             return self.level
         provider = self._fact_providers.get(kind)
--- a/fennelwind/raft/snapshot_chunks.py
+++ b/fennelwind/raft/snapshot_chunks.py
@@ -4,7 +4,7 @@
 
 from fennelwind.raft import council_pb2 as pb
 
-MAX_SNAPSHOT_BYTES = 512 * 1024 * 1024  # bytes; a member holds it in memory
+MAX_SNAPSHOT_BYTES = 512 * 1024 * 1024  # bytes; a member holds the whole snapshot in memory
 
 
 class SnapshotReceiver:
@@ -27,12 +27,12 @@
             return None
         data = bytes(self.data)
         if crc32c.crc32c(data) != chunk.head.crc32c:
-            self.data = bytearray()  # corrupt: receive it again from the start
+            self.data = bytearray()  # the data is corrupt, so receive the snapshot again from the start
             return None
         return data
 
     def reset(self) -> None:
-        """Discard what was received."""
+        """Discard the received chunks."""
         self.head, self.data = None, bytearray()
 
 
--- a/fennelwind/raft/snapshots.py
+++ b/fennelwind/raft/snapshots.py
@@ -60,7 +60,7 @@
     def write(
         self, head: pb.SnapshotHead, data: bytes, retain_from: int, truncate_after: int | None = None
     ) -> int:
-        """Write a snapshot separately, after the changes collected in this step; return its number."""
+        """Write a snapshot separately, after the changes collected in this step; return the write number."""
         member, writes = self.member, self.member.pending_writes
         collected = writes.flush(member.log.last_index)
         if collected is not None:
@@ -78,7 +78,7 @@
         return number
 
     def save_taken(self, event: Snapshot) -> None:
-        """Write the snapshot that the host took; the log is compacted once it is durable."""
+        """Write the snapshot that the host took; the log is compacted once the snapshot is durable."""
         member, log, timing = self.member, self.member.log, self.member.timing
         self.is_requested = False
         term = log.term(event.index)
@@ -113,7 +113,7 @@
         if head.size > MAX_SNAPSHOT_BYTES or head.term > member.term:
             member.counters["malformed"] += 1
             return
-        if head.index <= member.commit_index:  # all of it is committed here already
+        if head.index <= member.commit_index:  # this member has committed all entries in the snapshot
             member.leader_match_index, member.append_response_due = (
                 max(member.leader_match_index, head.index),
                 True,
@@ -142,7 +142,7 @@
         )
 
     def handle_write_completed(self, number: int) -> None:
-        """Compact the log behind, or install, a snapshot that became durable."""
+        """Compact the log up to a durable snapshot taken here; install a durable snapshot from the leader."""
         if self.compacting is not None and self.compacting[0] <= number:
             _, self.head, self.data, retain_from = self.compacting
             self.compacting = None
@@ -160,7 +160,7 @@
         self.incoming.reset()
 
     def install(self, head: pb.SnapshotHead, data: bytes, log: Log) -> None:
-        """Install a durable snapshot; `log` replaces a log without the snapshot's last entry."""
+        """Install a durable snapshot; if the log lacks the snapshot's last entry, replace it by `log`."""
         member = self.member
         self.head, self.data = head, data
         if member.log.term(head.index) != head.term:
--- a/fennelwind/raft/state_machine.py
+++ b/fennelwind/raft/state_machine.py
@@ -1,7 +1,8 @@
 """The interface of replicated state machines: equal commands give equal state on every controller.
 
-A state machine uses neither a clock nor randomness, and its state is equal byte for byte. Time comes with
-each entry; it never goes back, and it stands still while the Raft group has no leader.
+A state machine uses neither a clock nor randomness, and its snapshots are equal byte for byte. Each
+entry carries the replicated clock, which never goes back and doesn't advance while the Raft group has no
+leader.
 """
 
 from typing import NamedTuple, Protocol
@@ -10,7 +11,7 @@
 class LogPosition(NamedTuple):
     """The position of a command in the replicated log."""
 
-    index: int  # of its entry, starting at 1
+    index: int  # index of the command's entry; the first entry has index 1
     clock_ms: int  # the replicated clock
 
 
@@ -20,9 +21,9 @@
     def fact(self, kind: str, key: str) -> int:
         """Return a fact, or 0 if no state machine provides it.
 
-        Kinds: `fence` (key: a task; the fencing token of its current holder, 0 if nobody holds it), `moving`
-        (key: a table; how many of its shards are being moved), `changing` (key: a table; 1 while its schema
-        changes).
+        The kind `fence` has a task as key and gives the fencing token of the task's current holder, or 0 if
+        nobody holds the task. The kinds `moving` and `changing` have a table as key: `moving` gives the
+        number of the table's shards that are being moved, `changing` gives 1 while its schema changes.
         """
 
 
@@ -37,19 +38,19 @@
     """
 
     name: str
-    kinds: tuple[str, ...]  # kinds of the facts that it provides
+    kinds: tuple[str, ...]  # kinds of the facts that this state machine provides
 
     def apply(self, at: LogPosition, command: bytes, facts: Facts) -> bytes:
         """Apply a command; return its result. Raises `UnreadableCommandError`."""
 
     def expire_due(self, at: LogPosition) -> None:
-        """Expire what is due; called before an entry once `next_expiry_clock_ms` is reached."""
+        """Expire everything due; called before an entry is applied whose clock reaches the next expiry."""
 
     def next_expiry_clock_ms(self) -> int | None:
         """Return when something expires next, on the replicated clock; None if nothing does."""
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a fact of one of its kinds; 0 if there is none."""
+        """Return a fact of one of this state machine's kinds; 0 if there is none."""
 
     def snapshot(self) -> bytes:
         """Return the serialized state; equal states give equal bytes."""
--- a/fennelwind/raft_storage/log_index.py
+++ b/fennelwind/raft_storage/log_index.py
@@ -1,4 +1,7 @@
-"""An index of the log on disk, without the entries: maintained on writes, rebuilt on reads. No I/O."""
+"""An index of the log on disk, without the entries themselves. No I/O.
+
+It is maintained when the log is written, and rebuilt when the log is read.
+"""
 
 from collections.abc import Callable, Iterable
 
@@ -19,11 +22,11 @@
         hard_state: bytes = b"",
         snapshot_heads: Iterable[pb.SnapshotHead] = (),
     ) -> None:
-        self.base_index, self.base_term = last_index, last_term  # of the entry before the first held one
+        self.base_index, self.base_term = last_index, last_term  # from the entry before the first held one
         self.terms: list[int] = []
         self.hard_state = hard_state
         self.snapshot_heads = list(snapshot_heads)  # oldest first
-        self.retain_from = 0  # first entry retained although a snapshot covers it; 0: none
+        self.retain_from = 0  # first entry retained although a snapshot covers it; 0 if none is
 
     @classmethod
     def from_head(cls, head: store_pb2.Head) -> "LogIndex":
@@ -85,15 +88,15 @@
             raise InvalidWriteError(
                 f"truncation after {after}, but {self.snapshot_index} is committed", after=after
             )
-        if after < self.base_index:  # the replay began later, as entries up to there are no longer needed
+        if after < self.base_index:  # the replay began later, as it needs no earlier entries
             self.base_index, self.base_term = after, 0
         del self.terms[after - self.base_index :]
 
     def append(self, entries: Iterable[pb.Entry]) -> int:
         """Append entries; return how many were new. Raises `InvalidWriteError` for a gap or a lower term.
 
-        An entry of the same index and term is the same entry; so is one covered by a snapshot, as it is
-        committed.
+        An entry is skipped if the log has one of this index and term, or if a snapshot covers its index and
+        the term there is no longer known: then it is committed.
         """
         last, last_term, terms, added = self.last_index, self.last_term, self.terms, 0
         for entry in entries:
@@ -113,7 +116,7 @@
         return added
 
     def drop_old_generations(self, generations: int = GENERATIONS) -> None:
-        """Keep only the newest generations of snapshots, and the terms that they need.
+        """Keep only the newest generations of snapshots, and the terms after the oldest of them.
 
         While there are fewer snapshots, the empty log counts as the oldest generation: all entries stay.
         """
--- a/fennelwind/raft_storage/record_format.py
+++ b/fennelwind/raft_storage/record_format.py
@@ -1,7 +1,7 @@
 """The framing of records in files, and the classification of damaged ones. No I/O.
 
-A record consists of magic, kind, length, number, CRC32C of the payload, CRC32C of the fields before, the
-payload, and one byte that is not zero. The last byte distinguishes a torn write from a flipped bit; see
+A record consists of magic, kind, length, number, CRC32C of the payload, CRC32C of the preceding fields,
+the payload, and one byte that is not zero. The last byte distinguishes a torn write from a flipped bit; see
 `is_torn`.
 """
 
@@ -12,7 +12,7 @@
 
 MAGIC = b"\xf7fwr"
 META, HEAD, PART, LAST, MARK, SNAPSHOT, PIECE = range(1, 8)
-MAX_PAYLOAD_BYTES = 1 << 20  # of one record; larger groups are split into parts
+MAX_PAYLOAD_BYTES = 1 << 20  # bytes of one record's payload; larger groups are split into parts
 SECTOR_BYTES = 512  # a disk writes a sector as a whole or not at all
 END = b"\xa5"
 
@@ -28,7 +28,7 @@
     kind: int
     number: int
     payload: bytes
-    end: int  # offset of the byte after it
+    end: int  # offset of the byte after the record
 
 
 def pack(kind: int, number: int, payload: bytes) -> bytes:
@@ -73,9 +73,9 @@
 def is_torn(data: bytes, at: int, number: int) -> bool:
     """Return whether the data at an offset can be the remains of an unsynced write of group `number`.
 
-    The next group is only written once this one is synced, so a record of a later group proves that this one
-    was complete. A sector that was never written is absent or reads as zeros, and a record begins and ends
-    with bytes that are not zero. So a record with its full length and no sector of zeros was written
+    The next group is only written once this group is synced, so a record of a later group proves that this
+    group was complete. A sector that was never written is absent or reads as zeros, and a record begins and
+    ends with bytes that are not zero. So a record with its full length and no sector of zeros was written
     completely, and was damaged later.
     """
     position = data.find(MAGIC, at)
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -7,18 +7,18 @@
 The order of operations; each step begins when the one before has returned:
 
 - A new folder: `log-1.new` is written, synced, renamed, the directory synced; then the same for `meta.new`.
-  `meta` comes last: a folder without it whose log is empty is created again.
+  `meta` comes last: a folder without `meta` whose log is empty is created again.
 - A write: the snapshot, if there is one; the group's records are appended to the segment; the segment is
   synced. Now the write is durable. Then its mark is appended, without a sync.
 - A snapshot: `snapshot.new` is written, synced, renamed, the directory synced; then the group that refers to
-  it is written, which makes it valid. Files that are no longer needed are removed only after that group's
-  sync.
+  the snapshot is written, which makes the snapshot valid. Files that are no longer needed are removed only
+  after that group's sync.
 - A new segment (the last one is large enough, or the folder was opened): `log-N.new` with a first record that
   holds the state of the log is written, synced, renamed, the directory synced. Later groups go there.
-- Opening: `meta` is rewritten unchanged, as the process that created it may have failed to sync its name. The
-  last group in the last segment may have been written without a sync, even if it is readable; it is rewritten
-  to a new segment. All groups before it were synced before it was written. A small last segment is rewritten
-  and replaced as a whole.
+- Opening: `meta` is rewritten unchanged, as the process that created it may have failed to sync the file's
+  name. The last group in the last segment may have been written without a sync, even if it is readable; it is
+  rewritten to a new segment. All earlier groups were synced before that group was written. A small last
+  segment is rewritten and replaced as a whole.
 - A write that failed in any of its calls: the store accepts no more writes. `reopen` reads the folder again,
   drops all groups that were not acknowledged, and continues in a new segment; a file whose sync failed is
   never written or synced again.
@@ -53,12 +53,12 @@
 )
 from fennelwind.raft_storage.log_index import GENERATIONS, LogIndex, Replay
 
-FORMAT = 1  # version of all files' format; a folder with a later one is refused
+FORMAT = 1  # version of all files' format; a folder in a later format is refused
 META, RESERVE, NEW = "meta", "reserve", ".new"
 LOG, MARKS, SNAPSHOT = "log-", "marks-", "snapshot-"
 RENAMED_PREFIXES = (META, LOG, SNAPSHOT)  # files that are first written under a `.new` name
-MARKS_TAIL_BYTES = 4096  # read from the end of a marks file; only the last mark matters
-RESERVE_MARGIN_BYTES = 65536  # released in addition to a file's size: for blocks, its name, marks
+MARKS_TAIL_BYTES = 4096  # bytes read from the end of a marks file; only the last mark matters
+RESERVE_MARGIN_BYTES = 65536  # released in addition to a file's size: for blocks, the file's name and marks
 READ_BATCH_BYTES = 65536  # bytes of groups replayed between two pauses: some 2 ms of work
 
 MessageType = TypeVar("MessageType", bound=Message)
@@ -70,8 +70,8 @@
 
     segment_bytes: int = (
         8 << 20
-    )  # then a new segment begins; small, so that obsolete entries are removed soon
-    max_group_bytes: int = 160 << 20  # of one write; Raft rejects proposals at 128 MB of log
+    )  # at this size a new segment begins; it is small so that obsolete entries are removed soon
+    max_group_bytes: int = 160 << 20  # bytes of one write; Raft rejects proposals at 128 MB of log
     max_snapshot_bytes: int = MAX_SNAPSHOT_BYTES  # Raft neither takes nor sends a larger one
     reserve_bytes: int = 16 << 20  # disk space kept for a snapshot on a full disk
     max_rewrite_bytes: int = 64 << 10  # a smaller last segment is rewritten at opening: restarts add no files
@@ -82,9 +82,9 @@
     """A segment read from disk."""
 
     head: store_pb2.Head
-    groups: list[store_pb2.Group]  # complete ones, from number `head.group` on
+    groups: list[store_pb2.Group]  # the complete groups, numbered from `head.group` on
     data: bytes
-    incomplete_offset: int | None  # offset of data behind the complete groups; None if there is none
+    incomplete_offset: int | None  # offset of data after the complete groups; None without such data
 
 
 class Store:
@@ -96,13 +96,13 @@
         self.disk, self.fleet, self.name, self.limits, self.pause = disk, fleet, name, limits, pause
         self.incarnation_id = b""
         self.log_index = LogIndex()
-        self.segments: dict[int, int] = {}  # needed ones: the last index before each
-        self.segment = self.segment_size = 0  # the segment being written and its bytes
+        self.segments: dict[int, int] = {}  # number of each needed segment: last index before it
+        self.segment = self.segment_size = 0  # number and bytes of the segment being written
         self.first_segment = 1  # the first needed segment, as recorded on disk
-        self.group = 0  # the last durable group
+        self.group = 0  # number of the last durable group
         self.failed = True  # nothing is written until the folder has been read again
-        self.is_disk_full = False  # the last failure was for lack of space
-        self.bytes_since_pause = 0  # bytes of groups replayed
+        self.is_disk_full = False  # whether the last write failed for lack of space
+        self.bytes_since_pause = 0  # bytes of groups replayed since the last pause
         self.snapshot_fallbacks = 0  # unreadable snapshots replaced by an older one and the log
         self.failed_removals = 0  # removals are retried at the next opening or snapshot
         self.failed_marks = 0  # marks that could not be written
@@ -136,8 +136,8 @@
     def write(self, *writes: Write) -> None:
         """Write atomically, as one group with one sync; on return all of the writes are durable.
 
-        Raises `WriteTooLargeError` before any effect. After any other error none of the writes counts, and
-        the store accepts no writes until `reopen`.
+        Raises `WriteTooLargeError` before any effect. After any other error none of the writes takes effect,
+        and the store accepts no writes until `reopen`.
         """
         if self.failed:
             raise StoreStoppedError("an earlier write failed; the folder has to be read again")
@@ -150,7 +150,7 @@
                 raise WriteTooLargeError(
                     f"{size} bytes in one write, {max_bytes} at most", size=size, most=max_bytes
                 )
-        self.failed, self.is_disk_full = True, False  # also if the task is cancelled during the write
+        self.failed, self.is_disk_full = True, False  # stays so if the task is cancelled during the write
         try:
             self._write(group, writes)
         except DiskFull:
@@ -165,9 +165,10 @@
     def reopen(self, head: pb.SnapshotHead | None = None, snapshot: bytes = b"") -> DurableState:
         """Read the folder again after a failed write, and accept writes again.
 
-        Nothing of the failed write counts. If the disk is full, a snapshot of the applied state is written
-        with the space of the reserve, and replaces the log that it covers. Raises `InsufficientSpaceError` if
-        the disk was full and there is still little space; `DiskError` or `StoreError` as `open` does.
+        No part of the failed write takes effect. If the disk is full, a snapshot of the applied state is
+        written with the space of the reserve, and replaces the log that it covers. Raises
+        `InsufficientSpaceError` if the disk was full and there is still little space; `DiskError` or
+        `StoreError` as `open` does.
         """
         self.failed = True
         if self.is_disk_full and head is None:
@@ -296,7 +297,7 @@
         if len(last.data) <= self.limits.max_rewrite_bytes and generations == GENERATIONS:
             rewritten, last.groups[:] = last.groups[:], []
         elif acknowledged is None and last.groups:
-            rewritten = [last.groups.pop()]  # it may not be synced
+            rewritten = [last.groups.pop()]  # the last group may not be synced
         segments = [last]
         for number in range(numbers[-1] - 1, first - 1, -1):
             if number not in numbers:
@@ -308,7 +309,7 @@
                     file=_log_name(number),
                     offset=segment.incomplete_offset or len(segment.data),
                 )
-            del segment.groups[following - segment.head.group :]  # never acknowledged
+            del segment.groups[following - segment.head.group :]  # these were never acknowledged
             segments.insert(0, segment)
         return segments, rewritten
 
@@ -507,16 +508,16 @@
         )
 
     def _begin_segment(self, head: store_pb2.Head, body: bytes = b"", may_use_reserve: bool = True) -> None:
-        """Begin a segment, with groups that are rewritten to it."""
+        """Begin a segment; `body` holds the groups that are rewritten to it."""
         data = record_format.pack(record_format.HEAD, head.segment, head.SerializeToString()) + body
         self._write_file(_log_name(head.segment), [data], may_use_reserve)
         self.segments[head.segment] = head.last_index
         self.segment, self.segment_size = head.segment, len(data)
 
     def _write_file(self, name: str, pieces: Iterable[bytes], may_use_reserve: bool = True) -> None:
-        """Write a complete file; on a full disk, release as much of the reserve as that needs.
+        """Write a complete file; on a full disk, release as much of the reserve as the file needs.
 
-        The reserve must not be used up by a log that merely grows.
+        `may_use_reserve` is False for a log that merely grows, because that must not use up the reserve.
         """
         pieces = list(pieces)
         try:
@@ -544,7 +545,7 @@
             self.pause()
 
     def _write_mark(self) -> None:
-        """Mark the last group as acknowledged; marks only help to detect damage, so errors are counted."""
+        """Mark the last group as acknowledged; marks only help to detect damage: errors are only counted."""
         try:
             self.disk.append(
                 _marks_name(self.segment), record_format.pack(record_format.MARK, self.group, b"")
@@ -609,12 +610,12 @@
             self._release_reserve(self.limits.reserve_bytes)
 
     def _release_reserve(self, size: int) -> bool:
-        """Release up to `size` bytes of the reserve; return whether there was one."""
+        """Release up to `size` bytes of the reserve; return False if there is none or the disk fails."""
         try:
             remaining = self.disk.size(RESERVE) - size
             if remaining > 0:
                 self.disk.truncate(RESERVE, remaining)
-                self.disk.sync(RESERVE)  # some systems release the blocks only then
+                self.disk.sync(RESERVE)  # some systems release the blocks only after a sync
             else:
                 self.disk.remove(RESERVE)
                 self.disk.sync_names()
@@ -665,7 +666,7 @@
 
 
 def _file_numbers(names: list[str], prefix: str) -> list[int]:
-    """Return the numbers of the files with a prefix, in order."""
+    """Return the numbers of the files with a prefix, in ascending order."""
     return sorted(
         int(name[len(prefix) :])
         for name in names
