--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -141,8 +141,8 @@
     def end(self, operation: FencedOperation) -> None:
         """Remove an operation that is over and can no longer take effect.
 
-        Don't call it for an operation whose last call got no answer: `remove_expired` removes that one after
-        its deadline.
+        Don't call it for an operation whose last call got no answer: `remove_expired` removes such an
+        operation after its deadline.
         """
         self.operations.pop(operation.number, None)
 
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -41,7 +41,7 @@
 
 RENEWAL_TERM_DIVISOR = 3.0  # a lease is renewed after a third of its term, which leaves time for two retries
 BATCHING_TERM_DIVISOR = 12.0  # renewals due within this fraction of the term join the same command
-ANSWER_TIMEOUT_MS = 1000.0  # ms to wait for an answer; a change of leader takes about 600
+ANSWER_TIMEOUT_MS = 1000.0  # ms to wait for an answer; a change of leader takes about 600 ms
 ANSWER_TERM_DIVISOR = 10.0  # the answer timeout is at most the shortest term divided by this
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 50.0, 2000.0  # ms between attempts, doubled after each failure
 MAX_BACKOFF_DOUBLINGS = 6  # with more doublings the backoff is at its maximum anyway
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -15,10 +15,10 @@
 from fennelwind.leases.model import ControllerIncarnation, Exclusion, LeaseView, TaskLease, Waiter
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
-MAX_REQUESTS_PER_COMMAND = 512  # a controller requests about fifty tasks
+MAX_REQUESTS_PER_COMMAND = 512  # far more than the about fifty tasks that a controller requests
 MAX_TASKS = 4096  # four times as many as a thousand tables and the controllers themselves need
 MAX_WAITERS_PER_TASK = 256  # more than a fleet's two hundred controllers, each of which may wait
-MAX_WAITERS = 32_768  # over all tasks; about 60 bytes each in a snapshot
+MAX_WAITERS = 32_768  # over all tasks; each takes about 60 bytes in a snapshot
 MAX_NAME_BYTES = 256  # of a task or controller name
 MAX_INCARNATION_BYTES = 32
 MAX_PURPOSE_BYTES = 256
--- a/fennelwind/quiescence/acknowledgements.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -18,7 +18,7 @@
 
 MAX_OPEN_PAIRS = 256  # in one acknowledgement; a controller with more pairs sends none until it has fewer
 MAX_BARRIER_REQUESTS = 1024  # in one message
-MAX_BLOCKER_NAMES = 8  # names of controllers waited for, per request in an answer
+MAX_BLOCKER_NAMES = 8  # an answer names at most this many controllers to wait for, per request
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -17,8 +17,8 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.raft.state_machine import Facts, LogPosition, UnreadableCommandError
 
-SILENCE_TIMEOUT_MS = 120_000  # ms; the longest total wait for a draining replica (60 s twice)
-MAX_REGISTRATIONS = 4096  # two hundred controllers, each restarted twenty times within the timeout
+SILENCE_TIMEOUT_MS = 120_000  # ms; as long as the longest total wait for a draining replica (60 s twice)
+MAX_REGISTRATIONS = 4096  # enough for two hundred controllers, each restarted twenty times within the timeout
 MAX_NAME_LENGTH = 64  # characters of a controller's name, as in the settings
 MIN_LEVEL = 2  # first level of the log with a registry and with early drops of quiesced replicas
 
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -180,7 +180,7 @@
                 self._bootstrap_group()
 
     def _must_not_campaign(self) -> bool:
-        """Whether campaigns are suspended: it transferred leadership, or was removed and not added again."""
+        """Whether campaigns pause: this member transferred leadership, or was removed and not added again."""
         removed = (
             self.now_ms < self.removal_pause_until_ms
             and self.log.configuration.index <= self.removed_configuration_index
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -31,7 +31,7 @@
     max_pending_proposals: int = 4096  # proposals waiting for their entry to be committed
     max_pending_reads: int = 4096  # reads waiting for a majority to confirm the leader
     retained_entries: int = 10_000  # entries kept that a snapshot covers, for members that lag a little
-    max_log_bytes: int = 64 * 1024 * 1024  # a larger log is compacted; at twice this proposals are rejected
+    max_log_bytes: int = 64 * 1024 * 1024  # a larger log is compacted; at twice this, proposals are rejected
     # While something is going to expire, an entry is appended at least this often to advance the clock.
     clock_entry_interval_ms: float = 1000.0
 
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -101,7 +101,7 @@
         self.first_segment = 1  # the first needed segment, as recorded on disk
         self.group = 0  # number of the last durable group
         self.failed = True  # nothing is written until the folder has been read again
-        self.is_disk_full = False  # whether the last write failed for lack of space
+        self.is_disk_full = False  # whether the last failure was for lack of space
         self.bytes_since_pause = 0  # bytes of groups replayed since the last pause
         self.snapshot_fallbacks = 0  # unreadable snapshots replaced by an older one and the log
         self.failed_removals = 0  # removals are retried at the next opening or snapshot
