--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -1,7 +1,8 @@
 """Reports to the replicated state, in batches, how often this controller's queries name each shard.
 
-A batch is sent every ten minutes if there is anything to report, the first after a random share of that: two
-hundred controllers make twenty commands a minute, each of at most about 70 kB, and no watch is triggered.
+A batch is sent every ten minutes if there is anything to report, the first after a random part of ten
+minutes. So two hundred controllers send twenty commands a minute, each of at most about 70 kB; the commands
+trigger no watch.
 """
 
 from collections import Counter
@@ -22,7 +23,7 @@
     """Sends one controller's reports."""
 
     def __init__(self, loop: Loop, client: RaftClient, named: AccessCounter, seed: int) -> None:
-        """Create it; `named` counts the shards that queries name."""
+        """Create the reporter; `named` counts how often queries name each shard."""
         self.counts: Counter[str] = Counter()
         self._loop = loop
         self._client = client
@@ -51,7 +52,7 @@
                     self._client.propose(SHARDS, body, PROPOSE_TIMEOUT_MS)
                 except (
                     ClusterError
-                ) as exc:  # retried with the next batch; counted twice if only the answer was lost
+                ) as exc:  # reported again with the next batch; counted twice if only the answer was lost
                     self.counts[exc.code] += 1
                 else:
                     self.counts["told"] += 1
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -18,12 +18,12 @@
 from fennelwind.raft.replicated_state import ReplicatedState
 from fennelwind.raft.state_machine import StateMachine
 
-MAX_IMMEDIATE_ENTRIES = 8  # entries applied as soon as committed: a command's answer waits for them
+MAX_IMMEDIATE_ENTRIES = 8  # entries applied as soon as committed, since a command's answer waits for them
 ENTRIES_PER_SLICE = 64  # entries applied in one iteration of the loop; about 2 ms
 MAX_WATCHES = 4096  # pending watches: two hundred controllers with twenty tables each
-SWEEP_INTERVAL_MS = 1000.0  # ms between two searches for watches of disconnected clients; each takes some ms
-MAX_VIEW_BYTES = MAX_FRAME_BYTES - 4096  # bytes of a state that fits in one frame
-MAX_WATCH_QUERY_BYTES = 4096  # bytes of a watch request; a larger one is answered at once
+SWEEP_INTERVAL_MS = 1000.0  # ms between two searches for watches of disconnected clients; one takes some ms
+MAX_VIEW_BYTES = MAX_FRAME_BYTES - 4096  # bytes of the largest state that fits in one frame
+MAX_WATCH_QUERY_BYTES = 4096  # bytes of a watch request; a larger request is answered at once
 MAX_WAIT_MS = 60_000  # ms that one watch waits; clients that wait longer repeat the request
 
 Result = council_pb2.Result
@@ -38,7 +38,7 @@
 
 
 class AppliedState:
-    """Applies committed entries; calls back whoever waits for an entry, an index or a change of state."""
+    """Applies committed entries; calls back those that wait for an entry, an index or a change of state."""
 
     def __init__(
         self,
@@ -54,10 +54,10 @@
             answer_query,
         )
         self.revisions = dict.fromkeys(replicated_state.known_machines, 0)
-        self.applied_entries = 0  # since the start
+        self.applied_entries = 0  # number of entries applied since the start
         self._work: deque[Apply | Restore | TakeSnapshot] = deque()
         self._wakeup, self._is_busy = Wakeup(loop), False
-        self._posted_expiry_ms: int | None = None  # on the log's clock, as the core got it last
+        self._posted_expiry_ms: int | None = None  # on the log's clock, as last posted to the core
         self._results: dict[int, Callable[[Result], None]] = {}  # callbacks by the index of the entry
         self._reads: list[tuple[int, int, Callable[[], None]]] = []  # heap: index, sequence number, callback
         self._last_read = 0
@@ -75,7 +75,7 @@
         self._wakeup.notify()
 
     def when_applied(self, index: int, callback: Callable[[Result], None]) -> None:
-        """Call back with the result of an entry; with UNKNOWN if it was applied already."""
+        """Call back with the result of an entry; with UNKNOWN if the entry was applied already."""
         if index <= self.replicated_state.index:
             callback(Result(refusal=Result.UNKNOWN, index=index))
         else:
@@ -90,7 +90,7 @@
             heapq.heappush(self._reads, (index, self._last_read, callback))
 
     def watch(self, view: pb.View, callback: Callable[[], None], is_abandoned: Callable[[], bool]) -> bool:
-        """Call back once the watched state has changed or its wait is over; return False if too many wait."""
+        """Call back once the watched state has changed or the wait is over; return False if too many wait."""
         machine = self.replicated_state.machines.get(view.machine)
         if machine is None or view.ByteSize() > MAX_WATCH_QUERY_BYTES:
             callback()
@@ -119,7 +119,7 @@
         return True
 
     def _remove_abandoned(self) -> bool:
-        """Remove watches of disconnected clients, once a second at most; return whether there were any."""
+        """Remove watches of disconnected clients, at most once a second; return whether any were removed."""
         if self.loop.now() < self._next_sweep_ms:
             return False
         self._next_sweep_ms, count_before = self.loop.now() + SWEEP_INTERVAL_MS, self.watch_count
@@ -157,7 +157,7 @@
                 self._apply(action.entries[start : start + ENTRIES_PER_SLICE])
         self._call_back_waiters()
         expiry_ms = state.next_expiry_clock_ms()
-        if expiry_ms != self._posted_expiry_ms:  # the core needs no other news of applied entries
+        if expiry_ms != self._posted_expiry_ms:  # the core needs to know only changes of the next expiry
             self._posted_expiry_ms = expiry_ms
             self.post(Applied(state.index, expiry_ms))
 
@@ -167,7 +167,7 @@
             if self.is_too_new:
                 return
             if entry.index <= state.index:
-                continue  # already applied: a folder that was reopened yields its entries again
+                continue  # already applied: a reopened folder returns its entries again
             clock_ms = max(state.clock_ms, entry.clock_ms)
             changed = [
                 name
@@ -190,7 +190,7 @@
 
     def _notify_watches(self, machines: list[str]) -> None:
         for name in machines:
-            # A state machine may keep a revision of its own; otherwise every command counts as a change.
+            # A state machine may keep its own revision; if it has none, every command counts as a change.
             revision = getattr(self.replicated_state.machines[name], "revision", self.replicated_state.index)
             if revision == self.revisions[name]:
                 continue
@@ -204,7 +204,7 @@
 
     @property
     def is_too_new(self) -> bool:
-        """Whether the log is of a level that this version does not support: nothing more is applied then."""
+        """Whether this version does not support the log's level; if so, no further entries are applied."""
         return self.replicated_state.level > self.replicated_state.supported_level
 
     def _call_back_waiters(self) -> None:
@@ -215,7 +215,7 @@
             self._results.pop(index)(Result(refusal=Result.UNKNOWN, index=index))
 
     def answer_view(self, view: pb.View) -> pb.Told:
-        """Return the answer to a read from the state applied here."""
+        """Return the answer to a read, from the state applied on this member."""
         response = pb.Told(
             revision=self.revisions.get(view.machine, 0), clock_ms=self.replicated_state.clock_ms
         )
--- a/fennelwind/cluster/backoff.py
+++ b/fennelwind/cluster/backoff.py
@@ -2,9 +2,9 @@
 
 from random import Random
 
-MIN_MS = 50.0  # ms; a restarted peer listens again after tens of ms at best
-MAX_MS = 2000.0  # ms; a peer that is back must be found within a few election timeouts
-MAX_DOUBLINGS = 16  # avoids overflow of the float; the maximum wait is reached long before
+MIN_MS = 50.0  # ms; a restarted peer needs at least tens of ms until it listens again
+MAX_MS = 2000.0  # ms; a peer that is reachable again must be found within a few election timeouts
+MAX_DOUBLINGS = 16  # keeps the float from overflowing; the maximum wait is reached long before
 
 
 class Backoff:
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -1,9 +1,9 @@
-"""Statements of leased tasks on engines: each over its own HiveServer2 connection and session.
+"""Runs statements of leased tasks on engines, each over its own HiveServer2 connection and session.
 
-They pass neither the policy nor the connection pools: such a statement is no query, must not be retried by
-the gateway, and must be stopped reliably. It ends in one of four ways: the engine completed it, rejected it,
-rejected its fencing token as stale, or the outcome is unknown. A statement with an unknown outcome has ended
-once its session is closed from another connection, since an engine ends a session's operations with it.
+These statements bypass the policy and the connection pools: such a statement is no query, must not be retried
+by the gateway, and must be stopped reliably. It ends in one of four ways: the engine completed it, rejected
+it, rejected its fencing token as stale, or the outcome is unknown. A statement with an unknown outcome has
+ended once its session is closed from another connection: the engine then ends the session's operations.
 """
 
 from contextlib import suppress
@@ -16,8 +16,8 @@
 from fennelwind.thrift.codec import Malformed, Structure
 
 OK, FAILED, FENCED, LOST = "ok", "failed", "fenced", "lost"
-CLOSE_TIMEOUT_MS = 2000.0  # ms to close a session normally; the engine expires an idle one
-MAX_ROWS = 4096  # rows read of a result; a described table has at most 2000 columns
+CLOSE_TIMEOUT_MS = 2000.0  # ms to close a session; the engine expires a session that is left open
+MAX_ROWS = 4096  # rows read of a result; the description of a table has at most 2000, one for each column
 
 
 class Statement:
@@ -31,7 +31,7 @@
     def run(
         self, statement: str, overlay: dict[str, str], within_ms: float, fetch_rows: bool = False
     ) -> tuple[str, list[tuple[str, ...]]]:
-        """Run the statement; return `OK`, `FAILED`, `FENCED` or `LOST`, and its rows if requested."""
+        """Run the statement; return `OK`, `FAILED`, `FENCED` or `LOST`, and the rows if requested."""
         may_have_arrived = False
         try:
             with self.loop.deadline(within_ms):
@@ -69,7 +69,7 @@
             with self.loop.deadline(within_ms):
                 connection = self._open()
                 try:
-                    with suppress(RemoteError):  # unknown session: it has ended already
+                    with suppress(RemoteError):  # the engine does not know the session: it has ended already
                         connection.call("CloseSession", hs2.TCloseSessionReq(self.connection.session))
                 finally:
                     connection.drop()
@@ -107,7 +107,7 @@
         return list(zip(*columns, strict=True))
 
     def _close_session(self) -> None:
-        """Close the session in a task of its own, without waiting for it."""
+        """Start a task that closes the session; don't wait for that task."""
         connection = self.connection
 
         def close() -> None:
@@ -127,7 +127,7 @@
 
 
 class EngineStatements:
-    """Creates statements for engines, by the settings of the connections to them."""
+    """Creates statements for engines, with the settings for connections to engines."""
 
     def __init__(self, loop: Loop, link_settings: settings.EngineLinks, tls: object = None) -> None:
         self.loop, self.link_settings, self.tls = loop, link_settings, tls
--- a/fennelwind/cluster/framing.py
+++ b/fennelwind/cluster/framing.py
@@ -12,18 +12,18 @@
 from fennelwind.loop import Loop, Stream
 from fennelwind.loop.streams import PushStream
 
-MAX_HELLO_BYTES = 1024  # of a hello: names are short, and the sender is not identified yet
+MAX_HELLO_BYTES = 1024  # limit for a hello: names are short, and the sender is not identified yet
 MAX_FRAME_BYTES = 2 * 1024 * 1024  # an append holds 512 KiB and at least one command of 256 KiB
 MAX_QUEUED_BYTES = 4 * 1024 * 1024  # per stream; twice the largest frame
-MAX_WRITE_BYTES = 256 * 1024  # per write
+MAX_WRITE_BYTES = 256 * 1024  # per write to the stream
 WRITE_TIMEOUT_MS = 5000.0  # ms for a peer to accept some bytes; after that it counts as disconnected
-LENGTH = struct.Struct(">I")  # precedes each frame: the number of bytes that follow
+LENGTH = struct.Struct(">I")  # at the start of each frame: the number of bytes that follow
 
 ParsedMessage = TypeVar("ParsedMessage", bound=Message)
 
 
 def encode_frame(message: Message) -> bytes:
-    """Return a message as a frame."""
+    """Return the frame for a message: its length in four bytes, then the serialized message."""
     data = message.SerializeToString()
     return LENGTH.pack(len(data)) + data
 
@@ -49,7 +49,7 @@
         size = LENGTH.unpack_from(self._buffer)[0]
         if size > max_bytes:
             raise InvalidFrameError(
-                f"a frame of {size} bytes, where {max_bytes} are allowed", size=size, most=max_bytes
+                f"a frame of {size} bytes exceeds the limit of {max_bytes}", size=size, most=max_bytes
             )
         if not self._fill(LENGTH.size + size):
             return None
@@ -78,8 +78,8 @@
 class Outbox:
     """The queue of frames to be written to one peer.
 
-    When it is full, the oldest frames that may be lost are dropped to make room; if that is not enough, the
-    new frame is rejected, and the caller decides what becomes of the connection.
+    When the queue is full, the oldest frames that may be lost are dropped to make room. If that is not
+    enough, the new frame is rejected, and the caller decides whether to close the connection.
     """
 
     def __init__(self, loop: Loop, max_bytes: int = MAX_QUEUED_BYTES) -> None:
@@ -87,9 +87,9 @@
         self.dropped = 0
         self._loop = loop
         self._max_bytes = max_bytes
-        self._frames: deque[tuple[bytes, bool]] = deque()  # each with whether it may be lost
+        self._frames: deque[tuple[bytes, bool]] = deque()  # each frame, and whether it may be lost
         self._wakeup = Wakeup(loop)
-        self._idle_stream: PushStream | None = None  # while `run` waits for frames
+        self._idle_stream: PushStream | None = None  # set only while `run` waits for frames
         self._unwritten = b""  # data that the stream did not accept at once
         self._is_push_due = False  # queued frames are written at the end of this iteration of the loop
 
@@ -97,7 +97,7 @@
         return len(self._frames)
 
     def put(self, frame: bytes, may_be_lost: bool = False) -> bool:
-        """Queue a frame; return whether there was room."""
+        """Queue a frame; return False if there was no room and the frame was rejected."""
         while self.queued_bytes + len(frame) > self._max_bytes and self._drop_oldest():
             pass
         if self.queued_bytes + len(frame) > self._max_bytes:
@@ -144,14 +144,14 @@
             self._idle_stream = None
 
     def _push(self) -> None:
-        """Write the frames of this iteration; leave to the task what the stream does not accept at once."""
+        """Write the frames queued in this iteration; `run` writes what the stream does not accept."""
         self._is_push_due = False
         if self._idle_stream is None or not self._frames:
             return
         data = self._take_batch()
         try:
             written = self._idle_stream.push(data)
-        except OSError:  # the task's own write fails in the same way, and raises
+        except OSError:  # the write in `run` fails in the same way, and raises the error
             written = 0
         if written < len(data) or self._frames:
             self._unwritten = data[written:]
@@ -159,7 +159,7 @@
             self._wakeup.notify()
 
     def _take_batch(self) -> bytes:
-        """Dequeue the frames for one write; there is at least one."""
+        """Dequeue the frames for one write and return them joined; the queue must not be empty."""
         batch: list[bytes] = []
         size = 0
         while self._frames and (not batch or size + len(self._frames[0][0]) <= MAX_WRITE_BYTES):
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -9,7 +9,7 @@
 from fennelwind.raft.messages import Timing
 
 PROTOCOL = 1  # version of the frames; incremented by changes that an older controller can't read
-MAX_NAME_LENGTH = 64  # characters of a name
+MAX_NAME_LENGTH = 64  # characters of a peer's name; errors show no more of a longer one
 
 
 @dataclass(slots=True, frozen=True)
@@ -18,11 +18,11 @@
 
     fleet: str
     me: str  # this controller's name; if it is a member, a key of `members`
-    members: dict[str, Address]  # by name: the address to connect to
-    folder: Path | None = None  # of the log; None if this controller isn't a member
+    members: dict[str, Address]  # the address to connect to, by member name
+    folder: Path | None = None  # folder of the log; None if this controller isn't a member
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
-    reserve_bytes: int = 0  # reserved on the disk, so that a snapshot can replace the log on a full disk
+    reserve_bytes: int = 0  # of disk space, so that a snapshot can replace the log on a full disk
     handover_ms: float = 2000.0  # ms to hand over leases and leadership at shutdown
 
     @property
@@ -32,7 +32,7 @@
 
 
 def hello_error(hello: pb.Hello, fleet: str) -> ClusterError | None:
-    """Return the error for which the sender of this hello must be rejected; None if it is accepted."""
+    """Return the error for which the sender of this hello must be rejected; None if the hello is accepted."""
     if hello.fleet != fleet:
         theirs = hello.fleet[:MAX_NAME_LENGTH]
         return FleetMismatchError(
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -1,8 +1,8 @@
-"""Runs the leased tasks of this controller: each is a function that runs only while its lease is held.
+"""Runs the leased tasks of this controller: each task is a function that runs only while its lease is held.
 
-`leases.lease_client.LeaseClient` decides; this module feeds it events and carries out its actions over the
-Raft client. A task's function gets a `HeldLease`; its effects on other systems go through
-`HeldLease.operation`, under the fencing guard and with the fencing token.
+`leases.lease_client.LeaseClient` decides; this module passes events to the lease client and carries out the
+resulting actions over the Raft client. A task's function gets a `HeldLease`. The function's effects on other
+systems go through `HeldLease.operation`, under the fencing guard and with the fencing token.
 """
 
 from collections import Counter, deque
@@ -24,11 +24,11 @@
 from fennelwind.loop import Loop, Once, Task
 from fennelwind.loop.timers import Timer
 
-PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command; the lease client decides itself about a retry
-WATCH_MS = 20_000.0  # ms of one watch for offers; each ends with the first offer
+PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command; the lease client decides whether to retry
+WATCH_MS = 20_000.0  # ms of one watch for offers; a watch ends with the first offer
 WATCH_RETRY_MS = 1000.0  # ms until a failed watch is repeated
-NOT_HELD_RETRY_MS = 50.0  # ms until a function that had too little of its lease left is called again
-INCARNATION_BYTES = 16  # random, so that each start of a controller gets a unique one
+NOT_HELD_RETRY_MS = 50.0  # ms until a task's function is called again after too little of its lease was left
+INCARNATION_BYTES = 16  # random, so that each start of a controller gets a unique incarnation
 
 TaskFunction = Callable[["HeldLease"], bool]
 
@@ -40,10 +40,10 @@
         self._lease = lease
         self._operation = operation
         self.fencing_token = operation.fencing_token
-        self.is_outcome_unknown = False  # its last call was not answered and may still take effect
+        self.is_outcome_unknown = False  # whether the last call was not answered and may still take effect
 
     def check(self) -> None:
-        """Check before each step and after each wait. Raises `LeaseNotHeldError` if it may not continue."""
+        """Check before a step and after a wait. Raises `LeaseNotHeldError` if the operation may not go on."""
         lease = self._lease
         if not lease.guard.may_continue(lease.loop.now(), self._operation):
             raise LeaseNotHeldError(f"the operation of {lease.name} may not continue", task=lease.name)
@@ -60,15 +60,15 @@
         self.name = name
         self.guard = guard
         self.fencing_token = fencing_token
-        self.checkpoint = checkpoint  # as the last holder saved it
+        self.checkpoint = checkpoint  # as saved by the last holder
         self.stop_requested = Once(tasks.loop)  # set when the task should end on this controller
 
     @contextmanager
     def operation(self, operation_ms: float) -> Iterator[LeasedOperation]:
         """Run an operation with effects on other systems, within `operation_ms`.
 
-        An operation whose last call timed out, or whose stream broke, may still take effect: it counts as
-        open until its deadline.
+        If the last call of an operation timed out, or its stream broke, the call may still take effect: the
+        operation counts as open until its deadline.
 
         Raises:
             LeaseNotHeldError: too little of the lease is left.
@@ -120,7 +120,7 @@
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        """Start requesting the leases of the tasks added."""
+        """Start requesting the leases of all tasks, those added later included."""
         self._tasks = [
             self.loop.spawn(self._step_forever, name="tasks: turns"),
             self.loop.spawn(self._watch_offers, name="tasks: offers"),
@@ -135,10 +135,10 @@
     ) -> None:
         """Run the task whenever its lease is held here.
 
-        `function` returns true when the task has ended for all controllers, and false when the lease should
-        go to another one. If it raises, another controller gets the lease, and this one is excluded for a
-        while. It is cancelled as soon as the lease is no longer certain to be held. If it raises
-        `LeaseNotHeldError` before that, it is called again.
+        `function` returns True when the task has ended for all controllers, and False when the lease should
+        go to another controller. If `function` raises an error, another controller gets the lease, and this
+        one is excluded for a while. `function` is cancelled as soon as the lease is no longer certain to be
+        held. If it raises `LeaseNotHeldError` before that, it is called again.
         """
         self._functions[name] = function
         self._any_added.set()
@@ -149,7 +149,7 @@
         self.post(lease_events.ReleaseLease(name))
 
     def hand_over_all(self, within_ms: float) -> bool:
-        """Hand over all leases; return whether that was confirmed in time or there were no tasks."""
+        """Hand over all leases; return True if that was confirmed in time or there were no tasks."""
         if not self._functions:
             return True
         self.post(lease_events.Shutdown())
@@ -201,7 +201,7 @@
                 )
                 self._stop_task(name)
             case lease_events.LeaseRejected():
-                self._log("lease rejected", action.error.told())
+                self._log("lease request rejected", action.error.told())
             case lease_events.ShutdownComplete(is_confirmed):
                 self.shutdown_complete.set(is_confirmed)
 
@@ -234,7 +234,7 @@
             try:
                 is_finished = self._functions[name](lease)
                 break
-            except LeaseNotHeldError:  # too little was left for an operation; a renewal may be in progress
+            except LeaseNotHeldError:  # too little of the lease was left; a renewal may be in progress
                 self.counts["not held"] += 1
                 if lease.stop_requested.ready:
                     return
@@ -245,7 +245,7 @@
                 self._log("task failed", {"task": name} | facts)
                 self.post(lease_events.TaskFailed(name))
                 return
-            except Exception:  # a defect, reported by the loop; keeping the lease would block the task
+            except Exception:  # a bug, reported by the loop; keeping the lease would block the task
                 self.counts["broke"] += 1
                 self.post(lease_events.TaskFailed(name))
                 raise
@@ -254,7 +254,7 @@
             self.post(event)
 
     def _watch_offers(self) -> None:
-        """Receive lease offers at once; without a watch they arrive with the answer to the next command."""
+        """Watch for lease offers, to receive them at once instead of with the answer to the next command."""
         query = pb.Who(name=self.identity.name, life=self.identity.incarnation).SerializeToString()
         last_answer = b""
         self._any_added.wait()
--- a/fennelwind/cluster/member_connection.py
+++ b/fennelwind/cluster/member_connection.py
@@ -1,7 +1,7 @@
 """A Raft client's connection to one member, for requests and their answers.
 
-`raft_client.RaftClient` opens and owns it. A request that is not answered in time is abandoned; if the member
-has sent nothing at all since the request, the connection is closed as well.
+`raft_client.RaftClient` opens and owns the connection. A request that is not answered in time is abandoned;
+if the member has sent nothing at all since the request, the connection is closed as well.
 """
 
 from fennelwind.cluster import keeper_pb2 as pb
@@ -22,7 +22,7 @@
         self._outbox = Outbox(loop)
         self._received_at_ms = loop.now()
         self._last_request_id = 0
-        self._answers: dict[int, Once] = {}  # by id of the request in progress
+        self._answers: dict[int, Once] = {}  # by the id of each request in progress
         self._tasks: list[Task] = [
             loop.spawn(self._read, name=f"asker: from {name}"),
             loop.spawn(self._write, name=f"asker: to {name}"),
--- a/fennelwind/cluster/member_folder.py
+++ b/fennelwind/cluster/member_folder.py
@@ -22,14 +22,14 @@
         limits: StoreLimits,
         pause: Callable[[], None] = lambda: None,
     ) -> None:
-        """Create it; `pause` lets other tasks run while a long log is read."""
+        """Prepare the folder; `pause` is called to let other tasks run while a long log is read."""
         self._make_disk = make_disk
         self._fleet = fleet
         self._name = name
         self._draw_token = draw_token
         self._limits = limits
         self._pause = pause
-        self.store: Store | None = None  # None until it is opened
+        self.store: Store | None = None  # None until `open` has succeeded
 
     def open(self) -> DurableState:
         """Read the stored state. Raises `StoreError` and `DiskError`; the call may be repeated."""
@@ -51,12 +51,12 @@
     def write(self, writes: list[Write]) -> None:
         """Make the writes in order, with one sync.
 
-        Raises `StoreError` and `DiskError`; none of the writes counts as made then.
+        Raises `StoreError` and `DiskError`; in that case none of the writes counts as made.
         """
         self._opened_store().write(*writes)
 
     def is_space_low(self) -> bool:
-        """Return whether the disk is nearly full."""
+        """Return whether the disk is nearly full; False if that can't be determined."""
         try:
             return self._opened_store().is_low_on_space()
         except DiskError:
--- a/fennelwind/cluster/peer_connections.py
+++ b/fennelwind/cluster/peer_connections.py
@@ -1,9 +1,9 @@
 """A member's outgoing connections: one to each other member, for this member's Raft messages.
 
-The other member's messages arrive on the connection that it opens to this one (`server`), so a network cut in
-one direction affects that direction only. The receiver sends a heartbeat (`Frame.pulse`) every second; a
-connection without one for `HEARTBEAT_TIMEOUT_MS` is closed and reopened, since the kernel may keep a dead
-connection for minutes.
+Messages of the other member arrive on the connection that the other member opens to this one (`server`), so a
+network cut in one direction affects that direction only. The receiver sends a heartbeat (`Frame.pulse`) every
+second; a connection without a heartbeat for `HEARTBEAT_TIMEOUT_MS` is closed and reopened, since the kernel
+may keep a dead connection for minutes.
 """
 
 from collections import Counter
@@ -25,7 +25,7 @@
 from fennelwind.raft import council_pb2
 from fennelwind.raft.messages import Incarnation
 
-CONNECT_TIMEOUT_MS = 1000.0  # ms to connect, and as long again to receive the peer's hello
+CONNECT_TIMEOUT_MS = 1000.0  # ms to connect; then the same time again to receive the peer's hello
 HEARTBEAT_MS = 1000.0  # ms between two heartbeats of a receiver
 HEARTBEAT_TIMEOUT_MS = 4000.0  # ms without a heartbeat until a connection is closed
 
@@ -37,17 +37,17 @@
         self.name = name
         self.address = address
         self.outbox = Outbox(peers.loop)
-        self.incarnation = b""  # of the last hello
+        self.incarnation = b""  # incarnation in the peer's last hello
         self.level = 0  # the highest level of the log that the peer supports
         self.is_connected = False
         self._peers = peers
-        self._heartbeat_ms = 0.0  # when the last heartbeat arrived
+        self._heartbeat_ms = 0.0  # time when the last heartbeat arrived
         self._reachable = Wakeup(peers.loop)
         self._error: ClusterError | None = None  # the reason for the last rejection, logged once
         self.task: Task = peers.loop.spawn(self._run, name=f"keeper: to {name}")
 
     def reconnect(self) -> None:
-        """Connect without waiting for the backoff: the peer has just connected here."""
+        """Connect without waiting for the backoff, as the peer has just connected to this member."""
         if not self.is_connected:
             self._reachable.notify()
 
@@ -153,10 +153,10 @@
         self.on_connected = on_connected
         self.random = Random(seed)
         self.by_name: dict[str, PeerConnection] = {}
-        self.counts: Counter[str] = Counter()  # messages by outcome
+        self.counts: Counter[str] = Counter()  # number of messages by outcome
 
     def set_members(self, addresses: dict[str, Address]) -> None:
-        """Connect to these members and to no others."""
+        """Connect to these members, and close connections to any others."""
         removed = [name for name, peer in self.by_name.items() if addresses.get(name) != peer.address]
         for name in removed:
             self.by_name.pop(name).task.cancel()
@@ -165,7 +165,7 @@
                 self.by_name[name] = PeerConnection(self, name, address)
 
     def send(self, to: Incarnation, message: council_pb2.Message) -> None:
-        """Send a message; it is dropped if the peer is unknown, disconnected or another incarnation."""
+        """Send a message; drop it if the peer is unknown, disconnected or of another incarnation."""
         peer = self.by_name.get(to.name)
         if peer is None or not peer.is_connected or to.id and peer.incarnation != to.id:
             self.counts["unsent"] += 1
@@ -175,7 +175,7 @@
         self.counts["sent" if peer.outbox.put(frame, may_be_lost=is_large) else "dropped"] += 1
 
     def reconnect(self, name: str) -> None:
-        """Connect to a known peer at once: it has just connected here."""
+        """Connect to a known peer at once, as the peer has just connected to this member."""
         peer = self.by_name.get(name)
         if peer is not None:
             peer.reconnect()
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -1,6 +1,6 @@
 """This controller's part in quiescence: registration, acknowledgements and barrier requests.
 
-All three go to the Raft leader, over the Raft client.
+The Raft client sends all three to the Raft leader.
 
 No query waits for any of them. Without the Raft group nothing is acknowledged, and replicas and engines to be
 quiesced are dropped or changed after fixed waits instead.
@@ -24,10 +24,10 @@
     SILENCE_TIMEOUT_MS / 4.0
 )  # ms between renewals: three may be lost, on a clock that is a fifth too slow
 RETRY_MS = (
-    5000.0  # ms until a failed registration is repeated; the registry is complete after the timeout only
+    5000.0  # ms until a failed registration is repeated; the registry is complete only after the timeout
 )
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
-LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or barrier request; a later one supersedes it
+LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or barrier request; a later one replaces it
 
 
 class QuiescenceClient:
@@ -61,7 +61,7 @@
     def update_replicas(
         self, revision: int, locations: Places, draining: list[Pair], is_complete: bool
     ) -> None:
-        """Handle a view of the replicas: where good ones are, and which ones drain."""
+        """Handle a view of the replicas: the locations of good replicas, and the draining replicas."""
         if self.in_flight is not None:
             self.in_flight.update_replicas(revision, locations, draining, is_complete)
             self._wakeup.notify()
@@ -69,7 +69,7 @@
     def update_tables(
         self, index: int, excluded: dict[str, frozenset[str]], quiesced: list[Pair], is_complete: bool
     ) -> None:
-        """Handle a view of the engines excluded or being quiesced for some tables."""
+        """Handle a view of the engines that are excluded for some tables, and of those being quiesced."""
         if self.in_flight is not None:
             self.in_flight.update_tables(index, excluded, quiesced, is_complete)
             self._wakeup.notify()
@@ -79,7 +79,7 @@
         while True:
             try:
                 answer = self._register(number)
-            except ClusterError as exc:  # the replicated state's level may still be too low for this registry
+            except ClusterError as exc:  # the level of the replicated state may still be too low
                 self.counts[exc.code] += 1
                 self.loop.sleep(RETRY_MS)
                 continue
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -1,8 +1,9 @@
 """The client of the Raft group that every controller runs, whether or not it is a member itself.
 
-A command gets one sequence number and is resent with it, to any member, until it is answered; the replicated
-state applies it once. Members that don't lead name the leader. Commands in progress are bounded by the number
-of results that the replicated state retains for one client; further commands wait until their deadline.
+A command gets one sequence number and is resent with that number, to any member, until it is answered; the
+replicated state applies the command once. Members that don't lead name the leader. The number of commands in
+progress is at most the number of results that the replicated state retains for one client; further commands
+wait until their deadline.
 """
 
 import math
@@ -32,12 +33,12 @@
 from fennelwind.raft.replicated_state import MAX_RETAINED_RESULTS
 
 Result = council_pb2.Result
-CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a running member takes a few
+CONNECT_TIMEOUT_MS = 500.0  # ms to connect and receive a member's hello; a running member takes a few ms
 ATTEMPT_TIMEOUT_MS = 1000.0  # ms until another member is tried; three election timeouts of 300 ms
 MAX_CONNECT_BACKOFF_MS = 5000.0  # ms between two rounds of connects while no member is reachable
 MAX_RETRY_BACKOFF_MS = 800.0  # ms between two attempts: a new leader is elected within about 600 ms
-RETRY_AFTER_MS = 2000  # ms; reported to callers while no leader is known: an election and a backoff
-MAX_QUEUED_COMMANDS = 1024  # commands that wait for a sequence number; one more is rejected at once
+RETRY_AFTER_MS = 2000  # ms; reported to callers while no leader is known: time for an election and a backoff
+MAX_QUEUED_COMMANDS = 1024  # commands that wait for a sequence number; further ones are rejected at once
 MAX_WATCHES = 64  # concurrent watches of one controller
 RETRIABLE_REFUSALS = {
     Result.NO_LEADER,
@@ -53,9 +54,9 @@
     """The result of a read."""
 
     state: bytes  # the state machine's answer
-    fact: int  # the value of the requested fact; 0 without one
+    fact: int  # the value of the requested fact; 0 if no fact was requested
     revision: int  # index of the entry that last changed the state machine
-    index: int  # the state includes the log up to this entry
+    index: int  # of the last entry of the log that the state includes
     clock_ms: int  # the log's clock at the answer
 
 
@@ -64,16 +65,16 @@
     """The result of a command that was applied."""
 
     body: bytes  # the state machine's answer
-    index: int  # of the entry that applied it
+    index: int  # of the log entry that holds the command
 
 
 @dataclass(slots=True, frozen=True)
 class _Outcome:
     """The outcome of a request over all its attempts."""
 
-    answer: pb.Told | None  # None: no final answer before the deadline
+    answer: pb.Told | None  # None if there was no final answer before the deadline
     result: Result | None
-    may_be_applied: bool  # an attempt of it had no answer or an unknown outcome
+    may_be_applied: bool  # whether an attempt had no answer or an unknown outcome
 
 
 class RaftClient:
@@ -103,9 +104,9 @@
         self._connection: MemberConnection | None = None
         self._connecting: Once | None = None
         self._connect_backoff = Backoff(self._random, max_ms=MAX_CONNECT_BACKOFF_MS)
-        self._failed_connects = 0  # in a row
+        self._failed_connects = 0  # connects that failed in a row
         self._no_connect_before_ms = -math.inf
-        self._client_id = 0  # 0: not assigned yet
+        self._client_id = 0  # 0 if not assigned yet
         self._opening: Once | None = None
         self._last_number = 0  # sequence number of the last command
         self._ended_up_to = 0  # all commands up to this number have ended
@@ -117,17 +118,17 @@
     # Commands.
 
     def propose(self, machine: str, body: bytes, within_ms: float) -> bytes:
-        """Have a command applied once; return the state machine's answer. Raises as `propose_with_index`."""
+        """Apply a command once; return the state machine's answer. Raises as `propose_with_index` does."""
         return self.propose_with_index(machine, body, within_ms).body
 
     def propose_with_index(self, machine: str, body: bytes, within_ms: float) -> CommandResult:
         """Have a command applied once; return the state machine's answer and the entry's index.
 
         Raises:
-            CommandRejectedError: it was not applied and will not be.
-            ClientOverloadedError: it was not sent, since too many commands wait here.
-            OutcomeUnknownError: it was sent, and may or may not be applied.
-            ClusterUnavailableError: it was never sent, or every member tried refused it temporarily.
+            CommandRejectedError: the command was not applied and will not be.
+            ClientOverloadedError: the command was not sent, since too many commands wait here.
+            OutcomeUnknownError: the command was sent, and may or may not be applied.
+            ClusterUnavailableError: the command was never sent, or every member tried refused it temporarily.
 
         """
         until_ms = self._loop.now() + within_ms
@@ -153,7 +154,7 @@
                 if client_id == self._client_id:
                     self._forget_client()
                 if not may_be_applied:
-                    continue  # the replicated state never saw it: resend under a new client id
+                    continue  # the command never reached the replicated state: resend under a new client id
             if result.refusal in (Result.CLIENT_GONE, Result.NUMBER_GONE):
                 raise self._outcome_unknown(machine, number)
             raise _rejected(machine, result, machine=machine)
@@ -166,7 +167,7 @@
         return self._request(make_request, until_ms)
 
     def _open(self, until_ms: float) -> int:
-        """Obtain a client id; concurrent callers share one request for it."""
+        """Obtain a client id; concurrent callers share one request. Raises `ClusterError` if that fails."""
         if self._opening is None:
             self._opening = Once(self._loop)
             self._loop.spawn(self._open_client, self._opening, name="asker: open")
@@ -197,7 +198,7 @@
             self._queue.popleft().set()
 
     def _take_number(self, until_ms: float) -> int:
-        """Return the next sequence number, once the replicated state can retain its result."""
+        """Return the next sequence number, once the replicated state can retain that command's result."""
         client_id = self._client_id
         while self._commands_in_progress >= MAX_RETAINED_RESULTS and client_id == self._client_id:
             if len(self._queue) >= MAX_QUEUED_COMMANDS:
@@ -239,13 +240,13 @@
         return self._view(pb.View(machine=machine, query=query, fresh=True), within_ms)
 
     def fact(self, machine: str, kind: str, key: str, *, within_ms: float, fresh: bool = True) -> ReadResult:
-        """Return a fact; without `fresh`, a member's possibly stale value. Raises as `read` does."""
+        """Return a fact; without `fresh`, possibly a stale value of one member. Raises as `read` does."""
         return self._view(pb.View(machine=machine, kind=kind, key=key, fresh=fresh), within_ms)
 
     def watch(
         self, machine: str, after: int = 0, *, wait_ms: float, query: bytes = b"", unlike: bytes | None = None
     ) -> ReadResult:
-        """Return the state once its revision exceeds `after`, or unchanged after `wait_ms`.
+        """Return the state once its revision exceeds `after`, or the current state after `wait_ms`.
 
         With `unlike`, waits until the answer to the query differs from `unlike` instead. Raises as `read`
         does, and `ClientOverloadedError` when `MAX_WATCHES` are in progress.
@@ -282,7 +283,7 @@
     def _request(self, make_request: Callable[[], pb.Ask], until_ms: float, wait_ms: float = 0.0) -> _Outcome:
         """Send a request to one member after another until a final answer or the deadline."""
         backoff = Backoff(self._random, max_ms=MAX_RETRY_BACKOFF_MS)
-        hops = 0  # attempts without a wait, each to the leader named by the previous answer
+        hops = 0  # attempts made without a wait, each to the leader that the previous answer named
         may_be_applied = False
         self._last_refusal = Result.NONE
         while self._loop.now() < until_ms:
@@ -316,7 +317,7 @@
         return _Outcome(None, None, may_be_applied)
 
     def _change_target(self, tried: str, leader: str) -> bool:
-        """Switch to another member unless that was done already; return whether it is expected to lead."""
+        """Switch to another member if `tried` is still the target; return whether the target should lead."""
         if self._target != tried:
             return True
         if leader in self._members and leader != tried:
@@ -331,7 +332,7 @@
         return self._member_order[(self._member_order.index(name) + 1) % len(self._member_order)]
 
     def _retire(self, connection: MemberConnection) -> None:
-        """Send nothing new on a connection, and close it once pending requests had time for an answer."""
+        """Stop using a connection, and close it once its pending requests had time for an answer."""
         self._connection = None
         self._loop.after(ATTEMPT_TIMEOUT_MS, connection.close)
 
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -1,8 +1,8 @@
 """Runs one Raft member: the core (`raft.member`) decides without I/O, this module does the I/O.
 
-One loop callback passes queued events to the core and carries out the actions it returns; one task makes the
-writes, in order; another applies committed entries. No query waits for any of them. If the folder, the
-listening address or the disk is unavailable, the attempt is repeated with backoff and logged once.
+One loop callback passes queued events to the core and carries out the actions that the core returns; one task
+makes the writes, in order; another task applies committed entries. No query waits for any of this work. If
+the folder, the listening address or the disk is unavailable, the host retries with backoff and logs it once.
 """
 
 from collections import Counter, deque
@@ -57,14 +57,14 @@
 from fennelwind.raft.snapshot_chunks import make_snapshot_head
 from fennelwind.raft.state_machine import StateMachine
 
-MAX_QUEUED_EVENTS = 8192  # events queued for the core; further messages are dropped, as a network may do
+MAX_QUEUED_EVENTS = 8192  # events queued for the core; messages beyond that are dropped, as a network may do
 MAX_EVENTS_PER_STEP = 256  # events passed to one step of the core; about 20 ms in the worst case
 MAX_WRITES_PER_SYNC = 256  # writes that share one sync
 MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS = 200.0, 5000.0  # ms between attempts to open, listen or write
 DISK_SPACE_CHECK_MS = 1000.0  # ms between two checks of the disk's free space
 LEVEL_CHECK_MS = 2000.0  # ms between two checks whether all members know a later level; upgrades take minutes
 REGISTRY = ControllerRegistry.name
-OVERLOAD_RETRY_AFTER_MS = 200  # ms; sent to a client whose request found the queue full
+OVERLOAD_RETRY_AFTER_MS = 200  # ms; sent to a client whose request arrived when the queue was full
 
 Result = council_pb2.Result
 
@@ -81,7 +81,7 @@
 class MemberStorage(Protocol):
     """The part of `member_folder.MemberFolder` that the host uses.
 
-    Calls wait for the disk and raise its errors.
+    The calls wait for the disk; if the disk fails, they raise the disk's or the store's error.
     """
 
     def open(self) -> DurableState:
@@ -124,7 +124,7 @@
         self.me = Incarnation(identity.me, b"")
         self.role = "closed"
         self.term = 0
-        self.leader = ""  # name; "" while none is known
+        self.leader = ""  # name of the leader; "" while none is known
         self.state = AppliedState(loop, replicated_state, self.post, answer_query)
         self.peers = PeerConnections(
             loop, identity.fleet, self.hello, seed, self._log_rejected, self._log_connected
@@ -137,12 +137,12 @@
         self._random = self.peers.random
         self._events: deque[Event] = deque()
         self._writes_pending = Wakeup(loop)
-        self._is_step_due = True  # `_run` makes the first step itself
+        self._is_step_due = True  # true at first: `_run` makes the first step itself
         self._is_stopped = False
         self._writes: deque[Write] = deque()
         self._timer: LoopTimer | None = None
         self._last_token = 0
-        self._outcome_handlers: dict[int, Callable[[Any], None]] = {}  # by the token of a proposal or read
+        self._outcome_handlers: dict[int, Callable[[Any], None]] = {}  # by the token of each proposal or read
         self._role_waiters: list[Once] = []
         self._tasks: list[Task] = []
 
@@ -153,7 +153,7 @@
         self._tasks.append(self.loop.spawn(self._guarded, self._run, name="keeper: member"))
 
     def _guarded(self, call: Callable[[], None]) -> None:
-        """Run a call that must not fail; if it raises, close the member rather than let it run partly."""
+        """Run a call that must not fail; if the call raises, close the member: it must not run partly."""
         try:
             call()
         except Exception as exc:  # a bug; raised again, so that the loop reports the traceback
@@ -184,7 +184,7 @@
         self._step()
 
     def _open_with_retries(self) -> DurableState:
-        """Open the folder, retrying until it succeeds; log an error when its code changes."""
+        """Open the folder, retrying until that succeeds; log an error if its code differs from the last."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         logged_code = ""
         while True:
@@ -220,12 +220,12 @@
         """Transfer leadership if this member leads; return whether it no longer leads."""
         if self.role == "leader":
             self.post(TransferLeadership())
-            # Wait until another leads: its election may need this member's vote, which must be on disk first.
+            # Wait until another member leads: electing it may need this member's vote, which must be on disk.
             self.wait_for_role(lambda: self.role != "leader" and self.leader != "", within_ms)
         return self.role != "leader"
 
     def wait_for_role(self, is_reached: Callable[[], bool], within_ms: float) -> bool:
-        """Wait until a condition on this member's role holds; return whether it does."""
+        """Wait until a condition on this member's role holds or the time is up; return whether it holds."""
         try:
             with self.loop.deadline(within_ms):
                 while not is_reached():
@@ -237,7 +237,7 @@
         return is_reached()
 
     def close(self) -> None:
-        """Leave the Raft group's work; the stored state stays on disk."""
+        """Stop taking part in the Raft group; the stored state stays on disk."""
         self.role = "closed"
         self._is_stopped = True
         if self._timer is not None:
@@ -269,7 +269,7 @@
         )
 
     def member_connected(self, sender: Incarnation) -> None:
-        """Reconnect at once to a member that has just connected: it is reachable again."""
+        """Reconnect at once to a member that has just connected, as that member is reachable again."""
         self.peers.reconnect(sender.name)
 
     def message_received(self, sender: Incarnation, message: council_pb2.Message) -> None:
@@ -280,7 +280,7 @@
         self.post(MessageReceived(sender, message))
 
     def request_received(self, client: ClientConnection, request: pb.Ask) -> None:
-        """Handle a client's request; each is answered exactly once."""
+        """Handle a client's request; each request is answered exactly once."""
         kind = request.WhichOneof("what")
         if len(self._events) >= MAX_QUEUED_EVENTS:
             overloaded = Result(refusal=Result.TOO_MANY, again_ms=OVERLOAD_RETRY_AFTER_MS)
@@ -304,9 +304,9 @@
         client.answer(pb.Told(token=token, result=result.SerializeToString()))
 
     def _quiescence_result(self, request: pb.Ask) -> Result:
-        """Accept a controller's acknowledgement, or evaluate barrier requests; only the leader does.
+        """Accept a controller's acknowledgement, or evaluate barrier requests; only the leader does so.
 
-        A leader that has not yet learnt of its successor may answer too: acknowledgements stay valid.
+        A former leader that does not know of its successor yet may answer too: acknowledgements stay valid.
         """
         registry = self.state.replicated_state.machines.get(REGISTRY)
         if registry is None:
@@ -382,7 +382,7 @@
         events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
         try:
             self._carry_out(self.core.step(self.loop.now(), events))
-        except Exception as exc:  # reported by a task, as every other defect of the member is
+        except Exception as exc:  # raised in a task, which reports it as any other bug of the member
             self._is_stopped = True
             self.loop.spawn(self._guarded, partial(_raise, exc), name="keeper: member")
             return
@@ -391,7 +391,7 @@
             self.loop.soon(self._step)  # the loop's other tasks run first, above all queries
 
     def _carry_out(self, actions: list[Action]) -> None:
-        for action in actions:  # waiters must be registered before their entries are applied
+        for action in actions:  # outcomes first: waiters must be registered before their entries are applied
             if isinstance(action, ProposalOutcome | ReadOutcome):
                 handler = self._outcome_handlers.pop(action.token, None)
                 if handler is not None:
@@ -436,7 +436,7 @@
             waiter.set()
 
     def _connect_members(self) -> None:
-        """Connect to the members of the settings and of the log; the settings' addresses take precedence."""
+        """Connect to the members in the settings and the log; addresses in the settings take precedence."""
         addresses: dict[str, Address] = {}
         for member in self.core.log.configuration.members.members:
             try:
@@ -448,7 +448,7 @@
         self.peers.set_members(addresses)
 
     def _stop_if_too_new(self) -> None:
-        """Stop this member if the log needs a later version; queries go on as without the Raft group."""
+        """Stop this member if the log needs a later version; queries are served as without the Raft group."""
         state = self.state.replicated_state
         if self.state.is_too_new and self.role != "closed":
             error = LogTooNewError(
@@ -475,7 +475,7 @@
                 )
 
     def _known_level(self, member: council_pb2.Member) -> int:
-        """Return the highest level that a member supports; 0 while it is unreachable."""
+        """Return the highest level that a member supports; 0 while the member is unreachable."""
         peer = self.peers.by_name.get(member.name)
         if peer is None or not peer.is_connected or peer.incarnation != member.life:
             return 0
@@ -499,7 +499,7 @@
                 self.post(WriteCompleted(writes[-1].number))
 
     def _recover_storage(self, is_full: bool) -> None:
-        """Wait until the folder accepts writes again; writes queued after the failed one are discarded."""
+        """Wait until the folder accepts writes again; discard the writes queued after the failed one."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         while True:
             self.loop.sleep(backoff.next_ms())
@@ -513,7 +513,7 @@
         self.post(StorageRecovered(durable))
 
     def _snapshot(self) -> tuple[council_pb2.SnapshotHead | None, bytes]:
-        """Return a snapshot of the applied state, which frees disk space by replacing a long log."""
+        """Return a snapshot, to free disk space by replacing a long log; (None, b"") if none can be made."""
         state, log = self.state.replicated_state, self.core.log
         term = log.term(state.index)
         if not state.index or term is None:
--- a/fennelwind/cluster/replica_locations.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -1,9 +1,10 @@
-"""One controller's view of the locations of shard replicas, read again whenever they change.
+"""One controller's view of the locations of shard replicas, read again whenever the locations change.
 
 While the Raft group is unavailable, queries are routed by the last view; no migration makes progress then
-either. A single controller that can't reach the group continues as well: a query that it sends to a replica
-dropped meanwhile is rejected there and retried. A starting controller accepts clients once it has a view, or
-after `FIRST_VIEW_TIMEOUT_MS`; without a view, queries may go to engines that lack the shards they read.
+either. If a single controller can't reach the group, that controller routes queries by its last view too; a
+query sent to a replica dropped meanwhile is rejected there and retried. A starting controller accepts clients
+once it has a view, or after `FIRST_VIEW_TIMEOUT_MS`; without a view, queries may go to engines that lack the
+shards that the queries read.
 """
 
 from collections import Counter
@@ -23,12 +24,12 @@
 )
 WATCH_RETRY_MS = 1000.0  # ms until a failed watch is repeated
 FIRST_VIEW_TIMEOUT_MS = (
-    4000.0  # ms that a starting controller waits for a view: an election and a few connects
+    4000.0  # ms that a starting controller waits for a view: time for an election and a few connects
 )
 
 Places = dict[str, tuple[str, ...]]  # by shard: engines with good replicas
 
-# Parameters: revision, locations of good replicas, draining replicas, whether the latter are complete.
+# Parameters: revision, locations of good replicas, draining replicas, whether all draining ones are listed.
 ViewCallback = Callable[[int, Places, list[tuple[str, str]], bool], None]
 
 
@@ -45,10 +46,10 @@
     while True:
         query = pb.ShardQuery(places=pb.PlacesQuery(after=after, name=name)).SerializeToString()
         page = pb.Places.FromString(client.read(SHARDS, query, within_ms=READ_TIMEOUT_MS).state)
-        if not name:  # changes between two pages have a later revision
+        if not name:  # later pages may include changes of a later revision
             first = page
         elif page.whole and not first.whole:
-            received, name, after = {}, "", 0  # this member lacks changes that old: read everything
+            received, name, after = {}, "", 0  # this member lacks the changes since `after`: read everything
             continue
         received.update(
             (place.shard, tuple(page.engines[number] for number in place.engines)) for place in page.places
@@ -62,9 +63,9 @@
     """Watches the replica locations for one controller."""
 
     def __init__(self, loop: Loop, client: RaftClient, on_view: ViewCallback) -> None:
-        """Create it; `on_view` is called with each view."""
+        """Create the watcher; `on_view` is called with each view."""
         self.counts: Counter[str] = Counter()
-        self.places: Places = {}  # of the last view
+        self.places: Places = {}  # locations in the last view
         self._loop = loop
         self._client = client
         self._on_view = on_view
--- a/fennelwind/cluster/running_work.py
+++ b/fennelwind/cluster/running_work.py
@@ -1,4 +1,4 @@
-"""Runs the tasks of a lease holder and queues their outcomes as events for its core."""
+"""Runs the tasks of a lease holder and queues the tasks' outcomes as events for the holder's core."""
 
 from collections import deque
 from collections.abc import Callable
@@ -32,7 +32,7 @@
         self._wakeup.notify()
 
     def spawn(self, call: Callable[..., None], *args: object) -> Task:
-        """Start a task; if it raises `LeaseNotHeldError`, so does the next `wait`."""
+        """Start a task; if the task raises `LeaseNotHeldError`, the next call of `wait` raises it too."""
 
         def run() -> None:
             try:
@@ -56,7 +56,7 @@
         return events
 
     def wait(self, until_ms: float) -> None:
-        """Wait for an event until `until_ms`. Raises `LeaseNotHeldError` if a task did."""
+        """Wait for an event until `until_ms`. Raises `LeaseNotHeldError` if a task raised it."""
         if self._error is not None:
             raise self._error
         if not self._events:
--- a/fennelwind/cluster/runtime.py
+++ b/fennelwind/cluster/runtime.py
@@ -1,8 +1,8 @@
 """Assembles everything that one controller runs for the Raft group.
 
-That is the Raft member (if this controller is one), the Raft client, the leased tasks, and the services built
-on them: schema gate, schema rollouts, shard migrations, replica locations and quiescence. `cli.program`
-creates, starts and closes it.
+These parts are the Raft member (if this controller is one), the Raft client, the leased tasks, and the
+services built on them: schema gate, schema rollouts, shard migrations, replica locations and quiescence.
+`cli.program` creates, starts and closes the `ClusterRuntime`.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,12 +35,12 @@
 from fennelwind.shards.model import Bounds, ReplicaHost
 from fennelwind.shards.shards_pb2 import Shard
 
-ENGINES_CHECK_MS = 100.0  # ms between two checks for a first known engine
+ENGINES_CHECK_MS = 100.0  # ms between two checks whether any engine is known yet
 LEASES_HANDOVER_SHARE = 0.5  # share of the handover time for leases; the remainder is for leadership
 
 
 class ClusterRuntime:
-    """Runs the Raft services of a controller with a `council` section; no query waits for it."""
+    """Runs the Raft services of a controller with a `council` section; no query waits for these services."""
 
     def __init__(
         self,
@@ -54,7 +54,7 @@
     ) -> None:
         """Create the services without starting them.
 
-        `disk`, `extra_machines` and a `level` other than this version's are set by testbeds only.
+        Only testbeds set `disk`, `extra_machines` or a `level` other than this version's.
         """
         self.loop = loop
         self.identity = identity
@@ -122,9 +122,9 @@
     ) -> None:
         """Set up shard migrations, which run while this controller holds their lease.
 
-        `in_flight` counts the queries in flight here, and gives routing each newer view of the replicated
-        state; `named` counts the shards that queries name; with `wait_for_acknowledgements` the lease holder
-        drops a replica as soon as all controllers have acknowledged that they send no query to it.
+        `in_flight` counts the queries in flight here, and passes each newer view of the replicated state to
+        routing. `named` counts the shards that queries name. With `wait_for_acknowledgements`, the lease
+        holder drops a replica as soon as all controllers have acknowledged that they send it no query.
         """
         statements = EngineStatements(self.loop, links.settings, links.tls)
         state = self.member.state.replicated_state if self.member is not None else None
@@ -151,13 +151,13 @@
     def start(self) -> None:
         """Start all services.
 
-        With shard migrations, waits until replica locations are known or the wait for them times out.
+        With shard migrations, wait until the replica locations are known or that wait times out.
         """
         if self.member is not None:
             self.member.start()
         self.tasks.start()
         if self.quiescence is None and self.rollouts is not None:
-            # This controller sends queries and can't withhold any from an engine: the registration says so.
+            # This controller can send queries but not withhold any from an engine; its registration says so.
             self.quiescence = QuiescenceClient(self.loop, self.client, self.identity.me, None)
         for service in (self.quiescence, self.gate, self.rollouts, self.locations, self.load_reporter):
             if service is not None:
@@ -180,7 +180,7 @@
         self.migrations.start()
 
     def gauges(self) -> list[tuple[str, str, float]]:
-        """Return the gauges: name, meaning and value of each."""
+        """Return the gauges, each as name, meaning and value."""
         held = len(self.tasks.lease_client.held_tasks(self.loop.now()))
         gauges = [("leases_held", "Leases of tasks held here.", held)]
         if self.locations is not None:
@@ -221,7 +221,7 @@
         return [(name, help_, float(value)) for name, help_, value in gauges]
 
     def events(self) -> list[tuple[str, str, int]]:
-        """Return the counters: component, event and count of each."""
+        """Return the counters, each as component, event and count."""
         counters = {
             "asker": {"asked": self.client.attempts, "lost": self.client.unanswered_attempts},
             "tasks": self.tasks.counts,
@@ -242,7 +242,7 @@
         ]
 
     def hand_over(self) -> None:
-        """Hand leases and leadership over to other controllers, within `handover_ms` of the settings."""
+        """Hand leases and leadership over to other controllers, within the `handover_ms` of the settings."""
         within_ms = self.identity.handover_ms
         self.tasks.hand_over_all(within_ms * LEASES_HANDOVER_SHARE)
         if self.member is not None:
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -1,12 +1,12 @@
 """The schema gate of one controller: registers what sessions read and checks schema changes against it.
 
 Subscriptions are registered in the replicated state, which checks each published schema change against them.
-An admitted change is rolled out under its table's lease (`schema_rollout`).
+An admitted change is rolled out under the lease of its table (`schema_rollout`).
 
-A subscriber's session opens without waiting for its registration: the reply reports the result only if it
-arrives within `REGISTRATION_WAIT_MS`. Sessions with equal subscriptions share one registration, renewed while
-any of them is open and left to expire at the end of its term afterwards. A publisher's statement waits for
-the replicated state and for the engines, within its timeout.
+A subscriber's session may open before it is registered: the reply to OpenSession reports the result of the
+registration only if that arrives within `REGISTRATION_WAIT_MS`. Sessions with equal subscriptions share one
+registration. It is renewed while any of these sessions is open, and then expires at the end of its term. A
+publisher's statement waits for the replicated state and for the engines, within the statement's timeout.
 """
 
 from collections import Counter
@@ -35,13 +35,13 @@
 REGISTRATION_WAIT_MS = 500.0  # ms that OpenSession waits for the result of a registration
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
 MIN_RETRY_MS, MAX_RETRY_MS = 500.0, 30_000.0  # ms between attempts to register
-RENEWALS_PER_TERM = 3.0  # a subscription is renewed this often in its term
+RENEWALS_PER_TERM = 3.0  # renewals of a subscription within one term
 MIN_RENEWAL_INTERVAL_MS = 3000.0  # ms between renewals for the shortest term allowed
 MAX_RENEWALS_PER_COMMAND = 1000
 MAX_SUBSCRIBERS = 10_000  # distinct ones of one controller; the replicated state holds five times as many
 MAX_PUBLICATIONS = 256  # publishers' statements in progress
 WATCH_MS = 20_000.0  # ms of one watch for a schema change's outcome
-MAX_TEXT_LENGTH = 4000  # characters of a status text; longer ones are cut
+MAX_TEXT_LENGTH = 4000  # characters of a status text; longer texts are cut
 OUTCOME_NAMES = {FINISHED: "finished", UNDONE: "undone", WITHDRAWN: "withdrawn", LAPSED: "lapsed"}
 
 
@@ -101,7 +101,7 @@
     subscription: Subscription
     first_result: Once  # the text of the first answer to the registration
     sessions: int = 1
-    registration_number: int = 0  # 0: not registered now
+    registration_number: int = 0  # 0 if not registered now
     renew_at_ms: float = 0.0
     result_text: str = ""
 
@@ -123,7 +123,7 @@
         self.publications_in_progress = 0
         self.counts: Counter[str] = Counter()
         self.is_closed = False
-        self.is_unavailable = False  # the last command was not answered: OpenSession does not wait
+        self.is_unavailable = False  # whether the last command got no answer; OpenSession does not wait then
         self._wakeup = Wakeup(loop)
         self._registering: set[Subscriber] = set()
         self._tasks = []
@@ -141,7 +141,7 @@
     # Subscribers.
 
     def subscribe(self, configuration: dict[str, str], protocol: int, database: str) -> Subscriber | None:
-        """Subscribe a session to its declared reads, or return None. Raises `SessionOptionError`."""
+        """Subscribe a session to its declared reads; None if there are none. Raises `SessionOptionError`."""
         declared = parse_subscription(configuration, protocol, database)
         if declared is None:
             return None
@@ -160,13 +160,13 @@
         return subscriber
 
     def unsubscribe(self, subscriber: Subscriber) -> None:
-        """Note that a session has ended; after the last one the subscription is no longer renewed."""
+        """Note that a session has ended; after the last session the subscription is no longer renewed."""
         subscriber.sessions -= 1
         if subscriber.sessions <= 0 and self.subscribers.get(subscriber.subscription) is subscriber:
             del self.subscribers[subscriber.subscription]
 
     def registration_text(self, subscriber: Subscriber) -> str:
-        """Return the result of a registration after a short wait; "later" if it is not known yet."""
+        """Return the result of a registration after a short wait; "later" if the result is not known yet."""
         if not subscriber.first_result.ready and not self.is_unavailable:
             try:
                 with self.loop.deadline(REGISTRATION_WAIT_MS):
@@ -251,18 +251,18 @@
             expired = set(answer.gone)
             for subscriber in due:
                 subscriber.renew_at_ms = self.loop.now() + self._renewal_interval_ms(subscriber)
-                if subscriber.registration_number in expired:  # while the Raft group was unavailable
+                if subscriber.registration_number in expired:  # expired while the Raft group was unavailable
                     subscriber.registration_number = 0
                     self._start_registering(subscriber)
 
     # Publishers.
 
     def publication(self, overlay: dict[str, str], database: str) -> Publication | None:
-        """Return the schema change that a statement declares, or None. Raises `SessionOptionError`."""
+        """Return the schema change a statement declares, None if it has none. Raises `SessionOptionError`."""
         return parse_publication(overlay, database)
 
     def publish(self, change: Publication, statement: str, until_ms: float) -> list[str]:
-        """Have a schema change checked and rolled out; return its findings, as texts. Raises `GateError`."""
+        """Have a schema change checked and rolled out; return the check's findings. Raises `GateError`."""
         if self.publications_in_progress >= MAX_PUBLICATIONS:
             raise SchemaChangeBlockedError(f"{MAX_PUBLICATIONS} changes wait here", again_ms=1000)
         self.publications_in_progress += 1
@@ -337,7 +337,7 @@
 
 
 def finding_text(finding: pb.Found) -> str:
-    """Return a finding as text, with the suggested alternative of its rule."""
+    """Return a finding as text, with the alternative that the violated rule suggests."""
     rule = RULES.get(finding.rule)
     column = f"{finding.column}: " if finding.column else ""
     detail = f" ({finding.what})" if finding.what else ""
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -1,10 +1,10 @@
-"""Queries of controllers to the state machine of schema compatibility."""
+"""Answers controllers' queries to the state machine of schema compatibility."""
 
 from fennelwind.cluster import gate_pb2
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.state_machine import SchemaStateMachine, change_message
 
-MAX_LISTED_ENGINES = 10_000  # quiesced or behind, in one answer; with long addresses a quarter of a frame
+MAX_LISTED_ENGINES = 10_000  # quiesced or behind, in one answer; long addresses fill a quarter of a frame
 
 
 def answer_change_query(machine: SchemaStateMachine, body: bytes) -> bytes:
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -1,13 +1,14 @@
 """Rolls out admitted schema changes to the engines, on the controller that holds the table's lease.
 
 Every controller with leased tasks watches for schema changes in progress and requests the lease `table:NAME`
-for each. The holder's core (`schema_compatibility.rollout`) decides; this module runs its statements and
-DESCRIBEs on the engines. If the holder fails, the next holder continues from the replicated state.
+for each. The holder's core (`schema_compatibility.rollout`) decides; this module runs the core's
+statements and DESCRIBEs on the engines. If the holder fails, the next holder continues from the replicated
+state.
 
 By the same watch every controller learns which engines are quiesced for which tables. With acknowledgements
 enabled, the holder waits until all controllers have acknowledged that none of their queries runs on an
 engine. If a controller is silent for `SILENCE_TIMEOUT_MS`, or can't withhold queries, only the engine's own
-table lock separates its queries from the change.
+table lock separates that controller's queries from the change.
 """
 
 from collections import Counter
@@ -33,21 +34,21 @@
 from fennelwind.schema_compatibility.state_machine import SchemaChange, read_change
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
-LEASE_PREFIX = "table:"  # with the table's name: the lease for rollouts of the table
-LEASE_TERM_MS = 60_000  # ms of that lease; at least about 26 s of it remain while renewals succeed
-STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or DESCRIBE: an ALTER changes the metastore, no rows
+LEASE_PREFIX = "table:"  # prefix of the lease for a table's rollouts; the table's name follows
+LEASE_TERM_MS = 60_000  # ms of that lease; while renewals succeed, at least about 26 s remain
+STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or DESCRIBE: an ALTER changes the metastore only
 STOP_TIMEOUT_MS = 5000.0  # ms for one attempt to stop a statement with an unknown outcome
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
 WATCH_MS = 20_000.0  # ms of one watch for schema changes in progress
-MIN_WATCH_INTERVAL_MS = 200.0  # ms between two watches: one with a large `unlike` is answered at once
+MIN_WATCH_INTERVAL_MS = 200.0  # ms between two watches: a watch with a large `unlike` is answered at once
 RETRY_MS = 1000.0  # ms until a failed watch or stop is repeated, and between checks of the engine list
 QUIESCING_WATCH_MS = 2000.0  # ms of one watch while engines are quiesced: acknowledgements need a recent view
-SILENCE_TIMEOUT_MS = 60_000.0  # ms to wait for a silent controller: as long as a draining replica rests
+SILENCE_TIMEOUT_MS = 60_000.0  # ms to wait for a silent controller; equals a draining replica's rest period
 BARRIER_CHECK_MS = 500.0  # ms between two barrier requests
-NO_TABLE = "42S02"  # SQLSTATE of a DESCRIBE of a missing table
+NO_TABLE = "42S02"  # SQLSTATE of the error for a DESCRIBE of a missing table
 
 Rollout = rollout.Rollout
-ExcludedEngines = dict[str, frozenset[str]]  # by table: engines to which no new query of it may go
+ExcludedEngines = dict[str, frozenset[str]]  # by table: engines to which no new query of the table may go
 # Parameters: the view's index, excluded engines, pairs of table and engine being quiesced, whether the view
 # is complete.
 QuiescedTablesCallback = Callable[[int, ExcludedEngines, list[tuple[str, str]], bool], None]
@@ -66,8 +67,8 @@
 def parse_description(rows: Iterable[tuple[str, ...]]) -> tuple[tuple[str, str], ...]:
     """Return the names and types of a table's columns, from the rows of a DESCRIBE.
 
-    These are the rows before the first one that is empty or a heading. By Hive's language manual (DDL,
-    Describe) they list all columns, partition columns included; other details follow an empty row.
+    The columns are the rows before the first row that is empty or a heading. By Hive's language manual (DDL,
+    Describe), these rows list all columns, partition columns included; other details follow an empty row.
 
     Raises `SchemaTextError`, `SchemaError`.
     """
@@ -93,11 +94,11 @@
         log: Callable[[str, dict], None],
     ) -> None:
         self.loop, self.client, self.tasks, self.statements = loop, client, tasks, statements
-        self.on_quiesced_tables: QuiescedTablesCallback | None = None  # None: queries can't be withheld
-        self.quiescence: QuiescenceClient | None = None  # None: no barrier requests
+        self.on_quiesced_tables: QuiescedTablesCallback | None = None  # None if queries can't be withheld
+        self.quiescence: QuiescenceClient | None = None  # None if no barrier requests are made
         self.engines, self.log = engines, log
         self.counts: Counter[str] = Counter()
-        self._changes: dict[str, int] = {}  # by table: the number of its change in progress
+        self._changes: dict[str, int] = {}  # the number of the change in progress, by table
         self._task: Task | None = None
 
     def start(self) -> None:
@@ -127,7 +128,7 @@
             self.loop.sleep(MIN_WATCH_INTERVAL_MS)
 
     def _report_quiesced(self, index: int, changes: gate_pb2.ChangeTold) -> bool:
-        """Report the engines to withhold queries from; return whether any change waits for that."""
+        """Report the engines to withhold queries from; return whether a change waits for quiescence."""
         quiesced = [(change.table, engine) for change in changes.open for engine in change.quiet]
         if self.on_quiesced_tables is not None:
             excluded: dict[str, set[str]] = {each.table: set(each.engines) for each in changes.behind}
@@ -147,14 +148,14 @@
             del self._changes[table]
             self.tasks.remove(LEASE_PREFIX + table)
         for table in sorted(in_progress):
-            if self._changes.get(table) != in_progress[table]:  # new, or the next one of the same table
+            if self._changes.get(table) != in_progress[table]:  # a new change, or the table's next one
                 self.tasks.add(
                     LEASE_PREFIX + table, partial(self._run, table), LEASE_TERM_MS, "change of its schema"
                 )
             self._changes[table] = in_progress[table]
 
     def _run(self, table: str, held: HeldLease) -> bool:
-        """Roll out the table's changes under its lease; return true once none is in progress."""
+        """Roll out the table's changes under its lease; return True once none is in progress."""
         number = 0
         while self._changes.get(table, number) != number:
             number = self._changes[table]
@@ -162,7 +163,7 @@
         return True
 
     def _roll_out(self, table: str, number: int, held: HeldLease) -> None:
-        if not list(self.engines()):  # otherwise all engines would count as removed
+        if not list(self.engines()):  # with no engine known, all engines would count as removed
             raise SchemaChangeAbandonedError(
                 f"change {number} of {table}: no engine is known here", table=table, number=number
             )
@@ -196,10 +197,10 @@
         old_schema: Schema | None,
         read_index: int,
     ) -> None:
-        # By engine: the index of an entry since which it has been quiesced. Engines quiesced at `read_index`
-        # still are, as only the lease holder can let queries go there again.
+        # By engine: the index of an entry since which the engine has been quiesced. Engines quiesced at
+        # `read_index` still are: only the lease holder can let queries go there again.
         self._quiesced_since = dict.fromkeys(change.quiet, read_index)
-        self._drain_tokens: dict[str, int] = {}  # by engine: the token of the last `Quiet` action
+        self._drain_tokens: dict[str, int] = {}  # by engine: the token of the last `AwaitDrain` action
         self.rollouts, self.loop, self.held, self.change = rollouts, rollouts.loop, held, change
         patience = rollout.RolloutTimeouts(
             answer_ms=STATEMENT_TIMEOUT_MS + STOP_TIMEOUT_MS, record_ms=PROPOSE_TIMEOUT_MS + RETRY_MS
@@ -207,7 +208,7 @@
         self.core = Rollout(change, old_schema, held.fencing_token, patience)
         self.work: RunningWork[rollout.Event] = RunningWork(self.loop, held.name)
         self._statements: dict[str, Statement] = {}  # the last statement for each engine
-        # An engine that the last holder recorded as removed may be back: `Returned` is posted for it then.
+        # If an engine that the last holder recorded as removed is back, `EngineReturned` is posted for it.
         self._present_engines = {
             name for name, state in change.engines.items() if state != pb.Change.GONE_AWAY
         }
@@ -242,7 +243,7 @@
             case rollout.ProposeCommand():
                 self.work.spawn(self._submit_command, action)
             case rollout.AwaitDrain(token, engine) if self.rollouts.quiescence is None:
-                self.work.post(rollout.Drained(token, engine))  # the engine's table lock is relied on
+                self.work.post(rollout.Drained(token, engine))  # no wait: the engine's table lock protects
             case rollout.AwaitDrain(token, engine):
                 self._drain_tokens[engine] = token
                 self.work.spawn(self._await_drain, token, engine)
@@ -269,7 +270,7 @@
             self.work.post(rollout.CommandCompleted(action.token, answer))
 
     def _await_drain(self, token: int, engine: str) -> None:
-        """Wait until no controller has a query of the table on an engine; a newer `Quiet` ends the wait."""
+        """Wait until no controller has a query of the table on an engine, or a newer `AwaitDrain` arrives."""
         silent_since: float | None = None
         barrier = clear.Wish(table=True, name=self.change.table, engine=engine)
         while self._drain_tokens.get(engine) == token:
@@ -302,7 +303,7 @@
     def _stop_statement(self, action: rollout.StopStatement) -> None:
         statement = self._statements[action.engine]
         while not statement.stop(STOP_TIMEOUT_MS):
-            self.loop.sleep(RETRY_MS)  # until the core's own deadline
+            self.loop.sleep(RETRY_MS)  # repeated until the core's own deadline
         self.work.post(rollout.StatementStopped(action.token, action.engine))
 
     def _describe_table(self, action: rollout.DescribeTable) -> None:
@@ -322,7 +323,7 @@
             self.work.post(rollout.TableDescribed(action.token, action.engine, None))
             return
         self.rollouts.log(
-            "describe " + status,
+            "table description " + status,
             {"engine": action.engine, "table": self.change.table, "text": statement.error_text[:300]},
         )
         self.work.post(rollout.DescribeFailed(action.token, action.engine, status == FENCED))
--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -1,8 +1,9 @@
 """The server of a Raft member: accepts connections from other members and from clients.
 
-The first frame of a connection, the hello, identifies the sender. With an incarnation it is a member, and its
-Raft messages follow; without one it is a client, whose requests are answered on the same connection. A sender
-of anything else is disconnected and counted. Messages and requests go to a `RequestHandler` (the Raft host).
+The first frame of a connection, the hello, identifies the sender. If the hello has an incarnation, the sender
+is a member, and its Raft messages follow; otherwise the sender is a client, whose requests are answered on
+the same connection. A sender of anything else is disconnected and counted. Messages and requests go to a
+`RequestHandler` (the Raft host).
 """
 
 from collections import Counter
@@ -21,13 +22,13 @@
 from fennelwind.raft.messages import Incarnation
 
 HELLO_TIMEOUT_MS = 2000.0  # ms for a new connection to send its hello
-MAX_UNIDENTIFIED = 128  # connections that have sent no hello yet; one more is closed at once
+MAX_UNIDENTIFIED = 128  # connections that have sent no hello yet; further connections are closed at once
 MAX_CLIENTS = 1024  # connections of clients: five for each of two hundred controllers
 MAX_MEMBERS = (
     16  # connections of members: seven members, and earlier incarnations not yet known to have ended
 )
-IDLE_TIMEOUT_MS = 120_000.0  # ms without a request, twice the longest wait of one; clients reconnect
-MAX_PENDING_REQUESTS = 128  # per connection; twice what one client may have in progress
+IDLE_TIMEOUT_MS = 120_000.0  # ms without a request: twice the longest wait of a request; clients reconnect
+MAX_PENDING_REQUESTS = 128  # requests per connection; twice what one client may have in progress
 OVERLOAD_RETRY_AFTER_MS = 100  # ms; sent to a client that has too many pending requests
 
 
@@ -35,7 +36,7 @@
     """Handles what the server receives."""
 
     def hello(self) -> pb.Hello:
-        """Return the first message on each of this member's connections."""
+        """Return the hello: the first message that this member sends on each connection."""
 
     def member_connected(self, sender: Incarnation) -> None:
         """Note that a member has connected to this one."""
@@ -76,7 +77,7 @@
         on_error: Callable[[ClusterError], None],
     ) -> None:
         """Create the server; `on_error` is called with the error of each rejected connection."""
-        self.counts: Counter[str] = Counter()  # connections by outcome
+        self.counts: Counter[str] = Counter()  # number of connections by outcome
         self.unidentified = 0
         self.members: dict[Incarnation, Stream] = {}  # the newest connection of each member
         self.clients: set[ClientConnection] = set()
@@ -135,7 +136,7 @@
             self._tasks.discard(self._loop.current)
 
     def _exchange_hellos(self, stream: Stream, reader: FrameReader) -> pb.Hello | None:
-        """Read the peer's hello and send ours; return None if the connection is not to be served."""
+        """Read the peer's hello and send ours; return the peer's, or None if the connection is rejected."""
         with self._loop.deadline(HELLO_TIMEOUT_MS):
             hello = reader.hello()
             if hello is None:
@@ -221,7 +222,7 @@
         client.answer(pb.Told(token=request.token, result=result.SerializeToString()))
 
     def _close_when_idle(self, stream: Stream, client: ClientConnection) -> None:
-        """Disconnect a client without requests: its machine may be lost, and others need the slot."""
+        """Disconnect an idle client: its machine may be lost, and other clients need the connection slot."""
         while client.pending_requests or self._loop.now() - client.last_request_ms < IDLE_TIMEOUT_MS:
             self._loop.sleep(IDLE_TIMEOUT_MS)
         self.counts["idle"] += 1
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -1,9 +1,9 @@
 """Runs shard migrations on this controller while it holds the lease `moves`.
 
-The core (`shards.migration`) decides; this module runs its statements, proposes its commands, and reports the
-known engines, the identity of each one's disk (its mark) and the shards that each one lists. Sending a
-statement is an operation under the lease's fencing guard; the statement itself is ended on the engine by its
-timeout, or when its session is closed.
+The core (`shards.migration`) decides; this module runs the core's statements, proposes its commands, and
+reports the known engines, the identity of each engine's disk (the mark) and the shards each engine lists.
+Sending a statement is an operation under the lease's fencing guard. The statement itself is not: the engine
+ends it at its timeout, or when its session is closed.
 """
 
 from collections import Counter
@@ -34,7 +34,7 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Malformed
 
-LEASE_TERM_MS = 30_000  # ms of the lease; sending a statement is one operation, which must fit into it
+LEASE_TERM_MS = 30_000  # ms of the lease; sending a statement is one operation, which must fit into this time
 REQUEST_TIMEOUT_MS = 4_000.0  # ms for one command or read of the replicated state
 WATCH_MS = 20_000.0  # ms of one watch for changes of the replicated state
 ENGINE_CHECK_INTERVAL_MS = (
@@ -52,19 +52,19 @@
 MARK_BYTES = 16  # random, so that marks are unique
 CATCH_UP_POLL_MS = 2.0  # ms between checks whether the local state has caught up with a read
 MAX_CATCH_UP_MS = 3000.0  # ms until the state is read over the Raft client instead; about 100 are usual
-REVISION_QUERY = pb.ShardQuery(skip=2**62).SerializeToString()  # answered without any state
-NO_TABLE = "42S02"  # SQLSTATE of a query of a missing table
+REVISION_QUERY = pb.ShardQuery(skip=2**62).SerializeToString()  # skips all data: revision only
+NO_TABLE = "42S02"  # SQLSTATE of a statement on a missing table
 
 
 class _AsyncStatement(Statement):
-    """A statement that may run for long: sent in one leased operation, waited for outside of any."""
+    """A statement that may run for long: it is sent in a leased operation, but awaited outside of one."""
 
     def send(self, statement: str, overlay: dict[str, str], within_ms: float) -> str:
         """Start the statement on the engine; return `OK`, `FAILED` or `LOST`."""
         return self._call(partial(self._start, statement, overlay), within_ms)[0]
 
     def wait(self, within_ms: float) -> tuple[str, list[tuple[str, ...]]]:
-        """Wait for its end; return `OK`, `FAILED` or `LOST`, and its rows of texts."""
+        """Wait for the statement's end; return `OK`, `FAILED` or `LOST`, and the rows of text values."""
         status, rows = self._call(self._poll, within_ms)
         if status != LOST:
             self._close_session()
@@ -124,7 +124,7 @@
         shards: Iterable[pb.Shard] = (),
         replicated_state: ReplicatedState | None = None,
     ) -> None:
-        """Create it. `homes` returns the engines known now; `shards` are the shards of the settings.
+        """Create the service. `homes` returns the engines known now; `shards` are the shards in the settings.
 
         With `replicated_state`, which a Raft member has, the state is read locally. Without it, all of the
         state is read over the Raft client after each command, which suits small states only: reading 20,000
@@ -140,13 +140,13 @@
         )
         self.shards = tuple(shards)
         self.engine_start_times: Callable[[], dict[str, float]] = (
-            dict  # by engine, in ms, as endpoint lists report it
+            dict  # by engine, in ms, as endpoint lists report them
         )
         self.quiescence: QuiescenceClient | None = (
-            None  # None: replicas are dropped after a fixed wait, without acknowledgements
+            None  # None if replicas are dropped after a fixed wait, without acknowledgements
         )
         self.counts: Counter[str] = Counter()
-        self.is_planning = False  # a plan is being made, for this or an earlier tenure of the lease
+        self.is_planning = False  # whether a plan is being made, for this or an earlier tenure of the lease
 
     def start(self) -> None:
         """Start requesting the lease."""
@@ -157,7 +157,7 @@
         self.tasks.remove(LEASE)
 
     def _run(self, held: HeldLease) -> bool:
-        """Run migrations until the lease is lost; return false, as the task never ends for good."""
+        """Run migrations until the lease is lost; return False, as the task never ends for good."""
         _LeaseTenure(self, held).run()
         return False
 
@@ -177,10 +177,10 @@
         )
         self.machine: ShardMachine | None = None
         self.index = 0  # of the last entry included in `machine`
-        self.stalled_at_index = -1  # index at which the local state stopped catching up; -1: it has not
+        self.stalled_at_index = -1  # index at which the local state stopped catching up; -1 if it has not
         self.engine_states: dict[str, str] = {}  # `Home.life` by engine, as last reported
-        self.marks: dict[str, str] = {}  # by known engine, once its mark has been read
-        self.next_listing_ms: dict[str, float] = {}  # by engine: when its next listing is due
+        self.marks: dict[str, str] = {}  # by known engine, if the engine's mark has been read
+        self.next_listing_ms: dict[str, float] = {}  # when the next listing is due, by engine
         self.engines_in_listing: set[str] = set()
         self.send_slots = Channel(self.loop, MAX_CONCURRENT_SENDS)  # one element per statement being sent
         self.engine_start_times: dict[str, float] = {}  # as last reported
@@ -257,7 +257,7 @@
         while not index:
             try:
                 index = self.client.read(SHARDS, REVISION_QUERY, within_ms=REQUEST_TIMEOUT_MS).index
-            except ClusterError as exc:  # if this persists, the lease expires
+            except ClusterError as exc:  # if the error persists, the lease expires
                 self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
         until_ms = self.loop.now() + MAX_CATCH_UP_MS
@@ -283,7 +283,7 @@
                 read = self.client.read(SHARDS, query, within_ms=REQUEST_TIMEOUT_MS)
                 chunk = pb.ShardSeen.FromString(read.state)
                 if revision is not None and chunk.revision != revision:
-                    data, revision = b"", None  # it changed between two pieces
+                    data, revision = b"", None  # the state changed between two pieces: start again
                     continue
                 data, revision = data + chunk.piece, chunk.revision
                 if len(data) >= chunk.size:
@@ -291,7 +291,7 @@
             except ClusterError as exc:  # if this persists, the lease expires
                 self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
-        if read.index >= self.index:  # otherwise a concurrent later read was posted already
+        if read.index >= self.index:  # if not, a concurrent read of a later state was posted already
             if self.machine is None or self.machine.state_at != revision:
                 self.machine = ShardMachine()
                 self.machine.restore(data)
@@ -303,7 +303,7 @@
     def _frozen_tables(self) -> frozenset[str]:
         """Return the tables with a schema change in progress, by their names in shards.
 
-        If the read fails, the last ones known are returned: the state machine rejects what they lack.
+        If the read fails, return the last tables known; the state machine rejects commands for others.
         """
         try:
             changes = gate_pb2.ChangeTold.FromString(
@@ -341,7 +341,7 @@
         self.work.post(api.CommandAnswered(action.token, pb.Answer.FromString(body), index))
 
     def _plan(self, action: api.ComputePlan) -> None:
-        """Make a plan outside the loop, one at a time; the core repeats a request that was ignored."""
+        """Compute a plan outside the loop, one at a time; the core repeats a request that is ignored here."""
         if not self.migrations.is_planning:
             self.migrations.is_planning = True
             self.loop.spawn(self._make_plan, action, name="plan of moves")  # not cancelled with the lease
@@ -385,7 +385,7 @@
             status = self._send(statement, action)
             if status == OK:
                 status, rows = statement.wait(action.timeout_ms)
-        except Cancelled:  # it took too long, or the lease was lost
+        except Cancelled:  # the statement took too long, or the lease was lost
             self.loop.spawn(statement.stop, SHORT_STATEMENT_TIMEOUT_MS, name=f"stop at {action.engine}")
             raise
         finally:
@@ -400,7 +400,7 @@
                 },
             )
         outcome, totals = {OK: "ok", LOST: "unknown"}.get(status, "failed"), (0, 0)
-        if rows:  # of a check: count and checksum
+        if rows:  # the rows of a check statement: count and checksum
             try:
                 totals = int(rows[0][0]), int(rows[0][1])
             except (IndexError, ValueError):
@@ -408,7 +408,7 @@
         self.work.post(api.StatementEnded(action.token, outcome, *totals))
 
     def _send(self, statement: _AsyncStatement, action: api.RunStatement) -> str:
-        """Send a statement once a slot is free; if unanswered, it occupies the slot until its timeout."""
+        """Send a statement once a slot is free; an unanswered one occupies the slot until its timeout."""
         self.send_slots.put(None)
         release_after_ms = 0.0
         try:
@@ -421,7 +421,7 @@
         return status
 
     def _observe_engines(self) -> None:
-        """Report new, changed and removed engines, each with its disk's mark once that is known."""
+        """Report new, changed and removed engines, each with the mark of its disk once the mark is known."""
         while True:
             homes = {home.name: home for home in self.migrations.homes()}
             known, declared = self.machine.homes, frozenset(self.machine.shards)
@@ -438,7 +438,7 @@
             for name in self.next_listing_ms:
                 if start_times.get(name) != self.engine_start_times.get(
                     name
-                ):  # it may have restarted with another disk
+                ):  # the engine may have restarted with another disk
                     self.next_listing_ms[name] = self.loop.now()
                     self.marks.pop(name, None)
             self.engine_start_times = start_times
@@ -451,7 +451,7 @@
             self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
 
     def _list_engines(self) -> None:
-        """List engines that are due, one after another: the mark of each and the shards it holds."""
+        """Read the mark and the shards of each engine whose listing is due, one engine after another."""
         while True:
             now = self.loop.now()
             candidates = (
@@ -470,7 +470,7 @@
             finally:
                 self.engines_in_listing.discard(name)
             if name not in self.next_listing_ms:
-                continue  # it was removed meanwhile
+                continue  # the engine was removed meanwhile
             known = {shard for shard, copies in self.machine.copies.items() if name in copies}
             # A listing that differs from the replicated state is trusted once a second one confirms it.
             self.next_listing_ms[name] = self.loop.now() + (
@@ -481,7 +481,7 @@
                 self.work.post(api.EnginesReported((), {name: held}))
 
     def _read_or_write_mark(self, engine: str) -> str:
-        """Return the mark on an engine's disk, writing a new one if it has none; "" if that fails."""
+        """Return the mark on an engine's disk, writing a new one if there is none; "" if that fails."""
         status, rows, sql_state = self._run_short(engine, migration_statements.mark_read())
         if status == OK and rows:
             return rows[0][0]
--- a/fennelwind/cluster/state_machines.py
+++ b/fennelwind/cluster/state_machines.py
@@ -24,8 +24,8 @@
     """Return a state machine's answer to a query, or its complete state if the query is empty.
 
     `leases` answers a `Who` with the leases offered to that controller. `contracts` answers a `ChangeQuery`
-    with the schema changes in progress, or the outcome of one. A state machine with a method `asked` answers
-    its queries itself. A query that can't be decoded is answered with no bytes.
+    with the schema changes in progress, or the outcome of one change. A state machine with a method `asked`
+    answers its queries itself. The answer to a query that can't be decoded is empty.
     """
     if query and hasattr(machine, "asked"):
         return machine.asked(query)
--- a/fennelwind/cluster/wakeup.py
+++ b/fennelwind/cluster/wakeup.py
@@ -5,7 +5,7 @@
 
 
 class Wakeup:
-    """A notification for one waiting task; `wait` returns at once if there was one since the last wait."""
+    """Notifies one waiting task; `wait` returns at once if `notify` was called since the last wait."""
 
     __slots__ = ("loop", "_is_notified", "_waiter")
 
@@ -15,7 +15,7 @@
         self._waiter: Waiter | None = None
 
     def notify(self) -> None:
-        """Wake the waiting task, or the next one to wait."""
+        """Wake the waiting task; if no task waits, let the next `wait` return at once."""
         self._is_notified = True
         if self._waiter is not None:
             self._waiter.wake()
--- a/fennelwind/frontends/hiveserver2/authentication.py
+++ b/fennelwind/frontends/hiveserver2/authentication.py
@@ -1,8 +1,9 @@
 """Authentication of users: passwords against salted hashes (Argon2id, RFC 9106), and signed cookies for HTTP.
 
-Checking a hash takes tens of milliseconds of CPU time, so it runs in a thread outside the loop; concurrent
-equal checks are made once, and the number of checks is limited. An unknown user takes as long as a wrong
-password. Passwords are never kept, logged or passed on: only a digest under a key of this process is kept.
+Checking a hash takes tens of milliseconds of CPU time, so the check runs in a thread outside the loop. Equal
+concurrent checks are made once, and the number of checks is limited. Rejecting an unknown user takes as long
+as rejecting a wrong password. Passwords are never kept, logged or passed on: only a digest under a key of
+this process is kept.
 """
 
 import hmac
@@ -15,9 +16,9 @@
 from fennelwind.limits.login_throttle import LoginThrottle
 from fennelwind.loop import DeadlineExceeded, Loop, Once
 
-MAX_CHECKS = 64  # running or queued; further logins are rejected
-CHECK_TIMEOUT_MS = 10_000.0  # for a check and its time in the queue; a full queue takes about 2 s
-COOKIE_LIFETIME_MS = 3_600_000.0  # validity of a cookie
+MAX_CHECKS = 64  # checks running or queued; further logins are rejected
+CHECK_TIMEOUT_MS = 10_000.0  # limit for a check, with its time in the queue; a full queue takes about 2 s
+COOKIE_LIFETIME_MS = 3_600_000.0  # time for which a cookie is valid
 
 
 def verify(password_hash: str, password: str) -> bool:
@@ -37,7 +38,7 @@
         # Checked for unknown users, so that they take as long; hashing takes a third of a second and 64 MiB.
         self._unknown_user_hash = PasswordHasher().hash("nobody's") if users is not None else ""
         self._checks: dict[bytes, Once] = {}
-        self.rejected_checks = 0  # logins rejected because of too many checks
+        self.rejected_checks = 0  # logins rejected because too many checks were running or a check timed out
 
     def authenticate(self, user: str, password: str, address: str) -> bool:
         """Check a user's password, waiting for the result; return whether it is right."""
--- a/fennelwind/frontends/hiveserver2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -1,9 +1,9 @@
-"""Thrift over HTTP/1.1: one call in the body of a POST request, its reply in the response. h11 parses HTTP.
+"""Thrift over HTTP/1.1: a POST request holds one call, the response holds the reply. h11 parses HTTP.
 
 A request authenticates its user by Basic (RFC 7617) or by the cookie that the first response set, so that a
-password is checked once. Sessions aren't bound to connections here: they end when closed or idle. While a
-call waits, the connection is watched, and the call is cancelled if its client disconnects. Pipelined requests
-are served one after another.
+password is checked once. Sessions over HTTP aren't bound to connections: a session ends when it is closed or
+idle. While a call waits, the connection is watched, and the call is cancelled if the client disconnects.
+Pipelined requests are served one after another.
 """
 
 import base64
@@ -21,8 +21,8 @@
 
 CONTENT_TYPE = b"application/x-thrift"
 COOKIE_NAME = "fennelwind.auth"
-MAX_HEADER_BYTES = 16_384  # of a request's headers
-MAX_REQUESTS_PER_CONNECTION = 10_000  # then it is closed, so that a load balancer can redistribute clients
+MAX_HEADER_BYTES = 16_384  # largest total size of a request's headers
+MAX_REQUESTS_PER_CONNECTION = 10_000  # then the connection is closed: load balancers can redistribute clients
 
 
 class _HttpError(Exception):
@@ -73,7 +73,7 @@
             self.stream.close()
 
     def _serve_one(self) -> bool:
-        """Serve the next request; return whether another may follow."""
+        """Serve the next request; return whether another request may follow on this connection."""
         with self.loop.deadline(self.front.settings.idle_ms):
             request = self._next_event()
             if request is None:
@@ -161,7 +161,7 @@
         return user, [(b"set-cookie", cookie.encode())]
 
     def _call(self, message: messages.Message, user: str) -> tuple[bytes, Entry | None]:
-        """Return the reply to a call, and the entry whose final answer it delivers, if any.
+        """Return the reply to a call, and the entry whose final answer it delivers; None if there is none.
 
         Raises `StreamReset` if the client disconnected.
         """
@@ -183,7 +183,7 @@
         return reply, entry
 
     def _watch_for_disconnect(self) -> None:
-        """Read while a call waits, to notice a disconnected client; buffer further requests."""
+        """Read while a call waits, to notice that the client disconnected; buffer further requests."""
         buffered_bytes = 0
         try:
             while data := self.stream.read():
@@ -199,7 +199,7 @@
             self.worker.cancel()
 
     def _send_error(self, error: _HttpError) -> None:
-        """Respond with an error status and end the connection, without reading the rest of the request."""
+        """Respond with an error status and `Connection: close`, without reading the rest of the request."""
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             try:
                 self._send(
--- a/fennelwind/frontends/hiveserver2/rows.py
+++ b/fennelwind/frontends/hiveserver2/rows.py
@@ -1,4 +1,4 @@
-"""Pages of a result, in the sizes that clients request."""
+"""Reads a result as pages of the sizes that clients request, and converts pages to other formats."""
 
 from collections import deque
 
@@ -57,7 +57,7 @@
 
 
 def is_null(nulls: bytes, row: int) -> bool:
-    """Return whether a row is null by its column's bitmap, whose trailing zero bytes may be omitted."""
+    """Return whether a row is null, by the column's bitmap, whose trailing zero bytes may be omitted."""
     return row >> 3 < len(nulls) and nulls[row >> 3] >> (row & 7) & 1 == 1
 
 
@@ -68,18 +68,18 @@
 
 
 class Reader:
-    """Reads a result page by page; `first` restarts it for FETCH_FIRST.
+    """Reads a result page by page; `first` goes back to the first row, for FETCH_FIRST.
 
-    Pages that are fetched in their original size are passed on without decoding. The pages of a stream are
-    released once read, so a streamed result can't be restarted.
+    A page that is fetched in its original size is passed on without decoding. The pages of a stream are
+    released once read, so a streamed result can't be read again from the start.
     """
 
     def __init__(self, result: Result) -> None:
         self.pages, self.stream = deque(result.pages), result.stream
         self.counts = deque(row_count(page) for page in result.pages)
-        self._first_pages = result.pages[:1]  # any page, for its columns
+        self._first_pages = result.pages[:1]  # a page from which the columns of an empty page are taken
         self.is_streamed = result.stream is not None
-        self.rows = 0  # returned so far
+        self.rows = 0  # number of rows returned so far
         self._page = self._row = 0
 
     @property
@@ -94,7 +94,7 @@
         self._page = self._row = self.rows = 0
 
     def next(self, max_rows: int) -> tuple[Structure, bool]:
-        """Return up to `max_rows` next rows, and whether there are more. Raises `StreamLostError`."""
+        """Return at most `max_rows` next rows, and whether more follow. Raises `StreamLostError`."""
         while True:
             while self._page < len(self.pages) and self._row >= self.counts[self._page]:
                 self._next_page()
@@ -120,7 +120,7 @@
         return rows, has_more_pages or self.stream is not None
 
     def _empty_page(self) -> Structure:
-        """Return a page without rows. Decodes a page to get the columns, which few clients need."""
+        """Return a page without rows. This decodes a page to get its columns, which few clients need."""
         columns = slice_rows(self._first_pages[0], 0, 0).columns if self._first_pages else []
         return hs2.TRowSet(startRowOffset=0, rows=[], columns=columns)
 
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -1,8 +1,8 @@
-"""Clients' connections: reads calls, passes them to the service and replies in the order of the calls.
+"""Serves clients' connections: passes calls to the service and replies in the order of the calls.
 
 One task reads a connection and answers calls that need no waiting. A call that has to wait is served by a
-second task; calls pipelined behind it are put in a bounded queue, and reading stops when that is full. So the
-end of a connection is noticed while a call waits, and its queries are cancelled.
+second task; further calls wait behind it in a bounded queue, and reading stops when the queue is full. So the
+end of a connection is noticed while a call waits, and the connection's queries are cancelled.
 """
 
 from contextlib import suppress
@@ -26,8 +26,8 @@
 from fennelwind.thrift.messages import Message, TApplicationException, write_message
 from fennelwind.thrift.transport import Login, ServerSide
 
-MAX_QUEUED_CALLS = 16  # calls queued behind a waiting one, per connection
-SHUTDOWN_TIMEOUT_MS = 2000.0  # for open calls to be answered when the controller shuts down
+MAX_QUEUED_CALLS = 16  # calls queued behind a waiting call, per connection
+SHUTDOWN_TIMEOUT_MS = 2000.0  # limit for answering open calls when the controller shuts down
 
 
 class Frontend:
@@ -36,8 +36,8 @@
     def __init__(self, loop: Loop, listener: Listener, service: Service) -> None:
         self.loop, self.listener, self.service = loop, listener, service
         self.settings = service.settings.file.listener
-        self.connections: dict[Connection, None] = {}  # in the order of their arrival
-        self.tls = service.settings.tls  # for new connections
+        self.connections: dict[Connection, None] = {}  # in the order in which they were accepted
+        self.tls = service.settings.tls  # TLS context for new connections; None without TLS
         self.unshaken = 0  # connections whose TLS handshake failed or stalled
         self.accepted = self.turned_away = self.malformed = self.cut = self.idled = 0
         self._task: Task | None = None
@@ -100,7 +100,7 @@
         self.front, self.loop, self.stream = front, front.loop, stream
         self.protocol = ServerSide(front.settings.max_request_bytes)
         self.user, self.is_logged_in = "", False
-        self.sessions: dict[bytes, None] = {}  # ids of the sessions opened over it, in order
+        self.sessions: dict[bytes, None] = {}  # ids of the sessions opened on this connection, in order
         self.queued_calls = Channel(front.loop, MAX_QUEUED_CALLS)
         self.worker: Task | None = None
         self.last_received_ms = self.partial_since_ms = 0.0
@@ -113,7 +113,7 @@
             self._read()
         except Malformed:
             front.malformed += 1
-            if self.protocol.outgoing:  # the reason of a failed login; the client may have disconnected
+            if self.protocol.outgoing:  # the reason why a login failed; the client may have disconnected
                 with suppress(StreamReset, DeadlineExceeded):
                     self._write(bytes(self.protocol.outgoing))
         except (StreamReset, ChannelClosed):
@@ -189,7 +189,7 @@
             self.worker = self.loop.spawn(self._serve_waiting_calls, *call, name="hs2 call")
 
     def _next_waiting_call(self) -> tuple[Message | None, PendingReply | None]:
-        """Answer queued calls until one has to wait; return that one."""
+        """Answer queued calls until one has to wait; return that call, or (None, None) if none has to."""
         while len(self.queued_calls):
             message = self.queued_calls.get()
             pending = self._begin(message)
@@ -198,7 +198,7 @@
         return None, None
 
     def _begin(self, message: Message) -> PendingReply | None:
-        """Answer a call, or return the function that waits for its answer."""
+        """Answer a call and return None, or return a function that waits for the call's answer."""
         if message.type not in (messages.CALL, messages.ONEWAY):
             raise Malformed(f"{message.method}: a message of type {message.type} from a client")
         if message.body is None:
@@ -237,7 +237,7 @@
                     self.worker = None
                     return
         except (OSError, Malformed):
-            self.queued_calls.close()  # ends the reading task wherever it waits, which then cleans up
+            self.queued_calls.close()  # ends the reading task wherever that waits; that task then cleans up
             self.stream.close()
         except Cancelled:
             pass
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -9,11 +9,11 @@
   hint, SQLSTATE HYT00, error code 1204
 - cancelled by its client: ERROR; operation state CANCELED, SQLSTATE HY008, error code 1205
 
-A query's class is that of the first selector that matches; its tenant is that of its user. Its key, estimates
-and timeout come from `fennelwind.key`, `.work_ms`, `.memory_mb`, `.tables`, `.shards`, `.timeout_ms` and
-`.repeat` in the statement's overlay or else in the session's configuration; `queryTimeout` (s) takes
-precedence over all of them. Other configuration is sent to the engine with the statement. Sessions and their
-operations end with the connection that opened them.
+The first selector that matches a query determines its class, and the user determines its tenant. The key,
+estimates and timeout come from `fennelwind.key`, `.work_ms`, `.memory_mb`, `.tables`, `.shards`,
+`.timeout_ms` and `.repeat` in the statement's overlay or else in the session's configuration; a
+`queryTimeout` (s) takes precedence over `.timeout_ms` in both. Other configuration is sent to the engine with
+the statement. Sessions and their operations end with the connection that opened the session.
 """
 
 import json
@@ -37,19 +37,19 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Structure
 
-CONFIG_PREFIX = "fennelwind."  # of configuration that is for the controller and isn't sent to engines
+CONFIG_PREFIX = "fennelwind."  # of settings that are for the controller and aren't sent to engines
 SERVER_INFO = {
     hs2.CLI_SERVER_NAME: "fennelwind",
     hs2.CLI_DBMS_NAME: "fennelwind",
     hs2.CLI_DBMS_VER: __version__,
 }
-MAX_TIMEOUT_MS = 24 * 3600 * 1000.0  # longer client timeouts are reduced to this
+MAX_TIMEOUT_MS = 24 * 3600 * 1000.0  # longer client timeouts are reduced to this one
 REFUSED_CODE, FAILED_CODE, CANCELLED_CODE, STREAM_CODE, GATE_CODE = 1203, 1204, 1205, 1206, 1207
-SCHEMA_CHANGE_TIMEOUT_MS = 600_000.0  # for a schema change whose publisher sets no timeout
+SCHEMA_CHANGE_TIMEOUT_MS = 600_000.0  # limit for a schema change whose publisher sets no timeout
 SUBSCRIBED_SETTING = "fennelwind.subscribed"  # setting in OpenSession's reply to a subscriber
-SWEEPS_PER_IDLE_TIMEOUT = 4.0  # checks for unused sessions and operations per idle timeout
-UNBOUND_SESSIONS: dict[bytes, None] = {}  # passed for a connection whose sessions outlive it
-MAX_SHARDS = 64  # per statement; shard sets that exceed the policy's slots are checked before each attempt
+SWEEPS_PER_IDLE_TIMEOUT = 4.0  # number of checks for unused sessions and operations in one idle timeout
+UNBOUND_SESSIONS: dict[bytes, None] = {}  # passed for connections whose sessions outlive the connection
+MAX_SHARDS = 64  # shards per statement; sets that exceed the policy's slots are checked before each attempt
 METADATA_OPERATION_TYPES = {
     "GetTypeInfo": 1,
     "GetCatalogs": 2,
@@ -68,7 +68,7 @@
     AnswerKind.CANCELLED: hs2.CANCELED,
 }
 
-# Waits, then returns the reply and the entry whose answer it delivers, if any.
+# Waits, then returns the reply, and the entry whose answer the reply delivers (None if there is none).
 PendingReply = Callable[[], tuple[Structure, Entry | None]]
 
 
@@ -103,7 +103,7 @@
         self.entry: Entry | None = None
         self.reader: Reader | None = None
         self.started_ms, self.started_wall_s, self.last_used_ms = loop.now(), loop.wall(), loop.now()
-        self.fetched_log_lines = 0  # lines of its log that the client has fetched
+        self.fetched_log_lines = 0  # lines of the operation's log that the client has fetched
 
 
 class Session:
@@ -124,10 +124,10 @@
         self, handle: Structure, user: str, protocol: int, configuration: dict[str, str], now_ms: float
     ) -> None:
         self.handle, self.user, self.protocol, self.last_used_ms = handle, user, protocol, now_ms
-        self.is_bound = True  # whether it ends with the connection that opened it
+        self.is_bound = True  # whether the session ends with the connection that opened it
         self.state = SessionState(configuration)
         self.operations: dict[bytes, Operation] = {}
-        self.subscriber: Any = None  # its subscription at the schema gate, if any
+        self.subscriber: Any = None  # the session's subscription at the schema gate, if any
 
 
 def success() -> Structure:
@@ -161,12 +161,12 @@
 
 
 def executing_entry(entry: Entry) -> Entry:
-    """Return the entry that executes a query: the one it shares with equal requests, else its own."""
+    """Return the entry that executes a query: one shared by equal requests, or else the query's own."""
     return entry.executing_entry or entry
 
 
 def log_lines(entry: Entry) -> list[str]:
-    """Return a query's log for its client: its attempts and its end, without engines' addresses."""
+    """Return a query's log for the client: the attempts and the end, without engines' addresses."""
     executing = executing_entry(entry)
     lines = [f"query {executing.query} taken"]
     for index, record in enumerate(executing.attempt_records):
@@ -228,7 +228,7 @@
         self.sessions: dict[bytes, Session] = {}
         self.operations: dict[bytes, tuple[Session, Operation]] = {}
         self.authenticator = Authenticator(loop, settings.users)
-        self.expired_sessions = self.expired_operations = 0  # unused for too long and closed
+        self.expired_sessions = self.expired_operations = 0  # closed because unused for too long
         limits = settings.file.listener
         self.admission = Admission(
             AdmissionLimits(
@@ -243,7 +243,7 @@
     def begin(
         self, method: str, request: Structure, user: str, connection_sessions: dict[bytes, None]
     ) -> Structure | PendingReply:
-        """Start a call; return its reply, or a function that waits for it.
+        """Start a call; return the reply, or a function that waits for the reply.
 
         `connection_sessions` holds the ids of the sessions that the connection has opened.
         """
@@ -375,13 +375,13 @@
             if self.gate is not None and not is_session_statement
             else None
         )
-        # Also for a schema change: its publisher needs the same permissions.
+        # Built for a schema change too, to check permissions: its publisher needs the same ones.
         submission = self._build_submission(session, request, is_session_statement)
         if change is not None:
             return partial(self._publish_schema_change, change, request)
         operation = self._open_operation(session, hs2.EXECUTE_STATEMENT, not is_session_statement)
         handle = operation.handle
-        if is_session_statement:  # it only changed the session and is complete
+        if is_session_statement:  # the statement only changed the session and is complete
             now_ms = self.loop.now()
             answer = Answer(AnswerKind.SERVED, result=Result())
             operation.entry = Entry(0, submission, now_ms, now_ms, operation.ended.set, answer)
@@ -405,7 +405,7 @@
         return change
 
     def _publish_schema_change(self, change: Any, request: Structure) -> tuple[Structure, None]:
-        """Check a schema change and apply it at all engines through the gate; reply with its messages."""
+        """Check a schema change and apply it at all engines, by the gate; reply with the gate's messages."""
         timeout_ms = (
             request.queryTimeout * 1000.0 if request.queryTimeout and request.queryTimeout > 0 else 0.0
         )
@@ -631,7 +631,7 @@
             )
 
     def _open_operation(self, session: Session, kind: int, rows: bool) -> Operation:
-        """Register an operation of a session under an unguessable handle."""
+        """Register a new operation of a session under an unguessable handle; return the operation."""
         handle = hs2.TOperationHandle(
             operationId=hs2.THandleIdentifier(self.loop.token(16), self.loop.token(16)),
             operationType=kind,
@@ -727,7 +727,7 @@
 
 
 def read_number(options: dict[str, str], name: str, default: float) -> float:
-    """Return a number from the configuration. Raises `BadRequestError` if it is invalid."""
+    """Return a number from the configuration, or `default`. Raises `BadRequestError` if it is invalid."""
     text = options.get(CONFIG_PREFIX + name)
     if text is None:
         return default
