--- a/fennelwind/schema_compatibility/checker.py
+++ b/fennelwind/schema_compatibility/checker.py
@@ -63,7 +63,7 @@
         names[name] = names.get(name, 0) + 1
 
     def remove(self, name: str, version: int, reads: Reads) -> None:
-        """Remove a subscriber's reads of one table, added before."""
+        """Remove a subscriber's reads of one table, which must have been added before."""
         subscriptions = self._tables[reads.table]
         names = subscriptions[reads, version]
         names[name] -= 1
@@ -88,7 +88,7 @@
     anew: bool = False,
     publisher: str = "",
 ) -> Verdict:
-    """Check a change against all subscribers of its table. `old` None: a new table; `new` None: a drop.
+    """Check a change against all subscribers of its table; `old` is None for a new table, `new` for a drop.
 
     Breaks of the publisher's own subscriptions become warnings, since it knows of the change.
     """
--- a/fennelwind/schema_compatibility/message_compatibility.py
+++ b/fennelwind/schema_compatibility/message_compatibility.py
@@ -19,11 +19,11 @@
 GUIDE = "Protocol Buffers language guide: Updating A Message Type"
 ENCODING = "Protocol Buffers encoding"
 ENUMS = "Protocol Buffers language guide: Enumerations"
-_END_OF_FIELD_NUMBERS = 1 << 29  # exclusive
+_END_OF_FIELD_NUMBERS = 1 << 29  # exclusive end of the valid field numbers
 
 
 class Rule(NamedTuple):
-    """A compatibility rule. `remedy`: what to do instead."""
+    """A compatibility rule; `remedy` says what to do instead."""
 
     breaks: bool
     description: str
@@ -125,7 +125,7 @@
 
 
 class Found(NamedTuple):
-    """A rule that applies at a place: `package.Message.field`."""
+    """A rule that applies at a place, such as `package.Message.field`."""
 
     rule: str
     place: str
@@ -236,7 +236,7 @@
 
 
 def _oneof_name(message: DescriptorProto, field: FieldDescriptorProto) -> str:
-    """Return the name of a field's oneof; "" for none or for the synthetic oneof of an optional field."""
+    """Return the name of a field's oneof; "" if it has none, or the synthetic one of an optional field."""
     if not field.HasField("oneof_index") or field.proto3_optional:
         return ""
     return message.oneof_decl[field.oneof_index].name
--- a/fennelwind/schema_compatibility/messages.py
+++ b/fennelwind/schema_compatibility/messages.py
@@ -18,8 +18,8 @@
 )
 
 MAX_TABLES_PER_SUBSCRIPTION = 64
-MAX_NAMED_SUBSCRIBERS = 1000  # per answer, about 30 characters each; further ones are only counted
-MAX_FINDINGS = 20  # per group of equal subscriptions, most severe first
+MAX_NAMED_SUBSCRIBERS = 1000  # names in one answer, about 30 characters each; further names are only counted
+MAX_FINDINGS = 20  # findings for a group of equal subscriptions, most severe first
 
 
 def type_message(schema_type: Type) -> pb.Type:
--- a/fennelwind/schema_compatibility/rollout.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -30,9 +30,9 @@
 class RolloutTimeouts:
     """Timeouts in ms, and the number of attempts."""
 
-    drain_ms: float = 120_000.0  # for running queries of an engine; then other engines go first
+    drain_ms: float = 120_000.0  # for an engine's running queries to end; after that, other engines go first
     answer_ms: float = 60_000.0  # for a statement, stop or describe: ALTER changes the metastore, not rows
-    record_ms: float = 5000.0  # for a replicated command; then it is sent again
+    record_ms: float = 5000.0  # for the answer to a replicated command; after that, the command is sent again
     max_attempts: int = 3  # per engine: to run the statements, and to drain
 
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandCompleted:
-    """The answer to a `ProposeCommand`; None: the outcome is unknown."""
+    """The answer to a `ProposeCommand`, or None if the outcome is unknown."""
 
     token: int
     answer: pb.ContractAnswer | None
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TableDescribed:
-    """Names and types of the table's columns on an engine; None: it has no such table."""
+    """Names and types of the table's columns on an engine, or None if it has no such table."""
 
     token: int
     engine: str
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DescribeFailed:
-    """An engine did not describe the table; `fenced`: it has seen a newer fencing token."""
+    """An engine did not describe the table; `fenced` if it has seen a newer fencing token."""
 
     token: int
     engine: str
@@ -160,7 +160,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StopStatement:
-    """End what `RunStatement` sent, by closing the session on the engine; `StatementStopped` answers it."""
+    """End a `RunStatement` statement by closing its session on the engine; `StatementStopped` answers it."""
 
     token: int
     engine: str
@@ -168,7 +168,7 @@
 
 @dataclass(slots=True, frozen=True)
 class DescribeTable:
-    """Read an engine's columns of the table, fenced too; answered by `TableDescribed` or `DescribeFailed`."""
+    """Read the table's columns on an engine, fenced; `TableDescribed` or `DescribeFailed` answers it."""
 
     token: int
     engine: str
@@ -220,8 +220,8 @@
         self.attempts = self.next_statement = 0  # statement index within the current attempt
         self.is_quiet = False
         self.is_present = state != Change.GONE_AWAY
-        self.is_left_behind = False  # has neither schema, having missed an earlier change; left as it is
-        self.may_still_run = False  # it left while running a statement of this holder
+        self.is_left_behind = False  # it missed an earlier change, has neither schema, and is not changed
+        self.may_still_run = False  # the engine left while running a statement of this holder
 
 
 class Rollout:
@@ -238,8 +238,8 @@
         self._overlay = ((FENCE, f"table:{change.table}:{fence}"),)
         # Commands to propose, in order; the first one has been sent.
         self._pending_commands: list[pb.ContractCommand] = []
-        self._resend_at_ms, self._command_token = 0.0, 0  # of the first pending command
-        self._token = 0  # of the latest action
+        self._resend_at_ms, self._command_token = 0.0, 0  # both of the first pending command
+        self._token = 0  # token of the latest action
         self._has_begun = False
         self._revert_reason = ""  # set when a revert is to start, once no statement runs
         self.over: RolloutEnded | None = None
@@ -320,7 +320,7 @@
         self, now_ms: float, answer: pb.ContractAnswer | None, actions: list[Action]
     ) -> None:
         command = self._pending_commands[0]
-        if answer is None:  # applied or not: the commands are idempotent
+        if answer is None:  # send the command again, applied or not: commands are idempotent
             self._send_command(now_ms, actions)
             return
         del self._pending_commands[0]
@@ -367,7 +367,7 @@
             if not engine.is_present and engine.state in (*open_states, Change.DONE):
                 self._mark(now_ms, engine, Change.GONE_AWAY, actions)
             elif engine.is_present and engine.state == Change.GONE_AWAY and (is_forward or self.back):
-                # Statements sent before it left may have been executed.
+                # Statements sent before the engine left may have been executed.
                 self._mark(now_ms, engine, Change.ASKED if is_forward else Change.ASKED_BACK, actions)
         if self._pending_commands:
             return
@@ -391,7 +391,7 @@
         for engine in idle if self.at_once else idle[:1]:
             if engine.state == Change.BEHIND:
                 self._describe(now_ms, engine, actions)
-            elif engine.is_quiet:  # since before the revert started
+            elif engine.is_quiet:  # it has been quiet since before the revert started
                 self._await_drain(now_ms, engine, actions)
             else:
                 self._mark(now_ms, engine, engine.state, actions, quiet=True)
@@ -510,7 +510,7 @@
                 self._end(actions, "given-up", f"{engine.name} does not stop")
             elif engine.phase == "describe":
                 self._retry_describe(now_ms, engine, actions)
-            elif engine.phase == "drain":  # other engines go first; it stays quiet and drains meanwhile
+            elif engine.phase == "drain":  # other engines go first; this one stays quiet and drains meanwhile
                 engine.attempts += 1
                 if engine.attempts >= self.timeouts.max_attempts:
                     engine.attempts = 0
--- a/fennelwind/schema_compatibility/rules.py
+++ b/fennelwind/schema_compatibility/rules.py
@@ -29,7 +29,7 @@
 
 
 class Rule(NamedTuple):
-    """A compatibility rule. `remedy`: what the publisher can do instead."""
+    """A compatibility rule; `remedy` says what the publisher can do instead."""
 
     code: str
     level: Level
@@ -338,15 +338,15 @@
 class Read:
     """A column of the reader schema, matched by name or by its position in the row, counted from 1.
 
-    `number`: the column's identity when the subscriber registered; 0: the table was not known then.
+    `number` is the column's identity when the subscriber registered, or 0 if the table was not known then.
     """
 
     name: str
     type: Type
     nullable: bool = True  # the subscriber accepts nulls
-    place: int = 0  # 0: matched by name
+    place: int = 0  # 0 if matched by name
     number: int = 0
-    partition: bool = False  # it was a partition column at registration
+    partition: bool = False  # the column was a partition column at registration
 
     def __hash__(self) -> int:
         return hash((self.name, self.place, self.number))
@@ -354,7 +354,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reads:
-    """The reader schema for one table. `columns`: as of the registration, also for `*`."""
+    """The reader schema for one table; `columns` are those at registration, also for `*`."""
 
     table: str
     columns: tuple[Read, ...]
@@ -443,7 +443,7 @@
 
 @lru_cache(maxsize=65536)
 def protocol_rules(given: Type, version: int) -> tuple[str, ...]:
-    """Return the codes of a type's limits in a protocol version (1 to 11). Nested types are sent as text."""
+    """Return the rules that limit a type in a protocol version (1 to 11), as codes; nested types are text."""
     kind = given.kind
     if kind == "varchar" and version < 3:
         return ("protocol-varchar",)
@@ -471,7 +471,7 @@
         self._protocol_findings: dict[int, tuple[Finding, ...]] = {}
 
     def protocol_findings(self, version: int) -> tuple[Finding, ...]:
-        """Return the findings of a protocol version's limits for a whole row."""
+        """Return the findings for all columns of a row under a protocol version's limits."""
         findings = self._protocol_findings.get(version)
         if findings is None:
             findings = self._protocol_findings[version] = tuple(
@@ -489,10 +489,10 @@
 def check_reads(
     reads: Reads, version: int, schema: IndexedSchema | None, cache: FindingCache | None = None
 ) -> tuple[Finding, ...]:
-    """Return the findings of a subscriber's reads against a schema; None: the table does not exist.
+    """Return the findings of a subscriber's reads against a schema, None if the table does not exist.
 
-    `cache`: findings per `Read`, which many subscribers share; valid for one schema, one protocol version and
-    one value of `takes_whole_rows`.
+    `cache` holds findings per `Read`, which many subscribers share. It is valid for one schema, one protocol
+    version and one value of `takes_whole_rows`.
     """
     if schema is None:
         return (Finding("table-dropped", "", reads.table),)
--- a/fennelwind/schema_compatibility/session_options.py
+++ b/fennelwind/schema_compatibility/session_options.py
@@ -13,9 +13,9 @@
     fennelwind.back = ALTER TABLE sales.orders REPLACE COLUMNS (...)
 
 `by name` (the default): the statement names its columns, or takes them from the result by name. `by place`:
-it reads columns by position in the row, either their position in the list or the position written before each
-(`1 id bigint, 4 note string by place`), and ignores the others. `* by name`: all columns present at
-registration, by name. `* by place`: whole rows of the width that they have at registration.
+the subscriber reads columns by position in the row, and ignores other columns. The position is that in the
+list, or the one written before each column (`1 id bigint, 4 note string by place`). `* by name`: all columns
+present at registration, by name. `* by place`: whole rows of the width that they have at registration.
 """
 
 from collections.abc import Callable, Mapping
@@ -56,7 +56,7 @@
 TERM_OPTION, AT_ONCE_OPTION = "fennelwind.subscriber.term_s", "fennelwind.at_once"
 READS_PREFIX, SCHEMA_PREFIX = "fennelwind.reads.", "fennelwind.schema."
 VERSION_PREFIX, ANEW_PREFIX = "fennelwind.schema_version.", "fennelwind.anew."
-DROPPED = "dropped"  # in place of a schema: the table is dropped
+DROPPED = "dropped"  # written in place of a schema if the table is dropped
 MAX_READS_TEXT_LENGTH = 8192  # characters per table, the limit of any session option
 DEFAULT_TERM_S = 24 * 3600.0  # default term of a subscription without renewal
 MAX_PLACE = 2000  # equals `types.MAX_COLUMNS`
@@ -147,7 +147,7 @@
 ) -> Subscription | None:
     """Return the subscription in a session's configuration, or None if it has none.
 
-    `protocol`: the `client_protocol` number of its OpenSession, 0 for V1. Raises `SessionOptionError`.
+    `protocol` is the `client_protocol` number of OpenSession, 0 for V1. Raises `SessionOptionError`.
     """
     options = {key: text for key, text in configuration.items() if key.lower().startswith(READS_PREFIX)}
     name = configuration.get(SUBSCRIBER_OPTION)
@@ -228,7 +228,7 @@
 
 
 def _read_option(setting: str, parse: Callable[..., Any], *arguments: str) -> Any:
-    """Parse an option. Raises `SessionOptionError`, which names the option, where parsing fails."""
+    """Parse an option. Raises `SessionOptionError`, which names the option, if parsing fails."""
     try:
         return parse(*arguments)
     except (SchemaTextError, SchemaError) as exc:
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -62,16 +62,16 @@
 MAX_TABLES = 20_000
 MAX_SUBSCRIPTIONS = 50_000  # in total; equal ones under one name count once
 MAX_SUBSCRIPTIONS_PER_NAME = 64  # program versions that run side by side share one name
-MAX_CHANGES = 1000  # in progress at a time
+MAX_CHANGES = 1000  # changes in progress at a time
 MAX_ENGINES = 1000  # per change
 MAX_STATEMENTS = 16  # per change and direction
 MAX_STATEMENT_LENGTH = 16 * 1024  # characters
-MAX_LAPSED_SUBSCRIPTIONS = 4096  # remembered, to report breaking changes to subscribers that return
-MAX_ENDED_CHANGES = 4096  # whose outcome is remembered
-MIN_TERM_MS, MAX_TERM_MS = 10_000, 30 * 24 * 3600 * 1000  # of a subscription's term
+MAX_LAPSED_SUBSCRIPTIONS = 4096  # kept to report breaking changes to subscribers that return
+MAX_ENDED_CHANGES = 4096  # ended changes whose outcome is remembered
+MIN_TERM_MS, MAX_TERM_MS = 10_000, 30 * 24 * 3600 * 1000  # bounds of a subscription's term
 BEGIN_TIMEOUT_MS = 60_000  # after its admission, a change that has not begun lapses
-MOVE_BLOCK_MS = 180_000  # a change refused because of moves blocks new moves this long: a move and its rest
-MOVE_GRACE_MS = 120_000  # for this long after that, another refusal blocks no moves, so that they progress
+MOVE_BLOCK_MS = 180_000  # a change refused for moves blocks new moves this long: one move and its rest period
+MOVE_GRACE_MS = 120_000  # for this long after the block, a refusal blocks no moves, so that they progress
 RETRY_AFTER_MS = 5000  # retry delay sent with a refusal
 
 FINISHED, UNDONE, WITHDRAWN, LAPSED = 1, 2, 3, 4  # outcomes of changes
@@ -84,7 +84,7 @@
     (Change.WAITING, Change.GONE_AWAY),
     (Change.ASKED, Change.GONE_AWAY),
     (Change.DONE, Change.GONE_AWAY),
-    (Change.GONE_AWAY, Change.ASKED),  # statements sent before it left may have been executed
+    (Change.GONE_AWAY, Change.ASKED),  # statements sent before the engine left may have been executed
     (Change.BEHIND, Change.WAITING),
     (Change.BEHIND, Change.DONE),
 }  # a BEHIND engine turns out to have the old schema (WAITING) or the new one (DONE)
@@ -127,7 +127,7 @@
 
 @dataclass(slots=True)
 class SchemaChange:
-    """An admitted change in progress. `schema` None: the table is dropped."""
+    """An admitted change in progress; `schema` is None if the table is dropped."""
 
     number: int
     table: str
@@ -162,7 +162,7 @@
         self.by_table: dict[str, int] = {}  # table -> number of its change
         self.lagging: set[str] = set()  # tables with engines in `Table.behind`
         self.lapsed: OrderedDict[int, Subscription] = OrderedDict()
-        self.wanted: dict[str, tuple[int, int]] = {}  # table -> moves blocked until, grace until; ms
+        self.wanted: dict[str, tuple[int, int]] = {}  # table -> ms when the block of moves and the grace end
         self.ended: OrderedDict[int, int] = OrderedDict()
         self.next_column = 1
         self.readers = Subscriptions()
@@ -213,7 +213,7 @@
                 self.wanted[table] = (0, grace_until)
 
     def next_expiry_clock_ms(self) -> int | None:
-        """Return the replicated clock's time of the next possible expiry; None: nothing expires."""
+        """Return the replicated clock's time of the next possible expiry, or None if nothing expires."""
         times = [self._expiry_heap[0][0]] if self._expiry_heap else []
         times += [c.begin_by_ms for c in self.changes.values() if c.step == Change.ADMITTED]
         times += [until or grace_until for until, grace_until in self.wanted.values()]
@@ -232,7 +232,7 @@
     def quiet(self, table: str) -> frozenset[str]:
         """Return the engines that must receive no new queries of a table.
 
-        These are being changed now, or were absent during a change and may have another schema.
+        Such an engine is being changed now, or was absent during a change and may have another schema.
         """
         known_table, change = (
             self.tables.get(table.lower()),
@@ -420,7 +420,7 @@
             answer.refusal, answer.again_ms = Refusal.TOO_MANY, RETRY_AFTER_MS
             return
         for engine in table.behind if table is not None else ():
-            if engine in engines:  # it first needs the change that it missed
+            if engine in engines:  # this engine first needs the change that it missed
                 engines[engine] = Change.BEHIND
         self.next_column = next_column
         self.wanted.pop(name, None)
@@ -446,7 +446,7 @@
     def _is_blocked(
         self, at: LogPosition, command: pb.Propose, name: str, facts: Facts, answer: pb.ContractAnswer
     ) -> bool:
-        """Refuse a proposal while another change is in progress, or if the publisher's version is stale."""
+        """Refuse a proposal during another change or with a stale version; return whether it was refused."""
         if name in self.by_table and not command.ask_only:
             answer.refusal, answer.again_ms = Refusal.CHANGING, RETRY_AFTER_MS
             answer.number = self.by_table[name]
@@ -493,7 +493,7 @@
         self, command: pb.Mark | pb.Turn | pb.Finish, facts: Facts, answer: pb.ContractAnswer
     ) -> SchemaChange | None:
         change = self._change_under_lease(command.number, command.fence, facts, answer)
-        # Not begun under this fencing token, or begun under a later one.
+        # The change was not begun under this fencing token, or was begun under a later one.
         if change is not None and change.fence != command.fence:
             answer.refusal = Refusal.FENCE
             return None
@@ -666,7 +666,7 @@
         return state.SerializeToString(deterministic=True)
 
     def restore(self, data: bytes) -> None:
-        """Replace the state by a snapshot's; b"": the empty state."""
+        """Replace the state by that of a snapshot; b"" gives the empty state."""
         self._clear()
         state = pb.ContractState.FromString(data)
         self.next_column = state.next_column or 1
--- a/fennelwind/schema_compatibility/types.py
+++ b/fennelwind/schema_compatibility/types.py
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Type:
-    """A Hive type. `size`: (precision, scale) of a decimal, (length,) of a char or varchar."""
+    """A Hive type. `size` is (precision, scale) for a decimal, (length,) for a char or varchar."""
 
     kind: str
     size: tuple[int, ...] = ()
@@ -100,7 +100,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column. `number`: its replicated identity, kept when it is renamed or moved; 0: none yet."""
+    """A column. `number` is its replicated identity, kept when it is renamed or moved, or 0 at first."""
 
     name: str
     type: Type
@@ -172,7 +172,7 @@
 
 
 def check_type(checked: Type, depth: int = 0) -> int:
-    """Return the number of types in a type, itself included. Raises `SchemaError` if Hive lacks it."""
+    """Return the number of types in a type, itself included. Raises `SchemaError` for a type not in Hive."""
     if depth >= MAX_TYPE_DEPTH:
         raise SchemaError(f"types over {MAX_TYPE_DEPTH} deep", depth=depth)
     kind, size, parts = checked.kind, checked.size, checked.parts
--- a/fennelwind/shards/__init__.py
+++ b/fennelwind/shards/__init__.py
@@ -1,1 +1,1 @@
-"""Where tables' shards lie and how they move: a machine on the record, a planner, a carrier."""
+"""Placement and migration of tables' shards: replicated state machine, planner and migration driver."""
--- a/fennelwind/shards/access_load.py
+++ b/fennelwind/shards/access_load.py
@@ -10,7 +10,7 @@
 HALF_LIFE_MS = 1_800_000  # ms; load varies with the hour of the day, and a migration takes some minutes
 STEPS_PER_HALF_LIFE = 16  # load in the replicated state decays by 4% in each step
 STEP_MS = HALF_LIFE_MS // STEPS_PER_HALF_LIFE
-UNITS_PER_QUERY = 1000  # units in which the replicated state counts a query
+UNITS_PER_QUERY = 1000  # the replicated state counts each query as this many units
 DECAY_FACTORS = (
     65536,
     62757,
@@ -28,23 +28,23 @@
     37316,
     35734,
     34219,
-)  # of 65536, after n steps: 2 ** (-n / 16)
-MAX_REPORTED_SHARDS = 256  # shards in one report of a controller, those named most
-MAX_REPORTED_NAME_BYTES = 65_536  # of the names in a report, a quarter of the maximum size of a command
+)  # the factor after n steps is 65536 * 2 ** (-n / 16), in parts of 65536
+MAX_REPORTED_SHARDS = 256  # a controller's report holds the shards named most, up to this many
+MAX_REPORTED_NAME_BYTES = 65_536  # limit for all names in a report: a quarter of a command's maximum size
 MAX_REPORTED_COUNT = 2**40  # units that one controller may report for a shard; sums stay far below 2**64
 MAX_COUNTED_SHARDS = 4_096  # shards that a controller counts; others are ignored until some have decayed
 MIN_KEPT_QUERIES = 0.05  # queries; lower counts are dropped
-# units known to the replicated state from which on counted load replaces declared load
+# counted load replaces declared load once the replicated state has counted this many units
 MIN_COUNT_TO_USE = 1_000 * UNITS_PER_QUERY
 
 
 def decayed(count: int, steps: int) -> int:
-    """Return a count after so many steps of decay."""
+    """Return what remains of a count after `steps` steps of decay."""
     return (count >> min(steps // STEPS_PER_HALF_LIFE, 64)) * DECAY_FACTORS[steps % STEPS_PER_HALF_LIFE] >> 16
 
 
 class AccessCounter:
-    """Counts of one controller that are not reported yet. Times in ms on its own clock."""
+    """Counts of one controller that it has not reported yet. Times are in ms on the controller's clock."""
 
     def __init__(self) -> None:
         self.counts: dict[str, float] = {}  # queries by shard, decayed up to `_decayed_to_ms`
--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -1,4 +1,4 @@
-"""Balance of disk use and access load: migrates replicas from engines that exceed the tolerance. No I/O."""
+"""Balances disk use and access load: migrates replicas away from engines over the tolerance. No I/O."""
 
 import math
 
@@ -13,11 +13,11 @@
 from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
-MAX_BALANCE_MIGRATIONS = 64  # for balance alone in one plan; the next plan continues
+MAX_BALANCE_MIGRATIONS = 64  # limit for one plan on migrations for balance; the next plan may add more
 CANCEL_THRESHOLD = 0.5  # part of a tolerance below which a planned migration for balance is cancelled
-# standard deviations allowed for chance in counted load: exceeded once in 30,000 plans
+# standard deviations allowed for chance in counted load: chance alone exceeds them once in 30,000 plans
 CHANCE_DEVIATIONS = 4.0
-# considered on the engine with the largest deviation, those with the most gain for their bytes
+# shards considered on the engine with the largest deviation: those with the most gain for their bytes
 MAX_CANDIDATE_SHARDS = 40
 
 
@@ -50,7 +50,7 @@
         return (limit - self.sequence.free_at_end(engine) + more) / limit if limit > 0 else 1.0
 
     def deviation(self, engine: str, size: int = 0, heat: float = 0.0) -> tuple[float, float]:
-        """Return how far an engine is above the mean in disk use and access load, in tolerances."""
+        """Return an engine's excess over the mean in disk use and access load, in multiples of tolerance."""
         disk = (self.disk_share(engine, size) - self.disk_mean) / max(self.bounds.disk_tolerance, 1e-9)
         load_excess = (self.access_load[engine] + heat - self.mean_access_load) / max(
             self.bounds.heat_tolerance * self.mean_access_load + self.random_deviation(engine), 1e-9
@@ -60,7 +60,8 @@
     def random_deviation(self, engine: str) -> float:
         """Return the deviation of an engine's access load that chance alone may cause.
 
-        A decaying count has half the variance of its mean, in queries; less with several replicas of a shard.
+        Counted in queries, a decaying count's variance is half its mean, and less if a shard has several
+        replicas.
         """
         unit = self.view.world.heat_unit
         return CHANCE_DEVIATIONS * math.sqrt(
@@ -69,7 +70,7 @@
 
 
 def no_longer_needed(placement: Placement, moves: list[Migration]) -> list[int]:
-    """Return the planned migrations for balance whose engine no longer exceeds the tolerance."""
+    """Return the numbers of migrations for balance whose engine would stay near the mean without them."""
     view, bounds = placement.view, placement.bounds
     disk_share = {name: placement.load[name] / max(1, view.limit[name]) for name in placement.load}
     loads = access_load_by_engine(view, {name: placement.assigned(name) for name in view.good_at_end})
@@ -126,13 +127,13 @@
         and accepts_replica(world.homes[engine], world.shards[name])
         and len(deviations.places[name]) == len(view.good_now[name])
     ]
-    if disk:  # the smallest shard that is sufficient, then the largest
+    if disk:  # shards that suffice, the smallest first, then the others, the largest first
         sufficient = [deviations.deviation(engine, -shard.size)[0] <= 1.0 for shard in candidates]
         ranks = [
             shard.size if is_sufficient else -shard.size
             for shard, is_sufficient in zip(candidates, sufficient, strict=True)
         ]
-    else:  # the most load for the bytes
+    else:  # the shard with the most load per byte first
         sufficient = [True] * len(candidates)
         ranks = [-shard.heat / replication_factor(shard) / max(1, shard.size) for shard in candidates]
     candidates = [
@@ -161,7 +162,7 @@
 
 
 def _best_target(deviations: _Deviations, shard: Shard, engine: str, load_share: float, worst: float) -> str:
-    """Return the engine with the least deviation after the migration, if that is within tolerance."""
+    """Return the engine with the least deviation after the migration, or "" if none is within tolerance."""
     placement, view = deviations.placement, deviations.view
     others = deviations.places[shard.name] - {engine}
     best, lowest = "", 1.0
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -1,11 +1,11 @@
 """What the shards need and which running migrations remain valid. No I/O.
 
-A replica counts when it is `good` on an engine that is not gone. Replicas on engines that are gone count for
-nothing: neither as good, nor as used disk, nor as something to drop. A replica that is `doubtful`, `coming`
-or `leaving` takes disk space and counts for nothing else.
+A replica counts if it is `good` on an engine that is not gone. A replica on an engine that is gone is
+ignored: it is not good, uses no disk and needs no drop. A replica that is
+`doubtful`, `coming` or `leaving` takes disk space and counts for nothing else.
 
-A migration is cancelled when its target may not have or no longer needs the replica, when no engine has a
-good replica to read, when its table is frozen before it has begun, or when its space is no longer available.
+A migration is cancelled when its target may not have the replica or no longer needs it, when no engine has a
+good replica to read, when its table is frozen before it has begun, or when there is no longer space for it.
 A migration whose old replica is needed after all continues without the drop (`keeps`).
 """
 
@@ -45,17 +45,17 @@
     # migrations that have not ended, by number
     unfinished: dict[int, Migration] = field(default_factory=dict)
     continuing: dict[int, Migration] = field(default_factory=dict)  # migrations that continue, by number
-    cancels: dict[int, str] = field(default_factory=dict)  # reason by number
+    cancels: dict[int, str] = field(default_factory=dict)  # reason for each cancelled migration, by number
     keeps: set[int] = field(default_factory=set)  # migrations that continue without their drop
     good_now: dict[str, set[str]] = field(default_factory=dict)  # by shard: engines with a good replica
     # by shard: engines with a good replica once the continuing migrations have ended
     good_at_end: dict[str, set[str]] = field(default_factory=dict)
     # by shard: live engines with a doubtful replica
     doubtful: dict[str, set[str]] = field(default_factory=dict)
-    used: dict[str, int] = field(default_factory=dict)  # bytes by engine: all replicas, whatever their state
-    limit: dict[str, int] = field(default_factory=dict)  # bytes by engine that replicas may take
+    used: dict[str, int] = field(default_factory=dict)  # bytes by engine, of all replicas in any state
+    limit: dict[str, int] = field(default_factory=dict)  # bytes that replicas may take, by engine
     holders: dict[str, set[str]] = field(default_factory=dict)  # by shard: live engines with any replica
-    # replicas that continuing migrations bring, and the migration
+    # by shard and engine: the continuing migration that brings the replica
     brought_by: dict[tuple[str, str], int] = field(default_factory=dict)
     # replicas whose drop continuing migrations wait for
     to_clear: set[tuple[str, str]] = field(default_factory=set)
@@ -125,9 +125,9 @@
     _find_orphans(view, unfinished)
     for move in view.continuing.values():
         if move.number not in view.keeps:
-            view.doubtful[move.shard].discard(move.drops)  # dropped by that migration
+            view.doubtful[move.shard].discard(move.drops)  # the migration drops this replica
         elif _is_known_good(world.copies.get((move.shard, move.drops)), "leaving"):
-            view.good_now[move.shard].add(move.drops)  # it stays, and was known to be good
+            view.good_now[move.shard].add(move.drops)  # the replica stays, and was known to be good
     view.leaving_or_doubtful = {name: set(engines) for name, engines in view.doubtful.items()}
     for shard, engine in (*view.cancelled_copies, *view.orphans, *view.to_clear):
         view.leaving_or_doubtful[shard].add(engine)
@@ -171,7 +171,7 @@
 
 
 def _cancel_reason(view: View, move: Migration) -> str:
-    """Return why a migration that is not switched yet can't continue; "": it can."""
+    """Return why a migration that is not switched yet can't continue, or "" if it can."""
     world = view.world
     shard, target = world.shards[move.shard], world.homes.get(move.target)
     if target is None or target.life not in ("ready", "cold"):
@@ -214,7 +214,7 @@
 
 
 def _is_known_good(copy: Replica | None, state: str) -> bool:
-    """Return whether a replica is in this state and was known to be good."""
+    """Return whether a replica is in `state` and was known to be good before."""
     return copy is not None and copy.state == state and not copy.wrong
 
 
@@ -262,7 +262,7 @@
     brought_last: dict[str, dict[str, int]] = {}
     for number, move in sorted(view.continuing.items()):
         if move.step == "switched" and move.target not in view.good_now[move.shard]:
-            continue  # the engine has gone since, or its replica is doubtful
+            continue  # the target has gone since, or its replica is doubtful
         view.good_at_end[move.shard].add(move.target)
         brought_last.setdefault(move.shard, {})[move.target] = number
     waited_for = {other for move in view.continuing.values() for other in move.after}
@@ -277,13 +277,13 @@
             _is_known_good(copy, "good") or (_is_known_good(copy, "leaving") and move.step == "switched")
         ):
             if number > brought_last.get(move.shard, {}).get(move.drops, number):
-                good_at_end.discard(move.drops)  # an intermediate replica on a third engine
+                good_at_end.discard(move.drops)  # the drop removes an intermediate replica on a third engine
             continue
         others, good_now = good_at_end - {move.drops}, view.good_now[move.shard] | {move.drops}
         loses_needed = len(others) < min(replication_factor(shard), len(good_now)) or view.span(others) < min(
             required_zones(shard), view.span(good_now)
         )
-        good_when_done = set(good_now)  # when it is done and, of the others, only those that it waits for
+        good_when_done = set(good_now)  # once `move` and, of the others, only those it waits for are done
         for other in (*move.after, number):
             if other in view.continuing and view.continuing[other].shard == move.shard:
                 good_when_done = good_when_done - {view.continuing[other].drops} | {
@@ -339,7 +339,7 @@
 
 
 def _cancel_needless(view: View) -> None:
-    """Cancel planned migrations, and running ones without a drop, that are needless now; the last first."""
+    """Cancel planned migrations, and running ones without a drop, that are needless now, the last first."""
     world = view.world
     waited_for = Counter(other for move in view.continuing.values() for other in move.after)
     load = dict(view.used)
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -15,28 +15,28 @@
 from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
-MAX_SEEN_PER_STATE = 10  # states seen for each state expanded, at most
-# by shard: bit masks of the engines with a good and with a doubtful replica
+MAX_SEEN_PER_STATE = 10  # maximum number of states seen for each state expanded
+# for each shard, two bit masks: engines with a good replica, engines with a doubtful one
 State = tuple[tuple[int, int], ...]
-Step = tuple[str, str, str]  # shard, engine that gets a replica, engine that loses one; "": none
+Step = tuple[str, str, str]  # shard, engine that gets a replica, engine that loses one; "" if no engine does
 
 
 @dataclass(slots=True)
 class _MovableShard:
-    """A shard that may be changed; engines are bits."""
+    """A shard whose replicas may change. Sets of engines are bit masks."""
 
     name: str
     size: int
     count: int
     zones: int
     fit: int  # engines that may hold a replica
-    free: int  # of these, those that may receive one: they have no replica of another state
+    free: int  # the engines of `fit` that may receive a replica: they hold none in another state
     good: int  # engines with a good replica when running migrations have ended
-    now: int  # of these, those that have it now
-    unread: int  # of these, those whose replica no running migration reads
+    now: int  # the engines of `good` that have a good replica now
+    unread: int  # the engines of `now` whose replica no running migration reads
     doubtful: int
-    goals: tuple[int, ...] = ()  # places that meet all needs that can be met
-    min_unmet: int = 0  # replicas and zones that are unmet even there
+    goals: tuple[int, ...] = ()  # sets of engines that meet all needs that can be met
+    min_unmet: int = 0  # replicas and zones that the shard lacks even in those places
 
 
 @dataclass(slots=True, frozen=True)
@@ -148,13 +148,16 @@
         return self._unmet[key]
 
     def explore(self, least: int, states: int) -> Path | None:
-        """Return the path with the least unmet needs, then bytes, that so many states show."""
+        """Return the path found with the least unmet needs and, of such paths, the least bytes.
+
+        `states` limits the states expanded. The search ends early at a path with at most `least` unmet needs.
+        """
         return self._search(
             states, lambda unmet, min_remaining, bytes_paid: (unmet, min_remaining, bytes_paid), least, None
         )
 
     def cheapest(self, allowed: int, below: int | None, states: int) -> Path | None:
-        """Return the cheapest path to at most `allowed` unmet and under `below` bytes; None: not found."""
+        """Return the cheapest path under `below` bytes with at most `allowed` unmet needs, or None."""
         return self._search(states, None, allowed, below)
 
     def _search(self, states: int, priority: Callable | None, allowed: int, below: int | None) -> Path | None:
@@ -198,7 +201,7 @@
         return found if priority is not None else None
 
     def _unmet_in(self, state: State, free: tuple[int, ...]) -> int:
-        """Return the unmet needs, with one for each engine over its headroom."""
+        """Return the number of unmet needs, plus one for each engine whose headroom is not kept."""
         over = sum(free_after < 0 for free_after in free)
         return over + sum(self.unmet(number, good) for number, (good, _) in enumerate(state))
 
@@ -233,9 +236,9 @@
                 yield number, shard_state, tuple(free_after), step
 
     def _steps(self, movable: _MovableShard, good: int, doubtful: int) -> Iterator[tuple]:
-        """Yield a shard's steps: target, bytes it takes, engine that loses a replica, bytes freed, .."""
+        """Yield a shard's steps: target, bytes taken, engine with a drop, bytes freed, next state, step."""
         for n in self._numbers((movable.free | movable.doubtful & movable.fit) & ~good):
-            size = 0 if doubtful >> n & 1 else movable.size  # replaces a doubtful one
+            size = 0 if doubtful >> n & 1 else movable.size  # 0 if it replaces a doubtful replica
             good_next, doubtful_left = good | 1 << n, doubtful & ~(1 << n)
             yield n, size, -1, 0, (good_next, doubtful_left), (movable.name, self.engines[n], "")
             least = min(movable.zones, self._span(good))
@@ -266,7 +269,7 @@
     def _may_drop_at_once(self, movable: _MovableShard, now: int, dropped: int) -> bool:
         """Return whether a replica may be dropped at once, given those that are good already."""
         good_left = now & ~(1 << dropped)
-        if good_left == now:  # a doubtful one: dropped only when all needs are met
+        if good_left == now:  # a doubtful replica is dropped only when all needs are met
             return (now & movable.fit).bit_count() >= movable.count and self._span(
                 now & movable.fit
             ) >= movable.zones
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -28,29 +28,29 @@
 Step, Answer = pb.Step, pb.Answer
 # numbers of migrations within a plan start here, to keep them apart from those of the replicated state
 FIRST_PLAN_NUMBER = 2**62
-# a command without an answer may still be applied for this many times the wait for the answer
+# an unanswered command may still be applied for this many times `answer_ms` after its time-out
 LATE_ANSWER_FACTOR = 5.0
 MAX_CONCURRENT_CHECKS = 8  # checks of doubtful replicas that run at once
-TEMPORARY_REFUSALS = (Answer.CHANGING, Answer.WAITS)  # refusals that pass without an action here
+TEMPORARY_REFUSALS = (Answer.CHANGING, Answer.WAITS)  # refusals that pass without action of the driver
 
 
 @dataclass(slots=True, frozen=True)
 class Timing:
     """Time-outs and delays of a holder, in ms, and its number of tries."""
 
-    answer_ms: float = 5_000.0  # for the answer to a command
-    drop_ms: float = 30_000.0  # for a drop; also the engine's own time-out
-    check_ms: float = 120_000.0  # for a row count and checksum
-    copy_ms: float = 60_000.0  # for an export or import, plus its bytes at this rate:
+    answer_ms: float = 5_000.0  # time-out of a command's answer
+    drop_ms: float = 30_000.0  # time-out of a drop, which the engine enforces too
+    check_ms: float = 120_000.0  # time-out of a query for row count and checksum
+    copy_ms: float = 60_000.0  # time-out of an export or import, to which the time for its bytes is added at:
     slowest: float = 10_000.0  # bytes per ms, the slowest transfer to expect
-    slack_ms: float = 5_000.0  # from an engine's time-out until its statement is taken to have ended
-    finish_ms: float = 60_000.0  # for queries on a leaving replica, after its rest period
-    again_ms: float = 1_000.0  # before a failed statement is repeated; doubles each time
+    slack_ms: float = 5_000.0  # after an engine's time-out, until its statement is taken to have ended
+    finish_ms: float = 60_000.0  # time for queries on a leaving replica to finish after its rest period
+    again_ms: float = 1_000.0  # delay before a failed statement is repeated; doubles each time
     max_retry_delay_ms: float = 60_000.0
-    tries: int = 5  # of one statement or of one copy, before the migration is undone
-    plan_ms: float = 5_000.0  # between plans when something has changed
-    max_plan_interval_ms: float = 60_000.0  # between plans when only access load has
-    planning_ms: float = 60_000.0  # for computing a plan; 20,000 shards take 2 s of processor time
+    tries: int = 5  # tries of one statement or of one copy before the migration is undone
+    plan_ms: float = 5_000.0  # interval between plans if something other than access load has changed
+    max_plan_interval_ms: float = 60_000.0  # interval between plans if only access load has changed
+    planning_ms: float = 60_000.0  # time-out of computing a plan; 20,000 shards take 2 s of processor time
 
 
 # Events.
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StateUpdated:
-    """The holder's copy of the state machine is at this index; `frozen`: tables under schema change."""
+    """The holder's copy of the state machine is at `index`; `frozen` are the tables under schema change."""
 
     index: int
     machine: ShardMachine
@@ -67,16 +67,16 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandAnswered:
-    """The answer to a command; None: its outcome is unknown."""
+    """The answer to a command, or None if its outcome is unknown."""
 
     token: int
     answer: pb.Answer | None
-    index: int = 0  # of the entry with the command
+    index: int = 0  # index of the log entry with the command
 
 
 @dataclass(slots=True, frozen=True)
 class StatementEnded:
-    """How a statement ended: `ok`, `failed` (by the engine's answer) or `unknown`; results of a check."""
+    """A statement ended: `ok`, `failed` (by the engine's answer) or `unknown`; results if it was a check."""
 
     token: int
     outcome: str
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EnginesReported:
-    """The engines' current state; `held`: the shards that an engine lists, where it was queried."""
+    """The engines' current state; `held` has the shards that an engine lists, if it was queried."""
 
     homes: tuple[ReplicaHost, ...]
     held: dict[str, frozenset[str]] = field(default_factory=dict)
@@ -94,7 +94,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ReplicaQuiesced:
-    """All senders of queries keep them away from a leaving replica, and none runs there."""
+    """All senders keep queries away from a leaving replica, and no query runs on it."""
 
     shard: str
     engine: str
@@ -143,7 +143,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ComputePlan:
-    """A world to plan in the background, which nobody changes; `PlanCompleted` with this token follows."""
+    """Plan a world, which nobody changes, in the background; `PlanCompleted` with this token follows."""
 
     token: int
     world: World
@@ -169,12 +169,12 @@
 class _Pending:
     """A command or statement without an answer."""
 
-    owner: object  # number of a migration, shard and engine of a doubtful replica, or None
+    owner: object  # a migration's number, a doubtful replica's shard and engine, engine reports, or None
     kind: str
     until_ms: float
     pair: tuple[str, str] | None = None  # shard and engine of a statement
     seen: int = 0  # index of the state that was seen when it was sent
-    source: str = ""  # that the requested copy is to be read from
+    source: str = ""  # engine that the requested copy is to be read from
 
 
 @dataclass(slots=True)
@@ -182,8 +182,8 @@
     """What this holder knows of a migration."""
 
     phase: str = ""  # of the copy: "clear", "export", "import", "verify"
-    attempt: int = 0  # that the phase belongs to
-    tries: int = 0  # of the current phase
+    attempt: int = 0  # copy attempt that the phase belongs to
+    tries: int = 0  # tries in the current phase
     wait_until_ms: float = 0.0
     since_ms: float = 0.0  # when it was first seen at this step
     step: str = ""
@@ -212,27 +212,27 @@
         self.planned = MigrationPlan()
         self.lease_lost = False
         self._index = 0
-        self._min_index = since_index  # index of the last answer: an older state is not acted on
+        self._min_index = since_index  # highest index of an answer: the driver does not act on an older state
         self._token = 0
         self._pending: dict[int, _Pending] = {}
         self._work: dict[int, _MigrationWork] = {}
-        # replicas to check: tries, and the time before which not
+        # replicas to check: tries so far, and the earliest time of the next one
         self._doubtful: dict[tuple[str, str], tuple[int, float]] = {}
         self._doubtful_as_of = -1  # the state's `changes` up to which doubtful replicas were looked for
         self._startable: tuple[int, ...] | None = None  # planned migrations that may start in this step
-        # unanswered requests to start a copy: source, expiry in ms
+        # by migration: the source of an unanswered request to start a copy, and its expiry in ms
         self._unanswered: dict[int, tuple[str, float]] = {}
-        self._started_copies: deque[tuple[float, int]] = deque()  # copies started here: when, bytes
+        self._started_copies: deque[tuple[float, int]] = deque()  # copies that this driver began: time, bytes
         # when a drop without an answer has certainly ended
         self._drop_expiry_ms: dict[tuple[str, str], float] = {}
-        self._load_expiry_ms: dict[tuple[str, str], float] = {}  # the same of an import
+        self._load_expiry_ms: dict[tuple[str, str], float] = {}  # when an unanswered import has ended
         # when the lease was acquired: statements of the last holder may be in flight
         self._held_since_ms = -1.0
         self._listed_shards: dict[str, frozenset[str]] = {}  # shards by engine, as last listed by the engines
         self._mismatches: dict[str, frozenset[str]] = {}  # where the list differs from the replicated state
         self._engine_reports: dict[str, ReplicaHost] = {}
         self._next_plan_ms = 0.0
-        # `changes` and frozen tables of the last plan
+        # the state's `changes` and the frozen tables when the last plan was requested
         self._planned_state: tuple[int, frozenset[str]] | None = None
         self._plan_last_move = 0  # the last migration's number when the plan was requested
         self._new_plan: MigrationPlan | None = None  # a computed plan that is not used yet
@@ -442,7 +442,7 @@
             self._request_step(move, Step.RESERVE)
 
     def _may_start(self, move: Migration) -> bool:
-        """Return whether a planned copy may start here, regardless of streams and space."""
+        """Return whether this driver may start a planned copy, regardless of streams and space."""
         work = self._work.get(move.number) or self._adopt(move)
         busy = any(a.owner == move.number for a in self._pending.values())
         return (
@@ -456,7 +456,7 @@
     def _requested_copies(self) -> dict[int, str]:
         """Return the migrations whose copy, or next attempt, was requested, and the requested source.
 
-        A request without an answer may be applied late: it counts for some time longer.
+        A request without an answer may still be applied, so it counts until it expires.
         """
         self._unanswered = {
             number: entry for number, entry in self._unanswered.items() if entry[1] > self._now_ms
@@ -469,7 +469,7 @@
     def _bytes_started(self) -> int:
         """Return the bytes that copies began to transfer within the hour, those of earlier holders included.
 
-        At a low level the replicated state does not keep them; then only copies started here count.
+        At a low level the replicated state does not keep these bytes; then only this driver's copies count.
         """
         while self._started_copies and self._started_copies[0][0] + HOUR_MS <= self._now_ms:
             self._started_copies.popleft()
@@ -524,7 +524,7 @@
     def _at_copying(self, move: Migration, work: _MigrationWork) -> None:
         if not self._is_target_valid(move):
             return self._request_step(move, Step.UNDO, failed=True)
-        # started by another holder: verify what exists first
+        # if another holder started the attempt, verify what exists first
         if work.attempt != move.attempt or not work.phase:
             work.phase, work.attempt = "verify", move.attempt
         if work.tries >= self.timing.tries:
@@ -695,7 +695,7 @@
             case "export":
                 work.phase = "import" if succeeded else "failed"
             case "import":
-                work.phase = "verify"  # whatever the answer, the check will tell
+                work.phase = "verify"  # the check will tell, whatever the import's answer
             case "target" if succeeded:
                 work.target = (event.rows, event.checksum)
             case "source" if succeeded:
@@ -709,7 +709,7 @@
         elif pending.kind in ("clear", "export", "import", "drop"):
             work.tries = 0
         if work.phase == "failed":
-            # its export folder is used up: start the next attempt
+            # the attempt's export folder can't be used again: start the next attempt
             work.phase, work.tries = "export", self.timing.tries
 
     # Doubtful replicas.
@@ -718,7 +718,7 @@
         for host in event.homes:
             self._engine_reports[host.name] = host
             if host.life == "gone":
-                self._listed_shards.pop(host.name, None)  # its content is listed again when it is back
+                self._listed_shards.pop(host.name, None)  # it is listed again when the engine is back
         if self.machine is None:
             return
         for engine, listed in event.held.items():
@@ -812,7 +812,7 @@
         tries = self._doubtful.get(pair, (0, 0.0))[0] + 1
         self._doubtful[pair] = tries, self._now_ms + self._retry_delay_ms(tries)
 
-    # Plans. The state may have changed since the plan's world was taken: steps are validated there and here.
+    # Plans. The state may change after the plan's world is taken: steps are validated in the state and here.
 
     def _on_plan_completed(self, event: PlanCompleted) -> None:
         pending = self._pending.get(event.token)
@@ -842,7 +842,7 @@
         clearing_moves = {
             (move.shard, move.drops): move.number for move in machine.moves.values() if move.drops
         }
-        numbers: dict[int, int] = {}  # of the planner's migrations within this plan
+        numbers: dict[int, int] = {}  # by the planner's number: the number in this plan
         migrating = {move.shard for move in self.planned.moves}
         for shard, engine in drops:
             if (
@@ -863,7 +863,7 @@
                 or not self._may_plan(move.shard)
                 or skipped.intersection(move.after)
             ):
-                skipped.add(move.number)  # nor may those that wait for it
+                skipped.add(move.number)  # migrations that wait for it are skipped too
                 continue
             planned_shards.add(move.shard)
             numbers[move.number] = FIRST_PLAN_NUMBER + len(requested_moves)
--- a/fennelwind/shards/migration_statements.py
+++ b/fennelwind/shards/migration_statements.py
@@ -13,7 +13,7 @@
 # the configuration key with the lease and fencing token that a statement is sent under
 FENCE = "fennelwind.fence"
 TIMEOUT = "hive.query.timeout.seconds"  # Hive's own time-out, for statements whose sender is gone
-MARK_TABLE = "fennelwind_mark"  # one row on each engine's disk: another row, or none, means another disk
+MARK_TABLE = "fennelwind_mark"  # has one row on each engine's disk; another row, or none, means another disk
 
 
 def quote_name(text: str) -> str:
@@ -27,14 +27,14 @@
 
 
 def partition(shard: str) -> list[tuple[str, str]]:
-    """Return a shard's partition as pairs of column and value, in their order; empty: a whole table."""
+    """Return a shard's partition as ordered pairs of column and value; empty for a whole table."""
     _, _, path = shard.partition("/")
     pairs = [part.partition("=") for part in path.split("/") if part]
     return [(unquote(column), unquote(value)) for column, _, value in pairs]
 
 
 def partition_clause(shard: str) -> str:
-    """Return the clause that names a shard's partition, with a leading space; "": a whole table."""
+    """Return the clause that names a shard's partition, with a leading space; "" for a whole table."""
     pairs = partition(shard)
     if not pairs:
         return ""
--- a/fennelwind/shards/model.py
+++ b/fennelwind/shards/model.py
@@ -25,11 +25,11 @@
     size: int
     copies: int = 1  # replication factor
     zones: int = 1  # minimum number of zones that the replicas span
-    kinds: tuple[str, ...] = ()  # engine kinds allowed; empty: all
+    kinds: tuple[str, ...] = ()  # engine kinds allowed; all if empty
     # access load: queries that name the shard, or a declared figure; any unit, the same for all shards
     heat: float = 0.0
-    rows: int = -1  # rows of its good replicas, as agreed by the last check; -1: not checked yet
-    checksum: int = 0  # of the same check
+    rows: int = -1  # rows in a good replica, as agreed by the last check; -1 if not checked yet
+    checksum: int = 0  # checksum agreed by that check
 
 
 @dataclass(slots=True, frozen=True)
@@ -54,25 +54,25 @@
     shard: str
     engine: str
     state: str = "good"
-    wrong: bool = False  # doubtful: a check found different content; leaving: it was not good before
+    wrong: bool = False  # if doubtful: a check found different content; if leaving: it was not good before
 
 
 @dataclass(slots=True, frozen=True)
 class Migration:
-    """A replica to create and the one it replaces, if any; without a target, only a replica to drop."""
+    """A replica to create and the one that it replaces, if any. Without a target, one is only dropped."""
 
     number: int
     shard: str
     source: str  # engine with a good replica to read from
     target: str
-    drops: str = ""  # engine whose replica is dropped after the switch; "": none
+    drops: str = ""  # engine whose replica is dropped after the switch; "" if none is
     step: str = "planned"
-    after: tuple[int, ...] = ()  # migrations that have to end first, since it waits for their space
+    after: tuple[int, ...] = ()  # migrations that have to end first, since this one needs the space they free
     cleared: tuple[tuple[str, str], ...] = ()  # replicas (shard, engine) that have to be off the disk first
     attempt: int = 0  # number of copy attempts begun
     generation: int = 0  # the target's generation when its space was reserved
-    at_ms: int = 0  # clock of the replicated state when it took its current step
-    rested: bool = False  # switched for so long that no query is sent by an older view
+    at_ms: int = 0  # clock of the replicated state when the migration took its current step
+    rested: bool = False  # it has been switched for so long that no query is still sent by an older view
 
 
 @dataclass(slots=True, frozen=True)
@@ -98,7 +98,7 @@
     moves: dict[int, Migration] = field(default_factory=dict)
     frozen: frozenset[str] = frozenset()  # tables under schema change: none of their shards is migrated
     aside: frozenset[str] = frozenset()  # shards whose last migration failed: suspended for some time
-    # load of one query where load was counted, and thus is subject to chance; 0: declared
+    # load of one query if load was counted, and is thus subject to chance; 0 if load was declared
     heat_unit: float = 0.0
     # access load by shard, in place of the declared one
     counted: dict[str, float] = field(default_factory=dict)
@@ -129,6 +129,6 @@
     drops: tuple[tuple[str, str], ...] = ()  # surplus replicas (shard, engine)
     cancels: tuple[int, ...] = ()  # running migrations that are no longer valid
     short: tuple[UnmetNeed, ...] = ()
-    bytes: int = 0  # that the migrations transfer
+    bytes: int = 0  # total that the migrations transfer
     reasons: tuple[str, ...] = ()  # for each of the cancels: "target", "kinds", "source", "frozen", ..
-    keeps: tuple[int, ...] = ()  # running migrations without their drop: the old replica stays good
+    keeps: tuple[int, ...] = ()  # running ones that continue without their drop: the old replica stays good
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -4,7 +4,7 @@
 they are no longer valid; needs that can't be met are reported and all others are planned. First each shard's
 needs are met greedily. Where that leaves a need unmet or an engine over its headroom, or where ordering the
 transfers takes more bytes, better placements are searched for: over all shards of a small world, near the
-problem in a large one. Balance comes last.
+problem in a large one. Migrations for balance are added last.
 """
 
 from collections.abc import Iterable
@@ -29,10 +29,10 @@
 from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer, arrange
 
-MAX_SMALL_SHARDS, MAX_SMALL_ENGINES = 14, 8  # sizes up to which all placements are searched at once
-MAX_NODES = 10000  # nodes that the search of a small world expands, about 0.3 s
+MAX_SMALL_SHARDS, MAX_SMALL_ENGINES = 14, 8  # largest small world: all its placements are searched at once
+MAX_NODES = 10000  # nodes that the search of a small world expands, which takes about 0.3 s
 MAX_ORDERED_PLACEMENTS = 200  # complete placements of a small world for which an order is sought
-# expanded by one search of placement and order together, some 0.5 s; there are at most three
+# states that one search of placement and order together expands, in some 0.5 s; a plan runs at most three
 MAX_STATES = 8_000
 MAX_LOCAL_NODES = 200  # nodes that one local search expands
 MAX_REPAIRS = 200  # local searches in one plan; further problems are reported as unmet
@@ -42,7 +42,7 @@
 def plan(world: World, bounds: Bounds | None = None, first: int = 1) -> MigrationPlan:
     """Return the migrations and drops that are needed, in an order in which they may begin.
 
-    New migrations are numbered above those of the world, from `first` at least. `after` names the migrations
+    New migrations get numbers above those of the world, and at least `first`. `after` names the migrations
     that they wait for, in the world or in the plan; `cleared` names replicas dropped without a migration.
     """
     return _Planner(world.with_counted_load(), bounds or Bounds(), first).run()
@@ -97,7 +97,7 @@
         return len(self.world.shards) <= MAX_SMALL_SHARDS and len(self.view.used) <= MAX_SMALL_ENGINES
 
     def _min_unmet(self) -> int:
-        """Return the needs that no plan can meet, regardless of space."""
+        """Return the number of needs that no plan can meet, regardless of space."""
         return sum(
             self.placement.lacking(shard)
             for shard in self.world.shards.values()
@@ -167,12 +167,12 @@
         return self._search_with_order(best, lower_bound)
 
     def _search_with_order(self, best: _Attempt, lower_bound: tuple[int, int]) -> _Attempt:
-        """Search placement and order together where the cheapest placement could not be ordered."""
+        """Search placement and order together if the cheapest placement could not be ordered."""
         view, unordered_drops = self.view, (*self.view.orphans, *self.view.to_clear)
         if (best.unmet, best.bytes) <= lower_bound:
             return best
         path_search = PathSearch(self.placement, Sequence(view, self.first, unordered_drops))
-        first_path = path_search.explore(lower_bound[0], MAX_STATES)  # few unmet needs, whatever the bytes
+        first_path = path_search.explore(lower_bound[0], MAX_STATES)  # seeks few unmet needs, not few bytes
         best = self._better_path(best, path_search, first_path)
         best = self._better_path(best, path_search, path_search.cheapest(best.unmet, best.bytes, MAX_STATES))
         if best.unmet > lower_bound[0]:
@@ -182,7 +182,7 @@
         return best
 
     def _better_path(self, best: _Attempt, path_search: PathSearch, found: Path | None) -> _Attempt:
-        """Return the path found as an attempt, with its replicas in the placement, if it is better."""
+        """Return the path found as an attempt, with its replicas placed, if it is better; else `best`."""
         if found is None or (found.unmet, found.bytes) >= (best.unmet, best.bytes):
             return best
         drops, transfers = found.drops_and_transfers(self.view.doubtful)
@@ -226,7 +226,7 @@
             return
 
     def _relieve(self, engine: str) -> None:
-        """Take replicas from an engine that is over its headroom: large ones, then one that just suffices."""
+        """Move replicas off an engine that lacks headroom: large ones first, then one that just suffices."""
         placement, shards = self.placement, self.world.shards
         candidates = [
             shard
--- a/fennelwind/shards/plan_checker.py
+++ b/fennelwind/shards/plan_checker.py
@@ -5,7 +5,8 @@
 disk; nothing else orders events. So the states that a plan can pass through are the sets of events that
 contain the prerequisites of each of their events. The checker looks for the worst case over all of these
 sets, without limits on streams (limits only remove states). The most that an engine ever holds is a closure
-of maximum weight, found as a minimum cut. What concerns one shard is found by trying all sets of its events.
+of maximum weight, found as a minimum cut. Rules about one shard are checked by trying all sets of the
+shard's events.
 """
 
 from collections import deque
@@ -16,7 +17,7 @@
 from fennelwind.shards.model import Bounds, Migration, MigrationPlan, Replica, ReplicaHost, World
 
 ENDED_STEPS = ("done", "undone")  # steps of a migration that has ended
-# events of a shard up to which all sets are tried; a plan with more is reported as too long
+# all sets of a shard's events are tried up to this many events; more are reported as a violation
 MAX_EVENTS_PER_SHARD = 12
 Event = tuple  # ("begin", number), ("done", number), ("gone", shard, engine)
 
@@ -31,7 +32,7 @@
 
 
 def check(world: World, planned: MigrationPlan, final: bool = True) -> list[Finding]:
-    """Return all violations of a plan for a world; `final`: with those of the state that it leads to."""
+    """Return all violations of a plan for a world; if `final`, also those of the state that it leads to."""
     return _Check(world, planned).run(final)
 
 
@@ -51,8 +52,8 @@
         self.new = {move.number: move for move in planned.moves}
         self.prerequisites: dict[Event, tuple[Event, ...]] = {}
         self.replica_states: dict[str, list[tuple[str, str]]] = {}  # by shard: engine and state
-        self.moves_of_shard: dict[str, list[Migration]] = {}  # by shard
-        self.events: dict[str, list[Event]] = {}  # by shard: those that change where its good replicas are
+        self.moves_of_shard: dict[str, list[Migration]] = {}  # by shard: continuing and new migrations
+        self.events: dict[str, list[Event]] = {}  # by shard: events that change where it has good replicas
         self.copies: dict[tuple[str, str], str] = {
             key: copy.state
             for key, copy in sorted(world.copies.items())
@@ -217,7 +218,7 @@
         return self.new[number] if number in self.new else self.moves[number]
 
     def _weights(self, engine: str) -> dict[Event, int]:
-        """Return what each event adds to an engine's disk."""
+        """Return the bytes that each event adds to an engine's disk, negative if it frees them."""
         weights: dict[Event, int] = {}
         for number, move in (self.moves | self.new).items():
             size = self.world.shards[move.shard].size
@@ -256,14 +257,14 @@
         if not incoming:
             return
         forced: list[Event | None] = [None] if held <= limit else list(incoming)
-        for event in forced:  # an engine that is over its limit may take nothing before it is under it
+        for event in forced:  # an engine over its limit may take no replica before it is under the limit
             max_held = held + self._max_weight(weights, event)
             if max_held > limit:
                 self._report("headroom", engine, f"{max_held} held, {limit} allowed")
                 return
 
     def _max_weight(self, weights: dict[Event, int], forced: Event | None) -> int:
-        """Return the maximum weight of a set of events that contains all their prerequisites."""
+        """Return the maximum weight of a set of events with `forced`, if given, and all prerequisites."""
         nodes = self._closure(event for event, weight in weights.items() if weight > 0)
         forcing_weight = 2 * sum(abs(weight) for weight in weights.values()) + 1
         source, sink = ("source",), ("sink",)
@@ -324,7 +325,7 @@
 
     def _good_after(self, moves: list[Migration], start: set[str], events: set[Event]) -> set[str]:
         """Return the engines with a good replica after a set of a shard's events."""
-        good = start - {event[2] for event in events if event[0] == "gone"}  # before one comes there again
+        good = start - {event[2] for event in events if event[0] == "gone"}  # before another one comes there
         for move in moves:  # in order of numbers: a shard's later migrations have higher ones
             if ("done", move.number) in events:
                 if move.step != "switched":  # otherwise the replica is there already, or has been lost since
@@ -395,7 +396,7 @@
                 len(fit) < len(homes)
                 and shard.table not in self.world.frozen
                 and name not in self.world.aside
-                # one migration of a shard at a time: the replica goes by the next plan
+                # a shard has one migration at a time: the next plan drops the replica
                 and name not in migrating
                 and len(
                     {home.name for home in fit}
@@ -434,7 +435,7 @@
 
 
 def _flow(capacities: dict[Event, dict[Event, int]], source: Event, sink: Event) -> int:
-    """Return the maximum flow by Dinic's algorithm; uses up `capacities`."""
+    """Return the maximum flow by Dinic's algorithm; `capacities` is reduced by the flow."""
     total = 0
     while True:
         level, queue = {source: 0}, deque([source])
@@ -469,7 +470,7 @@
 
 
 def check_bounds(world: World, bounds: Bounds, running: Iterable[Migration]) -> list[Finding]:
-    """Return where migrations that run at once exceed the limits on streams."""
+    """Return a finding for each engine or pair of zones where running migrations exceed the stream limits."""
     engines: dict[str, int] = {}
     links: dict[tuple[str, ...], int] = {}
     for move in running:
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -22,7 +22,7 @@
 MAX_SLOTS = 6
 
 Places = Mapping[str, tuple[str, ...]]  # by shard: the engines with good replicas
-# by table in lower case: engines that get no new queries of it
+# by table in lower case: engines that get no new queries on the table
 QuiescedEngines = Mapping[str, frozenset[str]]
 
 
@@ -33,14 +33,14 @@
         """Record an attempt that is about to be sent."""
 
     def attempt_ended(self, attempt: tuple[int, int]) -> None:
-        """Record that nothing of an attempt remains at its engine."""
+        """Record that an attempt no longer runs at its engine."""
 
     def attempt_abandoned(self, attempt: tuple[int, int], until: float) -> None:
-        """Record that the engine may run an attempt until then at the latest."""
+        """Record that the engine may still run an attempt, until the time `until` at the latest."""
 
 
 def widen(settings: policy.Settings, slots: int) -> policy.Settings:
-    """Return a controller's settings with its classes and kinds split by slots; 0: unchanged."""
+    """Return a controller's settings with classes and kinds split by slots; unchanged without slots."""
     if not slots:
         return settings
     parts = 2 ** min(slots, MAX_SLOTS)
@@ -83,14 +83,15 @@
     ) -> None:
         self.classes = len(settings.classes)
         self.slots = [_Slot() for _ in range(min(slots, MAX_SLOTS))]
-        self.entries: dict[str, policy.EngineEndpoint] = {}  # as discovery reported them
+        self.entries: dict[str, policy.EngineEndpoint] = {}  # endpoints as discovery reported them
         self.places: Places = {}
         self.quiesced: QuiescedEngines = {}
         self.in_flight = in_flight
         self.overflows = 0  # queries for which no slot was available
         # queries by shard, for the shards that the replicated state knows
         self.access_counter = AccessCounter()
-        self._slot_of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}  # shards that can be routed
+        # by query: its slot, and those of its shards that can be routed
+        self._slot_of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}
         self._named_by_query: dict[int, tuple[str, ...]] = {}  # all shards that a query named
         self._use_count = 0
 
@@ -133,7 +134,8 @@
             if event.form != "delta":
                 self.entries = {}
             self.entries.update((entry.engine, entry) for entry in event.engines)
-            for slot in self.slots:  # if none of its shards is known, any listed engine may serve it
+            # if none of a slot's shards is known, any listed engine may serve the slot
+            for slot in self.slots:
                 slot.engines = self._allowed(slot.shards)
         return replace(event, engines=tuple(self._with_slot_mask(entry) for entry in event.engines))
 
@@ -181,8 +183,8 @@
     def replica_missing(self, query: int, engine: str) -> list[policy.EngineListUpdate] | None:
         """Take an engine's report that it lacks a replica that a query reads; return updates for the module.
 
-        The engine overrides the view until the next view arrives. None: the view agrees with the engine, or
-        no other engine has the replica; then the engine's answer is the query's answer.
+        The engine's report overrides the view until the next view arrives. Return None if the view agrees
+        with the engine, or no other engine has the replica; then the engine's answer is the query's answer.
         """
         _, shards = self._slot_of_query.get(query, (None, ()))
         remaining = {
@@ -200,7 +202,7 @@
             self.in_flight.attempt_started((query, number), self._named_by_query[query], engine)
 
     def attempt_ended(self, query: int, number: int, until: float = 0.0) -> None:
-        """Record that an attempt ended; with `until`, its engine may run it until then at the latest."""
+        """Record that an attempt ended; if `until` is given, its engine may run it until that time."""
         if self.in_flight is not None and until:
             self.in_flight.attempt_abandoned((query, number), until)
         elif self.in_flight is not None:
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -2,8 +2,8 @@
 
 Each shard has a list of options: places for its replicas with the needs that they leave unmet and the bytes
 that they take. Partial assignments are extended shard by shard, the cheapest first by their cost so far plus
-a lower bound for the other shards. Those that overfill an engine whatever the other shards get are dropped.
-So complete assignments are yielded in order of cost.
+a lower bound for the other shards. An assignment is dropped if it overfills an engine whatever places the
+other shards get. Complete assignments are therefore yielded in order of cost.
 """
 
 import heapq
@@ -14,7 +14,7 @@
 from fennelwind.shards.model import Shard
 from fennelwind.shards.target_placement import Outcome, Placement, Places
 
-PROHIBITIVE_WEIGHT = 1 << 60  # bytes that outweigh all others: no need is left unmet to save bytes
+PROHIBITIVE_WEIGHT = 1 << 60  # more than all bytes together: no need is left unmet to save bytes
 Option = tuple[int, int, Places, Outcome]  # unmet, bytes, places, transfers and drops
 
 
@@ -56,9 +56,9 @@
 ) -> Iterator[tuple[int, int, dict[str, Places]]]:
     """Yield unmet needs, bytes and places of some shards, cheapest first; the other shards stay.
 
-    At most `max_nodes` assignments are extended. `weight` is the bytes that one unmet need counts for; below
+    At most `max_nodes` assignments are extended. One unmet need costs as much as `weight` bytes; below
     `PROHIBITIVE_WEIGHT`, cheap assignments with unmet needs come before expensive ones that meet them.
-    `relaxed`: an engine that is over its limit may stay as full as it is.
+    If `relaxed`, an engine that is over its limit may stay as full as it is.
     """
     view = placement.view
     names = sorted(placement.load)
@@ -78,8 +78,8 @@
     options_by_shard, shards = [options_by_shard[i] for i in order], [shards[i] for i in order]
     min_added = [
         [0] * len(names) for _ in range(len(shards) + 1)
-    ]  # lower bound of what the later shards add to each engine
-    min_remaining_cost = [0] * (len(shards) + 1)  # lower bound of the cost of the later shards
+    ]  # lower bound on the bytes that the later shards add to each engine
+    min_remaining_cost = [0] * (len(shards) + 1)  # lower bound on the cost of the later shards
     for i in range(len(shards) - 1, -1, -1):
         vectors = [dict(option[3].change) for option in options_by_shard[i]]
         min_added[i] = [
@@ -119,7 +119,7 @@
 
 
 def movable_shards(placement: Placement, engine: str, max_count: int, lacking: int) -> list[Shard]:
-    """Return shards with a replica that could leave an engine, those that free just enough first."""
+    """Return shards with a replica that could leave an engine; first those that free just enough bytes."""
     shards = placement.world.shards
     candidates = [
         shards[name]
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -1,9 +1,9 @@
 """The replicated state of shards: replica locations, engines' capacity, and migrations with their steps.
 
 Every command but an operator's declaration carries the fencing token of the lease `moves`; a command with an
-earlier holder's token is refused. A migration's step is taken from the step before it and only while it is
-valid: this state alone decides that, whoever asks and however late. What a step allows (statements to
-engines) happens after its commit and never before.
+earlier holder's token is refused. A migration takes a step only from the step before it and
+only while the step is valid: this state alone decides that, whoever asks and however late. What a step
+allows (statements to engines) happens after its commit and never before.
 
 Space counts from a replica's reservation until its drop was answered, so a coming replica and the one that it
 replaces both count. A replica may be read while it is `good`, and in no other state.
@@ -22,7 +22,7 @@
 from fennelwind.shards.model import LIVES, Migration, Replica, ReplicaHost, Shard, World
 
 LEASE = "moves"  # the task whose holder writes here
-MAX_SHARDS = 65_536  # shards; three times what two hundred engines are planned for
+MAX_SHARDS = 65_536  # shards; three times the number planned for two hundred engines
 MAX_ENGINES = 4_096  # engines, including those that are gone for good until they are removed
 MAX_REPLICAS_PER_SHARD = 16  # replicas of one shard, whatever their state
 MAX_MIGRATIONS = 4_096  # migrations that have not ended
@@ -30,16 +30,16 @@
 MAX_ENTRIES_PER_COMMAND = 1_024
 MAX_NAME_CHARS = 512  # characters of a name
 MAX_SIZE_BYTES = 2**60  # bytes of a shard or a disk; sums of them stay far below 2**64
-MAX_PLACES_PER_ANSWER = 3_072  # shards in one answer with replica locations; with the longest names and
-MAX_LEAVING_PER_ANSWER = 512  # replicas that wait for their drop beside them, it fills a frame
+MAX_PLACES_PER_ANSWER = 3_072  # shards in one answer with replica locations
+MAX_LEAVING_PER_ANSWER = 512  # leaving replicas in it; both limits and the longest names fill a frame
 MAX_PIECE_BYTES = 1024 * 1024  # bytes of the state in one answer, half of what a frame holds
-# level of the replicated state from which on a cleared replica may be dropped before its rest
+# from this level of the replicated state on, a quiesced replica may be dropped before its rest period ends
 CLEARED_MIN_LEVEL = 2
 # ms from a switch until the old replica may be dropped: a controller cut off for less may still send to it
 REST_MS = 60_000
 HOUR_MS = 3_600_000  # ms over which transferred bytes are limited
 TRANSFER_BUCKET_MS = 300_000  # ms of one bucket of these bytes: a bucket counts until an hour after its end
-# level of the replicated state from which on it keeps bytes of the hour and counted access load
+# from this level on, the replicated state keeps the bytes started in the hour and counted access load
 ACCESS_COUNTS_MIN_LEVEL = 2
 # ms for which a shard is suspended after a failed migration; doubles each time
 INITIAL_SUSPENSION_MS, MAX_SUSPENSION_MS = (30_000, 3_600_000)
@@ -61,12 +61,12 @@
         self.homes: dict[str, ReplicaHost] = {}
         self.copies: dict[str, dict[str, Replica]] = {}  # by shard and engine
         self.moves: dict[int, Migration] = {}
-        # suspended shards: until when (0: no longer), failures in a row
+        # suspended shards: until when (0 if no longer suspended), and failures in a row
         self.asides: dict[str, tuple[int, int]] = {}
         self.used: dict[str, int] = {}  # bytes of replicas by engine, whatever their state
         self.last_move = 0
         self.changes = 0  # counts changes that may call for another plan
-        self.revision = 0  # the entry that last changed anything but access load, for which no watch is woken
+        self.revision = 0  # entry that last changed anything but access load, which wakes no watch
         self._started_bytes: dict[int, int] = {}  # bytes that copies began to transfer, by bucket of time
         self._access_counts: dict[
             str, tuple[int, int]
@@ -108,7 +108,7 @@
         return {shard: self.good(shard) for shard in sorted(self._shards_of_table.get(table, ()))}
 
     def leaving(self, shard: str) -> str:
-        """Return the engine whose replica gets no further queries and waits for its drop; "": none."""
+        """Return the engine whose replica gets no further queries and waits for its drop, or ""."""
         replicas = self.copies.get(shard, {})
         return next(
             (engine for engine, replica in sorted(replicas.items()) if replica.state == "leaving"), ""
@@ -120,11 +120,11 @@
         return [(m.shard, m.drops) for m in moves if self.leaving(m.shard) == m.drops]
 
     def touched(self, shard: str) -> int:
-        """Return the entry of a shard's last step or of a later report on its content; 0: there was none."""
+        """Return the entry of a shard's last step or of a later report on its content; 0 if none."""
         return self._content_entry.get(shard, 0)
 
     def free_bytes(self, engine: str) -> int:
-        """Return the bytes available for further replicas on an engine; negative where it holds too much."""
+        """Return the bytes available for further replicas on an engine; negative if it holds too much."""
         host = self.homes[engine]
         return usable_disk(host) - host.headroom - self.used.get(engine, 0)
 
@@ -138,7 +138,7 @@
         return max(self.revision, self._access_entry)
 
     def access_loads(self) -> dict[str, float]:
-        """Return the queries that named each shard, decayed up to the last report; {}: too few.
+        """Return the queries that named each shard, decayed up to the last report; {} if too few.
 
         With too few queries the counts are mostly chance, and the declared load is better.
         """
@@ -155,7 +155,7 @@
         )
 
     def move_of(self, shard: str) -> Migration | None:
-        """Return the shard's migration that has not ended."""
+        """Return the shard's migration that has not ended, or None if there is none."""
         return self.moves.get(self._migration_of_shard.get(shard, 0))
 
     def world(self, frozen: Iterable[str] = ()) -> World:
@@ -186,7 +186,7 @@
         )
 
     def asked(self, query: bytes) -> bytes:
-        """Answer a `ShardQuery` with a `ShardSeen` or `Places`; nothing changes. b"": unreadable."""
+        """Answer a `ShardQuery` with a `ShardSeen` or `Places`, or b"" if unreadable; nothing changes."""
         try:
             message = pb.ShardQuery.FromString(query)
         except DecodeError:
@@ -520,7 +520,7 @@
         return answer
 
     def _migration_refusal(self, message: pb.Move, facts: Facts) -> int:
-        """Return why a planned migration is refused; 0: it is accepted."""
+        """Return why a planned migration is refused, or 0 if it is accepted."""
         shard, replicas = self.shards.get(message.shard), self.copies.get(message.shard, {})
         if shard is None:
             return Answer.UNKNOWN
@@ -539,7 +539,7 @@
         return self._target_refusal(shard, message.target) if message.target else 0
 
     def _target_refusal(self, shard: Shard, target: str) -> int:
-        """Return why an engine can't accept a replica of a shard, regardless of space; 0: it can."""
+        """Return why an engine can't accept a replica of a shard, regardless of space, or 0 if it can."""
         host = self.homes.get(target)
         if host is None:
             return Answer.UNKNOWN
@@ -704,7 +704,7 @@
         is_leaving = replica is not None and replica.state == "leaving"
         if is_leaving and self.may_drop(move.shard, move.drops) and not request.failed:
             return Answer.STEP  # there is no reason to keep it
-        if is_leaving:  # once its drop may have been sent, only a check can tell whether it still exists
+        if is_leaving:  # once its drop may have been sent, only a check can tell if the replica still exists
             known_good = move.step == "switched" and not replica.wrong
             self._set_replica(
                 move.shard, replace(replica, state="good" if known_good else "doubtful", wrong=False)
@@ -885,13 +885,13 @@
 def usable_disk(host: ReplicaHost) -> int:
     """Return the bytes of an engine's disk that are available to replicas and headroom.
 
-    The headroom is there for spills; only what they take beyond it is subtracted.
+    The headroom is meant for spills; only spilled bytes beyond it are subtracted.
     """
     return host.disk - max(0, host.spilled - host.headroom)
 
 
 def _is_barred(shard: Shard, facts: Facts, is_start: bool) -> bool:
-    """Return whether a schema change of its table blocks a shard; a waiting one only new migrations."""
+    """Return whether its table's schema change blocks a shard; a waiting one blocks only new migrations."""
     return bool(facts.fact("changing", shard.table) or is_start and facts.fact("wanted", shard.table))
 
 
--- a/fennelwind/shards/target_placement.py
+++ b/fennelwind/shards/target_placement.py
@@ -16,9 +16,9 @@
 from fennelwind.shards.model import Bounds, Shard
 from fennelwind.shards.transfer_order import Transfer
 
-Places = frozenset  # of engines with a good replica in the end
-RERANK_INTERVAL = 32  # shards after which the engines are ranked again by deviation
-MAX_CANDIDATES = 12  # engines at the head of that ranking that are compared for a replica
+Places = frozenset  # the engines with a good replica in the end
+RERANK_INTERVAL = 32  # engines are ranked again by deviation after each so many shards
+MAX_CANDIDATES = 12  # engines at the head of that ranking, which are compared for each replica
 
 
 @dataclass(slots=True, frozen=True)
@@ -52,7 +52,7 @@
             for move in view.continuing.values()
             if move.step in ("planned", "reserved", "copying")
         }
-        self.places: dict[str, Places] = {}  # of the shards that change
+        self.places: dict[str, Places] = {}  # final places of the shards that change
         self.outcomes: dict[tuple[str, Places], Outcome] = {}
         self._fitting_by_kinds: dict[tuple[str, ...], list[str]] = {}
         self._zones: dict[tuple[str, ...], int] = {}
@@ -87,7 +87,7 @@
         return self.view.limit[engine] - self.load[engine]
 
     def free_now(self, engine: str) -> int:
-        """Return the bytes that are free on an engine now: planned migrations don't change it."""
+        """Return the bytes that are free on an engine now; planned migrations don't change the result."""
         return self.view.limit[engine] - self.view.used[engine]
 
     def is_pinned(self, shard: Shard) -> bool:
@@ -126,14 +126,14 @@
         good_before = {engine for engine in view.good_now[name] if (name, engine) not in view.to_clear}
         added, removed = sorted(places - good), sorted(good - places, key=lambda e: (self.free_now(e), e))
         doubtful = sorted(e for e in view.doubtful[name] - good if (name, e) not in view.to_clear)
-        drops = [engine for engine in doubtful if engine in places]  # copied again to the same engine
+        drops = [engine for engine in doubtful if engine in places]  # copied again to this engine
         doubtful = [engine for engine in doubtful if engine not in places]
         good_after, transfers, change = set(good), [], dict.fromkeys(drops, -shard.size)
         homes = self.world.homes
         for target in added:
             zones_spanned = min(zones, view.span(good_after))
             candidates = [old for old in removed if view.span(good_after - {old} | {target}) >= zones_spanned]
-            # some are dropped at once: prefer those whose space can be used
+            # spare replicas are dropped at once: leave as spares those whose space can be used
             has_spares = len(removed) > len(added)
             old = min(
                 candidates,
@@ -263,7 +263,7 @@
                 self.access_load[best] += load_share
 
     def _deviation(self, engine: str, size: int, heat: float, share: float) -> float:
-        """Return an engine's deviation from the mean with one more replica, in tolerances."""
+        """Return an engine's deviation from the mean with one more replica, in multiples of tolerance."""
         disk = (self.load[engine] + size) / max(1, self.view.limit[engine]) - share
         load_deviation = (self.access_load[engine] + heat) / self.mean_access_load - 1
         return max(
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -1,8 +1,8 @@
 """An order in which transfers may begin, so that headroom holds at all times. No I/O.
 
-Transfers are appended to a sequence. For each, free space is computed as if all transfers listed before it
-for the same engine had begun, and nothing had been dropped but what it waits for. So if each transfer begins
-once what it waits for is done, with any degree of parallelism, no engine's headroom is violated: of the
+Transfers are appended to a sequence. For each transfer, free space is computed as if all transfers listed
+before it for the same engine had begun, and only the drops that it waits for were done. So no engine's
+headroom is violated, with any degree of parallelism, if each transfer begins once its waits end: of the
 transfers that have begun on an engine, the last one listed waited for enough space for all of them.
 """
 
@@ -13,7 +13,7 @@
 from fennelwind.shards.model import Migration
 
 Pair = tuple[str, str]  # shard, engine
-MAX_EXHAUSTIVE_TRANSFERS = 12  # transfers up to which all orders are searched: at most 4096 sets of them
+MAX_EXHAUSTIVE_TRANSFERS = 12  # all orders of up to this many transfers are searched: at most 4096 sets
 
 
 @dataclass(slots=True, frozen=True)
@@ -33,16 +33,16 @@
     first: int  # number of the first new migration
     drops: Iterable[Pair] = ()  # replicas dropped without a migration
     moves: list[Migration] = field(default_factory=list)
-    # bytes when all listed migrations have begun and nothing is dropped
+    # free bytes by engine when all listed migrations have begun and nothing is dropped
     free_bytes: dict[str, int] = field(default_factory=dict)
-    # by engine: size, and the migration or drop that frees it
+    # by engine: bytes freed, and the migration or drop that frees them
     freed_by: dict[str, list[tuple[int, int | Pair]]] = field(default_factory=dict)
-    # bytes freed when all listed migrations are done
+    # bytes freed by engine when all listed migrations are done
     freed_bytes: dict[str, int] = field(default_factory=dict)
-    # by shard and engine: the migration that brings it, 0: from the start
+    # by shard and engine: the migration that brings the replica, or 0 if it is there from the start
     available: dict[str, dict[str, int]] = field(default_factory=dict)
     readers: dict[Pair, list[int]] = field(default_factory=dict)  # migrations that read a replica
-    read_counts: dict[str, int] = field(default_factory=dict)  # migrations that read from an engine
+    read_counts: dict[str, int] = field(default_factory=dict)  # number of migrations that read from an engine
     moves_of_shard: dict[str, list[int]] = field(default_factory=dict)  # migrations by shard
 
     def __post_init__(self) -> None:
@@ -79,7 +79,10 @@
         self.moves_of_shard.setdefault(move.shard, []).append(number)
 
     def sources(self, shard: str) -> dict[str, int]:
-        """Return the engines from which the shard can be read after what is listed."""
+        """Return the engines where the shard can be read after all that is listed.
+
+        Each has the migration that brings the replica, or 0 if the replica is there from the start.
+        """
         if shard not in self.available:
             self.available[shard] = dict.fromkeys(sorted(self.view.good_now[shard]), 0)
         return self.available[shard]
@@ -89,7 +92,7 @@
         return self.free_bytes[engine] + self.freed_bytes[engine]
 
     def add(self, transfer: Transfer) -> Migration | None:
-        """Append a transfer; return None where space or a source is missing."""
+        """Append a transfer; return its migration, or None if space, a source or a zone is missing."""
         world, view = self.view.world, self.view
         shard, target, drops = transfer.shard, transfer.target, transfer.drops
         size, available, homes = world.shards[shard].size, self.sources(shard), world.homes
@@ -126,7 +129,7 @@
             else:
                 continue
             lacking -= bytes_freed
-        for other in self.moves_of_shard.get(shard, ()):  # an earlier migration dropped it from there
+        for other in self.moves_of_shard.get(shard, ()):  # an earlier migration drops the replica there
             move = view.continuing[other] if other in view.continuing else self.moves[other - self.first]
             if move.drops == target:
                 after.add(other)
@@ -134,7 +137,7 @@
             after.update(self.readers.get((shard, drops), ()))
             if drops in available:
                 after.update({available[drops]} - {0})
-                if zones > 1:  # one replacement at a time, so that no two together lose a zone
+                if zones > 1:  # one replacement at a time, so that no two of them together lose a zone
                     after.update(self.moves_of_shard.get(shard, ()))
             self._add_freed(drops, size, number)
         move = Migration(
@@ -151,7 +154,7 @@
 
 
 def arrange(sequence: Sequence, transfers: list[Transfer]) -> list[Transfer]:
-    """Append the transfers as far as space allows, breaking cycles by a third engine; return the others.
+    """Append the transfers as far as space allows, breaking cycles via a third engine; return the others.
 
     Transfers that free a crowded engine go first, those that free none last: in the opposite order a transfer
     might take the space needed by the one whose space it could have waited for.
@@ -169,7 +172,7 @@
     )
     if len(pending) <= MAX_EXHAUSTIVE_TRANSFERS:
         pending = _longest_feasible_order(sequence, pending)
-    rerouted: set[str] = set()  # shards already moved via a third engine: once each
+    rerouted: set[str] = set()  # shards already moved via a third engine, which each may be once
     while pending:
         blocked = [transfer for transfer in pending if sequence.add(transfer) is None]
         if len(blocked) == len(pending):
@@ -181,7 +184,7 @@
 
 
 def _longest_feasible_order(sequence: Sequence, pending: list[Transfer]) -> list[Transfer]:
-    """Return the transfers so that as many as possible find space one after the other, then the others.
+    """Return the longest order in which transfers find space one after the other, then the other transfers.
 
     The free space depends on the set of transfers listed, not on their order, so each set is visited once.
     """
@@ -218,7 +221,7 @@
 def _move_via_third_engine(
     sequence: Sequence, pending: list[Transfer], rerouted: set[str]
 ) -> list[Transfer] | None:
-    """Move the smallest blocking replica that helps to a third engine."""
+    """Move the smallest blocking replica that helps to a third engine; return the new transfers, or None."""
     view = sequence.view
     world, targets = view.world, {transfer.target for transfer in pending}
     for index, transfer in sorted(
--- a/fennelwind/shards/transfer_throttle.py
+++ b/fennelwind/shards/transfer_throttle.py
@@ -11,12 +11,12 @@
 # migrations whose copy, or next attempt, was requested, and the requested source
 RequestedSources = Mapping[int, str]
 NO_REQUESTS: RequestedSources = MappingProxyType({})
-# what a stream counts for: two engines and the pair of their zones
+# what one stream occupies: the engine read, the engine written, and the pair of their zones
 StreamUse = tuple[str, str, tuple[str, ...]]
 
 
 class MigrationState(Protocol):
-    """The part of the replicated state that is read here."""
+    """The part of the replicated state that this module reads."""
 
     shards: Mapping[str, Shard]
     homes: Mapping[str, ReplicaHost]
@@ -30,13 +30,13 @@
     requested: RequestedSources = NO_REQUESTS,
     is_allowed: Callable[[Migration], bool] = lambda move: True,
 ) -> tuple[int, ...]:
-    """Return the planned migrations that may be requested to start together now, the first planned first.
+    """Return the planned migrations that may be requested to start together now, by number.
 
     `bytes_started` is what copies have begun to transfer within the last hour, by the replicated state;
     `requested` is what was requested and is not in that state yet; `is_allowed` tells whether anything else
-    holds a migration back. A migration larger than the bytes of an hour starts when nothing was transferred,
-    as it could never start otherwise. Space, source and target are checked by the state machine: a migration
-    that it refuses is retried, and undone in the end.
+    holds a migration back. A migration larger than the hourly budget starts if no copy began within the
+    hour, as it could never start otherwise. Space, source and target are checked by the state machine: a
+    migration that it refuses is retried, and undone in the end.
     """
     streams, started = _streams(state, requested), []
     bytes_started += uncounted_bytes(state, requested)
@@ -66,7 +66,7 @@
 
 
 def fits_hourly_budget(bounds: Bounds, bytes_started: int, size: int) -> bool:
-    """Return whether the hourly budget has room for `size` more bytes."""
+    """Return whether the hourly budget has room for `size` more bytes, or is unused so far."""
     return not bytes_started or bytes_started + size <= bounds.bytes_per_hour
 
 
@@ -77,7 +77,7 @@
     engines: Iterable[str],
     requested: RequestedSources = NO_REQUESTS,
 ) -> str:
-    """Return the first of some engines that a running copy may be read from; "": none has a free stream."""
+    """Return the first engine that a running copy may be read from, or "" if none has a free stream."""
     streams = _streams(state, requested)
     streams.subtract(_stream_use(state, move.source, move.target))
     return next(
@@ -101,7 +101,7 @@
 
 
 def _stream_use(state: MigrationState, reads: str, writes: str) -> StreamUse:
-    """Return what a stream counts for; the zone of an engine that was removed is left out."""
+    """Return what one stream occupies; the zone of an engine that was removed is left out."""
     return reads, writes, tuple(sorted(state.homes[e].zone for e in (reads, writes) if e in state.homes))
 
 
