--- a/fennelwind/load_balancing/load_advisor.py
+++ b/fennelwind/load_balancing/load_advisor.py
@@ -27,7 +27,7 @@
 
 
 def is_useful(settings: policy.Settings) -> bool:
-    """Return whether executors report their load, and own queries reveal too little of the fleet's load."""
+    """Return whether advice helps: executors report their load, and own queries reveal too little of it."""
     reports_load = any(name in settings.report_fields for name in UTILIZATION_FIELDS)
     return settings.gateway_count >= MIN_CONTROLLERS and reports_load
 
--- a/fennelwind/node/endpoint_events.py
+++ b/fennelwind/node/endpoint_events.py
@@ -80,7 +80,7 @@
 
 
 def read_cursor(body: dict[str, Any]) -> int:
-    """Return the number of an event in the configuration. Raises `JsonValueError` or `KeyError`."""
+    """Return the number of an event that the configuration holds. Raises `JsonValueError` or `KeyError`."""
     return read_count(body[EventField.CURSOR])
 
 
--- a/fennelwind/raft/progress.py
+++ b/fennelwind/raft/progress.py
@@ -31,7 +31,7 @@
     snapshot_offset: int = 0  # bytes of the snapshot that the peer has received
     max_message_bytes: int = INITIAL_MESSAGE_BYTES  # kept small enough not to delay heartbeats
     removal_index: int = 0  # index of the entry that removes the peer; 0 if the peer is a member
-    removal_notice_until_ms: float = 0.0  # when to stop sending a removed peer entries
+    removal_notice_until_ms: float = 0.0  # until when a removed peer is sent entries, at the latest
 
     def adapt_message_size(self, is_slow: bool, max_bytes: int) -> None:
         """Halve the message size after a slow round, double it after a fast one."""
--- a/fennelwind/schema_compatibility/rules.py
+++ b/fennelwind/schema_compatibility/rules.py
@@ -489,7 +489,7 @@
 def check_reads(
     reads: Reads, version: int, schema: IndexedSchema | None, cache: FindingCache | None = None
 ) -> tuple[Finding, ...]:
-    """Return the findings of a subscriber's reads against a schema, None if the table does not exist.
+    """Return the findings of a subscriber's reads against `schema`, which is None if no such table exists.
 
     `cache` holds findings per `Read`, which many subscribers share. It is valid for one schema, one protocol
     version and one value of `takes_whole_rows`.
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -339,7 +339,7 @@
 
 
 def _cancel_needless(view: View) -> None:
-    """Cancel planned migrations, and running ones without a drop, that are needless now, the last first."""
+    """Cancel migrations now needless, highest number first: planned ones, and running ones without a drop."""
     world = view.world
     waited_for = Counter(other for move in view.continuing.values() for other in move.after)
     load = dict(view.used)
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -36,7 +36,7 @@
     unread: int  # the engines of `now` whose replica no running migration reads
     doubtful: int
     goals: tuple[int, ...] = ()  # sets of engines that meet all needs that can be met
-    min_unmet: int = 0  # replicas and zones that the shard lacks even in those places
+    min_unmet: int = 0  # replicas and zones still missing with replicas on all engines of a goal
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/thrift/transport.py
+++ b/fennelwind/thrift/transport.py
@@ -203,7 +203,7 @@
             self.outgoing += _step.pack(START, 5) + b"PLAIN" + _step.pack(OK, len(credentials)) + credentials
 
     def receive(self, data: bytes) -> list[Message]:
-        """Take received bytes; return the complete replies. After `Malformed`, the side is unusable."""
+        """Parse received bytes; return the complete replies. After `Malformed`, this object is unusable."""
         received = self._received
         received.buf += data
         if not self.ready and not self._negotiate():
