--- a/fennelwind/dispatch/attempts.py
+++ b/fennelwind/dispatch/attempts.py
@@ -29,7 +29,7 @@
 SQLSTATE_NO_TABLE = "42S02"  # Hive's SQLSTATE for a table or partition that does not exist
 # Statuses of ended attempts whose statement may still be running at the engine.
 OUTCOME_UNKNOWN = (AttemptStatus.RESET, AttemptStatus.TIMEOUT, AttemptStatus.CANCELLED)
-# ms after an attempt's deadline; within them the engine's timeout or orphan cleanup stops the attempt.
+# The engine's timeout or orphan cleanup stops an attempt at most this many ms after the attempt's deadline.
 ENGINE_CLEANUP_MS = 10_000.0
 
 
@@ -60,7 +60,7 @@
         self.runner.dispatcher.post(policy.AttemptProgress(self.query, self.number, kind, value))
 
     def reason_not_to_start(self) -> str:
-        """Return why the attempt may not start now, or "" if it may; "" charges a retry to the budget."""
+        """Return why the attempt may not start, or "" if it may; a retry is then charged to the budget."""
         return self.runner.reason_not_to_start(self.entry, self.number, self.deadline_ms)
 
 
@@ -156,7 +156,7 @@
         return self._redirect_if_replica_missing(router, entry, request.number, engine, end)
 
     def reason_not_to_start(self, entry: Entry, number: int, deadline_ms: float) -> str:
-        """Return why an attempt may not start now, or "" if it may; "" charges a retry to the budget.
+        """Return why an attempt may not start now, or "" if it may; a retry is then charged to the budget.
 
         The connection may become ready long after the policy's decision. So the connection layer calls this
         method immediately before it sends the attempt's first byte. An attempt stopped here never ran.
@@ -196,7 +196,7 @@
     def _redirect_if_replica_missing(
         self, router: Router, entry: Entry, number: int, engine: str, end: AttemptEnd
     ) -> AttemptEnd:
-        """Return the end, as `NOT_STARTED` if the engine lacks a replica known to be at other engines."""
+        """Return `end`, or a `NOT_STARTED` end if the engine lacks a replica that other engines hold."""
         error = end.result.error if end.result is not None else None
         if error is None or error.sqlState != SQLSTATE_NO_TABLE:
             return end
--- a/fennelwind/dispatch/driver.py
+++ b/fennelwind/dispatch/driver.py
@@ -8,7 +8,7 @@
 Each query has three deadlines. The policy decides two ticks before `answer_deadline_ms`
 (`policy/admission.py`), which is the client's deadline minus the answer margin. If the query is still
 unanswered half a margin before the client's deadline, the driver answers it. An entry that has joined another
-query ends at its `answer_deadline_ms`.
+query ends at its own `answer_deadline_ms`.
 
 A client's final answer always passes through `Driver.finalize` and the ledger:
 
@@ -58,8 +58,8 @@
         self.max_open, self.margin, self.subscribe = max_open, margin, subscribe
         self.ledger = Ledger(len(settings.classes) if router is None else router.classes)
         self.gateway = Gateway(settings, seed)
-        self.advisor = advisor  # estimates the fleet's load for the policy; None for no estimates
-        self.router = router  # routes queries by replica locations of shards; None without such routing
+        self.advisor = advisor  # estimates the fleet's load for the policy; None if load is not estimated
+        self.router = router  # routes by replica locations of shards; None if there is no such routing
         self.attempts = AttemptRunner(loop, settings, engines, observer, self.ledger, self, advisor, router)
         self.shared = SharedExecutions(loop, settings, self.ledger, self)
         # Retry-After of rejections that the driver gives without the policy.
@@ -75,7 +75,7 @@
     # Incoming events.
 
     def submit(self, submission: Submission, on_answer: Callable[[Entry], None]) -> Entry:
-        """Accept a query; `on_answer` is called once, with the final answer, possibly before this returns."""
+        """Accept a query; `on_answer` gets the final answer once, possibly before this method returns."""
         entry = self._register(submission, on_answer)
         if entry.answer is not None:
             return entry
@@ -160,7 +160,7 @@
         return self._end_early(entry, Answer(AnswerKind.CANCELLED, reason), reason)
 
     def abandon(self, entry: Entry, reason: str) -> None:
-        """Answer a query now, as failed if it may have run, else as rejected, unless it is answered."""
+        """Answer a query now unless it is already answered: failed if it may have run, else rejected."""
         self._end_early(entry, self._unserved_answer(entry, reason, reason), reason)
 
     def close(self) -> None:
--- a/fennelwind/dispatch/ledger.py
+++ b/fennelwind/dispatch/ledger.py
@@ -43,7 +43,7 @@
     attempt_records: list[AttemptRecord] = field(default_factory=list)  # by attempt number
     share_done: float = 0.0  # progress (0 to 1) of the attempt that reported last
     executing_entry: "Entry | None" = None  # the internal entry that runs this entry's query, if any
-    is_internal: bool = False  # True if it runs the query for clients' entries; it is not counted
+    is_internal: bool = False  # True if the entry runs a query for clients' entries; it is then not counted
     deadline_timer: Any = None  # cancelled when the final answer is given
 
 
--- a/fennelwind/dispatch/sessions.py
+++ b/fennelwind/dispatch/sessions.py
@@ -16,7 +16,7 @@
 SQLSTATE_NOT_SUPPORTED = "0A000"
 SQLSTATE_VALUE_TOO_LONG = "22001"
 SQLSTATE_LIMIT_EXCEEDED = "54000"
-# Keys by which Hive's drivers name the database and the settings (a prefix) when they open a session.
+# Key of the database, and key prefix of the settings, that Hive's drivers send when they open a session.
 DATABASE_KEY = "use:database"
 SETTING_PREFIX = "set:"
 VARIABLE_PREFIXES = ("hiveconf:", "hivevar:")
@@ -29,7 +29,7 @@
     r"|add\s+(?:jars?|files?|archives?))\b",
     re.I,
 )
-_MAX_KEYWORD_CHARS = 6  # length of the longest keyword; its check rules out most statements without a regex
+_MAX_KEYWORD_CHARS = 6  # length of the longest keyword; the keyword rules out most statements without a regex
 
 
 class SessionError(Exception):
--- a/fennelwind/dispatch/shared_executions.py
+++ b/fennelwind/dispatch/shared_executions.py
@@ -74,7 +74,7 @@
         return entry in self.waiting_for
 
     def leave(self, entry: Entry) -> Entry | None:
-        """Remove a waiting entry; return the internal entry to cancel if no other entry waits for it."""
+        """Remove a waiting entry; return the internal entry to cancel if no other one waits, else None."""
         request = self.waiting_for.pop(entry)
         if not self.coalescer.leave(request, entry):
             return None
--- a/fennelwind/dispatch/types.py
+++ b/fennelwind/dispatch/types.py
@@ -51,7 +51,8 @@
 class Result:
     """An engine's answer: schema and pages as Thrift structures; `schema` is None without a result set.
 
-    `error` is the engine's status if the statement itself is at fault: an answer, and not a failed attempt.
+    `error` is the engine's status if the statement itself is at fault, which counts as an answer and not as
+    a failed attempt; else it is None.
     """
 
     schema: Any = None
@@ -107,7 +108,8 @@
     def reason_not_to_start(self) -> str:
         """Return why the attempt may not start now, or "" if it may.
 
-        Call this method once, immediately before the first byte is sent: "" charges a retry to the budget.
+        Call this method once, immediately before the first byte is sent: a retry that may start is charged to
+        the retry budget.
         """
         return ""
 
@@ -142,7 +144,7 @@
         """Record an attempt that is about to be sent; call it in the turn in which `may_send` allowed it."""
 
     def attempt_ended(self, query: int, number: int, until_ms: float = 0.0, /) -> None:
-        """Record the end of an attempt; the engine may still run it until `until_ms`, if given."""
+        """Record the end of an attempt; if `until_ms` is not 0, the engine may still run it until then."""
 
     def query_ended(self, query: int) -> None:
         """Forget a query."""
--- a/fennelwind/limits/admission.py
+++ b/fennelwind/limits/admission.py
@@ -30,7 +30,7 @@
 
 
 class SharedLimit:
-    """A limit on the units of one resource in use, shared by several holders."""
+    """A limit on how many units of one resource are in use, shared by several holders."""
 
     def __init__(self, resource: str, limit: int, limit_per_holder: int) -> None:
         self.resource, self.limit, self.limit_per_holder = resource, limit, limit_per_holder
--- a/fennelwind/limits/answer_margin.py
+++ b/fennelwind/limits/answer_margin.py
@@ -15,7 +15,7 @@
 FALL_STEP = RISE_STEP * (1.0 - QUANTILE) / QUANTILE  # for a lower sample; the steps balance at QUANTILE
 SAFETY_FACTOR = 2.0  # margin / tracked time; answers under way may be slower than past ones
 MIN_TRACKED_MS = 0.05  # ms; steps are relative, so the tracked time must not reach 0
-MAX_JUMP_FACTOR = 8.0  # times the tracked time; larger samples are cut to it, as one stall is no trend
+MAX_JUMP_FACTOR = 8.0  # times the tracked time; larger samples are cut to this, as one stall is no trend
 
 
 class AnswerMargin:
--- a/fennelwind/limits/connection_slots.py
+++ b/fennelwind/limits/connection_slots.py
@@ -19,7 +19,7 @@
 from typing import Generic, NamedTuple, TypeVar
 
 MUTE_TIMEOUT_MS = 400.0  # ms; typical clients send a first request a few ms after they connect
-SILENT_TIMEOUT_MS = 1800.0  # ms with no complete first message, or a partial one; the platform allows 3 s
+SILENT_TIMEOUT_MS = 1800.0  # ms without a whole first message, or with part of one; the platform allows 3 s
 IDLE_TIMEOUT_MS = 8000.0  # ms without an answer due; typical clients close connections after 4 s
 MAX_CANDIDATES = 8  # connections checked when a slot is needed; if all are spared, none is closed
 
@@ -121,7 +121,7 @@
                 yield CloseCandidate(connection, CloseReason.NEW)
 
     def overdue(self, now: float) -> Iterator[CloseCandidate[ConnectionT]]:
-        """Yield the connections to be closed by now; the caller may close them while it iterates."""
+        """Yield the connections whose timeout has passed; the caller may close them while it iterates."""
         for since_ms_by_connection, timeout_ms, reason in (
             (self.partial_since_ms, SILENT_TIMEOUT_MS, CloseReason.HALF_SENT),
             (self.new_since_ms, SILENT_TIMEOUT_MS, CloseReason.SILENT),
--- a/fennelwind/limits/log_rate_limit.py
+++ b/fennelwind/limits/log_rate_limit.py
@@ -28,7 +28,7 @@
         self._limits: dict[str, _EventLimit] = {}
 
     def allow(self, event: str) -> int | None:
-        """Return how many lines of the event were dropped before this line, or None if it is dropped."""
+        """Return how many lines of the event were dropped before this one, or None if this one is dropped."""
         now = self.now()
         limit = self._limits.get(event)
         if limit is None:
--- a/fennelwind/limits/login_throttle.py
+++ b/fennelwind/limits/login_throttle.py
@@ -15,7 +15,7 @@
 FREE_FAILURES_PER_ADDRESS = 2  # wrong passwords in a row without delay: an office may share an address
 FAILURE_EXPIRY_MS = 300_000.0  # time without a wrong password after which the count restarts
 SUCCESS_EXPIRY_MS = 300_000.0  # time for which a verified password need not be checked again
-MAX_ENTRIES = 20_000  # limit for failures and for passwords each; the least recently updated are dropped
+MAX_ENTRIES = 20_000  # limit each of failure counts and of passwords; the least recently updated are dropped
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/load_balancing/subsetting.py
+++ b/fennelwind/load_balancing/subsetting.py
@@ -18,7 +18,7 @@
 
 
 def rank(controller: int, engine: str, weight: float) -> float:
-    """Return an executor's rank for a controller; the lowest is first, with odds that follow the weight."""
+    """Return an executor's rank for a controller; low ranks go first, and more weight makes them likelier."""
     digest = blake2b(f"{controller} {engine}".encode(), digest_size=HASH_BYTES).digest()
     uniform = (int.from_bytes(digest, "big") + 0.5) / HASH_RANGE
     return -math.log(uniform) / max(weight, MIN_WEIGHT)
--- a/fennelwind/policy/__init__.py
+++ b/fennelwind/policy/__init__.py
@@ -1,8 +1,8 @@
 """The decision logic of a gateway: admission, queueing, engine selection, retries, limits and grants.
 
-It does no I/O, reads no clock and writes no log. `Gateway.step` takes the time and typed events (`events`)
-and returns typed actions (`actions`); `settings` holds the configuration of the deployment. Callers use the
-names that this package exports, as in `policy.StartAttempt`.
+The package does no I/O, reads no clock and writes no log. `Gateway.step` takes the time and typed events
+(`events`) and returns typed actions (`actions`); `settings` holds the configuration of the deployment.
+Callers use the names that this package exports, as in `policy.StartAttempt`.
 """
 
 from fennelwind.policy.actions import (
--- a/fennelwind/policy/admission.py
+++ b/fennelwind/policy/admission.py
@@ -16,7 +16,7 @@
 ALL_ENGINES = policy.DeduplicationScope.ALL
 
 TICK_MS = 25.0  # ms between ticks while a query is queued or running; short relative to objectives
-ANSWER_MARGIN_TICKS = 2  # ticks before a client's deadline; a later rejection could miss the deadline
+ANSWER_MARGIN_TICKS = 2  # ticks from the latest answer to the deadline; a later one could miss the deadline
 MIN_SERVICE_TIME_MS = 1.0  # ms; lower bound of a query's service time, so that slowdowns stay finite
 LIKELY_SLOWDOWN = 2.0  # times the baseline time; with less time left, a query is unlikely to be in time
 
@@ -57,7 +57,7 @@
         heappush(self.latest_dispatches, (self.latest_dispatch_ms(query), query.request.query))
 
     def pop_expired(self, now_ms: float) -> int | None:
-        """Pop and return the number of a query whose latest dispatch time has passed, or None."""
+        """Pop and return the number of a query past its latest dispatch time, or None if there is none."""
         if self.latest_dispatches and self.latest_dispatches[0][0] <= now_ms:
             return heappop(self.latest_dispatches)[1]
         return None
@@ -88,7 +88,7 @@
     def _likely_time_ms(self, query: Query) -> float:
         """Return the time to allow for serving the query.
 
-        It is `LIKELY_SLOWDOWN` times the query's baseline time.
+        The result is `LIKELY_SLOWDOWN` times the query's baseline time.
         """
         baseline = self.estimates.baseline_slowdown[query.class_index]
         return LIKELY_SLOWDOWN * query.service_time_ms * baseline
--- a/fennelwind/policy/concurrency.py
+++ b/fennelwind/policy/concurrency.py
@@ -11,17 +11,17 @@
 from fennelwind.policy.model import Engine, Query
 
 LIMIT_PERIOD_MS = 1000.0  # ms between adjustments of a limit
-INITIAL_THREADS_PER_CORE = 1.5  # sum over all gateways; initial limit, between the minimum and the maximum
-MIN_THREADS_PER_CORE = 1.0  # sum over all gateways; lower bound of a limit
+INITIAL_THREADS_PER_CORE = 1.5  # initial limit, summed over all gateways; between the minimum and the maximum
+MIN_THREADS_PER_CORE = 1.0  # lower bound of a limit, summed over all gateways
 MAX_THREADS_PER_CORE = 3.0  # sum over all gateways; objectives are met until an engine is far oversubscribed
 RAISE_FACTOR = 1.25  # a limit that was reached in a period is raised by a quarter
 SAMPLE_DECAY = 0.6  # share of the samples kept per period, so that about the last 2 s count
-MIN_SAMPLES = 0.5  # decayed count of a class's answers; fewer answers are not significant
+MIN_SAMPLES = 0.5  # decayed count of a class's answers; a class with fewer does not affect the limit
 PRESSURE_SLOWDOWN = 1.5  # times the baseline; a higher slowdown shows that the engine is oversubscribed
-UNCONGESTED_THREADS_PER_CORE = 1.1  # reported fleet mean; below it, gateways may exceed even shares
-CONGESTION_SLOWDOWN = 2.5  # times the baseline; without reports, a higher mean of attempts shows congestion
-MAX_SHARE_FACTOR = 4.0  # times the even share; demand can jump faster than reports, which are seconds old
-QUEUEING_SHARE_FACTOR = 3.0  # times the even share where engines queue for memory: excess load costs less
+UNCONGESTED_THREADS_PER_CORE = 1.1  # mean from load reports; below it, gateways may exceed even shares
+CONGESTION_SLOWDOWN = 2.5  # times the baseline; without reports, a higher mean slowdown shows congestion
+MAX_SHARE_FACTOR = 4.0  # times the even share; no more, as reports are seconds old and demand can jump faster
+QUEUEING_SHARE_FACTOR = 3.0  # times the even share if queries queue for memory: excess load then costs less
 
 
 class ConcurrencyLimits:
@@ -49,7 +49,7 @@
         engine.add_objective_ratio(query.class_index, min(took_ms / objective_ms, MAX_OBJECTIVE_RATIO))
 
     def adjust(self, engine: Engine) -> None:
-        """Adjust an engine's limit, once per period: cut by the worst class, or raised if it was reached."""
+        """Cut an engine's limit by its worst class's ratio, or raise it if it was reached; once a period."""
         worst_ratio = max(
             total / count if count > MIN_SAMPLES else 0.0 for total, count in engine.objective_ratios
         )
@@ -71,10 +71,10 @@
         self.allowed_threads = self.fair_share_threads * self.share_factor()
 
     def share_factor(self) -> float:
-        """Return the factor on the even share: above 1 allows the gateway more than that share, below 1 less.
+        """Return the factor by which the gateway may use more (above 1) or less (below 1) than an even share.
 
-        With many gateways an even share is hardly one query, and demand differs between gateways. So all
-        may exceed it while reports show a half-idle fleet; as a burst or lost engines fill it, all back off.
+        With many gateways an even share is hardly one query, and demand differs between gateways. So all may
+        exceed it while reports show a half-idle fleet, and back off as a burst or lost engines fill it.
         """
         estimates = self.estimates
         fleet_threads_per_core = estimates.fleet_threads_per_core
@@ -85,7 +85,7 @@
         if not self.settings.queues_when_short_of_memory:
             return reported_factor
         if not fleet_threads_per_core and estimates.mean_timed_attempt_ms:
-            # Without load reports, slow attempts show congestion, as by a tenant's burst or lost engines.
+            # Without load reports, slow attempts show congestion, as from a tenant's burst or lost engines.
             speed = CONGESTION_SLOWDOWN * estimates.mean_timed_baseline_ms / estimates.mean_timed_attempt_ms
             return QUEUEING_SHARE_FACTOR * min(1.0, speed) ** 2
         return max(reported_factor, QUEUEING_SHARE_FACTOR)
--- a/fennelwind/policy/constraints.py
+++ b/fennelwind/policy/constraints.py
@@ -43,7 +43,7 @@
     def _deduplicates(
         self, query_class: policy.QueryClass, first: Attempt, endpoint: policy.EngineEndpoint
     ) -> bool:
-        """Return whether the engine recognises repeats of the first attempt, so that none takes effect."""
+        """Return whether the engine recognises repeats of the first attempt, so that no repeat has effect."""
         scope, original = query_class.deduplication_scope, first.engine.endpoint
         if scope == ALL_ENGINES:
             return True
--- a/fennelwind/policy/dispatch_queue.py
+++ b/fennelwind/policy/dispatch_queue.py
@@ -55,7 +55,7 @@
         # Two heaps for each class; an item is (dispatch target, query number, query).
         self.queues: list[list[tuple[float, int, Query]]] = [[] for _ in settings.classes * 2]
         self.is_blocked = [False] * len(self.queues)  # by queue: True if its head found no free capacity
-        self.unordered: list[Query] = []  # retries and queries of held keys; one may wait alone
+        self.unordered: list[Query] = []  # retries and queries of held keys; each is tried by itself
         self.key_order = PerKeyFifo()
         self.key_held_until_ms: dict[str, float] = {}  # keys held after an unknown outcome
 
@@ -72,7 +72,7 @@
 
     def _insert(self, query: Query, now_ms: float) -> None:
         if query.attempts or self.is_key_held(query.order_key, now_ms):
-            self.unordered.append(query)  # it may have to wait alone, and must not hold up a whole queue
+            self.unordered.append(query)  # it may wait longer than others, and must not hold up a whole queue
             return
         index = query.queue_index
         queue = self.queues[index]
@@ -115,7 +115,7 @@
         self.unordered = [query for query in self.unordered if query.is_queued]
 
     def head(self, now_ms: float) -> Query | None:
-        """Return the query to dispatch next among the queues that are not blocked, or None."""
+        """Return the next query to dispatch from the queues that aren't blocked, or None if there is none."""
         heads = []
         for queue, is_blocked in zip(self.queues, self.is_blocked, strict=True):
             while queue and not queue[0][2].is_queued:
--- a/fennelwind/policy/engine_registry.py
+++ b/fennelwind/policy/engine_registry.py
@@ -29,7 +29,7 @@
         self.subscribe_at_ms = float("-inf")
 
     def subscribe(self, now_ms: float) -> policy.SubscribeToEngines | None:
-        """Return a subscription to list changes if one is required: once, and again after a failure."""
+        """Return a subscription to list changes if one is due (once, and after each failure), else None."""
         if not self.settings.requires_subscription or now_ms < self.subscribe_at_ms:
             return None
         self.subscribe_at_ms = float("inf")  # no other subscription until this one fails
--- a/fennelwind/policy/estimates.py
+++ b/fennelwind/policy/estimates.py
@@ -1,7 +1,7 @@
 """Statistics that a gateway learns from arrivals and answers.
 
-The gateway reports arrivals and ended attempts; the other rules read the estimates. For each query class:
-mean answer time, mean work, and the baseline slowdown, close to the best that the fleet achieves for queries
+The gateway reports arrivals and ended attempts; the other rules read the estimates. Each query class has a
+mean answer time, a mean work and a baseline slowdown, close to the best that the fleet achieves for queries
 of that size. The *slowdown* of an attempt is its time over its query's single-thread service time. Nothing is
 shared between gateways; a restarted gateway starts from scratch. Means lag changes by some 20 samples.
 """
--- a/fennelwind/policy/events.py
+++ b/fennelwind/policy/events.py
@@ -31,7 +31,7 @@
     CONNECT_FAILED = "connect_failed"  # the attempt never ran
     RESET = "reset"
     CANCELLED = "cancelled"
-    NOT_STARTED = "moot"  # the query had ended or expired before the attempt was sent: it never ran
+    NOT_STARTED = "moot"  # the query had ended or expired before the attempt was sent: the attempt never ran
 
 
 class ProgressKind(IntEnum):
@@ -82,7 +82,7 @@
 class AttemptEnded:
     """An attempt has ended.
 
-    `is_final`: the caller has given the query's final answer; otherwise the gateway may retry the query.
+    `is_final` is True if the query has its final answer; otherwise the gateway may retry the query.
     """
 
     query: int
--- a/fennelwind/policy/model.py
+++ b/fennelwind/policy/model.py
@@ -22,8 +22,8 @@
     arrived_ms: float
     service_time_ms: float  # single-thread service time: estimated work / threads
     objective_at_ms: float  # an answer up to this time meets the latency objective
-    dispatch_target_ms: float  # when to dispatch it so that it is likely to meet its objective
-    is_short: bool = False  # True if its work is below the mean; only if engines support priorities
+    dispatch_target_ms: float  # when to dispatch the query so that it is likely to meet its objective
+    is_short: bool = False  # True if engines support priorities and the query's work is below the mean
     slow_start_work_ms: float = 0.0  # work counted against the budget of an engine in slow start
     attempts: list["Attempt"] = field(default_factory=list)
     running_attempts: int = 0  # number of attempts that have not ended
--- a/fennelwind/policy/outliers.py
+++ b/fennelwind/policy/outliers.py
@@ -33,7 +33,7 @@
 
     def __init__(self, estimates: Estimates) -> None:
         self.estimates = estimates
-        self.median_slowdown = 1.0  # of the fleet
+        self.median_slowdown = 1.0  # median of the ready engines' current slowdowns
 
     def update_median_slowdown(self, ready_engines: list[Engine]) -> None:
         """Update the median slowdown of the ready engines, with which each engine is compared."""
@@ -67,7 +67,7 @@
         return True
 
     def record_answer(self, attempt: Attempt) -> None:
-        """Record a successful attempt; reset the failures if it was started after the last of them."""
+        """Record a successful attempt; reset the failure count if it was started after the last failure."""
         engine = attempt.engine
         if attempt.started_ms > engine.failed_at_ms:
             engine.failures = 0
--- a/fennelwind/policy/retries.py
+++ b/fennelwind/policy/retries.py
@@ -23,9 +23,9 @@
 TIMEOUT_SLOWDOWN = 3.0  # times the expected time of an attempt; after that another engine is tried
 ADVISED_TIMEOUT_FACTOR = 2.0  # times TIMEOUT_SLOWDOWN with load advice: a reporting engine is busy, not hung
 MAX_PROGRESS_AGE_INTERVALS = 2.5  # progress intervals; an older report is stale
-MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; minimum for its queries, as small estimates err most
+MIN_TIMEOUT_WORK_SHARE = 0.5  # of the class's mean work; the least work assumed, as small estimates err most
 RESTART_WORK_SHARE = 0.15  # of arriving work; if timeouts restarted more, they would worsen congestion
-MAX_RESTART_QUERIES = 6.0  # times the mean work; bounds saved credit, so that a calm can't pay for congestion
+MAX_RESTART_QUERIES = 6.0  # times the mean work; bounds saved credit: quiet times must not pay for congestion
 
 
 class RetryPolicy:
@@ -109,7 +109,7 @@
         if attempt.age_ms(now_ms) < timeout_ms:
             return False
         # With recent progress reports an attempt times out only if it needs another full timeout: a restart
-        # loses all its work. When reports stop, as from a hung engine, the attempt's age alone decides.
+        # loses all work done. When reports stop, as from a hung engine, the attempt's age alone decides.
         max_progress_age_ms = MAX_PROGRESS_AGE_INTERVALS * self.settings.progress_interval_ms
         reports_progress = now_ms - attempt.progress_at_ms < max_progress_age_ms
         return not (reports_progress and attempt.remaining_ms < timeout_ms)
--- a/fennelwind/policy/selection.py
+++ b/fennelwind/policy/selection.py
@@ -39,10 +39,10 @@
         self.settings, self.random = settings, random
         self.constraints, self.concurrency, self.slow_start = constraints, concurrency, slow_start
         self.ready_engines: list[Engine] = []  # in the order that this gateway uses for ties
-        self.load_advice: dict[str, float] = {}  # total loads of the engines to prefer; empty: no advice
+        self.load_advice: dict[str, float] = {}  # total loads of the engines to prefer; empty without advice
 
     def update_ready_engines(self, engines: dict[str, Engine]) -> None:
-        """Order the ready engines: own zone first, each zone's from an offset that differs by gateway."""
+        """Order the ready engines: own zone first, each zone from an offset that differs by gateway."""
         ready = [engine for _, engine in sorted(engines.items()) if engine.endpoint.state == READY]
         self.ready_engines = []
         for is_own_zone in (True, False):
@@ -84,7 +84,7 @@
         return permitted
 
     def _preferred(self, query: Query, permitted: list[Engine], now_ms: float) -> list[Engine]:
-        """Return the healthy engines, untried ones if any; else the outliers that the query may use."""
+        """Return the untried healthy engines, else all healthy ones, else outliers that the query may use."""
         tried = {attempt.engine.endpoint.engine for attempt in query.attempts}
         healthy = [engine for engine in permitted if not engine.is_outlier]
         untried = [engine for engine in healthy if engine.endpoint.engine not in tried]
@@ -101,7 +101,7 @@
         median_slowdown: float,
         now_ms: float,
     ) -> dict[Engine, float]:
-        """Return each engine's load with the query added, by cores and speed; full engines are left out."""
+        """Return the loads of engines that aren't full, with the query added, relative to cores and speed."""
         threads, advice = query.query_class.threads, self.load_advice
         highest_load = max(advice.values(), default=0.0)  # for engines missing in the advice
         limit, warm_up_fraction = self.concurrency.limit, self.slow_start.warm_up_fraction
--- a/fennelwind/policy/settings.py
+++ b/fennelwind/policy/settings.py
@@ -1,7 +1,7 @@
 """Settings of a gateway, from the deployment's configuration. All times are in milliseconds.
 
-The configuration readers (`node/config`, `simulator_wire`, `config/`) build them once; the rules only read
-them. Invalid settings raise `ValueError`.
+The configuration readers (`node/config`, `simulator_wire`, `config/`) build the settings once; the rules only
+read them. Invalid settings raise `ValueError`.
 """
 
 from dataclasses import dataclass
@@ -12,7 +12,7 @@
     """Whether a query may be run again after an attempt that may have run."""
 
     IDEMPOTENT = "safe"
-    KEYED = "keyed"  # engines in its deduplication scope drop repeats with the same idempotency key
+    KEYED = "keyed"  # engines in the class's deduplication scope drop repeats with the same idempotency key
     NON_IDEMPOTENT = "unsafe"
 
 
@@ -41,8 +41,8 @@
     zones: tuple[int, ...] | None = None  # allowed zones; None if all are
     kinds: tuple[int, ...] | None = None  # allowed machine kinds; None if all are
     threads: int = 1
-    locks_tables: bool = False  # a load: locks its table group on its engine while it runs
-    waits_for_table_locks: bool = False  # waits while a load on its engine locks its table group
+    locks_tables: bool = False  # True for a load, which locks its table group on its engine while it runs
+    waits_for_table_locks: bool = False  # queries wait while a load on their engine locks their table group
 
 
 @dataclass(slots=True, frozen=True)
@@ -85,7 +85,7 @@
     drain_grace_ms: float = 0.0
     cold_capacity_share: float = 1.0  # share of its capacity that an engine has right after its start
     slow_start_ms: float = 0.0  # time after which an engine is warm
-    overload_multiple: float = 0.0  # work / capacity that crashes a cold engine; 0 if none crash
+    overload_multiple: float = 0.0  # work / capacity that crashes a cold engine; 0 if no engine crashes
     overload_window_ms: float = 0.0
     unresolved_hold_ms: float = 0.0  # how long a key is held after an unknown outcome
     retry_budget_free: float = 0.0
--- a/fennelwind/recovery/request_coalescing.py
+++ b/fennelwind/recovery/request_coalescing.py
@@ -66,8 +66,8 @@
 ) -> bool:
     """Return whether an entry waits for a new query after its previous query ended without a result.
 
-    Only an entry whose deadline is later than that query's does. A rejected query may safely be repeated; a
-    failed one may have run, so it runs again only in an idempotent class.
+    An entry waits only if its deadline is later than that query's. A rejected query may safely be repeated;
+    a failed one may have run, so it runs again only in an idempotent class.
     """
     has_more_time = answer_deadline_ms > execution_deadline_ms
     return has_more_time and (is_rejected or is_failed and is_idempotent)
--- a/fennelwind/simulator_wire.py
+++ b/fennelwind/simulator_wire.py
@@ -179,7 +179,7 @@
     locks_tables: tuple[bool, ...],
     waits_for_locks: tuple[bool, ...],
 ) -> policy.QueryClass:
-    """Return one class. `threads` and the flags hold a value per class; for missing values defaults apply."""
+    """Return one class. `threads` and the flags hold one value per class; defaults replace missing ones."""
     get, prefix = fields.get, f"Grades.{index}."
     return policy.QueryClass(
         name=get(prefix + "Name", str, str(index)),
