--- a/fennelwind/engines/attempt.py
+++ b/fennelwind/engines/attempt.py
@@ -65,8 +65,8 @@
         self.is_over = False
         self.is_grant_update_running = False
         self.known_grant: dict[str, str] | None = None  # the last grant sent to the engine
-        self._may_have_run = False  # the statement may have reached the engine
-        self._is_database_sent = False  # `USE` was sent for this statement
+        self._may_have_run = False  # true once the statement may have reached the engine
+        self._is_database_sent = False  # true once `USE` was sent for this statement
         self._load: dict[str, float] = {}
         self._cost: dict[str, float] = {}
 
--- a/fennelwind/engines/connection.py
+++ b/fennelwind/engines/connection.py
@@ -46,7 +46,7 @@
         self.received_bytes = 0
         self.database = ""  # current database of the session; "" if it is the engine's default
         self.idle_since_ms = 0.0
-        self.operation_to_close: Structure | None = None  # its result was read; still open at the engine
+        self.operation_to_close: Structure | None = None  # open at the engine, but its result was read
         self._close_sequence: int | None = None  # sequence id of a CloseOperation call whose reply is pending
         self._replies: list[Message] = []
         self._prepared: list[bytes] = []
--- a/fennelwind/engines/connection_pool.py
+++ b/fennelwind/engines/connection_pool.py
@@ -80,10 +80,10 @@
 def choose_idle(databases: Sequence[str], wanted: str) -> int | None:
     """Return the index of the idle connection to use, by the sessions' databases, or None to open a new one.
 
-    Prefer the most recently used one in the wanted database, else the most recently used one, whose session
-    is then switched with `USE`. A session that has left the engine's default database can't return to that
-    database, since the controller doesn't know its name; so without a wanted database only a session that
-    is still in the default one is usable.
+    Prefer the most recently used connection in the wanted database. If there is none, choose the most
+    recently used one of all; the attempt then switches its session with `USE`. A session that has left the
+    engine's default database can't return to that database, since the controller doesn't know its name; so
+    without a wanted database only a session that is still in the default one is usable.
     """
     for index in range(len(databases) - 1, -1, -1):
         if databases[index] == wanted:
--- a/fennelwind/engines/discovery.py
+++ b/fennelwind/engines/discovery.py
@@ -18,7 +18,7 @@
 
 MAX_LINE_BYTES = 4 * 1024 * 1024  # bytes of one line; a list of about 20,000 engines
 CONNECT_TIMEOUT_MS = 2000.0  # ms to connect and receive the first list
-# ms between subscriptions; doubled after each failure, with up to half of it as jitter.
+# ms between subscriptions, doubled after each failure; jitter shortens each pause by up to half.
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 250.0, 2000.0
 FORMS = (policy.ListForm.FULL, policy.ListForm.DELTA)
 
--- a/fennelwind/engines/row_stream.py
+++ b/fennelwind/engines/row_stream.py
@@ -1,9 +1,9 @@
 """Results too large to buffer: their pages are streamed from the engine as the client fetches them.
 
-A result of up to `max_result_bytes` is buffered before its query counts as served, so an engine that fails
-before that costs an attempt and not the answer. A larger one is streamed once that many bytes have been
-received. From then on it is never retried at another engine, which may return the rows in another order; if
-the engine fails, the client gets an error.
+A result of up to `max_result_bytes` is buffered before its query counts as served. If the engine fails before
+that, only the attempt fails, and another attempt may still answer the query. A larger result is streamed once
+that many bytes have been received. From then on it is never retried at another engine, which may return the
+rows in another order; if the engine fails, the client gets an error.
 
 One page is requested ahead. So a stream holds at most the pages buffered at its start and two more, and a
 client that reads slowly slows the engine, not the controller.
@@ -60,9 +60,9 @@
         self.loop, self.cleanup, self.counts = loop, cleanup, counts
         self.pool, self.connection, self.handle, self.page_rows = pool, connection, handle, page_rows
         self.on_end: Callable[[], None] = lambda: None  # called once, when the stream ends
-        self.lost_reason = ""  # why no more rows are available; "" if they are
+        self.lost_reason = ""  # why no more rows are available; "" if rows are available
         self.is_over = False
-        self._sequence = self._request_page()  # one page ahead; if it raises, no stream has been counted
+        self._sequence = self._request_page()  # one page ahead; if the request raises, no stream is counted
         self._is_waiting = False
         pool.streams += 1
         counts.begun += 1
--- a/fennelwind/node/attempt.py
+++ b/fennelwind/node/attempt.py
@@ -8,7 +8,8 @@
 - 500, also for a query that the executor does not know: `ERROR`, the query may have run
 - 503 or 504 without X-Not-Run, or any other status: no answer; the attempt polls again
 - the executor is unreachable after the POST may have arrived: `RESET`, the query may have run
-- `TIMEOUT` at its deadline, `CANCELLED` when its task is cancelled; a DELETE then cancels a posted query
+- `TIMEOUT` at the attempt's deadline, `CANCELLED` when its task is cancelled; in both cases a DELETE
+  cancels a query that was posted
 """
 
 import errno
@@ -91,7 +92,7 @@
         self.services, self.executor, self.request = services, executor, request
         self.loop = services.pool.loop
         self.query_id = request.submission.engine_id  # the query's id on the wire
-        self.may_have_arrived = False  # at least part of the attempt's POST may have been sent
+        self.may_have_arrived = False  # true once part of the attempt's POST may have been sent
         self.priority = AttemptPriority(executor, request)
         self.connection = AttemptConnection(services.pool, executor)
 
--- a/fennelwind/node/client_connection.py
+++ b/fennelwind/node/client_connection.py
@@ -29,7 +29,7 @@
 
 MAX_OPEN_QUERIES = 32  # open queries on one connection, as the protocol specifies
 MAX_UNREAD_BYTES = 262_144  # bytes of unread answers of a connection; above it requests are rejected
-MAX_UNREAD_ANSWERS = 1024  # unread answers before closing; a normal client has fewer than 32 open queries
+MAX_UNREAD_ANSWERS = 1024  # unread answers that close a connection; normal clients have under 32 open queries
 MIN_WRITE_TIMEOUT_MS = 3000.0  # ms that answers may stay unread if no deadline is later
 MAX_INVALID_REQUESTS = 3  # invalid requests of a connection before it is closed
 READ_BYTES = 65536  # bytes of one read
@@ -91,17 +91,17 @@
         self.open_queries: dict[int, Entry] = {}  # by message id
         self.unread_answers: deque[tuple[bytes, Entry | None]] = deque()  # not yet sent completely
         self.unread_bytes = 0
-        self.is_writing = False  # a task is writing the unread answers
+        self.is_writing = False  # true while a task writes the unread answers
         self.invalid_requests = 0
         self.partial_bytes = 0  # bytes of an incomplete message
         self.burst_until_ms = 0.0  # bytes that the client sent earlier may still arrive until then
-        self.is_closing = False  # no further input is handled; it closes once its answers are sent
+        self.is_closing = False  # if true, input is dropped; the connection closes after its last answer
         self.is_closed = False
 
     # Reading.
 
     def run(self) -> None:
-        """Read until the client closes; once `is_closing`, drop what is read."""
+        """Read until the client closes; once `is_closing` is true, drop what is read."""
         dropped_bytes = 0
         try:
             while data := self.stream.read(READ_BYTES):
@@ -127,8 +127,8 @@
         """Note that some of what the client has already sent may still be unread.
 
         After a long burst, a withdrawal or the end of the connection may be unread. An attempt that started
-        before the loop reads it would run for a client that has left. `Submission` therefore states the
-        earliest time at which an attempt may start.
+        before the loop has read this input would run for a client that has left. `Submission` therefore
+        states the earliest time at which an attempt may start.
         """
         now = self.frontend.loop.now()
         if is_full or now < self.burst_until_ms:
@@ -260,13 +260,13 @@
             self.send(msgrpc.encode_error(message_id, ClientError.FAILED, fields), entry)
 
     def reject(self, message_id: int, retry_after_ms: float, entry: Entry | None = None) -> None:
-        """Send a rejection: a retry is safe, after the given time if the settings allow stating it."""
+        """Send a rejection: a retry is safe. State its delay, limited by the settings, if at least 1 ms."""
         retry_after_ms = min(retry_after_ms, self.frontend.driver.max_retry_after_ms)
         fields = {ErrorField.RETRY_AFTER_MS: str(int(retry_after_ms))} if retry_after_ms >= 1.0 else {}
         self.send(msgrpc.encode_error(message_id, ClientError.REJECTED, fields), entry)
 
     def send(self, response: bytes, entry: Entry | None) -> None:
-        """Send a response; what can't be sent at once is queued, up to the limits."""
+        """Send a response; queue what can't be sent at once, up to `MAX_UNREAD_ANSWERS` responses."""
         if self.is_closed:
             return
         if not self.unread_answers:
--- a/fennelwind/node/config.py
+++ b/fennelwind/node/config.py
@@ -149,7 +149,7 @@
 
 
 def _read_names(settings: dict[str, Any], field: str) -> dict[str, int]:
-    """Return the indexes of a list's items by name, as clients and events refer to them by name."""
+    """Return the indexes of a list's items by name, since clients and events refer to items by name."""
     names: dict[str, int] = {}
     for index, entry in enumerate(_read_field(settings, f"settings.{field}", _read_items, [])):
         path = f"settings.{field}[{index}]"
--- a/fennelwind/node/endpoint_list.py
+++ b/fennelwind/node/endpoint_list.py
@@ -22,14 +22,15 @@
         self.pool, self.post = pool, post
         self.start_times = StartTimes()
         self._endpoints: dict[str, EngineEndpoint] = {}
-        # Number of the event, not yet applied, that drains or removes an executor, by executor.
+        # By executor: the number of the event that drains or removes it, if this event is not applied yet.
         self.drained_ahead: dict[str, int] = {}
 
     def hold_drains(self, event: EndpointListEvent, number: int) -> None:
         """Apply the drains of an event at once, although the event itself is not applied yet.
 
-        The event is damaged or follows a gap, and is requested again. Until it arrives again, queries
-        would otherwise be sent to executors that are shutting down. Earlier events do not undo these drains.
+        The event is damaged or follows a gap, and is requested again. If its drains waited for the
+        repeat, queries would be sent to executors that are shutting down. Events with lower numbers do not
+        undo these drains.
         """
         drained = []
         for change in event.changes:
@@ -44,7 +45,7 @@
             self.post(EngineListUpdate(ListForm.DELTA, tuple(drained)))
 
     def apply(self, event: EndpointListEvent, number: int, full_form: ListForm) -> None:
-        """Apply an event: removals first, then drains, then ready endpoints, in whatever order it lists them.
+        """Apply an event: removals first, then drains, then ready endpoints, whatever order the event has.
 
         This allows an address to move from one executor to another within one event. `full_form` is the form
         in which a full list is reported to the policy: `CACHED` for the first one from the configuration
@@ -75,7 +76,7 @@
             self._remove(name)
 
     def _resulting_endpoint(self, change: EndpointChange, is_full: bool) -> EngineEndpoint | None:
-        """Return the endpoint after a change, or None if too little is known; carry out a removal."""
+        """Return the endpoint after a change, or None if too little is known; carry out removals."""
         known = self._endpoints.get(change.name)
         if change.state == EngineState.REMOVED:
             self._remove(change.name)
--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -30,10 +30,10 @@
 # Concurrent connections. To open another one, the oldest is aborted, so a slow channel has about three
 # silence timeouts to answer.
 MAX_CONNECTIONS = 3
-MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between failed attempts, doubled up to the maximum
-STABLE_MS = 1000.0  # ms, the comment interval; a connection that lasted this long has not failed
+MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between failed connections, doubled up to the maximum
+STABLE_MS = 1000.0  # ms (the comment interval); a connection that lasted this long does not count as failed
 MAX_RETRIES = 3  # times that a damaged event is requested again before its readable parts are applied
-MAX_NUMBERS_AHEAD = 1000  # how far a full list's or drain's number may be ahead; above, it counts as damaged
+MAX_NUMBERS_AHEAD = 1000  # full lists' and drains' numbers further ahead of the cursor count as damaged
 MAX_LOGGED_PROBLEMS = 3  # problems of one event in a log line
 
 
@@ -95,8 +95,8 @@
         """Apply the configuration's events that are newer than the cursor.
 
         At startup (`CACHED`) gaps are accepted, and the cursor becomes that of the file. At a reload (`FULL`)
-        the method stops at the first gap before an event without a full list: only that event's drains apply,
-        and the channel delivers the events from there on.
+        the method stops at the first gap before an event without a full list: of that event only the drains
+        apply, and the channel delivers this event and all later ones.
         """
         is_first = form == ListForm.CACHED
         for body in events:
@@ -142,7 +142,7 @@
             backoff_ms = min(2 * backoff_ms, MAX_BACKOFF_MS)
 
     def _wait_until(self, due_ms: float) -> None:
-        """Wait until the time, or until a connection progresses or the address changes."""
+        """Wait until `due_ms`, or until a connection progresses or the address changes."""
         waiter = self._waiter = Waiter(self.loop)
 
         def wake() -> None:
@@ -161,8 +161,8 @@
         """Follow until no connection is left, or the address changes.
 
         If a connection is silent, another one is opened beside it: the channel may be slow, or the connection
-        may be dead, since a cut connection shows only as silence. As soon as one brings a complete event or
-        comment, the others are aborted.
+        may be dead, since a cut connection shows only as silence. As soon as one of the connections
+        brings a complete event or comment, the others are aborted.
         """
         self._connections = [self._open(address)]
         began_ms = self.loop.now()
@@ -219,7 +219,7 @@
         self._apply_or_retry(numbered, self._read_list(numbered.body))
 
     def _apply_or_retry(self, numbered: NumberedEvent, event: EndpointListEvent) -> None:
-        """Apply an event in order; a damaged one only after it was requested again `MAX_RETRIES` times.
+        """Apply an event in order; apply a damaged one only after it was requested again `MAX_RETRIES` times.
 
         Applying a damaged event at once would lose its unreadable parts; requesting it for ever would stop
         all further updates of the list.
--- a/fennelwind/node/executor_client.py
+++ b/fennelwind/node/executor_client.py
@@ -1,7 +1,7 @@
 """Implements the driver's `Engines` for the platform: attempts, priorities and health checks over HTTP/1.1.
 
-It looks up the executor by name and passes each call to the module that makes it. A call to an executor that
-has left the list fails here.
+`ExecutorClient` looks up the executor by name and passes each call to the module that makes the call.
+A call to an executor that has left the list fails in `ExecutorClient` itself.
 """
 
 from fennelwind.dispatch.types import AttemptEnd, AttemptRequest
--- a/fennelwind/node/executor_connection.py
+++ b/fennelwind/node/executor_connection.py
@@ -66,8 +66,8 @@
     def __init__(self, name: str, address: Address, is_draining: bool = False) -> None:
         self.name, self.address = name, address
         self.idle_connections: deque[ExecutorConnection] = deque()  # the longest idle first
-        self.is_removed = False  # it has left the list, or another executor has its address now
-        self.is_draining = is_draining  # it gets no new attempts
+        self.is_removed = False  # true if it has left the list, or another executor has its address now
+        self.is_draining = is_draining  # if true, the executor gets no new attempts
         # One queue per executor: an unresponsive executor must not delay others' cancellations.
         self.cancellations: deque[Cancellation] = deque()
         self.cancellation_workers = 0
--- a/fennelwind/node/executor_pool.py
+++ b/fennelwind/node/executor_pool.py
@@ -26,7 +26,7 @@
 
 
 class ExecutorRemovedError(ConnectFailed):
-    """The executor has left the list; no connection was tried, as its address may belong to another one."""
+    """The executor has left the list; no connection was tried, as another executor may have its address."""
 
     def __init__(self, executor: Executor) -> None:
         super().__init__(errno.ECONNREFUSED, f"{executor.name} at {executor.address} was removed")
--- a/fennelwind/node/frontend.py
+++ b/fennelwind/node/frontend.py
@@ -1,7 +1,7 @@
 """The frontend: accepts clients over MessagePack-RPC, limits their connections, and closes them at shutdown.
 
 Started by `lifecycle`. A sweep runs four times a second and closes connections that send nothing, leave a
-message incomplete, or are idle for too long, but no connection with an open request. The number of
+message incomplete, or are idle for too long. It closes no connection with an open request. The number of
 connections that linger after the close of our sending side is limited, and the oldest are closed in favour of
 new ones. An exception in one connection ends only that connection.
 """
@@ -45,7 +45,7 @@
         self.max_lingering = max_lingering
         self.open_query_ids: set[str] = set()
         self.is_serving = True  # the answer to health requests
-        self.is_finishing = False  # no further connections are accepted
+        self.is_finishing = False  # if true, no further connections are accepted
         self.partial_bytes = 0
         self.counts: Counter[str] = Counter()
         self.log_message = log_message
@@ -147,7 +147,7 @@
             self._admit(cast(PushStream, stream))
 
     def close_all(self, last_answers_ms: float, end_ms: float) -> None:
-        """Close all connections: each when nothing is pending in either direction, at the latest at `end_ms`.
+        """Close each connection once nothing is pending in either direction, and all others at `end_ms`.
 
         Until `last_answers_ms` clients may read answers and complete messages; until `end_ms` connections may
         linger.
--- a/fennelwind/node/http1.py
+++ b/fennelwind/node/http1.py
@@ -16,7 +16,7 @@
     PAGE_NUMBER_HEADER,
 )
 
-MAX_HEAD_BYTES = 8192  # bytes of one head; those of executors have about 200
+MAX_HEAD_BYTES = 8192  # bytes of one head; the heads of executors' responses have about 200
 MAX_BODY_BYTES = 65536  # bytes of one body; a page has at most 6,000
 MAX_CHUNK_LINE_BYTES = 64  # bytes of the line with a chunk's size
 MAX_EVENT_BYTES = 1_048_576  # bytes of one event; a full list of hundreds of executors is far shorter
@@ -51,7 +51,7 @@
     status: int
     headers: dict[bytes, bytes]  # names in lower case
     body: bytes = b""
-    is_reusable: bool = True  # its connection may be used for another call
+    is_reusable: bool = True  # true if the response's connection may be used for another call
 
 
 def parse_head(raw: bytes) -> Response:
@@ -159,7 +159,7 @@
         self.rest = b""  # bytes that follow the body
         self._data = b""
         self._chunk_bytes_left = 0  # bytes of the current chunk that are still to come
-        self._is_line_end_due = False  # the line end after a chunk is still to come
+        self._is_line_end_due = False  # true if the line end after a chunk is still to come
         self._is_last_chunk = False
 
     def feed(self, data: bytes, pieces: list[bytes] | None = None) -> list[bytes]:
@@ -229,11 +229,11 @@
 
     def __init__(self) -> None:
         self.head: Response | None = None
-        self.error: MalformedResponseError | None = None  # malformed input that followed events
+        self.error: MalformedResponseError | None = None  # set if malformed input followed events
         self._head_data = b""
         self._partial_line = b""
         self._chunks: ChunkReader | None = None
-        self._body_bytes_left: int | None = None  # if the response has a content length
+        self._body_bytes_left: int | None = None  # None if the response has no content length
         self._event_number: int | None = None
         self._event_lines: list[str] = []
         self._event_bytes = 0
--- a/fennelwind/node/lifecycle.py
+++ b/fennelwind/node/lifecycle.py
@@ -25,7 +25,7 @@
 from fennelwind.node.shutdown import ShutdownSchedule
 from fennelwind.policy import ListForm
 
-MIN_ANSWER_MARGIN_MS = 15.0  # ms from an answer to its deadline, even if less was measured
+MIN_ANSWER_MARGIN_MS = 15.0  # ms; the least time from an answer to its deadline, even if less was measured
 MAX_ANSWER_MARGIN_MS = 200.0
 LISTEN_BACKLOG = 1024  # connections not yet accepted; at a deploy all clients connect at once
 # Shares of the file descriptors; the remaining ones, 17 of 256, are for files, log and command channel.
@@ -33,7 +33,7 @@
 LINGERING_SHARE = 0.03  # connections being closed
 DRAIN_CHECK_MS = 25.0  # ms between two checks for open queries during a shutdown
 LAST_CANCELLATIONS_MS = 150.0  # ms to cancel abandoned queries at the executors
-START_RETRY_PAUSES_MS = (100.0,) * 100  # ms between attempts to start; the platform allows 30 s
+START_RETRY_PAUSES_MS = (100.0,) * 100  # ms between tries to start; the platform allows 30 s
 GC_THRESHOLD = 20_000  # new objects between two collections; reference counting frees nearly all garbage
 VIEW_CHECK_MS = 1000.0  # ms between two comparisons of the policy's view with the attempts in flight
 VIEW_CHECKS_PER_LINE = 10  # comparisons between two log lines that report them
--- a/fennelwind/node/msgrpc.py
+++ b/fennelwind/node/msgrpc.py
@@ -50,7 +50,7 @@
     __slots__ = ("error", "_unpacker", "_fed_bytes", "_parsed_bytes")
 
     def __init__(self) -> None:
-        self.error: MalformedMessageError | None = None  # malformed input that followed messages
+        self.error: MalformedMessageError | None = None  # set if malformed input followed messages
         self._unpacker: msgpack.Unpacker | None = None
         self._fed_bytes = self._parsed_bytes = 0  # bytes fed to the parser, bytes in complete messages
 
--- a/fennelwind/node/priority_updates.py
+++ b/fennelwind/node/priority_updates.py
@@ -22,8 +22,8 @@
     def __init__(self, executor: Executor, request: AttemptRequest) -> None:
         self.executor, self.request = executor, request
         self.sent = request.priority  # the priority last sent to the executor
-        self.is_running = False  # the attempt has not ended
-        self.is_updating = False  # a task is sending the priority
+        self.is_running = False  # true while the attempt has not ended
+        self.is_updating = False  # true while a task sends the priority
 
     @property
     def is_current(self) -> bool:
--- a/fennelwind/node/shutdown.py
+++ b/fennelwind/node/shutdown.py
@@ -9,9 +9,9 @@
 MAX_COUNTED_TIMEOUT_MS = 3000.0  # ms; the platform counts longer timeouts as this
 KILL_GRACE_MS = 700.0  # ms; SIGKILL may come this long after SIGTERM plus the longest timeout
 # Times before the earliest SIGKILL:
-ABANDON_BEFORE_KILL_MS = 250.0  # ms; open queries are abandoned and get their final answer
+ABANDON_BEFORE_KILL_MS = 250.0  # ms; at this time open queries are abandoned and get their final answer
 LAST_ANSWERS_BEFORE_KILL_MS = 150.0  # ms; until then clients may read answers and complete messages
-CLOSED_BEFORE_KILL_MS = 50.0  # ms; all connections are closed
+CLOSED_BEFORE_KILL_MS = 50.0  # ms; by this time all connections are closed
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/node/start_times.py
+++ b/fennelwind/node/start_times.py
@@ -46,6 +46,6 @@
         return start_ms
 
     def prune(self, listed_names: Collection[str]) -> None:
-        """Drop the starts of unlisted executors once they outnumber the listed ones by `MIN_SURPLUS`."""
+        """Drop unlisted executors' starts once there are over 2 * listed + `MIN_SURPLUS` starts in total."""
         if len(self._starts) > 2 * len(listed_names) + MIN_SURPLUS:
             self._starts = {name: start_ms for name, start_ms in self._starts.items() if name in listed_names}
--- a/fennelwind/node/table_group.py
+++ b/fennelwind/node/table_group.py
@@ -1,7 +1,7 @@
 """Extracts the table group of a statement: the number after the underscore in a schema's name.
 
-One pass over the text with a regular expression that never backtracks over matched text, so the time is
-linear. Strings and comments are skipped, and text that can't be parsed names no group.
+A regular expression that never backtracks over matched text scans the statement once, so the time is linear.
+Strings and comments are skipped, and text that can't be parsed names no group.
 """
 
 import re
--- a/fennelwind/node/watch_connection.py
+++ b/fennelwind/node/watch_connection.py
@@ -10,7 +10,7 @@
 from fennelwind.loop.streams import Address, Stream
 from fennelwind.node.http1 import EventReader, ServerEvent
 
-SILENCE_MS = 1600.0  # ms without a complete event or comment; the channel sends a comment every second
+SILENCE_MS = 1600.0  # ms without activity that count as silence; the channel sends a comment every second
 CONNECT_MS = 400.0  # ms to connect, and again to write the request
 PROGRESS_BYTES = 512  # bytes of an incomplete event that count as activity: a long list may arrive slowly
 READ_BYTES = 16384  # bytes of one read; after a full one the loop runs other tasks, as more may follow
--- a/fennelwind/thrift/codec.py
+++ b/fennelwind/thrift/codec.py
@@ -390,7 +390,8 @@
 class Lazy:
     """A structure that is decoded when one of its fields is first read, or never if it is only passed on.
 
-    Its framing has been checked with `skip`, which found its end. A wrong type of a field shows on decoding.
+    `skip` has found the structure's end and checked its framing. A field of a wrong type raises `Malformed`
+    only when the structure is decoded.
     """
 
     __slots__ = ("codec", "raw", "_value")
--- a/fennelwind/thrift/messages.py
+++ b/fennelwind/thrift/messages.py
@@ -44,7 +44,7 @@
     type: int
     sequence: int
     body: Any
-    strict: bool = True  # its header states the protocol version, as those of newer clients do
+    strict: bool = True  # if true, the header states the protocol version, as newer clients' headers do
 
 
 def read_message(buf: bytes, pos: int = 0) -> tuple[Message, int]:
@@ -160,7 +160,7 @@
         return self.pos
 
     def _skip_strings(self, buf: bytearray, top: list[int]) -> bool:
-        """Skip the received strings of a list; return whether all were. Pages consist mostly of strings."""
+        """Skip the received strings of a list; return whether it is complete. Pages are mostly strings."""
         pos, remaining, buffer_bytes, read = self.pos, top[-1], len(buf), _int
         try:
             while remaining:
