--- a/fennelwind/leases/fencing.py
+++ b/fennelwind/leases/fencing.py
@@ -130,7 +130,7 @@
         )
 
     def may_continue(self, now_ms: float, operation: FencedOperation) -> bool:
-        """Return whether the operation may go on; call this before each step and after each wait."""
+        """Return whether the operation may continue; call this before each step and after each wait."""
         return (
             operation.number in self.operations
             and operation.fencing_token == self.fencing_token
--- a/fennelwind/leases/lease_client.py
+++ b/fennelwind/leases/lease_client.py
@@ -55,20 +55,20 @@
 
 
 class LeasePhase(StrEnum):
-    """The state, on this controller, of the lease of a task that it wants or still holds."""
+    """The phase of a lease that this controller wants or still holds."""
 
     WANTED = "wanting"  # the lease is to be requested, or the request is not answered yet
     QUEUED = "waiting"  # another controller holds the lease, and this one is in the queue
     HELD = "held"
-    RELEASING = "ending"  # no operation may begin; the lease is given up when the running ones have ended
+    RELEASING = "ending"  # no operation may begin; the lease is given up when running operations end
 
 
 class ReleaseKind(StrEnum):
     """How a lease in phase `RELEASING` is given up."""
 
     NONE = ""
-    HAND_OVER = "hand"  # to the next waiter
-    REBALANCE = "spare"  # to a waiter with fewer leases, if there still is one
+    HAND_OVER = "hand"  # the lease is handed over to the next waiter
+    REBALANCE = "spare"  # the lease is handed over to a waiter with fewer leases, if there still is one
     FAILED = "fail"  # this controller can't run the task
     FORGET = "forget"  # the task is finished
     LEAVE_QUEUE = "queue"  # the lease is not held; the controller leaves the queue
@@ -124,7 +124,7 @@
         self._awaited: int | None = None  # id of the command whose answer is awaited
         self._failed_attempts = 0  # consecutive commands without an answer
         self._backoff_until_ms = -math.inf  # no command is sent before this time
-        self._keepalive_at_ms = math.inf  # when a command is due to keep the places in queues
+        self._keepalive_at_ms = math.inf  # when to send a command, to remain in queues
         self._is_shutting_down = False
         self._is_shut_down = False
         self._shutdown_attempts = 0
@@ -483,7 +483,7 @@
         self._send(command, sent)
 
     def _stop_awaiting(self) -> None:
-        """Stop waiting for the answer.
+        """Stop waiting for the answer to the last command.
 
         The command may still be applied, so a lease that the command gives up must not be kept.
         """
--- a/fennelwind/leases/state_machine.py
+++ b/fennelwind/leases/state_machine.py
@@ -18,22 +18,22 @@
 MAX_REQUESTS_PER_COMMAND = 512  # far more than the about fifty tasks that a controller requests
 MAX_TASKS = 4096  # four times as many as a thousand tables and the controllers themselves need
 MAX_WAITERS_PER_TASK = 256  # more than a fleet's two hundred controllers, each of which may wait
-MAX_WAITERS = 32_768  # over all tasks; each takes about 60 bytes in a snapshot
-MAX_NAME_BYTES = 256  # of a task or controller name
+MAX_WAITERS = 32_768  # over all tasks; each waiter takes about 60 bytes in a snapshot
+MAX_NAME_BYTES = 256  # bytes of a task's or controller's name
 MAX_INCARNATION_BYTES = 32
 MAX_PURPOSE_BYTES = 256
-MAX_CHECKPOINT_BYTES = 4096  # of one task: a position to continue from, not the work itself
-MAX_TOTAL_CHECKPOINT_BYTES = 4 * 1024 * 1024  # of all tasks, so that a snapshot stays small
+MAX_CHECKPOINT_BYTES = 4096  # bytes of a task's checkpoint: a position to continue from, not the work itself
+MAX_TOTAL_CHECKPOINT_BYTES = 4 * 1024 * 1024  # bytes of all checkpoints; this keeps a snapshot small
 MIN_TERM_MS = 300  # ms; a shorter lease can't be renewed across an election
-MAX_TERM_MS = 600_000  # ms; a longer one leaves the task of a dead holder idle for too long
+MAX_TERM_MS = 600_000  # ms; a longer lease leaves the task of a dead holder idle for too long
 OFFER_TERM_DIVISOR = 2  # an offer lasts half a term, so a dead first waiter costs half a term
 WAITER_TIMEOUT_MS = 30_000  # ms without a command after which a waiter is dropped
 # A waiter sends a command every 8 to 12 s; after this many ms without one, other waiters are preferred.
 WAITER_QUIET_MS = WAITER_TIMEOUT_MS // 2
 MIN_EXCLUSION_MS = 2000  # ms for which a controller is excluded after its first failure
 MAX_EXCLUSION_MS = 120_000  # ms for which a controller is excluded at most
-MAX_EXCLUSION_DOUBLINGS = 6  # 2 s to 128 s, which the maximum limits to 120 s
-MAX_EXCLUSIONS_PER_TASK = 64  # beyond that, the exclusion that ends first is removed
+MAX_EXCLUSION_DOUBLINGS = 6  # from 2 s to 128 s, which `MAX_EXCLUSION_MS` limits to 120 s
+MAX_EXCLUSIONS_PER_TASK = 64  # beyond this number, the exclusion that ends first is removed
 MIN_SURPLUS_LEASES = 2  # surplus over a waiter before rebalancing; with 1, leases would move back and forth
 
 
@@ -58,10 +58,10 @@
         self._last_heard_ms: dict[ControllerIncarnation, int] = {}  # time of the last command of each waiter
         # The fields below are derived from those above.
         self._queued_count: Counter[ControllerIncarnation] = Counter()  # number of queues per waiter
-        self._lease_count: Counter[str] = Counter()  # held by or offered to a controller, by its name
+        self._lease_count: Counter[str] = Counter()  # leases held or offered, by controller name
         self._offers: dict[ControllerIncarnation, dict[str, None]] = {}
-        self._checkpoint_bytes = 0  # of all tasks
-        self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # times may be early, never late
+        self._checkpoint_bytes = 0  # total size of all tasks' checkpoints
+        self._deadline_heap: list[tuple[int, str, str, bytes]] = []  # a time may be too early, never late
         self._deadlines: dict[tuple[str, str, bytes], int] = {}
 
     # Reading.
@@ -92,7 +92,7 @@
         return sorted(self._leases)
 
     def offers(self, owner: ControllerIncarnation) -> tuple[str, ...]:
-        """Return the tasks that are offered to a controller; its watch reports each change of the offers."""
+        """Return the tasks offered to a controller, whose watch reports each change of the offers."""
         return tuple(sorted(self._offers.get(owner, ())))
 
     # Commands.
@@ -250,7 +250,7 @@
         )
 
     def _reject_holder(self, lease: TaskLease, refusal: pb.Refusal) -> pb.Told:
-        """Reject a holder's request without extending the lease; a term of 0 tells the holder that."""
+        """Reject a holder's request without extending the lease; the answer's term of 0 shows this."""
         return pb.Told(
             refusal=refusal, state=pb.Told.HELD, fence=lease.fencing_token, holder=lease.holder_name
         )
@@ -324,7 +324,7 @@
 
     def _expire(self, at: LogPosition, name: str, lease: TaskLease) -> None:
         if lease.holder is not None:
-            if lease.fencing_token:  # an offer may have been lost in transit, which is not a failure
+            if lease.fencing_token:  # an expired offer is no failure: it may have been lost in transit
                 self._exclude(at, lease, lease.holder.name)
             self._release(at, name, lease)
             return
@@ -385,7 +385,7 @@
     def _offer(self, at: LogPosition, name: str, lease: TaskLease, successor: str = "") -> None:
         """Offer a free lease to the named successor or, without one, to a waiter that is not excluded.
 
-        Among the latter, prefer a waiter that sent a command lately, then the one with the fewest leases,
+        Among these waiters, prefer a waiter that sent a command lately, then the one with the fewest leases,
         then the first in the queue.
         """
         if successor:
--- a/fennelwind/quiescence/acknowledgements.py
+++ b/fennelwind/quiescence/acknowledgements.py
@@ -16,8 +16,8 @@
 from fennelwind.quiescence import clearance_pb2 as pb
 from fennelwind.quiescence.registered_controllers import ControllerRegistry, RegisteredController
 
-MAX_OPEN_PAIRS = 256  # in one acknowledgement; a controller with more pairs sends none until it has fewer
-MAX_BARRIER_REQUESTS = 1024  # in one message
+MAX_OPEN_PAIRS = 256  # pairs in one acknowledgement; a controller with more sends none until it has fewer
+MAX_BARRIER_REQUESTS = 1024  # barrier requests in one message
 MAX_BLOCKER_NAMES = 8  # an answer names at most this many controllers to wait for, per request
 
 
@@ -26,8 +26,8 @@
     sequence: int  # rises with each acknowledgement of a controller
     replica_revision: int  # revision of the replica locations that the controller routes by
     table_index: int  # log index up to which the controller knows where tables are quiesced
-    open_replicas: frozenset[tuple[str, str]]  # shard and engine: draining, with queries still in flight
-    open_tables: frozenset[tuple[str, str]]  # table and engine: quiesced, with queries still in flight
+    open_replicas: frozenset[tuple[str, str]]  # (shard, engine) of draining replicas with queries in flight
+    open_tables: frozenset[tuple[str, str]]  # (table, engine) of quiesced tables with queries in flight
 
 
 class Acknowledgements:
--- a/fennelwind/quiescence/in_flight.py
+++ b/fennelwind/quiescence/in_flight.py
@@ -15,7 +15,7 @@
 from fennelwind.quiescence.acknowledgements import MAX_OPEN_PAIRS
 
 REPEAT_MS = 2000.0  # ms after which an unchanged acknowledgement is resent, as the leader may have changed
-MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; short compared with the minute of waiting saved
+MIN_INTERVAL_MS = 200.0  # ms between two acknowledgements; short compared with the minute that they save
 
 Pair = tuple[str, str]  # a shard or a table, and an engine
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class NextAcknowledgement:
-    """The acknowledgement to send now, None if none is due; and when to check again at the latest (ms)."""
+    """`message` is to be sent now, None if none is due; `check_at_ms` is the latest time to check again."""
 
     message: pb.Word | None
     check_at_ms: float
@@ -44,8 +44,8 @@
         self.table_index = 0  # log index of the view of tables
         self.draining_replicas: frozenset[Pair] = frozenset()
         self.quiesced_tables: frozenset[Pair] = frozenset()
-        self._is_replica_view_complete = True  # the view lists all replicas that drain
-        self._is_table_view_complete = True  # the view lists all tables that are quiesced
+        self._is_replica_view_complete = True  # whether the view lists all replicas that drain
+        self._is_table_view_complete = True  # whether the view lists all tables that are quiesced
         self._pairs_of: dict[Hashable, tuple[Pair, ...]] = {}  # the pairs that each attempt may read
         self._open_count: dict[Pair, int] = {}  # number of attempts that may read the pair
         self._abandoned_until_ms: dict[Hashable, float] = {}  # attempts that may still run at their engine
@@ -85,7 +85,7 @@
         if attempt in self._pairs_of:
             self._abandoned_until_ms[attempt] = until_ms
 
-    # Views. A Raft member that lags behind may send an older view; it is ignored, and routing doesn't get it.
+    # Views. A Raft member that lags behind may send an older view, which is ignored; routing doesn't get it.
 
     def update_replicas(
         self, revision: int, locations: Any, draining: Iterable[Pair], is_complete: bool = True
--- a/fennelwind/quiescence/registered_controllers.py
+++ b/fennelwind/quiescence/registered_controllers.py
@@ -28,7 +28,7 @@
     """One incarnation of a controller."""
 
     name: str
-    can_withhold_queries: bool  # whether it can stop sending queries to a replica or engine
+    can_withhold_queries: bool  # whether this controller can stop sending queries to a replica or engine
     heard_ms: int  # the log's clock at the controller's last command
 
 
--- a/fennelwind/raft/bootstrap.py
+++ b/fennelwind/raft/bootstrap.py
@@ -1,4 +1,4 @@
-"""Bootstrap: a member without a log asks to join; the first by name creates the group if nobody has one.
+"""Bootstrap: a member without a log asks to join; if no group exists, the first by name creates one.
 
 No I/O.
 """
@@ -21,7 +21,7 @@
         self.next_request_ms: float | None = None  # when to send join requests again; None before the first
 
     def join_requests(self) -> list[tuple[Incarnation, pb.Message]]:
-        """Return a join request for each other configured member; their incarnations aren't known yet."""
+        """Return a join request for each other configured member, whose incarnation isn't known yet."""
         configured = self.configured_members.get(self.me.name)
         member = pb.Member(
             name=self.me.name, life=self.me.id, address=configured.address if configured else ""
@@ -44,7 +44,7 @@
     def should_found_group(self, now: float, election_ms: float) -> bool:
         """Whether this member is to create the group: it is first by name and all others reported empty logs.
 
-        Only recent reports count: a member may have joined another group since, without notifying this one.
+        Only recent reports count: a member may since have joined another group without notifying this member.
         """
         others = set(self.configured_members) - {self.me.name}
         empty = {
--- a/fennelwind/raft/election.py
+++ b/fennelwind/raft/election.py
@@ -38,7 +38,7 @@
 
 
 def start_election(member: "RaftMember", handed_over: bool = False) -> None:
-    """Begin a term and request votes; this member's own vote counts once it is durable."""
+    """Begin a term and request votes; this member's own vote counts once the vote is durable."""
     member.become_follower(member.term + 1, None)
     member.voted_for = member.me
     member.save_hard_state()
@@ -57,8 +57,8 @@
 def handle_vote_request(member: "RaftMember", sender: Incarnation, term: int, vote: pb.Vote) -> None:
     """Answer a vote request; reject it while a leader is alive, unless that leader transferred leadership.
 
-    A candidate outside this log's configuration may be in a later one, so this member answers. A member whose
-    storage has failed, or that has no log yet, does not answer.
+    A candidate outside the configuration in this member's log may belong to a later configuration, so it gets
+    an answer too. A member whose storage has failed, or that has no log yet, does not answer.
     """
     if member.storage_failed or member.is_empty:
         member.counters["vote not given"] += 1
@@ -97,7 +97,7 @@
 
 
 def handle_vote_response(member: "RaftMember", sender: Incarnation, term: int, answer: pb.VoteAnswer) -> None:
-    """Count a response that belongs to the current campaign."""
+    """Count a vote granted to the current campaign; step down if a rejection has a later term."""
     campaign = member.campaign
     if campaign is None or sender not in member.log.configuration.voters:
         member.counters["late"] += 1
--- a/fennelwind/raft/leader.py
+++ b/fennelwind/raft/leader.py
@@ -23,7 +23,8 @@
 SLOW_ROUND_DIVISOR = 4.0  # a round slower than the election timeout divided by this counts as slow
 # Rounds whose start time the leader keeps; a response to an older round doesn't adapt the message size.
 MAX_TRACKED_ROUNDS = 64
-REMOVAL_NOTICE_TIMEOUTS = 10  # election timeouts for which a removed member is sent the entry that removes it
+# For this many election timeouts a removed member still gets entries, to receive the one that removes it.
+REMOVAL_NOTICE_TIMEOUTS = 10
 
 
 class Leader:
@@ -38,9 +39,9 @@
         self.pending_proposals: deque[tuple[int, int]] = deque()  # entry's index, proposal's token
         self.pending_reads = ReadIndexQueue(member.timing.max_pending_reads)
         self.round = 0
-        self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # round, start
+        self.round_starts: deque[tuple[int, float]] = deque(maxlen=MAX_TRACKED_ROUNDS)  # round, start in ms
         self.next_heartbeat_ms = now
-        self.transfer_deadline_ms: float | None = None  # proposals are rejected until then, if set
+        self.transfer_deadline_ms: float | None = None  # None, or until when proposals are rejected
         self.transfer_target: Incarnation | None = None
         self._append(pb.Entry(nothing=True), now)
         self.sync_peers(now)
@@ -130,7 +131,7 @@
         )
 
     def add_learner(self, joiner: pb.Member, now: float) -> int:
-        """Add a learner, replacing an earlier incarnation of its name; return the entry's index."""
+        """Add a learner in place of an earlier incarnation of this name; return the log entry's index."""
         kept = [m for m in self.member.log.configuration.members.members if m.name != joiner.name]
         added = pb.Member(name=joiner.name, life=joiner.life, address=joiner.address)
         return self._append_members([*kept, added], now)
@@ -159,7 +160,7 @@
         return answers.LEARNING
 
     def sync_peers(self, now: float) -> None:
-        """Track the configuration's members; a removed member stays for a while, to learn of its removal."""
+        """Track all members; keep a removed member for a while, so that it learns of its removal."""
         log = self.member.log
         present = [
             incarnation for incarnation in log.configuration.incarnations if incarnation != self.member.me
--- a/fennelwind/raft/log.py
+++ b/fennelwind/raft/log.py
@@ -39,7 +39,7 @@
         self.entries: list[pb.Entry] = list(entries)
         self.size_bytes = sum(entry.ByteSize() for entry in self.entries)
         self.configurations: list[Configuration] = [make_configuration(0, pb.Members())]
-        # The first entries may be ones that the snapshot covers; then the first of them becomes the base.
+        # The snapshot may cover the first entries; in that case the first entry becomes the base.
         if self.entries and self.entries[0].index <= self.base_index:
             first = self.entries.pop(0)
             self.size_bytes -= first.ByteSize()
@@ -80,7 +80,7 @@
         )
 
     def configurations_from(self, index: int) -> list[Configuration]:
-        """Return the configuration in effect at an index and all later ones."""
+        """Return the configuration in effect at an index, and all later configurations."""
         if self.configurations[-1].index <= index:
             return self.configurations[-1:]
         return self.configurations[
--- a/fennelwind/raft/member.py
+++ b/fennelwind/raft/member.py
@@ -21,7 +21,7 @@
 from fennelwind.raft.pending_writes import PendingWrites
 from fennelwind.raft.snapshots import Snapshots
 
-MAX_APPLY_ENTRIES = 1024  # entries in one `Apply`, so that the host can do other work between two batches
+MAX_APPLY_ENTRIES = 1024  # entries in one `Apply`; between two `Apply` actions the host can do other work
 # A leader transfers leadership after this many election timeouts in which its own disk makes no progress
 # while the other members commit without it.
 DISK_STUCK_TIMEOUTS = 10
@@ -39,7 +39,7 @@
     term: int
     leader: str
     commit_index: int
-    delivered_index: int  # entries up to here were passed to the host
+    delivered_index: int  # entries up to this index were passed to the host
     last_index: int
     durable_index: int
     base_index: int
@@ -47,7 +47,7 @@
     pending_proposals: int
     pending_reads: int
     members: pb.Members
-    match_index: dict[str, int]  # leader only: each peer's durable index that matches the leader's log
+    match_index: dict[str, int]  # by peer: up to which index its durable log matches; empty if not leader
     counters: dict[str, int]
 
 
@@ -72,7 +72,7 @@
         self.actions: list[Action] = []
         self.snapshots = Snapshots(self, durable)
         self.commit_index = self.delivered_index = self.snapshots.index
-        self.leader_match_index = self.commit_index  # up to here the log matches the current leader's
+        self.leader_match_index = self.commit_index  # up to this index the log matches the current leader's
         self.pending_writes = PendingWrites(self.log.last_index)
         self.leader: Incarnation | None = None
         self.leader_state: Leader | None = None
@@ -98,7 +98,7 @@
     # Step
 
     def step(self, now: float, events: Sequence[Event] = ()) -> list[Action]:
-        """Process events at a time; return the actions to carry out, in order."""
+        """Process events at the time `now`; return the actions to carry out, in order."""
         if self.now_ms == -math.inf:
             self.now_ms = now
             self.reset_election_timer()
@@ -150,7 +150,7 @@
             self.last_write_progress_ms = now
         if self.leader_state is not None:
             if self._is_disk_stuck():
-                self.last_write_progress_ms = now  # if nobody takes over, retry after the same period
+                self.last_write_progress_ms = now  # if nobody takes over, retry after `DISK_STUCK_TIMEOUTS`
                 self.counters["stuck disk"] += 1
                 self._transfer_leadership()
             if not self.leader_state.tick(now):
@@ -273,7 +273,7 @@
         )
 
     def _should_join(self) -> bool:
-        """Whether to ask for admission, as the log never listed this member. A removed member doesn't ask."""
+        """Whether to ask to join: the log never listed this member. A removed member doesn't ask."""
         if self.storage_failed or self.me in self.log.configuration.incarnations:
             return False
         return not any(self.me in configuration.incarnations for configuration in self.log.configurations)
@@ -393,7 +393,7 @@
         )
 
     def become_follower(self, term: int, leader: Incarnation | None) -> None:
-        """Step down to follower; adopt the term if it is later. Pending proposals and reads are answered."""
+        """Step down to follower, adopt a later term, answer pending proposals UNKNOWN, reject reads."""
         leader_state, self.leader_state, self.campaign = self.leader_state, None, None
         if term > self.term:
             self.term, self.voted_for = term, None
@@ -490,7 +490,7 @@
     def _accept_leader(self, sender: Incarnation, term: int, append: bool) -> bool:
         """Process the term and sender of a leader's message.
 
-        Returns False for a stale message, and for one from an unknown leader while a known one is alive.
+        Returns False for a stale message, and for an unknown leader's message while a known leader is alive.
         """
         if term < self.term:
             if append and not self.storage_failed:
@@ -617,7 +617,7 @@
             self.become_follower(self.term, None)
 
     def _recover_storage(self, durable: DurableState) -> None:
-        """Resume from the folder's contents; first rewrite the promised state that the folder lacks."""
+        """Resume from the folder's contents; first rewrite entries, term and vote that the folder lacks."""
         self.pending_writes.discard()
         durable_log, snapshots = Log(durable.snapshot_head, durable.entries), self.snapshots
         if durable.snapshot_head is not None and durable.snapshot_head.index > snapshots.index:
--- a/fennelwind/raft/messages.py
+++ b/fennelwind/raft/messages.py
@@ -24,13 +24,13 @@
     """A member's timeouts, in ms, and its limits."""
 
     heartbeat_ms: float = 50.0
-    election_timeout_ms: float = 300.0  # each election timer draws a value from this to twice this
+    election_timeout_ms: float = 300.0  # each election timer draws a value between this and twice this
     max_append_bytes: int = 512 * 1024  # bytes of entries in one message
     max_in_flight_appends: int = 4  # unacknowledged messages with entries per peer
     max_chunk_bytes: int = 256 * 1024  # bytes of a snapshot in one message
     max_pending_proposals: int = 4096  # proposals waiting for their entry to be committed
     max_pending_reads: int = 4096  # reads waiting for a majority to confirm the leader
-    retained_entries: int = 10_000  # entries kept that a snapshot covers, for members that lag a little
+    retained_entries: int = 10_000  # entries that a snapshot covers, kept for members that lag a little
     max_log_bytes: int = 64 * 1024 * 1024  # a larger log is compacted; at twice this, proposals are rejected
     # While something is going to expire, an entry is appended at least this often to advance the clock.
     clock_entry_interval_ms: float = 1000.0
--- a/fennelwind/raft/pending_writes.py
+++ b/fennelwind/raft/pending_writes.py
@@ -14,8 +14,8 @@
 
     def __init__(self, durable_index: int) -> None:
         self.durable_index = durable_index  # the last index that is on disk and still in the log
-        self.last_number = self.completed_number = 0  # the last write issued, the last write completed
-        self.in_flight: deque[tuple[int, int]] = deque()  # write's number, the log's last index then
+        self.last_number = self.completed_number = 0  # numbers of the last write issued and completed
+        self.in_flight: deque[tuple[int, int]] = deque()  # write's number, the log's last index after it
         self.held_sends: deque[tuple[int, Send]] = deque()  # write's number, message waiting for it
         self.hard_state: pb.HardState | None = None
         self.hard_state_number = 0  # number of the write with the latest hard state
--- a/fennelwind/raft/progress.py
+++ b/fennelwind/raft/progress.py
@@ -21,7 +21,7 @@
     match_index: int = 0  # up to this index the peer's log is durable and matches the leader's
     mode: str = PROBE
     is_awaiting_response: bool = False  # a probe or a snapshot chunk is in flight
-    sent_ms: float = 0.0  # when that probe or chunk was sent
+    sent_ms: float = 0.0  # when the last probe or snapshot chunk was sent
     in_flight: deque[int] = field(default_factory=deque)  # last index of each unacknowledged message
     acknowledged_round: int = 0  # the latest round that the peer responded to
     sent_commit_index: int = 0  # the latest commit index sent to the peer
@@ -31,7 +31,7 @@
     snapshot_offset: int = 0  # bytes of the snapshot that the peer has received
     max_message_bytes: int = INITIAL_MESSAGE_BYTES  # kept small enough not to delay heartbeats
     removal_index: int = 0  # index of the entry that removes the peer; 0 if the peer is a member
-    removal_notice_until_ms: float = 0.0  # until when a removed peer is sent entries, at the latest
+    removal_notice_until_ms: float = 0.0  # latest time at which a removed peer still gets entries
 
     def adapt_message_size(self, is_slow: bool, max_bytes: int) -> None:
         """Halve the message size after a slow round, double it after a fast one."""
--- a/fennelwind/raft/replicated_state.py
+++ b/fennelwind/raft/replicated_state.py
@@ -15,7 +15,7 @@
 from fennelwind.raft.state_machine import LogPosition, StateMachine, UnreadableCommandError
 
 MAX_CLIENTS = 4096  # client sessions; the least recently used one is dropped first
-MAX_RETAINED_RESULTS = 64  # results kept per client, which bounds its commands in flight
+MAX_RETAINED_RESULTS = 64  # results kept per client; this limits the client's commands in flight
 LEVEL = 2  # highest level that this version supports; a new state machine or command requires the next one
 LEVEL_COMMAND_TARGET = "record"  # the target named by a command that raises the level
 MAX_COMMAND_BYTES = 256 * 1024  # bytes of one command's body; clients split larger bodies
--- a/fennelwind/raft/snapshots.py
+++ b/fennelwind/raft/snapshots.py
@@ -27,7 +27,7 @@
         # Write's number, header, data, first index to retain.
         self.compacting: tuple[int, pb.SnapshotHead, bytes, int] | None = None
         self.is_requested = False
-        self.oversized_index = 0  # the last index at which a snapshot was too large
+        self.oversized_index = 0  # the last index at which a snapshot was too large; 0 if none was
         if self.head is not None:
             member.actions.append(Restore(self.head, self.data))
 
@@ -142,7 +142,7 @@
         )
 
     def handle_write_completed(self, number: int) -> None:
-        """Compact the log up to a durable snapshot taken here; install a durable snapshot from the leader."""
+        """Compact the log up to a durable snapshot of this member; install a durable one from the leader."""
         if self.compacting is not None and self.compacting[0] <= number:
             _, self.head, self.data, retain_from = self.compacting
             self.compacting = None
--- a/fennelwind/raft_storage/log_index.py
+++ b/fennelwind/raft_storage/log_index.py
@@ -22,7 +22,7 @@
         hard_state: bytes = b"",
         snapshot_heads: Iterable[pb.SnapshotHead] = (),
     ) -> None:
-        self.base_index, self.base_term = last_index, last_term  # from the entry before the first held one
+        self.base_index, self.base_term = last_index, last_term  # of the entry before the first held one
         self.terms: list[int] = []
         self.hard_state = hard_state
         self.snapshot_heads = list(snapshot_heads)  # oldest first
@@ -96,7 +96,7 @@
         """Append entries; return how many were new. Raises `InvalidWriteError` for a gap or a lower term.
 
         An entry is skipped if the log has one of this index and term, or if a snapshot covers its index and
-        the term there is no longer known: then it is committed.
+        the term at that index is no longer known. In the latter case the entry is committed.
         """
         last, last_term, terms, added = self.last_index, self.last_term, self.terms, 0
         for entry in entries:
--- a/fennelwind/raft_storage/store.py
+++ b/fennelwind/raft_storage/store.py
@@ -1,8 +1,8 @@
 """A member's folder: its identity, its log in segments, and its snapshots.
 
-Files: `meta` (the identity of the folder's owner), `log-N` (segments), `marks-N` (how far a segment was
-acknowledged), `snapshot-INDEX-TERM`, `reserve` (disk space that is released for a snapshot on a full disk). A
-file whose name ends in `.new` is incomplete until it is renamed.
+Files: `meta` (the identity of the folder's owner), `log-N` (segments), `marks-N` (the numbers of a
+segment's acknowledged groups), `snapshot-INDEX-TERM`, `reserve` (disk space that is released for a snapshot
+on a full disk). A file whose name ends in `.new` is incomplete until it is renamed.
 
 The order of operations; each step begins when the one before has returned:
 
@@ -96,7 +96,7 @@
         self.disk, self.fleet, self.name, self.limits, self.pause = disk, fleet, name, limits, pause
         self.incarnation_id = b""
         self.log_index = LogIndex()
-        self.segments: dict[int, int] = {}  # number of each needed segment: last index before it
+        self.segments: dict[int, int] = {}  # last log index before each needed segment, by its number
         self.segment = self.segment_size = 0  # number and bytes of the segment being written
         self.first_segment = 1  # the first needed segment, as recorded on disk
         self.group = 0  # number of the last durable group
@@ -150,7 +150,7 @@
                 raise WriteTooLargeError(
                     f"{size} bytes in one write, {max_bytes} at most", size=size, most=max_bytes
                 )
-        self.failed, self.is_disk_full = True, False  # stays so if the task is cancelled during the write
+        self.failed, self.is_disk_full = True, False  # `failed` stays True if cancelled during the write
         try:
             self._write(group, writes)
         except DiskFull:
@@ -190,7 +190,7 @@
         return durable
 
     def is_low_on_space(self) -> bool:
-        """Return whether free space is low."""
+        """Return whether less than `min_free_bytes` of disk space is free."""
         return self.disk.free() < self.limits.min_free_bytes
 
     def close(self) -> None:
@@ -309,7 +309,7 @@
                     file=_log_name(number),
                     offset=segment.incomplete_offset or len(segment.data),
                 )
-            del segment.groups[following - segment.head.group :]  # these were never acknowledged
+            del segment.groups[following - segment.head.group :]  # removed groups were never acknowledged
             segments.insert(0, segment)
         return segments, rewritten
 
