--- a/fennelwind/cluster/access_load.py
+++ b/fennelwind/cluster/access_load.py
@@ -20,7 +20,7 @@
 
 
 class AccessLoadReporter:
-    """Sends one controller's reports."""
+    """Sends one controller's reports of how often queries name each shard."""
 
     def __init__(self, loop: Loop, client: RaftClient, named: AccessCounter, seed: int) -> None:
         """Create the reporter; `named` counts how often queries name each shard."""
--- a/fennelwind/cluster/applied_state.py
+++ b/fennelwind/cluster/applied_state.py
@@ -38,7 +38,7 @@
 
 
 class AppliedState:
-    """Applies committed entries; calls back those that wait for an entry, an index or a change of state."""
+    """Applies committed entries; calls back the callers that wait for an entry, an index or a change."""
 
     def __init__(
         self,
--- a/fennelwind/cluster/framing.py
+++ b/fennelwind/cluster/framing.py
@@ -16,7 +16,7 @@
 MAX_FRAME_BYTES = 2 * 1024 * 1024  # an append holds 512 KiB and at least one command of 256 KiB
 MAX_QUEUED_BYTES = 4 * 1024 * 1024  # per stream; twice the largest frame
 MAX_WRITE_BYTES = 256 * 1024  # per write to the stream
-WRITE_TIMEOUT_MS = 5000.0  # ms for a peer to accept some bytes; after that it counts as disconnected
+WRITE_TIMEOUT_MS = 5000.0  # ms for a peer to accept some bytes; after that the peer counts as disconnected
 LENGTH = struct.Struct(">I")  # at the start of each frame: the number of bytes that follow
 
 ParsedMessage = TypeVar("ParsedMessage", bound=Message)
@@ -91,7 +91,7 @@
         self._wakeup = Wakeup(loop)
         self._idle_stream: PushStream | None = None  # set only while `run` waits for frames
         self._unwritten = b""  # data that the stream did not accept at once
-        self._is_push_due = False  # queued frames are written at the end of this iteration of the loop
+        self._is_push_due = False  # whether `_push` will run at the end of this iteration of the loop
 
     def __len__(self) -> int:
         return len(self._frames)
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -9,7 +9,7 @@
 from fennelwind.raft.messages import Timing
 
 PROTOCOL = 1  # version of the frames; incremented by changes that an older controller can't read
-MAX_NAME_LENGTH = 64  # characters of a peer's name; errors show no more of a longer one
+MAX_NAME_LENGTH = 64  # characters of a peer's name; errors cut longer names off there
 
 
 @dataclass(slots=True, frozen=True)
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -25,7 +25,7 @@
 from fennelwind.loop.timers import Timer
 
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command; the lease client decides whether to retry
-WATCH_MS = 20_000.0  # ms of one watch for offers; a watch ends with the first offer
+WATCH_MS = 20_000.0  # ms until a watch for offers ends without an offer; it ends earlier with the first offer
 WATCH_RETRY_MS = 1000.0  # ms until a failed watch is repeated
 NOT_HELD_RETRY_MS = 50.0  # ms until a task's function is called again after too little of its lease was left
 INCARNATION_BYTES = 16  # random, so that each start of a controller gets a unique incarnation
@@ -112,7 +112,7 @@
         self.counts: Counter[str] = Counter()
         self.shutdown_complete = Once(loop)
         self._functions: dict[str, TaskFunction] = {}
-        self._any_added = Once(loop)  # set with the first task
+        self._any_added = Once(loop)  # set when the first task is added
         self._running: dict[str, _RunningTask] = {}
         self._events: deque[lease_events.Event] = deque()
         self._wakeup = Wakeup(loop)
@@ -120,7 +120,7 @@
         self._tasks: list[Task] = []
 
     def start(self) -> None:
-        """Start requesting the leases of all tasks, those added later included."""
+        """Start requesting the leases of all tasks, including tasks added later."""
         self._tasks = [
             self.loop.spawn(self._step_forever, name="tasks: turns"),
             self.loop.spawn(self._watch_offers, name="tasks: offers"),
@@ -138,7 +138,7 @@
         `function` returns True when the task has ended for all controllers, and False when the lease should
         go to another controller. If `function` raises an error, another controller gets the lease, and this
         one is excluded for a while. `function` is cancelled as soon as the lease is no longer certain to be
-        held. If it raises `LeaseNotHeldError` before that, it is called again.
+        held. If `function` raises `LeaseNotHeldError` before being cancelled, it is called again.
         """
         self._functions[name] = function
         self._any_added.set()
@@ -160,7 +160,7 @@
             return False
 
     def close(self) -> None:
-        """Stop everything at once; leases expire by themselves."""
+        """Stop all tasks at once without releasing the leases, which expire by themselves."""
         for task in [*self._tasks, *(running.task for running in self._running.values())]:
             task.cancel()
         if self._timer is not None:
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -54,7 +54,7 @@
             )
 
     def close(self) -> None:
-        """Stop acknowledging; others wait for this controller until its registration times out."""
+        """Stop acknowledging; barrier requests wait for this controller until its registration times out."""
         for task in self._tasks:
             task.cancel()
 
@@ -91,7 +91,7 @@
             self.loop.sleep(RENEWAL_MS if number else RETRY_MS)
 
     def _register(self, number: int) -> pb.RollAnswer:
-        """Renew the registration with this number, or register if it is 0. Raises `ClusterError`."""
+        """Renew the registration with this number, or register if the number is 0. Raises `ClusterError`."""
         if number:
             command = pb.RollCommand(renew=pb.Renew(number=number))
         else:
--- a/fennelwind/cluster/raft_client.py
+++ b/fennelwind/cluster/raft_client.py
@@ -332,7 +332,7 @@
         return self._member_order[(self._member_order.index(name) + 1) % len(self._member_order)]
 
     def _retire(self, connection: MemberConnection) -> None:
-        """Stop using a connection, and close it once its pending requests had time for an answer."""
+        """Stop using a connection, and close it once the pending requests have had time to be answered."""
         self._connection = None
         self._loop.after(ATTEMPT_TIMEOUT_MS, connection.close)
 
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -220,7 +220,7 @@
         """Transfer leadership if this member leads; return whether it no longer leads."""
         if self.role == "leader":
             self.post(TransferLeadership())
-            # Wait until another member leads: electing it may need this member's vote, which must be on disk.
+            # Wait until another member leads: the election may need this member's vote on disk.
             self.wait_for_role(lambda: self.role != "leader" and self.leader != "", within_ms)
         return self.role != "leader"
 
@@ -382,7 +382,7 @@
         events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
         try:
             self._carry_out(self.core.step(self.loop.now(), events))
-        except Exception as exc:  # raised in a task, which reports it as any other bug of the member
+        except Exception as exc:  # raised again in a task, which reports the error like any other bug
             self._is_stopped = True
             self.loop.spawn(self._guarded, partial(_raise, exc), name="keeper: member")
             return
--- a/fennelwind/cluster/replica_locations.py
+++ b/fennelwind/cluster/replica_locations.py
@@ -17,7 +17,7 @@
 from fennelwind.loop import DeadlineExceeded, Loop, Once, Task
 from fennelwind.shards import shards_pb2 as pb
 
-WATCH_MS = 20_000.0  # ms of one watch
+WATCH_MS = 20_000.0  # ms until a watch without a change ends
 READ_TIMEOUT_MS = 4000.0  # ms to read one page of the state
 MIN_READ_INTERVAL_MS = (
     500.0  # ms between two reads, however often the locations change; a view may be 5 s old
@@ -27,7 +27,7 @@
     4000.0  # ms that a starting controller waits for a view: time for an election and a few connects
 )
 
-Places = dict[str, tuple[str, ...]]  # by shard: engines with good replicas
+Places = dict[str, tuple[str, ...]]  # for each shard, the engines with good replicas
 
 # Parameters: revision, locations of good replicas, draining replicas, whether all draining ones are listed.
 ViewCallback = Callable[[int, Places, list[tuple[str, str]], bool], None]
@@ -90,7 +90,7 @@
     def _watch(self) -> None:
         after = 0
         revision_only = pb.ShardQuery(skip=2**62).SerializeToString()
-        revision = 0  # of the last view
+        revision = 0  # revision of the last view
         while True:
             try:
                 after = self._client.watch(SHARDS, after, wait_ms=WATCH_MS, query=revision_only).revision
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -2,8 +2,8 @@
 
 The core (`shards.migration`) decides; this module runs the core's statements, proposes its commands, and
 reports the known engines, the identity of each engine's disk (the mark) and the shards each engine lists.
-Sending a statement is an operation under the lease's fencing guard. The statement itself is not: the engine
-ends it at its timeout, or when its session is closed.
+Sending a statement is an operation under the lease's fencing guard. Running the statement is not: the engine
+ends a statement at the statement's timeout, or when the session of the statement is closed.
 """
 
 from collections import Counter
@@ -36,13 +36,13 @@
 
 LEASE_TERM_MS = 30_000  # ms of the lease; sending a statement is one operation, which must fit into this time
 REQUEST_TIMEOUT_MS = 4_000.0  # ms for one command or read of the replicated state
-WATCH_MS = 20_000.0  # ms of one watch for changes of the replicated state
+WATCH_MS = 20_000.0  # ms until a watch of the replicated state ends without a change
 ENGINE_CHECK_INTERVAL_MS = (
     2_000.0  # ms between checks of the engine list, and until a failed request is repeated
 )
 LIST_INTERVAL_MS = 600_000.0  # ms between two listings of an engine's shards, unless an event requires one
 LIST_RETRY_MS = (
-    5_000.0  # ms until the next one after a listing that failed or differs from the replicated state
+    5_000.0  # ms until the next listing after one that failed or differs from the replicated state
 )
 SHORT_STATEMENT_TIMEOUT_MS = 5_000.0  # ms for a mark, one table's listing, or sending a statement
 BARRIER_CHECK_MS = 500.0  # ms between two barrier requests for draining replicas
@@ -51,7 +51,7 @@
 MAX_CONCURRENT_SENDS = 32  # statements; with the listings, far below the guard's limit on operations
 MARK_BYTES = 16  # random, so that marks are unique
 CATCH_UP_POLL_MS = 2.0  # ms between checks whether the local state has caught up with a read
-MAX_CATCH_UP_MS = 3000.0  # ms until the state is read over the Raft client instead; about 100 are usual
+MAX_CATCH_UP_MS = 3000.0  # ms until the state is read over the Raft client instead; about 100 ms are usual
 REVISION_QUERY = pb.ShardQuery(skip=2**62).SerializeToString()  # skips all data: revision only
 NO_TABLE = "42S02"  # SQLSTATE of a statement on a missing table
 
@@ -176,14 +176,14 @@
             held.fencing_token, 0, migrations.staging, migrations.bounds, migrations.timing
         )
         self.machine: ShardMachine | None = None
-        self.index = 0  # of the last entry included in `machine`
+        self.index = 0  # index of the last entry included in `machine`
         self.stalled_at_index = -1  # index at which the local state stopped catching up; -1 if it has not
         self.engine_states: dict[str, str] = {}  # `Home.life` by engine, as last reported
-        self.marks: dict[str, str] = {}  # by known engine, if the engine's mark has been read
+        self.marks: dict[str, str] = {}  # by engine, for the known engines whose marks have been read
         self.next_listing_ms: dict[str, float] = {}  # when the next listing is due, by engine
         self.engines_in_listing: set[str] = set()
         self.send_slots = Channel(self.loop, MAX_CONCURRENT_SENDS)  # one element per statement being sent
-        self.engine_start_times: dict[str, float] = {}  # as last reported
+        self.engine_start_times: dict[str, float] = {}  # by engine, as last reported
         self.listed_shards: frozenset[str] = frozenset()  # the shards declared at the last check
         self.work: RunningWork[api.Event] = RunningWork(self.loop, held.name)
         self._statements: dict[int, Task] = {}
@@ -242,7 +242,7 @@
                 body = self.client.propose(
                     SHARDS, command.SerializeToString(deterministic=True), REQUEST_TIMEOUT_MS
                 )
-            except ClusterError as exc:  # the next lease holder declares them
+            except ClusterError as exc:  # the next lease holder declares the shards
                 self.migrations.counts[exc.code] += 1
                 return
             refusals = [pb.Answer.Refusal.Name(r) for r in pb.Answer.FromString(body).refusals if r]
@@ -288,7 +288,7 @@
                 data, revision = data + chunk.piece, chunk.revision
                 if len(data) >= chunk.size:
                     break
-            except ClusterError as exc:  # if this persists, the lease expires
+            except ClusterError as exc:  # if the error persists, the lease expires
                 self.migrations.counts[exc.code] += 1
                 self.loop.sleep(ENGINE_CHECK_INTERVAL_MS)
         if read.index >= self.index:  # if not, a concurrent read of a later state was posted already
@@ -408,7 +408,7 @@
         self.work.post(api.StatementEnded(action.token, outcome, *totals))
 
     def _send(self, statement: _AsyncStatement, action: api.RunStatement) -> str:
-        """Send a statement once a slot is free; an unanswered one occupies the slot until its timeout."""
+        """Send a statement once a slot is free; if no answer comes, occupy the slot for another timeout."""
         self.send_slots.put(None)
         release_after_ms = 0.0
         try:
