--- a/fennelwind/cluster/disaster_recovery.py
+++ b/fennelwind/cluster/disaster_recovery.py
@@ -2,8 +2,8 @@
 
 Entries that the survivor holds become committed, even if they had not been before; committed entries that
 the survivor lacks are lost. Fencing tokens are indexes of the log and must never be reused, so the log
-continues far beyond any index that the lost members can have issued. `cli.council` calls this while the
-member is down.
+continues far beyond any index that the lost members can have issued. `cli.council` calls these functions
+while the member is down.
 """
 
 from dataclasses import dataclass
@@ -13,12 +13,12 @@
 from fennelwind.raft.log import Log
 from fennelwind.raft.messages import DurableState, Write
 
-SKIPPED_ENTRIES = 100_000  # a member this far behind would be sent a snapshot, and is unfit as a survivor
+SKIPPED_ENTRIES = 100_000  # a fit survivor lacks fewer: a member this far behind is sent a snapshot
 
 
 @dataclass(slots=True, frozen=True)
 class FolderSummary:
-    """What a member's folder holds; the one with the highest (last_term, last) lost the fewest entries."""
+    """What a member's folder holds; the folder with the highest (last_term, last) lost the fewest entries."""
 
     name: str
     last_term: int
@@ -45,7 +45,7 @@
 
 
 def restart_alone(folder: MemberFolder, durable: DurableState, address: str) -> FolderSummary:
-    """Make this member the only one. Raises `StoreError` and `DiskError`, and then changes nothing."""
+    """Make this member the only one. Raises `StoreError` and `DiskError`; in that case nothing is changed."""
     previous, me = summarize(durable), durable.me
     term = max(durable.hard_state.term, previous.last_term) + 1
     alone = pb.Members(members=[pb.Member(name=me.name, life=me.id, address=address, votes=True)])
--- a/fennelwind/cluster/engine_statements.py
+++ b/fennelwind/cluster/engine_statements.py
@@ -21,7 +21,7 @@
 
 
 class Statement:
-    """One statement on one engine. `run` is called once; `stop` at any time, by another task."""
+    """One statement on one engine. `run` is called once; another task may call `stop` at any time."""
 
     def __init__(self, loop: Loop, link_settings: settings.EngineLinks, tls: object, engine: str) -> None:
         self.loop, self.link_settings, self.tls, self.engine = loop, link_settings, tls, engine
@@ -69,7 +69,7 @@
             with self.loop.deadline(within_ms):
                 connection = self._open()
                 try:
-                    with suppress(RemoteError):  # the engine does not know the session: it has ended already
+                    with suppress(RemoteError):  # a session unknown to the engine has ended already
                         connection.call("CloseSession", hs2.TCloseSessionReq(self.connection.session))
                 finally:
                     connection.drop()
--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -22,7 +22,7 @@
     folder: Path | None = None  # folder of the log; None if this controller isn't a member
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
-    reserve_bytes: int = 0  # of disk space, so that a snapshot can replace the log on a full disk
+    reserve_bytes: int = 0  # disk space in reserve, so that a snapshot can replace the log on a full disk
     handover_ms: float = 2000.0  # ms to hand over leases and leadership at shutdown
 
     @property
--- a/fennelwind/cluster/leased_tasks.py
+++ b/fennelwind/cluster/leased_tasks.py
@@ -43,7 +43,7 @@
         self.is_outcome_unknown = False  # whether the last call was not answered and may still take effect
 
     def check(self) -> None:
-        """Check before a step and after a wait. Raises `LeaseNotHeldError` if the operation may not go on."""
+        """Check before a step and after a wait. Raises `LeaseNotHeldError` if the operation must end."""
         lease = self._lease
         if not lease.guard.may_continue(lease.loop.now(), self._operation):
             raise LeaseNotHeldError(f"the operation of {lease.name} may not continue", task=lease.name)
@@ -149,7 +149,7 @@
         self.post(lease_events.ReleaseLease(name))
 
     def hand_over_all(self, within_ms: float) -> bool:
-        """Hand over all leases; return True if that was confirmed in time or there were no tasks."""
+        """Hand over all leases; return True if this was confirmed in time or no task was ever added."""
         if not self._functions:
             return True
         self.post(lease_events.Shutdown())
--- a/fennelwind/cluster/member_connection.py
+++ b/fennelwind/cluster/member_connection.py
@@ -22,7 +22,7 @@
         self._outbox = Outbox(loop)
         self._received_at_ms = loop.now()
         self._last_request_id = 0
-        self._answers: dict[int, Once] = {}  # by the id of each request in progress
+        self._answers: dict[int, Once] = {}  # waiters for the answers, by request id
         self._tasks: list[Task] = [
             loop.spawn(self._read, name=f"asker: from {name}"),
             loop.spawn(self._write, name=f"asker: to {name}"),
--- a/fennelwind/cluster/quiescence.py
+++ b/fennelwind/cluster/quiescence.py
@@ -2,8 +2,8 @@
 
 The Raft client sends all three to the Raft leader.
 
-No query waits for any of them. Without the Raft group nothing is acknowledged, and replicas and engines to be
-quiesced are dropped or changed after fixed waits instead.
+No query waits for any of the three. Without the Raft group nothing is acknowledged, and replicas and engines
+to be quiesced are dropped or changed after fixed waits instead.
 """
 
 from collections import Counter
@@ -27,7 +27,7 @@
     5000.0  # ms until a failed registration is repeated; the registry is complete only after the timeout
 )
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
-LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or barrier request; a later one replaces it
+LEADER_TIMEOUT_MS = 2000.0  # ms for one acknowledgement or barrier request; a later request replaces it
 
 
 class QuiescenceClient:
@@ -69,7 +69,7 @@
     def update_tables(
         self, index: int, excluded: dict[str, frozenset[str]], quiesced: list[Pair], is_complete: bool
     ) -> None:
-        """Handle a view of the engines that are excluded for some tables, and of those being quiesced."""
+        """Handle a view of the engines excluded for some tables, and of the engines being quiesced."""
         if self.in_flight is not None:
             self.in_flight.update_tables(index, excluded, quiesced, is_complete)
             self._wakeup.notify()
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -2,7 +2,8 @@
 
 One loop callback passes queued events to the core and carries out the actions that the core returns; one task
 makes the writes, in order; another task applies committed entries. No query waits for any of this work. If
-the folder, the listening address or the disk is unavailable, the host retries with backoff and logs it once.
+the folder, the listening address or the disk is unavailable, the host retries with backoff; it logs the error
+once.
 """
 
 from collections import Counter, deque
@@ -184,7 +185,7 @@
         self._step()
 
     def _open_with_retries(self) -> DurableState:
-        """Open the folder, retrying until that succeeds; log an error if its code differs from the last."""
+        """Open the folder, retrying until that succeeds; log an error if its code is not the last one's."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         logged_code = ""
         while True:
--- a/fennelwind/cluster/schema_gate.py
+++ b/fennelwind/cluster/schema_gate.py
@@ -1,12 +1,13 @@
-"""The schema gate of one controller: registers what sessions read and checks schema changes against it.
+"""The schema gate of one controller: registers what sessions read; checks schema changes against these reads.
 
 Subscriptions are registered in the replicated state, which checks each published schema change against them.
 An admitted change is rolled out under the lease of its table (`schema_rollout`).
 
 A subscriber's session may open before it is registered: the reply to OpenSession reports the result of the
 registration only if that arrives within `REGISTRATION_WAIT_MS`. Sessions with equal subscriptions share one
-registration. It is renewed while any of these sessions is open, and then expires at the end of its term. A
-publisher's statement waits for the replicated state and for the engines, within the statement's timeout.
+registration. The registration is renewed while any of these sessions is open, and then expires at the end of
+its term. A publisher's statement waits for the replicated state and for the engines, within the statement's
+timeout.
 """
 
 from collections import Counter
@@ -38,9 +39,9 @@
 RENEWALS_PER_TERM = 3.0  # renewals of a subscription within one term
 MIN_RENEWAL_INTERVAL_MS = 3000.0  # ms between renewals for the shortest term allowed
 MAX_RENEWALS_PER_COMMAND = 1000
-MAX_SUBSCRIBERS = 10_000  # distinct ones of one controller; the replicated state holds five times as many
+MAX_SUBSCRIBERS = 10_000  # distinct subscriptions per controller; the replicated state holds 5 times as many
 MAX_PUBLICATIONS = 256  # publishers' statements in progress
-WATCH_MS = 20_000.0  # ms of one watch for a schema change's outcome
+WATCH_MS = 20_000.0  # ms until a watch for a schema change's outcome is repeated
 MAX_TEXT_LENGTH = 4000  # characters of a status text; longer texts are cut
 OUTCOME_NAMES = {FINISHED: "finished", UNDONE: "undone", WITHDRAWN: "withdrawn", LAPSED: "lapsed"}
 
@@ -141,7 +142,7 @@
     # Subscribers.
 
     def subscribe(self, configuration: dict[str, str], protocol: int, database: str) -> Subscriber | None:
-        """Subscribe a session to its declared reads; None if there are none. Raises `SessionOptionError`."""
+        """Subscribe a session to its declared reads, if any, or return None. Raises `SessionOptionError`."""
         declared = parse_subscription(configuration, protocol, database)
         if declared is None:
             return None
@@ -258,7 +259,7 @@
     # Publishers.
 
     def publication(self, overlay: dict[str, str], database: str) -> Publication | None:
-        """Return the schema change a statement declares, None if it has none. Raises `SessionOptionError`."""
+        """Return the schema change that a statement declares, or None. Raises `SessionOptionError`."""
         return parse_publication(overlay, database)
 
     def publish(self, change: Publication, statement: str, until_ms: float) -> list[str]:
--- a/fennelwind/cluster/schema_queries.py
+++ b/fennelwind/cluster/schema_queries.py
@@ -4,7 +4,7 @@
 from fennelwind.schema_compatibility.messages import schema_message
 from fennelwind.schema_compatibility.state_machine import SchemaStateMachine, change_message
 
-MAX_LISTED_ENGINES = 10_000  # quiesced or behind, in one answer; long addresses fill a quarter of a frame
+MAX_LISTED_ENGINES = 10_000  # engines quiesced or behind per answer; long addresses fill a quarter of a frame
 
 
 def answer_change_query(machine: SchemaStateMachine, body: bytes) -> bytes:
--- a/fennelwind/cluster/schema_rollout.py
+++ b/fennelwind/cluster/schema_rollout.py
@@ -1,7 +1,7 @@
 """Rolls out admitted schema changes to the engines, on the controller that holds the table's lease.
 
 Every controller with leased tasks watches for schema changes in progress and requests the lease `table:NAME`
-for each. The holder's core (`schema_compatibility.rollout`) decides; this module runs the core's
+for each change. The holder's core (`schema_compatibility.rollout`) decides; this module runs the core's
 statements and DESCRIBEs on the engines. If the holder fails, the next holder continues from the replicated
 state.
 
@@ -35,11 +35,11 @@
 from fennelwind.schema_compatibility.types import Schema, SchemaError, SchemaTextError, parse_type, quoted
 
 LEASE_PREFIX = "table:"  # prefix of the lease for a table's rollouts; the table's name follows
-LEASE_TERM_MS = 60_000  # ms of that lease; while renewals succeed, at least about 26 s remain
+LEASE_TERM_MS = 60_000  # ms of a table's lease; while renewals succeed, at least about 26 s remain
 STATEMENT_TIMEOUT_MS = 20_000.0  # ms for a statement or DESCRIBE: an ALTER changes the metastore only
 STOP_TIMEOUT_MS = 5000.0  # ms for one attempt to stop a statement with an unknown outcome
 PROPOSE_TIMEOUT_MS = 4000.0  # ms for one command
-WATCH_MS = 20_000.0  # ms of one watch for schema changes in progress
+WATCH_MS = 20_000.0  # ms until a watch for schema changes in progress is repeated
 MIN_WATCH_INTERVAL_MS = 200.0  # ms between two watches: a watch with a large `unlike` is answered at once
 RETRY_MS = 1000.0  # ms until a failed watch or stop is repeated, and between checks of the engine list
 QUIESCING_WATCH_MS = 2000.0  # ms of one watch while engines are quiesced: acknowledgements need a recent view
@@ -170,7 +170,7 @@
         query = gate_pb2.ChangeQuery(number=number, whole=True).SerializeToString()
         try:
             read = self.client.read(CONTRACTS, query, within_ms=PROPOSE_TIMEOUT_MS)
-        except ClusterError as exc:  # the task is called again while the lease is held
+        except ClusterError as exc:  # the task's function is called again while the lease is held
             raise LeaseNotHeldError(f"{held.name}: {exc}", task=held.name) from None
         answer = gate_pb2.ChangeTold.FromString(read.state)
         if not answer.under_way:
@@ -198,7 +198,7 @@
         read_index: int,
     ) -> None:
         # By engine: the index of an entry since which the engine has been quiesced. Engines quiesced at
-        # `read_index` still are: only the lease holder can let queries go there again.
+        # `read_index` are still quiesced: only the lease holder can let queries go to these engines again.
         self._quiesced_since = dict.fromkeys(change.quiet, read_index)
         self._drain_tokens: dict[str, int] = {}  # by engine: the token of the last `AwaitDrain` action
         self.rollouts, self.loop, self.held, self.change = rollouts, rollouts.loop, held, change
@@ -243,7 +243,7 @@
             case rollout.ProposeCommand():
                 self.work.spawn(self._submit_command, action)
             case rollout.AwaitDrain(token, engine) if self.rollouts.quiescence is None:
-                self.work.post(rollout.Drained(token, engine))  # no wait: the engine's table lock protects
+                self.work.post(rollout.Drained(token, engine))  # no wait: the engine's table lock suffices
             case rollout.AwaitDrain(token, engine):
                 self._drain_tokens[engine] = token
                 self.work.spawn(self._await_drain, token, engine)
--- a/fennelwind/cluster/server.py
+++ b/fennelwind/cluster/server.py
@@ -33,7 +33,7 @@
 
 
 class RequestHandler(Protocol):
-    """Handles what the server receives."""
+    """Handles the messages and requests that the server receives."""
 
     def hello(self) -> pb.Hello:
         """Return the hello: the first message that this member sends on each connection."""
--- a/fennelwind/cluster/shard_migration.py
+++ b/fennelwind/cluster/shard_migration.py
@@ -47,8 +47,8 @@
 SHORT_STATEMENT_TIMEOUT_MS = 5_000.0  # ms for a mark, one table's listing, or sending a statement
 BARRIER_CHECK_MS = 500.0  # ms between two barrier requests for draining replicas
 STATUS_POLL_MS = 100.0  # ms between status requests to engines that answer them at once
-MAX_CONCURRENT_LISTINGS = 16  # engines; listing 200 engines of 1,000 tables takes a minute
-MAX_CONCURRENT_SENDS = 32  # statements; with the listings, far below the guard's limit on operations
+MAX_CONCURRENT_LISTINGS = 16  # engines at once; listing 200 engines of 1,000 tables takes a minute
+MAX_CONCURRENT_SENDS = 32  # statements at once; with the listings, far below the guard's limit on operations
 MARK_BYTES = 16  # random, so that marks are unique
 CATCH_UP_POLL_MS = 2.0  # ms between checks whether the local state has caught up with a read
 MAX_CATCH_UP_MS = 3000.0  # ms until the state is read over the Raft client instead; about 100 ms are usual
@@ -303,7 +303,8 @@
     def _frozen_tables(self) -> frozenset[str]:
         """Return the tables with a schema change in progress, by their names in shards.
 
-        If the read fails, return the last tables known; the state machine rejects commands for others.
+        If the read fails, return the tables read last; the state machine rejects commands for any
+        other frozen table.
         """
         try:
             changes = gate_pb2.ChangeTold.FromString(
@@ -408,7 +409,7 @@
         self.work.post(api.StatementEnded(action.token, outcome, *totals))
 
     def _send(self, statement: _AsyncStatement, action: api.RunStatement) -> str:
-        """Send a statement once a slot is free; if no answer comes, occupy the slot for another timeout."""
+        """Send a statement once a slot is free; if no answer comes, keep the slot for one more timeout."""
         self.send_slots.put(None)
         release_after_ms = 0.0
         try:
--- a/fennelwind/frontends/hiveserver2/authentication.py
+++ b/fennelwind/frontends/hiveserver2/authentication.py
@@ -35,7 +35,8 @@
     def __init__(self, loop: Loop, users: dict[str, User] | None) -> None:
         self.loop, self.users, self.logins = loop, users, LoginThrottle()
         self._key = loop.token(32)
-        # Checked for unknown users, so that they take as long; hashing takes a third of a second and 64 MiB.
+        # Checked for unknown users, so that rejecting them takes as long; hashing takes a third of a second
+        # and 64 MiB.
         self._unknown_user_hash = PasswordHasher().hash("nobody's") if users is not None else ""
         self._checks: dict[bytes, Once] = {}
         self.rejected_checks = 0  # logins rejected because too many checks were running or a check timed out
@@ -89,7 +90,7 @@
         return f"{name}.{expiry_ms}.{self._sign(name, expiry_ms)}"
 
     def user_of_cookie(self, cookie: str) -> str | None:
-        """Return the user that a cookie authenticates; None if its signature is wrong or it has expired."""
+        """Return a cookie's user; None if the cookie is forged, expired or of an unknown user."""
         name, _, rest = cookie.partition(".")
         expiry_ms, _, signature = rest.partition(".")
         if not hmac.compare_digest(signature.encode(), self._sign(name, expiry_ms).encode()):
--- a/fennelwind/frontends/hiveserver2/http.py
+++ b/fennelwind/frontends/hiveserver2/http.py
@@ -161,7 +161,7 @@
         return user, [(b"set-cookie", cookie.encode())]
 
     def _call(self, message: messages.Message, user: str) -> tuple[bytes, Entry | None]:
-        """Return the reply to a call, and the entry whose final answer it delivers; None if there is none.
+        """Return the reply to a call, and the entry whose final answer the reply delivers, or None.
 
         Raises `StreamReset` if the client disconnected.
         """
--- a/fennelwind/frontends/hiveserver2/server.py
+++ b/fennelwind/frontends/hiveserver2/server.py
@@ -237,7 +237,7 @@
                     self.worker = None
                     return
         except (OSError, Malformed):
-            self.queued_calls.close()  # ends the reading task wherever that waits; that task then cleans up
+            self.queued_calls.close()  # ends the reading task, whatever it waits for; that task cleans up
             self.stream.close()
         except Cancelled:
             pass
--- a/fennelwind/frontends/hiveserver2/service.py
+++ b/fennelwind/frontends/hiveserver2/service.py
@@ -12,7 +12,7 @@
 The first selector that matches a query determines its class, and the user determines its tenant. The key,
 estimates and timeout come from `fennelwind.key`, `.work_ms`, `.memory_mb`, `.tables`, `.shards`,
 `.timeout_ms` and `.repeat` in the statement's overlay or else in the session's configuration; a
-`queryTimeout` (s) takes precedence over `.timeout_ms` in both. Other configuration is sent to the engine with
+`queryTimeout` (s) takes precedence over any `.timeout_ms`. Other configuration is sent to the engine with
 the statement. Sessions and their operations end with the connection that opened the session.
 """
 
@@ -37,7 +37,7 @@
 from fennelwind.thrift import hiveserver2 as hs2
 from fennelwind.thrift.codec import Structure
 
-CONFIG_PREFIX = "fennelwind."  # of settings that are for the controller and aren't sent to engines
+CONFIG_PREFIX = "fennelwind."  # prefix of settings for the controller, which aren't sent to engines
 SERVER_INFO = {
     hs2.CLI_SERVER_NAME: "fennelwind",
     hs2.CLI_DBMS_NAME: "fennelwind",
@@ -48,7 +48,7 @@
 SCHEMA_CHANGE_TIMEOUT_MS = 600_000.0  # limit for a schema change whose publisher sets no timeout
 SUBSCRIBED_SETTING = "fennelwind.subscribed"  # setting in OpenSession's reply to a subscriber
 SWEEPS_PER_IDLE_TIMEOUT = 4.0  # number of checks for unused sessions and operations in one idle timeout
-UNBOUND_SESSIONS: dict[bytes, None] = {}  # passed for connections whose sessions outlive the connection
+UNBOUND_SESSIONS: dict[bytes, None] = {}  # `connection_sessions` where sessions outlive the connection
 MAX_SHARDS = 64  # shards per statement; sets that exceed the policy's slots are checked before each attempt
 METADATA_OPERATION_TYPES = {
     "GetTypeInfo": 1,
@@ -375,7 +375,7 @@
             if self.gate is not None and not is_session_statement
             else None
         )
-        # Built for a schema change too, to check permissions: its publisher needs the same ones.
+        # Built for a schema change too, to check permissions: a publisher needs the same ones as for a query.
         submission = self._build_submission(session, request, is_session_statement)
         if change is not None:
             return partial(self._publish_schema_change, change, request)
@@ -405,7 +405,7 @@
         return change
 
     def _publish_schema_change(self, change: Any, request: Structure) -> tuple[Structure, None]:
-        """Check a schema change and apply it at all engines, by the gate; reply with the gate's messages."""
+        """Have the gate check a schema change and apply it at all engines; reply with the gate's messages."""
         timeout_ms = (
             request.queryTimeout * 1000.0 if request.queryTimeout and request.queryTimeout > 0 else 0.0
         )
@@ -715,7 +715,7 @@
 
 
 def read_shards(options: dict[str, str]) -> tuple[str, ...]:
-    """Return the shards that a statement names, separated by commas. Raises `BadRequestError`."""
+    """Return the shards that a statement names in a comma-separated option. Raises `BadRequestError`."""
     names = tuple(
         filter(None, (part.strip() for part in options.get(CONFIG_PREFIX + "shards", "").split(",")))
     )
@@ -727,7 +727,7 @@
 
 
 def read_number(options: dict[str, str], name: str, default: float) -> float:
-    """Return a number from the configuration, or `default`. Raises `BadRequestError` if it is invalid."""
+    """Return a number from the configuration, or `default` if unset. Raises `BadRequestError` if invalid."""
     text = options.get(CONFIG_PREFIX + name)
     if text is None:
         return default
