--- a/fennelwind/cluster/identity.py
+++ b/fennelwind/cluster/identity.py
@@ -9,7 +9,7 @@
 from fennelwind.raft.messages import Timing
 
 PROTOCOL = 1  # version of the frames; incremented by changes that an older controller can't read
-MAX_NAME_LENGTH = 64  # characters of a peer's name; errors show no more of a longer one
+MAX_NAME_LENGTH = 64  # characters of a peer's name; errors cut longer names off there
 
 
 @dataclass(slots=True, frozen=True)
@@ -22,7 +22,7 @@
     folder: Path | None = None  # folder of the log; None if this controller isn't a member
     listen: Address | None = None
     timing: Timing = field(default_factory=Timing)
-    reserve_bytes: int = 0  # of disk space, so that a snapshot can replace the log on a full disk
+    reserve_bytes: int = 0  # disk space in reserve, so that a snapshot can replace the log on a full disk
     handover_ms: float = 2000.0  # ms to hand over leases and leadership at shutdown
 
     @property
--- a/fennelwind/cluster/raft_host.py
+++ b/fennelwind/cluster/raft_host.py
@@ -2,7 +2,8 @@
 
 One loop callback passes queued events to the core and carries out the actions that the core returns; one task
 makes the writes, in order; another task applies committed entries. No query waits for any of this work. If
-the folder, the listening address or the disk is unavailable, the host retries with backoff and logs it once.
+the folder, the listening address or the disk is unavailable, the host retries with backoff; it logs the error
+once.
 """
 
 from collections import Counter, deque
@@ -184,7 +185,7 @@
         self._step()
 
     def _open_with_retries(self) -> DurableState:
-        """Open the folder, retrying until that succeeds; log an error if its code differs from the last."""
+        """Open the folder, retrying until that succeeds; log an error if its code is not the last one's."""
         backoff = Backoff(self._random, MIN_DISK_BACKOFF_MS, MAX_DISK_BACKOFF_MS)
         logged_code = ""
         while True:
@@ -220,7 +221,7 @@
         """Transfer leadership if this member leads; return whether it no longer leads."""
         if self.role == "leader":
             self.post(TransferLeadership())
-            # Wait until another member leads: electing it may need this member's vote, which must be on disk.
+            # Wait until another member leads: the election may need this member's vote on disk.
             self.wait_for_role(lambda: self.role != "leader" and self.leader != "", within_ms)
         return self.role != "leader"
 
@@ -382,7 +383,7 @@
         events = [self._events.popleft() for _ in range(min(len(self._events), MAX_EVENTS_PER_STEP))]
         try:
             self._carry_out(self.core.step(self.loop.now(), events))
-        except Exception as exc:  # raised in a task, which reports it as any other bug of the member
+        except Exception as exc:  # raised again in a task, which reports the error like any other bug
             self._is_stopped = True
             self.loop.spawn(self._guarded, partial(_raise, exc), name="keeper: member")
             return
