--- a/fennelwind/schema_compatibility/message_compatibility.py
+++ b/fennelwind/schema_compatibility/message_compatibility.py
@@ -1,8 +1,8 @@
 """Checks changes of this project's Protocol Buffers messages for backward and forward compatibility.
 
 The rules are those of the Protocol Buffers language guide ("Updating A Message Type") and of the encoding,
-applied strictly: a change breaks if it loses or misreads a value in either direction, or a field name in a
-settings file. Both directions count, as older and newer Raft members read the same log.
+applied strictly: a change breaks if a value, or a field name in a settings file, is lost or misread in either
+direction. Both directions count, as older and newer Raft members read the same log.
 """
 
 from collections.abc import Iterable, Iterator
@@ -236,7 +236,7 @@
 
 
 def _oneof_name(message: DescriptorProto, field: FieldDescriptorProto) -> str:
-    """Return the name of a field's oneof; "" if it has none, or the synthetic one of an optional field."""
+    """Return the name of a field's oneof; "" for no oneof and the synthetic one of an optional field."""
     if not field.HasField("oneof_index") or field.proto3_optional:
         return ""
     return message.oneof_decl[field.oneof_index].name
--- a/fennelwind/schema_compatibility/rollout.py
+++ b/fennelwind/schema_compatibility/rollout.py
@@ -31,7 +31,7 @@
     """Timeouts in ms, and the number of attempts."""
 
     drain_ms: float = 120_000.0  # for an engine's running queries to end; after that, other engines go first
-    answer_ms: float = 60_000.0  # for a statement, stop or describe: ALTER changes the metastore, not rows
+    answer_ms: float = 60_000.0  # for a statement, stop or describe; an ALTER changes the metastore, not rows
     record_ms: float = 5000.0  # for the answer to a replicated command; after that, the command is sent again
     max_attempts: int = 3  # per engine: to run the statements, and to drain
 
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandCompleted:
-    """The answer to a `ProposeCommand`, or None if the outcome is unknown."""
+    """A `ProposeCommand` was answered; `answer` is None if the command's outcome is unknown."""
 
     token: int
     answer: pb.ContractAnswer | None
@@ -74,7 +74,7 @@
 
 @dataclass(slots=True, frozen=True)
 class TableDescribed:
-    """Names and types of the table's columns on an engine, or None if it has no such table."""
+    """An engine described the table; `shape` has the columns, or is None if the engine has no such table."""
 
     token: int
     engine: str
@@ -220,7 +220,7 @@
         self.attempts = self.next_statement = 0  # statement index within the current attempt
         self.is_quiet = False
         self.is_present = state != Change.GONE_AWAY
-        self.is_left_behind = False  # it missed an earlier change, has neither schema, and is not changed
+        self.is_left_behind = False  # it missed an earlier change, has neither old nor new schema, is skipped
         self.may_still_run = False  # the engine left while running a statement of this holder
 
 
@@ -246,7 +246,7 @@
 
     @property
     def due(self) -> float | None:
-        """Time in ms by which `step` must be called even without events; None: no timeout is pending."""
+        """Time in ms by which `step` must be called even without events; None if no timeout is pending."""
         times = [
             engine.deadline_ms for engine in self._engines.values() if engine.phase and engine.is_present
         ]
--- a/fennelwind/schema_compatibility/rules.py
+++ b/fennelwind/schema_compatibility/rules.py
@@ -1,8 +1,8 @@
 """Compatibility rules between writer and reader schemas, each with its public source.
 
 A subscriber's reads are checked against the whole proposed schema, not against the difference to the previous
-version: it expects what it registered. A finding is accepted, a warning (the subscriber keeps working, but
-the publisher should know) or broken.
+version: the subscriber expects what it registered. A finding is accepted, a warning (the subscriber keeps
+working, but the publisher should know) or broken.
 
 `RULES_VERSION` identifies this set of rules. Verdicts are replicated results, so changing a rule requires a
 new version, which members may use only once all of them know it.
@@ -443,7 +443,7 @@
 
 @lru_cache(maxsize=65536)
 def protocol_rules(given: Type, version: int) -> tuple[str, ...]:
-    """Return the rules that limit a type in a protocol version (1 to 11), as codes; nested types are text."""
+    """Return the codes of rules that limit a type in protocol version 1 to 11; nested types go as text."""
     kind = given.kind
     if kind == "varchar" and version < 3:
         return ("protocol-varchar",)
--- a/fennelwind/schema_compatibility/session_options.py
+++ b/fennelwind/schema_compatibility/session_options.py
@@ -13,9 +13,9 @@
     fennelwind.back = ALTER TABLE sales.orders REPLACE COLUMNS (...)
 
 `by name` (the default): the statement names its columns, or takes them from the result by name. `by place`:
-the subscriber reads columns by position in the row, and ignores other columns. The position is that in the
-list, or the one written before each column (`1 id bigint, 4 note string by place`). `* by name`: all columns
-present at registration, by name. `* by place`: whole rows of the width that they have at registration.
+the subscriber reads columns by position in the row, and ignores other columns. A column's position is
+its place in the list, or the number written before it (`1 id bigint, 4 note string by place`). `* by name`:
+all columns present at registration, by name. `* by place`: whole rows of the width at registration.
 """
 
 from collections.abc import Callable, Mapping
@@ -145,7 +145,7 @@
 def parse_subscription(
     configuration: Mapping[str, str], protocol: int, database: str = ""
 ) -> Subscription | None:
-    """Return the subscription in a session's configuration, or None if it has none.
+    """Return the subscription in a session's configuration, or None if the configuration has none.
 
     `protocol` is the `client_protocol` number of OpenSession, 0 for V1. Raises `SessionOptionError`.
     """
@@ -188,7 +188,7 @@
 
 
 def parse_publication(overlay: Mapping[str, str], database: str = "") -> Publication | None:
-    """Return the schema change in a statement's overlay, or None if it has none.
+    """Return the schema change in a statement's overlay, or None if the overlay has none.
 
     Raises `SessionOptionError`.
     """
--- a/fennelwind/schema_compatibility/state_machine.py
+++ b/fennelwind/schema_compatibility/state_machine.py
@@ -1,10 +1,10 @@
 """Replicated state machine of subscriptions, table schemas and schema changes.
 
-A single command checks and admits a change, so no command is applied between the two: subscribers
-registered before it are included in the check, and later registrations are checked against both the current
-schema and the one being rolled out. The rollout is carried out by the holder of the lease `table:NAME`,
-which sends its fencing token with each step; the state holds all that another holder needs to continue or
-revert it.
+A single command checks and admits a change, so no other command is applied between check and admission:
+subscribers registered before are included in the check, and later registrations are checked against both the
+current schema and the one being rolled out. The holder of the lease `table:NAME` carries out the rollout and
+sends its fencing token with each step; the state holds all that another holder needs to continue or revert
+the rollout.
 
     admitted -> forward -> finished          (each engine: waiting, asked, done)
         |          `-----> back -> undone    (each engine: asked back, undone)
@@ -71,7 +71,7 @@
 MIN_TERM_MS, MAX_TERM_MS = 10_000, 30 * 24 * 3600 * 1000  # bounds of a subscription's term
 BEGIN_TIMEOUT_MS = 60_000  # after its admission, a change that has not begun lapses
 MOVE_BLOCK_MS = 180_000  # a change refused for moves blocks new moves this long: one move and its rest period
-MOVE_GRACE_MS = 120_000  # for this long after the block, a refusal blocks no moves, so that they progress
+MOVE_GRACE_MS = 120_000  # for this long after the block, a refusal blocks no moves, so that moves progress
 RETRY_AFTER_MS = 5000  # retry delay sent with a refusal
 
 FINISHED, UNDONE, WITHDRAWN, LAPSED = 1, 2, 3, 4  # outcomes of changes
@@ -168,7 +168,7 @@
         self.readers = Subscriptions()
         self._numbers_by_name: dict[str, list[int]] = {}
         self._lapsed_numbers_by_name: dict[str, list[int]] = {}
-        # (until_ms, number) of subscriptions; out of date for those renewed since.
+        # (until_ms, number) of subscriptions; an entry is out of date if its subscription was renewed since.
         self._expiry_heap: list[tuple[int, int]] = []
 
     # Interface of a replicated state machine.
@@ -220,7 +220,7 @@
         return min(times, default=None)
 
     def fact(self, kind: str, key: str) -> int:
-        """Return a table's fact: `changing` is 1 during a change, `wanted` is 1 while one waits for moves.
+        """Return a table's fact: `changing` is 1 during a change, `wanted` while a change waits for moves.
 
         While `changing`, no move of the table's shards takes a step; while `wanted`, no move begins.
         """
--- a/fennelwind/schema_compatibility/types.py
+++ b/fennelwind/schema_compatibility/types.py
@@ -100,14 +100,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Column:
-    """A column. `number` is its replicated identity, kept when it is renamed or moved, or 0 at first."""
+    """A column. `number` is its replicated identity, kept when it is renamed or moved; 0 until assigned."""
 
     name: str
     type: Type
     nullable: bool = True
     default: str | None = None  # a literal as written in a statement
     number: int = 0
-    was: str = ""  # its name in the previous version, if the publisher declares a rename
+    was: str = ""  # the column's name in the previous version, if the publisher declares a rename
 
 
 @dataclass(frozen=True, slots=True)
--- a/fennelwind/shards/access_load.py
+++ b/fennelwind/shards/access_load.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from itertools import accumulate
 
-HALF_LIFE_MS = 1_800_000  # ms; load varies with the hour of the day, and a migration takes some minutes
+HALF_LIFE_MS = 1_800_000  # shorter than the load's changes over a day, longer than a migration's minutes
 STEPS_PER_HALF_LIFE = 16  # load in the replicated state decays by 4% in each step
 STEP_MS = HALF_LIFE_MS // STEPS_PER_HALF_LIFE
 UNITS_PER_QUERY = 1000  # the replicated state counts each query as this many units
@@ -48,7 +48,7 @@
 
     def __init__(self) -> None:
         self.counts: dict[str, float] = {}  # queries by shard, decayed up to `_decayed_to_ms`
-        self.uncounted = 0  # queries ignored because too many shards were named
+        self.uncounted = 0  # times that a query named a shard ignored because `counts` was full
         self._decayed_to_ms = 0.0
 
     def count(self, shards: Iterable[str]) -> None:
--- a/fennelwind/shards/balance.py
+++ b/fennelwind/shards/balance.py
@@ -14,7 +14,8 @@
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
 MAX_BALANCE_MIGRATIONS = 64  # limit for one plan on migrations for balance; the next plan may add more
-CANCEL_THRESHOLD = 0.5  # part of a tolerance below which a planned migration for balance is cancelled
+# a planned migration for balance is cancelled if the excess without it is at most this part of a tolerance
+CANCEL_THRESHOLD = 0.5
 # standard deviations allowed for chance in counted load: chance alone exceeds them once in 30,000 plans
 CHANCE_DEVIATIONS = 4.0
 # shards considered on the engine with the largest deviation: those with the most gain for their bytes
@@ -60,8 +61,8 @@
     def random_deviation(self, engine: str) -> float:
         """Return the deviation of an engine's access load that chance alone may cause.
 
-        Counted in queries, a decaying count's variance is half its mean, and less if a shard has several
-        replicas.
+        The variance of a decaying count of queries is half the mean of that count. The variance is less if a
+        shard has several replicas.
         """
         unit = self.view.world.heat_unit
         return CHANCE_DEVIATIONS * math.sqrt(
@@ -70,7 +71,7 @@
 
 
 def no_longer_needed(placement: Placement, moves: list[Migration]) -> list[int]:
-    """Return the numbers of migrations for balance whose engine would stay near the mean without them."""
+    """Return the numbers of migrations for balance that engines no longer need to stay near the mean."""
     view, bounds = placement.view, placement.bounds
     disk_share = {name: placement.load[name] / max(1, view.limit[name]) for name in placement.load}
     loads = access_load_by_engine(view, {name: placement.assigned(name) for name in view.good_at_end})
@@ -127,7 +128,7 @@
         and accepts_replica(world.homes[engine], world.shards[name])
         and len(deviations.places[name]) == len(view.good_now[name])
     ]
-    if disk:  # shards that suffice, the smallest first, then the others, the largest first
+    if disk:  # first the shards that suffice, ascending by size; then the others, descending
         sufficient = [deviations.deviation(engine, -shard.size)[0] <= 1.0 for shard in candidates]
         ranks = [
             shard.size if is_sufficient else -shard.size
--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -1,8 +1,8 @@
 """What the shards need and which running migrations remain valid. No I/O.
 
-A replica counts if it is `good` on an engine that is not gone. A replica on an engine that is gone is
-ignored: it is not good, uses no disk and needs no drop. A replica that is
-`doubtful`, `coming` or `leaving` takes disk space and counts for nothing else.
+A replica counts towards its shard's needs if it is `good` on an engine that is not gone. A replica on an
+engine that is gone is ignored: it is not good, uses no disk and needs no drop. A replica that is `doubtful`,
+`coming` or `leaving` takes disk space and counts for nothing else.
 
 A migration is cancelled when its target may not have the replica or no longer needs it, when no engine has a
 good replica to read, when its table is frozen before it has begun, or when there is no longer space for it.
@@ -219,14 +219,14 @@
 
 
 def _can_clear(view: View, move: Migration, pair: tuple[str, str]) -> bool:
-    """Return whether a replica whose drop a planned migration waits for is gone, going or may be dropped."""
+    """Return whether a replica whose drop a planned migration waits for is gone, leaving or droppable."""
     world, (name, engine) = view.world, pair
     if name not in world.shards or engine not in view.holders[name] or pair in view.to_clear:
         return True
     shard, state = world.shards[name], world.copies[pair].state if pair in world.copies else "coming"
     update_disk_mean = [other for other in view.unfinished.values() if (other.shard, other.target) == pair]
     if any(other.step in SPACE_HELD_STEPS and other.number not in view.cancels for other in update_disk_mean):
-        return False  # the older replica is gone, and the same shard came there again
+        return False  # the older replica is gone, and a migration brought the shard to the engine again
     if state in ("coming", "leaving"):
         return True
     is_read = any(
@@ -283,7 +283,7 @@
         loses_needed = len(others) < min(replication_factor(shard), len(good_now)) or view.span(others) < min(
             required_zones(shard), view.span(good_now)
         )
-        good_when_done = set(good_now)  # once `move` and, of the others, only those it waits for are done
+        good_when_done = set(good_now)  # after only `move` and the migrations that `move` waits for
         for other in (*move.after, number):
             if other in view.continuing and view.continuing[other].shard == move.shard:
                 good_when_done = good_when_done - {view.continuing[other].drops} | {
--- a/fennelwind/shards/exhaustive_search.py
+++ b/fennelwind/shards/exhaustive_search.py
@@ -1,9 +1,10 @@
 """Search for the cheapest plan of a small world: placement and order together. No I/O.
 
-It is for worlds whose cheapest placement can't be ordered. A state is where each shard's good replicas are
-and which doubtful ones remain. A step creates one replica and may drop one of the same shard for it, or drops
-one that is surplus from the start. Each step keeps headroom, good replicas and zones, so each path is a valid
-order. The search is A*: the cheapest first by the cost so far plus the least bytes still to be copied.
+The search is for worlds where no order of transfers leads to the cheapest placement. A state says where each
+shard's good replicas are and which doubtful ones remain. A step creates one replica and may drop one of the
+same shard for it, or drops one that is surplus from the start. Each step keeps headroom, good replicas and
+zones, so each path is a valid order. The search is A*: it expands first the state with the least sum of the
+bytes copied so far and the least bytes still to be copied.
 """
 
 import heapq
@@ -15,7 +16,7 @@
 from fennelwind.shards.target_placement import Placement
 from fennelwind.shards.transfer_order import Sequence, Transfer
 
-MAX_SEEN_PER_STATE = 10  # maximum number of states seen for each state expanded
+MAX_SEEN_PER_STATE = 10  # the search ends once it has seen this many states per state that it may expand
 # for each shard, two bit masks: engines with a good replica, engines with a doubtful one
 State = tuple[tuple[int, int], ...]
 Step = tuple[str, str, str]  # shard, engine that gets a replica, engine that loses one; "" if no engine does
@@ -63,13 +64,13 @@
                 drops.append((name, dropped))
                 continue
             if target in doubtful[name] and not any((t.shard, t.target) == (name, target) for t in transfers):
-                drops.append((name, target))  # copied again to the same engine
+                drops.append((name, target))  # the shard is copied to the same engine again
             transfers.append(Transfer(name, target, dropped))
         return drops, transfers
 
 
 class PathSearch:
-    """The states of one small world."""
+    """A search over the states of one small world."""
 
     def __init__(self, placement: Placement, sequence: Sequence) -> None:
         """Prepare the search; `sequence` holds running migrations and their drops, and nothing else."""
@@ -238,7 +239,7 @@
     def _steps(self, movable: _MovableShard, good: int, doubtful: int) -> Iterator[tuple]:
         """Yield a shard's steps: target, bytes taken, engine with a drop, bytes freed, next state, step."""
         for n in self._numbers((movable.free | movable.doubtful & movable.fit) & ~good):
-            size = 0 if doubtful >> n & 1 else movable.size  # 0 if it replaces a doubtful replica
+            size = 0 if doubtful >> n & 1 else movable.size  # 0 if the new replica replaces a doubtful one
             good_next, doubtful_left = good | 1 << n, doubtful & ~(1 << n)
             yield n, size, -1, 0, (good_next, doubtful_left), (movable.name, self.engines[n], "")
             least = min(movable.zones, self._span(good))
@@ -267,7 +268,7 @@
                 )
 
     def _may_drop_at_once(self, movable: _MovableShard, now: int, dropped: int) -> bool:
-        """Return whether a replica may be dropped at once, given those that are good already."""
+        """Return whether a replica may be dropped at once, given the replicas `now` that are good already."""
         good_left = now & ~(1 << dropped)
         if good_left == now:  # a doubtful replica is dropped only when all needs are met
             return (now & movable.fit).bit_count() >= movable.count and self._span(
--- a/fennelwind/shards/migration.py
+++ b/fennelwind/shards/migration.py
@@ -2,7 +2,7 @@
 
 `MigrationDriver.step(now, events) -> actions`, times in ms of the holder's own clock. All that must outlive
 the holder is in the replicated state: a migration's step there says which statements may have been sent, and
-the next holder continues from it or undoes it. What is kept here (tokens, delays, results of checks) may be
+the next holder continues from it or undoes it. What the driver holds (tokens, delays, check results) may be
 lost at any time.
 
 The following holds with every statement and command lost, duplicated, delayed or unanswered:
@@ -41,9 +41,9 @@
     answer_ms: float = 5_000.0  # time-out of a command's answer
     drop_ms: float = 30_000.0  # time-out of a drop, which the engine enforces too
     check_ms: float = 120_000.0  # time-out of a query for row count and checksum
-    copy_ms: float = 60_000.0  # time-out of an export or import, to which the time for its bytes is added at:
+    copy_ms: float = 60_000.0  # time-out of an export or import, plus the time for the bytes at the rate:
     slowest: float = 10_000.0  # bytes per ms, the slowest transfer to expect
-    slack_ms: float = 5_000.0  # after an engine's time-out, until its statement is taken to have ended
+    slack_ms: float = 5_000.0  # from an engine's time-out until the driver takes the statement to have ended
     finish_ms: float = 60_000.0  # time for queries on a leaving replica to finish after its rest period
     again_ms: float = 1_000.0  # delay before a failed statement is repeated; doubles each time
     max_retry_delay_ms: float = 60_000.0
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CommandAnswered:
-    """The answer to a command, or None if its outcome is unknown."""
+    """A command was answered; `answer` is None if the command's outcome is unknown."""
 
     token: int
     answer: pb.Answer | None
@@ -76,7 +76,7 @@
 
 @dataclass(slots=True, frozen=True)
 class StatementEnded:
-    """A statement ended: `ok`, `failed` (by the engine's answer) or `unknown`; results if it was a check."""
+    """A statement ended: `ok`, `failed` (by the engine's answer) or `unknown`; a check also has results."""
 
     token: int
     outcome: str
@@ -86,7 +86,7 @@
 
 @dataclass(slots=True, frozen=True)
 class EnginesReported:
-    """The engines' current state; `held` has the shards that an engine lists, if it was queried."""
+    """The engines' current state; `held` has, by engine, the shards listed by the engines queried."""
 
     homes: tuple[ReplicaHost, ...]
     held: dict[str, frozenset[str]] = field(default_factory=dict)
@@ -169,7 +169,8 @@
 class _Pending:
     """A command or statement without an answer."""
 
-    owner: object  # a migration's number, a doubtful replica's shard and engine, engine reports, or None
+    # a migration's number, a doubtful replica's shard and engine, engine reports, or None for a plan
+    owner: object
     kind: str
     until_ms: float
     pair: tuple[str, str] | None = None  # shard and engine of a statement
@@ -181,17 +182,17 @@
 class _MigrationWork:
     """What this holder knows of a migration."""
 
-    phase: str = ""  # of the copy: "clear", "export", "import", "verify"
+    phase: str = ""  # "clear", "export", "import", "verify" or "failed" of the copy; "dropped" after a drop
     attempt: int = 0  # copy attempt that the phase belongs to
     tries: int = 0  # tries in the current phase
     wait_until_ms: float = 0.0
-    since_ms: float = 0.0  # when it was first seen at this step
+    since_ms: float = 0.0  # when the migration was first seen at `step`
     step: str = ""
     source: tuple[int, int] | None = None  # results of checks: rows and checksum
     target: tuple[int, int] | None = None
     source_lost: bool = False
     is_quiesced: bool = False  # no query runs on the leaving replica
-    rested_since_ms: float = -1.0  # when its rest period was first seen to have ended
+    rested_since_ms: float = -1.0  # when the old replica's rest period was first seen to have ended
 
 
 class MigrationDriver:
@@ -387,7 +388,7 @@
         if work is None:
             if pending.kind == "found" and answer.refusal:
                 self._retry_check(pending.owner)
-                # a content to compare with is needed: check the good replicas
+                # no content is known to compare the replica with: check the good replicas
                 if answer.refusal == Answer.WAITS:
                     for engine in self.machine.good(pending.owner[0]):
                         self._doubtful.setdefault((pending.owner[0], engine), (0, 0.0))
@@ -589,7 +590,7 @@
         return self.timing.copy_ms + self.machine.shards[shard].size / self.timing.slowest
 
     def _verify(self, move: Migration, work: _MigrationWork, shard: Shard) -> None:
-        """Check row count and checksum on both sides; once both are known, continue or start over."""
+        """Check row count and checksum of source and target; once both are known, continue or start over."""
         if work.target is not None and (work.source is not None or work.source_lost):
             known = work.source
             if known is None and shard.rows >= 0:
--- a/fennelwind/shards/model.py
+++ b/fennelwind/shards/model.py
@@ -29,7 +29,7 @@
     # access load: queries that name the shard, or a declared figure; any unit, the same for all shards
     heat: float = 0.0
     rows: int = -1  # rows in a good replica, as agreed by the last check; -1 if not checked yet
-    checksum: int = 0  # checksum agreed by that check
+    checksum: int = 0  # checksum agreed by the last check
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,7 +59,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Migration:
-    """A replica to create and the one that it replaces, if any. Without a target, one is only dropped."""
+    """A replica to create and the one that it replaces, if any; without a target, a replica to drop."""
 
     number: int
     shard: str
@@ -131,4 +131,4 @@
     short: tuple[UnmetNeed, ...] = ()
     bytes: int = 0  # total that the migrations transfer
     reasons: tuple[str, ...] = ()  # for each of the cancels: "target", "kinds", "source", "frozen", ..
-    keeps: tuple[int, ...] = ()  # running ones that continue without their drop: the old replica stays good
+    keeps: tuple[int, ...] = ()  # migrations that continue without their drop: the old replica stays good
--- a/fennelwind/shards/plan.py
+++ b/fennelwind/shards/plan.py
@@ -42,8 +42,9 @@
 def plan(world: World, bounds: Bounds | None = None, first: int = 1) -> MigrationPlan:
     """Return the migrations and drops that are needed, in an order in which they may begin.
 
-    New migrations get numbers above those of the world, and at least `first`. `after` names the migrations
-    that they wait for, in the world or in the plan; `cleared` names replicas dropped without a migration.
+    New migrations get numbers above those of the world, and at least `first`. A migration's `after` lists the
+    migrations, of the world or the plan, that it waits for. Its `cleared` lists replicas that are dropped
+    without a migration before it may begin.
     """
     return _Planner(world.with_counted_load(), bounds or Bounds(), first).run()
 
--- a/fennelwind/shards/plan_checker.py
+++ b/fennelwind/shards/plan_checker.py
@@ -88,7 +88,7 @@
         self.findings.append(Finding(rule, str(subject), text))
 
     def _check_shape(self) -> None:
-        """Check that numbers, shards, engines are known and that the plan's bytes match its migrations."""
+        """Check that numbers, shards and engines are valid and that the plan's bytes match its migrations."""
         if len(self.new) != len(self.planned.moves):
             self._report("shape", "moves", "duplicate number")
         for move in self.planned.moves:
@@ -264,7 +264,7 @@
                 return
 
     def _max_weight(self, weights: dict[Event, int], forced: Event | None) -> int:
-        """Return the maximum weight of a set of events with `forced`, if given, and all prerequisites."""
+        """Return the maximum weight of a set of events with its prerequisites and, if given, `forced`."""
         nodes = self._closure(event for event, weight in weights.items() if weight > 0)
         forcing_weight = 2 * sum(abs(weight) for weight in weights.values()) + 1
         source, sink = ("source",), ("sink",)
@@ -325,7 +325,7 @@
 
     def _good_after(self, moves: list[Migration], start: set[str], events: set[Event]) -> set[str]:
         """Return the engines with a good replica after a set of a shard's events."""
-        good = start - {event[2] for event in events if event[0] == "gone"}  # before another one comes there
+        good = start - {event[2] for event in events if event[0] == "gone"}  # before other replicas come
         for move in moves:  # in order of numbers: a shard's later migrations have higher ones
             if ("done", move.number) in events:
                 if move.step != "switched":  # otherwise the replica is there already, or has been lost since
--- a/fennelwind/shards/routing.py
+++ b/fennelwind/shards/routing.py
@@ -6,8 +6,8 @@
 the endpoint list say which engines belong to it. Queries that name no shards keep their class, and without
 slots nothing changes.
 
-Queries for which no slot is available depend on `may_send`, which is called before each attempt in any case:
-a replica may have started to leave in the meantime.
+For queries without an available slot, only `may_send` checks the engine. It is called before each attempt of
+any query, as a replica may have started to leave in the meantime.
 """
 
 from collections.abc import Iterable, Mapping
@@ -90,7 +90,7 @@
         self.overflows = 0  # queries for which no slot was available
         # queries by shard, for the shards that the replicated state knows
         self.access_counter = AccessCounter()
-        # by query: its slot, and those of its shards that can be routed
+        # by query: the query's slot, and those of the query's shards that can be routed
         self._slot_of_query: dict[int, tuple[_Slot | None, tuple[str, ...]]] = {}
         self._named_by_query: dict[int, tuple[str, ...]] = {}  # all shards that a query named
         self._use_count = 0
@@ -114,7 +114,7 @@
         return self._changed_entries(before)
 
     def _allowed(self, shards: tuple[str, ...]) -> frozenset[str]:
-        """Return the engines for queries naming these shards: any if none is known, but no quiesced ones."""
+        """Return the engines for queries naming these shards: all if none is known, except quiesced ones."""
         if not shards:
             return frozenset()
         holders = self.holders(shards)
@@ -140,7 +140,7 @@
         return replace(event, engines=tuple(self._with_slot_mask(entry) for entry in event.engines))
 
     def holders(self, shards: Iterable[str]) -> frozenset[str] | None:
-        """Return the engines with good replicas of all these shards that are known, or None if none is."""
+        """Return the engines with good replicas of all known shards of these, or None if none is known."""
         known = [frozenset(self.places[shard]) for shard in shards if shard in self.places]
         return frozenset.intersection(*known) if known else None
 
@@ -197,7 +197,7 @@
         return self.update_replicas({**self.places, **remaining})
 
     def attempt_started(self, query: int, number: int, engine: str) -> None:
-        """Record an attempt about to be sent; called in the same turn of the loop as `may_send`."""
+        """Record an attempt about to be sent; called in the same turn of the event loop as `may_send`."""
         if self.in_flight is not None and query in self._named_by_query:
             self.in_flight.attempt_started((query, number), self._named_by_query[query], engine)
 
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -54,7 +54,7 @@
     weight: int = PROHIBITIVE_WEIGHT,
     relaxed: bool = False,
 ) -> Iterator[tuple[int, int, dict[str, Places]]]:
-    """Yield unmet needs, bytes and places of some shards, cheapest first; the other shards stay.
+    """Yield unmet needs, bytes and places of some shards, cheapest first; other shards keep their places.
 
     At most `max_nodes` assignments are extended. One unmet need costs as much as `weight` bytes; below
     `PROHIBITIVE_WEIGHT`, cheap assignments with unmet needs come before expensive ones that meet them.
--- a/fennelwind/shards/state_machine.py
+++ b/fennelwind/shards/state_machine.py
@@ -1,9 +1,9 @@
 """The replicated state of shards: replica locations, engines' capacity, and migrations with their steps.
 
 Every command but an operator's declaration carries the fencing token of the lease `moves`; a command with an
-earlier holder's token is refused. A migration takes a step only from the step before it and
-only while the step is valid: this state alone decides that, whoever asks and however late. What a step
-allows (statements to engines) happens after its commit and never before.
+earlier holder's token is refused. A migration takes a step only from the step before it and only while the
+new step is valid: this state alone decides whether it is, whoever requests the step and however late. What a
+step allows (statements to engines) happens after its commit and never before.
 
 Space counts from a replica's reservation until its drop was answered, so a coming replica and the one that it
 replaces both count. A replica may be read while it is `good`, and in no other state.
@@ -31,14 +31,14 @@
 MAX_NAME_CHARS = 512  # characters of a name
 MAX_SIZE_BYTES = 2**60  # bytes of a shard or a disk; sums of them stay far below 2**64
 MAX_PLACES_PER_ANSWER = 3_072  # shards in one answer with replica locations
-MAX_LEAVING_PER_ANSWER = 512  # leaving replicas in it; both limits and the longest names fill a frame
+MAX_LEAVING_PER_ANSWER = 512  # leaving replicas in that answer; at both limits, longest names fill a frame
 MAX_PIECE_BYTES = 1024 * 1024  # bytes of the state in one answer, half of what a frame holds
 # from this level of the replicated state on, a quiesced replica may be dropped before its rest period ends
 CLEARED_MIN_LEVEL = 2
 # ms from a switch until the old replica may be dropped: a controller cut off for less may still send to it
 REST_MS = 60_000
 HOUR_MS = 3_600_000  # ms over which transferred bytes are limited
-TRANSFER_BUCKET_MS = 300_000  # ms of one bucket of these bytes: a bucket counts until an hour after its end
+TRANSFER_BUCKET_MS = 300_000  # ms of one bucket of transferred bytes; it counts until an hour after its end
 # from this level on, the replicated state keeps the bytes started in the hour and counted access load
 ACCESS_COUNTS_MIN_LEVEL = 2
 # ms for which a shard is suspended after a failed migration; doubles each time
@@ -66,7 +66,7 @@
         self.used: dict[str, int] = {}  # bytes of replicas by engine, whatever their state
         self.last_move = 0
         self.changes = 0  # counts changes that may call for another plan
-        self.revision = 0  # entry that last changed anything but access load, which wakes no watch
+        self.revision = 0  # entry that last changed anything but access load, whose change wakes no watch
         self._started_bytes: dict[int, int] = {}  # bytes that copies began to transfer, by bucket of time
         self._access_counts: dict[
             str, tuple[int, int]
@@ -90,7 +90,7 @@
     # Reads.
 
     def fact(self, kind: str, key: str) -> int:
-        """Return how many shards of a table are under migration; the case of its name is ignored.
+        """Return how many shards of a table are under migration; the case of the table's name is ignored.
 
         A shard also counts while a replica that just became doubtful may still be read by an older view: if
         the table were changed now, that replica would miss the change.
@@ -108,7 +108,7 @@
         return {shard: self.good(shard) for shard in sorted(self._shards_of_table.get(table, ()))}
 
     def leaving(self, shard: str) -> str:
-        """Return the engine whose replica gets no further queries and waits for its drop, or ""."""
+        """Return the engine whose replica gets no further queries and waits for its drop; "" if none."""
         replicas = self.copies.get(shard, {})
         return next(
             (engine for engine, replica in sorted(replicas.items()) if replica.state == "leaving"), ""
@@ -311,7 +311,7 @@
         if known is None and len(self.shards) >= MAX_SHARDS:
             return Answer.TOO_MANY
         if message.name in self._migration_of_shard and known.size != message.size:
-            return Answer.UNDER_WAY  # its space was reserved by its current size
+            return Answer.UNDER_WAY  # the migration's space was reserved by the shard's known size
         shard = Shard(
             message.name,
             message.table,
@@ -389,7 +389,7 @@
             return Answer.BAD
         known = self.homes.get(message.name)
         if seen < self._engine_entry.get(message.name, 0):
-            return Answer.WAITS  # it may be older than what is known
+            return Answer.WAITS  # the report may be older than what is known
         if known is None and len(self.homes) >= MAX_ENGINES:
             return Answer.TOO_MANY
         host = ReplicaHost(
@@ -438,7 +438,7 @@
         return Answer()
 
     def _counted(self, request: pb.Counted, at: LogPosition) -> pb.Answer:
-        """Add a controller's counts; they decay by the replicated clock, whoever reports them."""
+        """Add a controller's counts of queries; the sums of all controllers decay by the replicated clock."""
         if len(request.queries) > access_load.MAX_REPORTED_SHARDS:
             return Answer(refusal=Answer.TOO_MANY)
         if any(message.count > access_load.MAX_REPORTED_COUNT for message in request.queries):
@@ -500,7 +500,7 @@
             if any(
                 predecessor in plan_numbers and not numbers.get(predecessor) for predecessor in message.after
             ):
-                refusal = refusal or Answer.WAITS  # it depends on the space of a migration that was refused
+                refusal = refusal or Answer.WAITS  # it needs the space of a migration that was refused
             if not refusal:
                 self.last_move += 1
                 after = {numbers.get(predecessor, predecessor) for predecessor in message.after}
@@ -683,7 +683,7 @@
             return Answer.STEP
         replica = self.copies.get(move.shard, {}).get(move.drops)
         if replica is None or replica.state != "leaving":
-            return Answer.SOURCE  # it was lost with its engine, or has become doubtful
+            return Answer.SOURCE  # the old replica was lost with its engine, or has become doubtful
         if not self.may_drop(move.shard, move.drops):
             return Answer.LAST
         self._set_step(move, "dropping", at)
@@ -703,7 +703,7 @@
         replica = replicas.get(move.drops)
         is_leaving = replica is not None and replica.state == "leaving"
         if is_leaving and self.may_drop(move.shard, move.drops) and not request.failed:
-            return Answer.STEP  # there is no reason to keep it
+            return Answer.STEP  # there is no reason to keep the replica
         if is_leaving:  # once its drop may have been sent, only a check can tell if the replica still exists
             known_good = move.step == "switched" and not replica.wrong
             self._set_replica(
@@ -720,7 +720,7 @@
         if request.failed:
             self._suspend(move.shard, at)
         if move.step == "reserved":
-            self._remove_replica(move.shard, move.target)  # no statement was sent for it
+            self._remove_replica(move.shard, move.target)  # no statement was sent for this replica
         if move.step in ("planned", "reserved") or move.target not in self.copies.get(move.shard, {}):
             self._finish(move, succeeded=False)
         else:
@@ -891,7 +891,7 @@
 
 
 def _is_barred(shard: Shard, facts: Facts, is_start: bool) -> bool:
-    """Return whether its table's schema change blocks a shard; a waiting one blocks only new migrations."""
+    """Return whether a table's schema change blocks a shard; a waiting change blocks only new migrations."""
     return bool(facts.fact("changing", shard.table) or is_start and facts.fact("wanted", shard.table))
 
 
--- a/fennelwind/shards/target_placement.py
+++ b/fennelwind/shards/target_placement.py
@@ -17,8 +17,8 @@
 from fennelwind.shards.transfer_order import Transfer
 
 Places = frozenset  # the engines with a good replica in the end
-RERANK_INTERVAL = 32  # engines are ranked again by deviation after each so many shards
-MAX_CANDIDATES = 12  # engines at the head of that ranking, which are compared for each replica
+RERANK_INTERVAL = 32  # engines are ranked by deviation again each time this many shards were placed
+MAX_CANDIDATES = 12  # engines compared for each replica: the first suitable ones of that ranking
 
 
 @dataclass(slots=True, frozen=True)
@@ -59,7 +59,7 @@
 
     @cached_property
     def mean_access_load(self) -> float:
-        """Return the mean access load of the engines that accept replicas."""
+        """Return the mean access load of the engines that accept replicas; 1.0 if that is 0."""
         return mean_over_accepting(self.access_load, self.view) or 1.0
 
     def fitting_engines(self, shard: Shard) -> list[str]:
@@ -77,7 +77,7 @@
         return self._zones[shard.kinds]
 
     def lacking(self, shard: Shard) -> int:
-        """Return how many replicas and zones the shard lacks, whatever the space."""
+        """Return how many needed replicas and zones the engines can't provide, regardless of space."""
         return max(0, replication_factor(shard) - len(self.fitting_engines(shard))) + max(
             0, required_zones(shard) - self.reachable_zones(shard)
         )
@@ -126,7 +126,7 @@
         good_before = {engine for engine in view.good_now[name] if (name, engine) not in view.to_clear}
         added, removed = sorted(places - good), sorted(good - places, key=lambda e: (self.free_now(e), e))
         doubtful = sorted(e for e in view.doubtful[name] - good if (name, e) not in view.to_clear)
-        drops = [engine for engine in doubtful if engine in places]  # copied again to this engine
+        drops = [engine for engine in doubtful if engine in places]  # the shard is copied there again
         doubtful = [engine for engine in doubtful if engine not in places]
         good_after, transfers, change = set(good), [], dict.fromkeys(drops, -shard.size)
         homes = self.world.homes
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -2,7 +2,7 @@
 
 Transfers are appended to a sequence. For each transfer, free space is computed as if all transfers listed
 before it for the same engine had begun, and only the drops that it waits for were done. So no engine's
-headroom is violated, with any degree of parallelism, if each transfer begins once its waits end: of the
+headroom is violated, with any degree of parallelism, if each transfer begins after what it waits for: of the
 transfers that have begun on an engine, the last one listed waited for enough space for all of them.
 """
 
@@ -79,9 +79,9 @@
         self.moves_of_shard.setdefault(move.shard, []).append(number)
 
     def sources(self, shard: str) -> dict[str, int]:
-        """Return the engines where the shard can be read after all that is listed.
+        """Return the engines where the shard can be read after all listed migrations and drops.
 
-        Each has the migration that brings the replica, or 0 if the replica is there from the start.
+        Each value is the migration that brings the replica, or 0 if the replica is there from the start.
         """
         if shard not in self.available:
             self.available[shard] = dict.fromkeys(sorted(self.view.good_now[shard]), 0)
@@ -116,7 +116,7 @@
         after, cleared = {available[source]} - {0}, set()
         lacking = size - self.free_bytes[target]
         for bytes_freed, by in self.freed_by[target]:
-            if (shard, target) == by:  # the shard's own older replica there
+            if (shard, target) == by:  # the shard's own older replica on the target
                 cleared.add(by)
                 lacking -= bytes_freed
         for bytes_freed, by in self.freed_by[target]:
@@ -156,8 +156,8 @@
 def arrange(sequence: Sequence, transfers: list[Transfer]) -> list[Transfer]:
     """Append the transfers as far as space allows, breaking cycles via a third engine; return the others.
 
-    Transfers that free a crowded engine go first, those that free none last: in the opposite order a transfer
-    might take the space needed by the one whose space it could have waited for.
+    Transfers that free space on a crowded engine go first, those that free none last. In the opposite order,
+    a transfer might take space that a freeing transfer needs, though it could have waited for freed space.
     """
     shards = sequence.view.world.shards
     pending = sorted(
@@ -172,7 +172,7 @@
     )
     if len(pending) <= MAX_EXHAUSTIVE_TRANSFERS:
         pending = _longest_feasible_order(sequence, pending)
-    rerouted: set[str] = set()  # shards already moved via a third engine, which each may be once
+    rerouted: set[str] = set()  # shards moved via a third engine already; no shard is so moved twice
     while pending:
         blocked = [transfer for transfer in pending if sequence.add(transfer) is None]
         if len(blocked) == len(pending):
--- a/fennelwind/shards/transfer_throttle.py
+++ b/fennelwind/shards/transfer_throttle.py
@@ -8,7 +8,7 @@
 from fennelwind.shards.model import Bounds, Migration, ReplicaHost, Shard
 
 STREAMING_STEPS = ("reserved", "copying")  # steps that take a stream at the source and at the target
-# migrations whose copy, or next attempt, was requested, and the requested source
+# by number of each migration whose copy, or next attempt, was requested: the requested source
 RequestedSources = Mapping[int, str]
 NO_REQUESTS: RequestedSources = MappingProxyType({})
 # what one stream occupies: the engine read, the engine written, and the pair of their zones
@@ -88,7 +88,7 @@
 def _streams(state: MigrationState, requested: RequestedSources) -> Counter:
     """Return how many copies each engine reads or writes, and each pair of zones carries.
 
-    A copy requested from another engine counts for both sources until the replicated state has the new one.
+    A copy requested from a new source counts for both sources until the replicated state has the new one.
     """
     streams = Counter()
     for number, move in state.moves.items():
