--- a/fennelwind/shards/constraints.py
+++ b/fennelwind/shards/constraints.py
@@ -224,8 +224,12 @@
     if name not in world.shards or engine not in view.holders[name] or pair in view.to_clear:
         return True
     shard, state = world.shards[name], world.copies[pair].state if pair in world.copies else "coming"
-    update_disk_mean = [other for other in view.unfinished.values() if (other.shard, other.target) == pair]
-    if any(other.step in SPACE_HELD_STEPS and other.number not in view.cancels for other in update_disk_mean):
+    migrations_to_engine = [
+        other for other in view.unfinished.values() if (other.shard, other.target) == pair
+    ]
+    if any(
+        other.step in SPACE_HELD_STEPS and other.number not in view.cancels for other in migrations_to_engine
+    ):
         return False  # the older replica is gone, and a migration brought the shard to the engine again
     if state in ("coming", "leaving"):
         return True
@@ -237,7 +241,7 @@
         return False
     good_left = {other for other in view.good_now[name] if (name, other) not in view.to_clear} - {engine}
     is_replaced = any(
-        pair in other.cleared and other.number not in view.cancels for other in update_disk_mean
+        pair in other.cleared and other.number not in view.cancels for other in migrations_to_engine
     )
     if state == "doubtful":
         may_drop = (is_replaced and bool(good_left)) or view.meets_needs(shard, good_left)
