--- a/fennelwind/node/endpoint_watch.py
+++ b/fennelwind/node/endpoint_watch.py
@@ -31,7 +31,7 @@
 # silence timeouts to answer.
 MAX_CONNECTIONS = 3
 MIN_BACKOFF_MS, MAX_BACKOFF_MS = 25.0, 400.0  # ms between failed connections, doubled up to the maximum
-STABLE_MS = 1000.0  # ms (the comment interval); a connection that lasted this long does not count as failed
+STABLE_MS = 1000.0  # ms (SSE comment interval); a connection that lasted this long does not count as failed
 MAX_RETRIES = 3  # times that a damaged event is requested again before its readable parts are applied
 MAX_NUMBERS_AHEAD = 1000  # full lists' and drains' numbers further ahead of the cursor count as damaged
 MAX_LOGGED_PROBLEMS = 3  # problems of one event in a log line
--- a/fennelwind/policy/slow_start.py
+++ b/fennelwind/policy/slow_start.py
@@ -11,7 +11,7 @@
 from fennelwind.policy.model import Engine, Query
 
 USED_BUDGET_SHARE = 0.6  # of the budget: work estimates err, and an engine that crashes loses all its work
-MAX_ROUNDED_QUERY_SHARE = 0.03  # of the budget; a gateway's share is never rounded up for a larger query
+MAX_ROUNDED_QUERY_SHARE = 0.03  # of the budget; a gateway's share is rounded up only for queries up to this
 MIN_QUERY_WORK_SHARE = 0.36  # of the mean work of all queries; bounds the number of queries sent to an engine
 
 
--- a/fennelwind/shards/search.py
+++ b/fennelwind/shards/search.py
@@ -14,7 +14,7 @@
 from fennelwind.shards.model import Shard
 from fennelwind.shards.target_placement import Outcome, Placement, Places
 
-PROHIBITIVE_WEIGHT = 1 << 60  # more than all bytes together: no need is left unmet to save bytes
+PROHIBITIVE_WEIGHT = 1 << 60  # more than all bytes together, so that a need never stays unmet to save bytes
 Option = tuple[int, int, Places, Outcome]  # unmet, bytes, places, transfers and drops
 
 
--- a/fennelwind/shards/transfer_order.py
+++ b/fennelwind/shards/transfer_order.py
@@ -157,7 +157,7 @@
     """Append the transfers as far as space allows, breaking cycles via a third engine; return the others.
 
     Transfers that free space on a crowded engine go first, those that free none last. In the opposite order,
-    a transfer might take space that a freeing transfer needs, though it could have waited for freed space.
+    a transfer that could have waited for freed space might take the space that a freeing transfer needs.
     """
     shards = sequence.view.world.shards
     pending = sorted(
